--- /dev/null
+++ b/control/recorded_test.go
@@ -0,0 +1,263 @@
+package control
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// record writes the files under testdata anew. They were made by the program of 2d0ce6c and are
+// written again only where a decision is meant to change.
+var record = flag.Bool("record", false, "write the recorded decisions anew")
+
+// recordedWorkload draws the events of one recorded run. Its requests cover what the recordings of the
+// simulator's wire do not tell apart: the retry budget, and first attempts against retries of clients.
+type recordedWorkload struct {
+	settings Settings
+	failed   float64 // fraction of the attempts that fail
+	seed     uint64
+}
+
+// recordedSettings is a deployment with a class of each effect and a plan of each kind of quota.
+func recordedSettings(group int, marksRetry bool) Settings {
+	s := settings()
+	s.GroupSize, s.MarksRetry, s.SendCap = group, marksRetry, 4
+	s.Classes = []Class{
+		{Name: "job", Aim: 600 * ms, Deadline: 4 * time.Second, Worth: 1, LateShare: 0.3},
+		{Name: "keyed", Aim: 400 * ms, Deadline: 2 * time.Second, Effect: Guarded, KeyScope: ScopeCell,
+			RepeatWindow: 700 * ms, Worth: 2},
+		{Name: "zoned", Aim: 400 * ms, Deadline: 2 * time.Second, Effect: Guarded, KeyScope: ScopeZone,
+			RepeatWindow: 900 * ms, Worth: 0.4},
+		{Name: "once", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: SingleShot, Worth: 1.5},
+	}
+	s.Plans = []Plan{
+		{Name: "low", Price: 0.5, Rate: 60, Depth: 90, OverCost: 0.5, CeilingRate: 90, CeilingBurst: 120, CeilingSlack: 30},
+		{Name: "high", Price: 1.5, Rate: 400, Depth: 500, OverCost: 1},
+		{Name: "open", Price: 1, Open: 6},
+	}
+	s.CostAfter = true
+	return s
+}
+
+// play drives a controller through the workload and returns it, with what it answered: a line for each
+// event that had an answer.
+func (w recordedWorkload) play(t *testing.T) (*Controller, time.Duration, []byte) {
+	t.Helper()
+	c, err := New(w.settings, w.seed)
+	require.NoError(t, err)
+	rng := rand.New(rand.NewPCG(w.seed, 77))
+	type event struct {
+		at time.Duration
+		e  Event
+	}
+	var out bytes.Buffer
+	var due []event
+	attempts := map[string]int{}
+	sentAt := map[string]time.Duration{}
+	now := time.Hour
+	list := on(1, 2, 3, 4, 5, 6, 7, 8)
+	due = append(due, event{now, List{Kind: Whole, Members: list}})
+	list[2].CameUp, list[2].HasCameUp = now+6*time.Second, true
+	due = append(due, event{now + 6*time.Second, List{Kind: Patch, Members: list[2:3]}})
+	due = append(due, event{now + 12*time.Second, List{Kind: Patch, Members: []Member{{Server: 5, Zone: "z1", Cell: 2, Size: 1, Condition: Fading}}}})
+	due = append(due, event{now + 8*time.Second, Hearsay{Server: 4, Witnesses: 4, Until: now + 11*time.Second}})
+	due = append(due, event{now + 14*time.Second, Rules{Version: 3, Price: []float64{1, 1, 1}, Quota: []float64{0.5, 1, 1},
+		Attempts: []int{2, 0, 3, 0}, InFlight: 40, Cost: map[string]float64{"z2": 0.2}}})
+	due = append(due, event{now + 17*time.Second, Zones{Away: map[string]float64{"z2": 0.6}}})
+	for i, at := 0, now; at < now+20*time.Second; i++ {
+		at += time.Duration(rng.ExpFloat64() * float64(9*ms))
+		due = append(due, event{at, w.request(rng, i)})
+	}
+	for handled := 0; len(due) > 0; handled++ {
+		if handled%50 == 0 {
+			fmt.Fprintf(&out, "budget %v%s\n", c.retries, w.classified(c))
+		}
+		first := 0
+		for i := range due {
+			if due[i].at < due[first].at {
+				first = i
+			}
+		}
+		next := due[first]
+		due = append(due[:first], due[first+1:]...)
+		now = max(now, next.at)
+		if now > time.Hour+25*time.Second {
+			break
+		}
+		line := ""
+		for _, a := range c.Handle(now, next.e) {
+			switch a := a.(type) {
+			case Send:
+				n := attempts[a.ID]
+				attempts[a.ID], sentAt[a.ID] = n+1, now
+				line += fmt.Sprintf(" S%s.%d:%d,%d", a.ID, n, a.Server, a.Until.Microseconds())
+				took := time.Duration((0.3 + rng.ExpFloat64()) * float64(90*ms))
+				answer := w.response(rng, a, n)
+				if answer.Reason != OK && rng.IntN(2) == 0 { // fails at once
+					took /= 20
+				}
+				due = append(due, event{now + took, answer})
+			case Refuse:
+				line += fmt.Sprintf(" R%s:%d", a.ID, a.RetryAfter.Milliseconds())
+			case Fail:
+				line += " F" + a.ID
+			case Arm:
+				due = append(due, event{now + a.After, Timer{Label: a.Label}})
+			}
+		}
+		if line != "" {
+			fmt.Fprintf(&out, "%d%s\n", (now - time.Hour).Microseconds(), line)
+		}
+	}
+	return c, now, out.Bytes()
+}
+
+// classified tells what the classifier of attempts holds: by class the usual time, and what recurs beside it.
+func (w recordedWorkload) classified(c *Controller) string {
+	var text strings.Builder
+	for i := range c.set.Classes {
+		u := c.usual[&c.set.Classes[i]]
+		fmt.Fprintf(&text, " %d,%d,%d,%d", u.ttl.Microseconds(), u.seen, u.second.Microseconds(), u.often)
+	}
+	return text.String()
+}
+
+// request draws a request. Without marks, the time that is left tells a client's retry from its first attempt.
+func (w recordedWorkload) request(rng *rand.Rand, i int) Request {
+	class := w.settings.Classes[rng.IntN(len(w.settings.Classes))]
+	plan := w.settings.Plans[rng.IntN(len(w.settings.Plans))].Name
+	r := Request{ID: fmt.Sprint(i), Class: class.Name, Plan: plan, Customer: fmt.Sprint(rng.IntN(12)),
+		TTL: class.Deadline, Units: 1 + 3*rng.Float64(), Spread: w.settings.GroupSize, Long: rng.IntN(40) == 0}
+	switch rng.IntN(10) {
+	case 0: // a retry
+		r.TTL = time.Duration(float64(class.Deadline) * (0.2 + 0.7*rng.Float64()))
+		r.Repeat = w.settings.MarksRetry
+	case 1, 2, 3: // a client that always gives up early, at nearly the same time; later others do
+		r.TTL = class.Deadline/3 + time.Duration(rng.IntN(3800))*time.Microsecond
+		if i > 1100 {
+			r.TTL -= 100 * ms
+		}
+	case 4: // a retry right after a rejection
+		r.TTL = class.Deadline - time.Second - time.Duration(rng.IntN(30))*ms
+		r.Repeat = w.settings.MarksRetry
+	}
+	return r
+}
+
+// response draws how an attempt ends.
+func (w recordedWorkload) response(rng *rand.Rand, a Send, n int) Response {
+	e := Response{ID: a.ID, N: n, Server: a.Server, Reason: OK, Done: true, Used: 1 + rng.IntN(130), Cost: 1 + 3*rng.Float64()}
+	if rng.Float64() < w.failed {
+		reasons := []Reason{Errored, Full, TimedOut, ConnectFailed, ResetByPeer, Cancelled, Moot}
+		e.Reason, e.Done, e.Cost, e.Used = reasons[rng.IntN(len(reasons))], false, 0, 0
+		e.Spent = rng.IntN(30) == 0
+	}
+	return e
+}
+
+func recordedWorkloads() map[string]recordedWorkload {
+	return map[string]recordedWorkload{
+		"two-nodes-half-failed":    {recordedSettings(2, true), 0.5, 11},
+		"many-nodes-third-failed":  {recordedSettings(300, true), 0.33, 12},
+		"two-nodes-unmarked":       {recordedSettings(2, false), 0.12, 13},
+		"twelve-nodes-unmarked":    {recordedSettings(12, false), 0.25, 14},
+		"one-node-most-fail-early": {recordedSettings(1, false), 0.7, 15},
+	}
+}
+
+// compareRecorded holds got against a file of testdata, or writes it where that is asked for.
+func compareRecorded(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if *record {
+		require.NoError(t, os.WriteFile(path, got, 0o644))
+	}
+	want, err := os.ReadFile(path)
+	require.NoError(t, err)
+	if bytes.Equal(want, got) {
+		return
+	}
+	before, after := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
+	for i := range min(len(before), len(after)) {
+		require.Equal(t, before[i], after[i], "%s, line %d", name, i+1)
+	}
+	require.Len(t, after, len(before), name)
+}
+
+// The decisions on recorded runs, which cover the retry budget and the classification of a client's
+// attempts, are those of the program that recorded them.
+func TestDecisionsAreAsRecorded(t *testing.T) {
+	for name, w := range recordedWorkloads() {
+		_, _, got := w.play(t)
+		compareRecorded(t, "decisions-"+name+".txt", got)
+	}
+}
+
+// What is kept for the next process, handed to one that takes over, and left to it at the end has the
+// recorded bytes; and the stored forms are read and written back byte for byte.
+func TestHandoverIsAsRecorded(t *testing.T) {
+	w := recordedWorkloads()["two-nodes-half-failed"]
+	c, now, _ := w.play(t)
+	kept, err := c.Keep(now)
+	require.NoError(t, err)
+	compareRecorded(t, "kept.json", kept)
+	handed, err := c.Handover(now)
+	require.NoError(t, err)
+	compareRecorded(t, "handover.json", handed)
+	rest, err := c.Rest(now)
+	require.NoError(t, err)
+	compareRecorded(t, "rest.json", rest)
+	for _, raw := range [][]byte{kept, handed} {
+		var h handover
+		from := json.NewDecoder(bytes.NewReader(raw))
+		from.DisallowUnknownFields()
+		require.NoError(t, from.Decode(&h))
+		again, err := json.Marshal(h)
+		require.NoError(t, err)
+		require.Equal(t, string(raw), string(again))
+	}
+}
+
+// A successor that adopts the recorded hand-over, or recalls the recorded state, decides as recorded.
+func TestSuccessorDecidesAsRecorded(t *testing.T) {
+	w := recordedWorkloads()["two-nodes-half-failed"]
+	for _, name := range []string{"handover", "kept"} {
+		raw, err := os.ReadFile(filepath.Join("testdata", name+".json"))
+		require.NoError(t, err)
+		c, err := New(w.settings, 5)
+		require.NoError(t, err)
+		now := time.Hour + 26*time.Second
+		if name == "handover" {
+			require.NoError(t, c.Adopt(now, raw))
+		} else {
+			require.NoError(t, c.Recall(now, raw, time.Minute))
+		}
+		var out bytes.Buffer
+		rng := rand.New(rand.NewPCG(5, 5))
+		c.Handle(now, List{Kind: Stale, Members: on(1, 2, 3, 4, 5, 6, 7, 8)})
+		for i := range 600 {
+			now += time.Duration(rng.ExpFloat64() * float64(12*ms))
+			for _, a := range c.Handle(now, w.request(rng, i)) {
+				switch a := a.(type) {
+				case Send:
+					fmt.Fprintf(&out, "S%s:%d\n", a.ID, a.Server)
+					c.Handle(now+30*ms, w.response(rng, a, 0))
+				case Refuse:
+					fmt.Fprintf(&out, "R%s:%d\n", a.ID, a.RetryAfter.Milliseconds())
+				case Fail:
+					fmt.Fprintf(&out, "F%s\n", a.ID)
+				}
+			}
+		}
+		compareRecorded(t, "successor-"+name+".txt", out.Bytes())
+	}
+}
