--- /dev/null
+++ b/fleet/rules/golden_test.go
@@ -0,0 +1,84 @@
+package rules
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"sloestile/internal/golden"
+)
+
+// Each command has the recorded bytes.
+func TestCommandsAreAsRecorded(t *testing.T) {
+	for name, c := range map[string]Command{
+		"publish":  {Publish: &Publish{Parent: 3, By: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
+		"activate": {Activate: &Activate{Number: 4, Kind: Exclusive, At: 77, By: "ada"}},
+		"back":     {Back: &Back{Parent: 4, Of: 2, Kind: Overlap, By: "bo"}},
+		"cancel":   {Cancel: &Cancel{Number: 4, By: "bo"}},
+		"prepare":  {Prepare: &Prepare{Number: 5}},
+		"commit":   {Commit: &Commit{Number: 5, Step: 6}},
+	} {
+		golden.RoundTripOf(t, "command-"+name, &c, func(c *Command) ([]byte, error) { return c.Encode() },
+			func(raw []byte) (*Command, error) {
+				c, err := DecodeCommand(raw)
+				return &c, err
+			})
+	}
+}
+
+// The message of leases has the recorded bytes.
+func TestMessagesAreAsRecorded(t *testing.T) {
+	m := &Message{}
+	golden.Fill(m)
+	*m.Tell = Word{}
+	golden.Fill(m.Tell)
+	m.Tell.Kind, m.Grant.Word.Kind = Overlap, Exclusive
+	m.Tell.Next.Number, m.Grant.Word.Next.Number = 400, 500
+	m.Grant.Step = m.Grant.Word.Step
+	golden.RoundTripOf(t, "message", m, (*Message).Encode, func(raw []byte) (*Message, error) { return Decode(raw, 1000) })
+}
+
+// The registry's snapshot, taken while versions are published, awaited, active and cancelled, has the recorded bytes.
+func TestSnapshotIsAsRecorded(t *testing.T) {
+	r := &Registry{}
+	for _, c := range []Command{
+		{Publish: &Publish{By: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
+		{Activate: &Activate{Number: 1, Kind: Overlap, By: "ada"}},
+		{Prepare: &Prepare{Number: 1}},
+		{Commit: &Commit{Number: 1, Step: 1}},
+		{Publish: &Publish{Parent: 1, By: "bo", Text: []byte("[limits]\nin_flight = 8\n")}},
+		{Publish: &Publish{Parent: 2, By: "bo", Text: []byte("[limits]\nin_flight = 7\n")}},
+		{Activate: &Activate{Number: 2, Kind: Exclusive, At: 50, By: "cy"}},
+		{Activate: &Activate{Number: 3, Kind: Overlap, At: 60, By: "cy"}},
+		{Cancel: &Cancel{Number: 3, By: "cy"}},
+		{Prepare: &Prepare{Number: 2}},
+	} {
+		_, err := r.Do(c)
+		require.NoError(t, err)
+	}
+	golden.RoundTripOf(t, "snapshot", r, (*Registry).Snapshot, Restore)
+}
+
+// A text with every key is read, and its sections are written, as recorded.
+func TestTextIsReadAsRecorded(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
+	require.NoError(t, err)
+	set, err := Parse(text)
+	require.NoError(t, err)
+	require.Equal(t, 1.5, *set.Plans["basic"].Price)
+	require.Equal(t, 2.0, *set.Plans["basic"].Quota)
+	require.Equal(t, 0.5, *set.Customers["basic 00000000000000ff"].Quota)
+	require.Equal(t, 3, *set.Classes["rate"].Attempts)
+	require.Equal(t, 40, *set.Limits.InFlight)
+	require.Equal(t, 4, *set.Limits.Attempts)
+	require.True(t, set.Zones["hall-a"].Closed)
+	require.Equal(t, 0.25, *set.Zones["hall-b"].Cost)
+	golden.CheckText(t, "digest", DigestOf(text).String())
+	for name, part := range map[string]map[string]any{"work": set.Work, "uplinks": set.Uplinks} {
+		section, err := Section(part)
+		require.NoError(t, err)
+		golden.CheckText(t, "section-"+name, string(section))
+	}
+}
--- /dev/null
+++ b/internal/council/golden_test.go
@@ -0,0 +1,53 @@
+package council
+
+import (
+	"bytes"
+	"io"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/raft"
+	"github.com/stretchr/testify/require"
+
+	"sloestile/internal/golden"
+)
+
+func decodeAs[T any](raw []byte) (*T, error) {
+	v := new(T)
+	return v, cbor.Unmarshal(raw, v)
+}
+
+// What voters say to each other has the recorded bytes.
+func TestCallsAreAsRecorded(t *testing.T) {
+	golden.RoundTrip(t, "ask", func(q *ask) ([]byte, error) { return cbor.Marshal(*q) }, decodeAs[ask])
+	golden.RoundTrip(t, "report", func(a *report) ([]byte, error) { return cbor.Marshal(*a) }, decodeAs[report])
+}
+
+// sinkBuffer is a snapshot's destination in memory.
+type sinkBuffer struct {
+	bytes.Buffer
+	raft.SnapshotSink
+}
+
+func (s *sinkBuffer) Write(b []byte) (int, error) { return s.Buffer.Write(b) }
+func (s *sinkBuffer) Close() error                { return nil }
+
+// keptMachine is a state machine whose state is what was restored.
+type keptMachine struct{ state []byte }
+
+func (k *keptMachine) Apply(uint64, []byte) any  { return nil }
+func (k *keptMachine) Snapshot() ([]byte, error) { return k.state, nil }
+func (k *keptMachine) Restore(b []byte) error    { k.state = b; return nil }
+
+// The snapshot of all state machines has the recorded bytes and is restored from them.
+func TestSnapshotIsAsRecorded(t *testing.T) {
+	m := &machines{of: map[byte]Machine{'r': &keptMachine{[]byte("rules")}}}
+	s, err := m.Snapshot()
+	require.NoError(t, err)
+	var out sinkBuffer
+	require.NoError(t, s.Persist(&out))
+	golden.Check(t, "snapshot", out.Bytes())
+	back := &keptMachine{}
+	require.NoError(t, (&machines{of: map[byte]Machine{'r': back}}).Restore(io.NopCloser(&out)))
+	require.Equal(t, "rules", string(back.state))
+}
--- /dev/null
+++ b/internal/council/learn/golden_test.go
@@ -0,0 +1,39 @@
+package learn
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"sloestile/internal/golden"
+	"sloestile/internal/store/disk"
+)
+
+func encodeAs[T any](v *T) ([]byte, error) { return encoding.Marshal(*v) }
+
+func decodeAs[T any](raw []byte) (*T, error) {
+	v := new(T)
+	return v, decoding.Unmarshal(raw, v)
+}
+
+// What learners say to each other has the recorded bytes and kinds.
+func TestMessagesAreAsRecorded(t *testing.T) {
+	golden.RoundTrip(t, "want", encodeAs[want], decodeAs[want])
+	golden.RoundTrip(t, "part", encodeAs[part], decodeAs[part])
+	golden.RoundTrip(t, "told", encodeAs[told], decodeAs[told])
+	golden.Check(t, "kinds", []byte{kindRules, kindWant, kindPart, kindState, Machine})
+}
+
+// The mark of the version acted by has the recorded name and bytes.
+func TestMarkIsAsRecorded(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, writeMark(disk.Machine{}, dir, "n1", 42))
+	raw, err := os.ReadFile(filepath.Join(dir, "acted"))
+	require.NoError(t, err)
+	golden.Check(t, "mark", raw)
+	number, err := readMark(disk.Machine{}, dir, "n1")
+	require.NoError(t, err)
+	require.EqualValues(t, 42, number)
+}
--- /dev/null
+++ b/internal/council/link/golden_test.go
@@ -0,0 +1,27 @@
+package link
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"sloestile/internal/golden"
+)
+
+// The head of a stream and a call's body have the recorded bytes.
+func TestHeadIsAsRecorded(t *testing.T) {
+	var out bytes.Buffer
+	h := head{}
+	golden.Fill(&h)
+	require.NoError(t, writeHead(&out, kindCall, h))
+	require.NoError(t, writeBody(&out, []byte("body")))
+	golden.Check(t, "call", out.Bytes())
+	kind, back, err := readHead(&out)
+	require.NoError(t, err)
+	require.Equal(t, byte(kindCall), kind)
+	require.Equal(t, h, back)
+	body, err := readBody(&out)
+	require.NoError(t, err)
+	require.Equal(t, "body", string(body))
+}
--- /dev/null
+++ b/internal/node/golden_test.go
@@ -0,0 +1,69 @@
+package node
+
+import (
+	"encoding/json"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"sloestile/control"
+	"sloestile/internal/golden"
+	"sloestile/internal/peer"
+)
+
+func decodeJSON[T any](raw []byte) (*T, error) {
+	v := new(T)
+	return v, json.Unmarshal(raw, v)
+}
+
+func encodeJSON[T any](v *T) ([]byte, error) { return json.MarshalIndent(v, "", " ") }
+
+// What one process hands to the next, or keeps for it, has the recorded bytes.
+func TestHandoverIsAsRecorded(t *testing.T) {
+	b := &legacy{}
+	golden.Fill(b)
+	b.Module = json.RawMessage(`{"a":1}`)
+	golden.RoundTripOf(t, "handover", b, encodeJSON[legacy], decodeJSON[legacy])
+	require.Equal(t, "handover.sock learnt", handoverName+" "+learntPart)
+}
+
+// The orders that go to the leader, its replies and what the console shows of them have the recorded bytes.
+func TestRuleCallsAreAsRecorded(t *testing.T) {
+	golden.RoundTrip(t, "order", func(o *order) ([]byte, error) { return cbor.Marshal(*o) }, func(raw []byte) (*order, error) {
+		o := &order{}
+		return o, cbor.Unmarshal(raw, o)
+	})
+	golden.RoundTrip(t, "reply", func(a *reply) ([]byte, error) { return cbor.Marshal(*a) }, func(raw []byte) (*reply, error) {
+		a := &reply{}
+		return a, cbor.Unmarshal(raw, a)
+	})
+	golden.RoundTrip(t, "agreed", encodeJSON[agreedShown], decodeJSON[agreedShown])
+	here := &hereShown{}
+	golden.Fill(here)
+	here.Council = json.RawMessage(`{"a":1}`)
+	golden.RoundTripOf(t, "here", here, encodeJSON[hereShown], decodeJSON[hereShown])
+}
+
+// The figures that are there without a fleet file, and those of the membership, are written as recorded.
+func TestFiguresAreAsRecorded(t *testing.T) {
+	s := newStats([]control.Class{{Name: "b"}, {Name: "a"}})
+	s.answered("a", 200)
+	s.answered("a", 503)
+	s.answered("b", 500)
+	var out strings.Builder
+	s.write(&out)
+	writePeers(&out, &peer.Counts{})
+	golden.CheckText(t, "figures", out.String())
+}
+
+// A configuration and a fleet file with every key are read as recorded.
+func TestFilesAreReadAsRecorded(t *testing.T) {
+	c, err := LoadConfig("testdata/every-key.json")
+	require.NoError(t, err)
+	golden.CheckText(t, "every-key-config", golden.Values(c))
+	f, err := LoadFleet("testdata/every-key.toml")
+	require.NoError(t, err)
+	golden.CheckText(t, "every-key-fleet", golden.Values(f))
+}
--- /dev/null
+++ b/internal/peer/golden_test.go
@@ -0,0 +1,17 @@
+package peer
+
+import (
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"sloestile/internal/golden"
+)
+
+// What a member says of itself has the recorded bytes.
+func TestMetaIsAsRecorded(t *testing.T) {
+	golden.RoundTrip(t, "meta", func(m *meta) ([]byte, error) { return cbor.Marshal(*m) }, func(raw []byte) (*meta, error) {
+		m := &meta{}
+		return m, cbor.Unmarshal(raw, m)
+	})
+}
