--- a/control/attempts.go
+++ b/control/attempts.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-func (c *Controller) onStarted(e Started) {
-	a := c.attempts[attemptKey{e.ID, e.N}]
+func (c *Controller) onStarted(e ResponseStarted) {
+	a := c.attempts[attemptKey{e.ID, e.Attempt}]
 	if a == nil || a.req.streaming {
 		return
 	}
 	c.begun(a)
-	c.meter(a.cust, e.Used, a.req.units)
-	c.settleUnits(a, e.Cost)
+	c.meter(a.cust, e.MeterReading, a.req.units)
+	c.settleUnits(a, e.Tokens)
 	c.answered(a, e.Delay)
 }
 
 // settleUnits takes the true units of a request from its customer's store in place of the guess.
 func (c *Controller) settleUnits(a *attempt, cost float64) {
-	if cost > 0 && c.set.CostAfter {
+	if cost > 0 && c.set.CostWithAnswer {
 		c.refill(a.cust)
 		a.cust.level -= cost - a.req.units
 	}
 }
 
-func (c *Controller) onResponse(e Response) {
-	a := c.settle(attemptKey{e.ID, e.N})
+func (c *Controller) onResponse(e AttemptEnded) {
+	a := c.settle(attemptKey{e.ID, e.Attempt})
 	if a == nil {
 		return
 	}
@@ -31,10 +31,10 @@
 	if part := c.bound - c.busyNow(); part > 0 && part < 1 {
 		c.restUntil = c.now + seconds((1/part-1)*c.latency)
 	}
-	if pause := 1/max(a.cust.openCap, tiny) - 1; a.cust.plan.Open > 0 && pause > 0 {
+	if pause := 1/max(a.cust.openCap, tiny) - 1; a.cust.plan.MaxConcurrent > 0 && pause > 0 {
 		a.cust.openNext = c.now + time.Duration(pause*float64(c.now-a.sent))
 	}
-	c.meter(a.cust, e.Used, r.units)
+	c.meter(a.cust, e.MeterReading, r.units)
 	c.judge(a, e)
 	switch {
 	case c.reqs[r.id] != r: // it was ended before
@@ -46,21 +46,21 @@
 }
 
 // judge takes an outcome's lesson on the server, the bound and the plan.
-func (c *Controller) judge(a *attempt, e Response) {
+func (c *Controller) judge(a *attempt, e AttemptEnded) {
 	s, r := a.srv, a.req
 	took := (c.now - a.sent).Seconds()
-	switch e.Reason {
+	switch e.Outcome {
 	case OK:
 		s.strikes, s.probing, s.aside = 0, false, 0
 		c.fared(s, 0)
 		if !s.coldRamp {
 			c.served += r.units
 		}
-		c.settleUnits(a, e.Cost)
+		c.settleUnits(a, e.Tokens)
 		if !r.streaming {
 			c.answered(a, c.now-a.sent)
 		}
-	case Full: // some servers refuse one plan only
+	case Overloaded: // some servers refuse one plan only
 		c.strike(s, 1)
 		s.shut[r.plan] = c.now + shutFor
 		c.bad++
@@ -71,24 +71,24 @@
 			c.strike(s, 1)
 		}
 		s.probing = false
-	case Moot: // says nothing of the server, which may be tried anew
+	case NeverSent: // says nothing of the server, which may be tried anew
 		s.probing = false
 	case TimedOut:
 		// Guards against clients that give up before an answer is due: what they did not wait for
 		// speaks neither against the server nor for a lower bound.
-		if took < r.class.Aim.Seconds() {
+		if took < r.class.LatencyObjective.Seconds() {
 			break
 		}
 		c.strike(s, 1)
 		c.sawLatency(s, took)
 		c.bad++
 	}
-	late := e.Reason == TimedOut || e.Reason == Cancelled
+	late := e.Outcome == TimedOut || e.Outcome == Cancelled
 	if late { // its work may go on
 		s.ghosts++
 		c.ghosts = append(c.ghosts, ghost{s, c.now + seconds(min(took, zombieLife*c.latency))})
 	}
-	if ran := e.Reason == Errored || e.Reason == ResetByPeer || late; ran && !r.mayRun {
+	if ran := e.Outcome == Errored || e.Outcome == ResetByPeer || late; ran && !r.mayRun {
 		r.mayRun, r.firstRun, r.group = true, a.sent, s
 	}
 }
@@ -97,7 +97,7 @@
 func (c *Controller) answered(a *attempt, took time.Duration) {
 	t := took.Seconds()
 	c.sawLatency(a.srv, t)
-	aim := a.req.class.Aim.Seconds()
+	aim := a.req.class.LatencyObjective.Seconds()
 	if a.srv.coldRamp {
 		if c.coldLatency == 0 {
 			c.coldLatency = t
@@ -117,15 +117,15 @@
 
 // again gives a request a further attempt where the rules, the attempt limit, the retry budget and its
 // time allow one; else it ends it. What failed at once took little work and takes little of the budget.
-func (c *Controller) again(r *request, a *attempt, e Response) {
-	price, why := 1.0, e.Reason
+func (c *Controller) again(r *request, a *attempt, e AttemptEnded) {
+	price, why := 1.0, e.Outcome
 	if why == Errored || why == ResetByPeer || why == ConnectFailed {
 		price = min(1, max(retryLeast, (c.now-a.sent).Seconds()/max(c.latency, tiny)))
 	}
-	ok := why != Moot && !e.Spent && c.retries >= price && c.now < r.giveUp-time.Millisecond &&
+	ok := why != NeverSent && !e.BodySpent && c.retries >= price && c.now < r.giveUp-time.Millisecond &&
 		(c.mostSends(r) == 0 || r.sends < c.mostSends(r))
-	if r.mayRun && r.class.Effect != Free {
-		ok = ok && c.dropped(r) && c.now < r.firstRun+r.class.RepeatWindow
+	if r.mayRun && r.class.Idempotency != Idempotent {
+		ok = ok && c.dropped(r) && c.now < r.firstRun+r.class.IdempotencyWindow
 	}
 	if !ok {
 		c.tally.ended++
@@ -138,7 +138,7 @@
 	// the time for which repeats are dropped.
 	until := r.giveUp
 	if c.dropped(r) {
-		until = min(until, r.firstRun+r.class.RepeatWindow)
+		until = min(until, r.firstRun+r.class.IdempotencyWindow)
 	}
 	c.wake(r, until-c.now-time.Millisecond)
 }
@@ -146,8 +146,10 @@
 // retryRoom is how many further attempts may be saved up: a part of what a whole group may. Guards
 // against many gateways that each have theirs full when they start, or when a hall is lost.
 func (c *Controller) retryRoom() float64 {
-	return max(retryFew, retryMost*min(1, fewGateways/float64(c.set.GroupSize)))
+	return max(retryFew, retryMost*min(1, fewGateways/float64(c.set.FleetSize)))
 }
 
 // dropped tells whether a request may go again for a while only, in which repeats are dropped.
-func (c *Controller) dropped(r *request) bool { return r.mayRun && r.class.Effect == Guarded }
+func (c *Controller) dropped(r *request) bool {
+	return r.mayRun && r.class.Idempotency == IdempotentByKey
+}
--- a/control/attempts_test.go
+++ b/control/attempts_test.go
@@ -12,19 +12,19 @@
 	for _, k := range []struct {
 		name  string
 		class Class
-		why   Reason
+		why   Outcome
 		again bool // another attempt is sent
 		end   string
 	}{
-		{"free", Class{Effect: Free}, Errored, true, ""},
-		{"unsafe maybe run", Class{Effect: SingleShot}, Errored, false, "control.Fail"},
-		{"unsafe never ran", Class{Effect: SingleShot}, Full, true, ""},
-		{"keyed in window", Class{Effect: Guarded, KeyScope: ScopeCell, RepeatWindow: time.Minute}, ResetByPeer, true, ""},
-		{"keyed too late", Class{Effect: Guarded, KeyScope: ScopeCell, RepeatWindow: ms}, ResetByPeer, false, "control.Fail"},
-		{"keyed by all, too late", Class{Effect: Guarded, RepeatWindow: ms}, ResetByPeer, false, "control.Refuse"},
+		{"free", Class{Idempotency: Idempotent}, Errored, true, ""},
+		{"unsafe maybe run", Class{Idempotency: NonIdempotent}, Errored, false, "control.Fail"},
+		{"unsafe never ran", Class{Idempotency: NonIdempotent}, Overloaded, true, ""},
+		{"keyed in window", Class{Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, IdempotencyWindow: time.Minute}, ResetByPeer, true, ""},
+		{"keyed too late", Class{Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, IdempotencyWindow: ms}, ResetByPeer, false, "control.Fail"},
+		{"keyed by all, too late", Class{Idempotency: IdempotentByKey, IdempotencyWindow: ms}, ResetByPeer, false, "control.Reject"},
 	} {
 		s := settings()
-		k.class.Name, k.class.Aim, k.class.Deadline = "job", 2*time.Second, 6*time.Second
+		k.class.Name, k.class.LatencyObjective, k.class.Deadline = "job", 2*time.Second, 6*time.Second
 		s.Classes = []Class{k.class}
 		g := newGate(t, s, on(1, 2, 3, 4)...)
 		g.ask("a", "job", "low", "x")
@@ -43,43 +43,43 @@
 func TestRepeatTellsItsWindow(t *testing.T) {
 	for _, k := range []struct {
 		name    string
-		effect  Effect
-		why     Reason
+		effect  Idempotency
+		why     Outcome
 		bounded bool
 	}{
-		{"keyed, may have run", Guarded, ResetByPeer, true},
-		{"keyed, may still run", Guarded, TimedOut, true},
-		{"keyed, never ran", Guarded, ConnectFailed, false},
-		{"unsafe, never ran", SingleShot, Full, false},
-		{"free", Free, ResetByPeer, false},
+		{"keyed, may have run", IdempotentByKey, ResetByPeer, true},
+		{"keyed, may still run", IdempotentByKey, TimedOut, true},
+		{"keyed, never ran", IdempotentByKey, ConnectFailed, false},
+		{"unsafe, never ran", NonIdempotent, Overloaded, false},
+		{"free", Idempotent, ResetByPeer, false},
 	} {
 		s := settings()
-		s.Classes[0].Effect, s.Classes[0].RepeatWindow = k.effect, 100*ms
+		s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = k.effect, 100*ms
 		g := newGate(t, s, on(1, 2, 3, 4)...)
 		g.ask("a", "job", "low", "x")
 		begun := g.now
 		g.now += 10 * ms
 		g.reply("a", k.why, 0)
-		if len(g.sends) != 2 || g.sends[0].Until != 0 {
+		if len(g.sends) != 2 || g.sends[0].NotAfter != 0 {
 			t.Fatalf("%s: %+v", k.name, g.sends)
 		}
 		want := time.Duration(0)
 		if k.bounded {
 			want = begun + 100*ms
 		}
-		if got := g.sends[1].Until; got != want {
+		if got := g.sends[1].NotAfter; got != want {
 			t.Errorf("%s: until %v, not %v", k.name, got, want)
 		}
 	}
 }
 
 func TestKeyedRepeatStaysInItsGroup(t *testing.T) {
-	for scope, same := range map[Scope]func(a, b Member) bool{
-		ScopeCell: func(a, b Member) bool { return a.Cell == b.Cell },
-		ScopeZone: func(a, b Member) bool { return a.Zone == b.Zone },
+	for scope, same := range map[KeyScope]func(a, b Endpoint) bool{
+		KeyScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
+		KeyScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
 	} {
 		s := settings()
-		s.Classes[0].Effect, s.Classes[0].KeyScope, s.Classes[0].RepeatWindow = Guarded, scope, time.Minute
+		s.Classes[0].Idempotency, s.Classes[0].KeyScope, s.Classes[0].IdempotencyWindow = IdempotentByKey, scope, time.Minute
 		list := on(1, 2, 3, 4, 5, 6)
 		g := newGate(t, s, list...)
 		for i := 0; i < 30; i++ {
@@ -104,9 +104,9 @@
 		if g.n["a"] != i+1 {
 			t.Fatalf("%d attempts after %d failures", g.n["a"], i)
 		}
-		g.reply("a", Full, 0)
+		g.reply("a", Overloaded, 0)
 	}
-	if _, ok := g.ends["a"].(Refuse); !ok || g.n["a"] != 3 {
+	if _, ok := g.ends["a"].(Reject); !ok || g.n["a"] != 3 {
 		t.Errorf("%d attempts, ended with %v", g.n["a"], g.ends["a"])
 	}
 }
@@ -115,13 +115,13 @@
 // aside that still serve half of what they are sent: twelve requests are open at a time.
 func TestStormOfFastErrorsIsRiddenOut(t *testing.T) {
 	s := settings()
-	s.SendCap = 6
+	s.MaxAttempts = 6
 	g := newGate(t, s, on(1, 2, 3, 4)...)
 	rng := rand.New(rand.NewPCG(1, 2))
 	type outcome struct {
 		at  time.Duration
 		id  string
-		why Reason
+		why Outcome
 	}
 	var due []outcome
 	tries, seen, asked, failed := make(map[uint32]int), 0, 0, 0
@@ -163,7 +163,7 @@
 func TestSumOfFurtherAttempts(t *testing.T) {
 	for _, group := range []int{1, 3, 20, 80, 300} {
 		s := fleet(group)
-		s.Classes[0].Effect, s.SendCap = Free, 5
+		s.Classes[0].Idempotency, s.MaxAttempts = Idempotent, 5
 		sum := 0
 		for i := 0; i < group; i++ {
 			c, err := New(s, uint64(i))
@@ -171,7 +171,7 @@
 				t.Fatal(err)
 			}
 			g := &gate{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
-			g.do(List{Kind: Stale, Members: on(1, 2, 3, 4, 5, 6)})
+			g.do(EndpointUpdate{Kind: Cached, Endpoints: on(1, 2, 3, 4, 5, 6)})
 			c.bound, c.latency = 50, 0.2
 			for j := 0; j < 10; j++ { // each fails after as long as an answer takes
 				g.ask(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
@@ -203,13 +203,13 @@
 		cuts, aside := g.c.tally.cuts, false
 		for i := 0; i < 40; i++ {
 			id := fmt.Sprint("hasty", i)
-			g.do(Request{ID: id, Class: "job", Plan: "low", Customer: id, TTL: k.ttl, Units: 1, Spread: 2})
+			g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: k.ttl, Tokens: 1, TenantNodes: 2})
 			if g.n[id] == 0 {
 				continue // kept out by the cut bound
 			}
 			g.pass(k.ttl)
 			g.reply(id, TimedOut, 0)
-			aside = aside || g.c.Avoided(g.now) > 0
+			aside = aside || g.c.AvoidedServers(g.now) > 0
 		}
 		if blamed := g.c.tally.cuts > cuts || g.c.bound < 8; blamed != k.blame {
 			t.Errorf("after time-outs of %v the bound is %.1f", k.ttl, g.c.bound)
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -17,14 +17,14 @@
 		t.Fatal(err)
 	}
 	now, i := time.Hour, 0
-	c.Handle(now, List{Kind: Stale, Members: on(ids...)})
+	c.Handle(now, EndpointUpdate{Kind: Cached, Endpoints: on(ids...)})
 	return func() {
 		now, i = now+80*ms, i+1
 		id := fmt.Sprint(i)
-		for _, a := range c.Handle(now, Request{ID: id, Class: "job", Plan: "low", Customer: fmt.Sprint(i % 2000),
-			TTL: 5 * time.Second, Units: 2, Spread: 200}) {
+		for _, a := range c.Handle(now, Request{ID: id, Class: "job", Plan: "low", Tenant: fmt.Sprint(i % 2000),
+			TimeLeft: 5 * time.Second, Tokens: 2, TenantNodes: 200}) {
 			if x, ok := a.(Send); ok {
-				c.Handle(now+50*ms, Response{ID: id, Server: x.Server, Reason: OK, Done: true, Used: 40, Cost: 2})
+				c.Handle(now+50*ms, AttemptEnded{ID: id, Server: x.Server, Outcome: OK, Done: true, MeterReading: 40, Tokens: 2})
 				break
 			}
 		}
--- a/control/choice.go
+++ b/control/choice.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-func (c *Controller) onList(e List) {
-	if c.following = c.set.OnRequest && e.Kind != Stale && e.Kind != Broken; e.Kind == Broken {
+func (c *Controller) onList(e EndpointUpdate) {
+	if c.following = c.set.PollDiscovery && e.Kind != Cached && e.Kind != Failed; e.Kind == Failed {
 		c.askAt = c.now + askAgain/2 + time.Duration(c.rng.Int64N(int64(askAgain)))
 		return
 	}
@@ -52,11 +52,11 @@
 }
 
 func (c *Controller) sameGroup(r *request, s *server) bool {
-	if r.group == nil || r.class.Effect != Guarded || r.class.KeyScope == ScopeAll {
+	if r.group == nil || r.class.Idempotency != IdempotentByKey || r.class.KeyScope == KeyScopeAll {
 		return true
 	}
-	return r.class.KeyScope == ScopeZone && r.group.Zone == s.Zone ||
-		r.class.KeyScope == ScopeCell && r.group.Cell == s.Cell
+	return r.class.KeyScope == KeyScopeZone && r.group.Zone == s.Zone ||
+		r.class.KeyScope == KeyScopeCell && r.group.Cell == s.Cell
 }
 
 // cost is the expected wait at a server: its latency times what it holds of ours.
@@ -94,10 +94,10 @@
 // server, and know next to nothing of any.
 func (c *Controller) home(s *server) bool {
 	key := s.Server // given in turn, so that each gateway has as many homes
-	if s.coldRamp && s.Key != 0 {
-		key = s.Key // the same everywhere, so that as many gateways come to each cold server
+	if s.coldRamp && s.HashKey != 0 {
+		key = s.HashKey // the same everywhere, so that as many gateways come to each cold server
 	}
-	_, turn := math.Modf(float64(c.set.SelfIndex)/float64(c.set.GroupSize) + float64(key)*golden)
+	_, turn := math.Modf(float64(c.set.NodeIndex)/float64(c.set.FleetSize) + float64(key)*golden)
 	return turn < c.homes(s)
 }
 
@@ -148,7 +148,7 @@
 }
 
 // onHearsay takes that others found a server slow. Guards against words that set most servers aside.
-func (c *Controller) onHearsay(e Hearsay) {
+func (c *Controller) onHearsay(e OutlierReport) {
 	s := c.servers[e.Server]
 	if s == nil || c.now >= s.toldUntil && c.count(c.spoken) >= toldMost*c.usables {
 		return
--- a/control/choice_test.go
+++ b/control/choice_test.go
@@ -8,11 +8,11 @@
 
 func TestNothingGoesToADrainingServer(t *testing.T) {
 	g := newGate(t, settings(), on(1, 2)...)
-	g.do(List{Kind: Patch, Members: []Member{{Server: 1, Condition: Fading}}})
+	g.do(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 1, Condition: Draining}}})
 	for i := 0; i < 4; i++ {
 		g.ask(fmt.Sprint(i), "job", "low", "x")
 	}
-	g.do(List{Kind: Whole, Members: on(3)})
+	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(3)})
 	g.ask("x", "job", "low", "x")
 	for _, s := range g.sends {
 		if s.Server == 1 || s.ID == "x" && s.Server != 3 {
@@ -140,7 +140,7 @@
 		return g
 	}
 	g := fresh()
-	g.c.Handle(g.now, Hearsay{Server: 1, Witnesses: 4, Until: g.now + time.Second})
+	g.c.Handle(g.now, OutlierReport{Server: 1, Reporters: 4, Until: g.now + time.Second})
 	if got := g.sentTo(60); got[1] > 2 {
 		t.Errorf("others speak against 1: sent %v", got)
 	}
@@ -150,14 +150,14 @@
 	}
 	g = fresh()
 	for s := range uint32(6) {
-		g.c.Handle(g.now, Hearsay{Server: s + 1, Until: g.now + time.Minute})
+		g.c.Handle(g.now, OutlierReport{Server: s + 1, Until: g.now + time.Minute})
 	}
 	if got := g.sentTo(60); len(got) != 3 {
 		t.Errorf("others speak against all of six: sent %v", got)
 	}
 	g = fresh()
 	s := g.c.servers[1]
-	g.c.Handle(g.now, Hearsay{Server: 1, Until: g.now + time.Minute})
+	g.c.Handle(g.now, OutlierReport{Server: 1, Until: g.now + time.Minute})
 	if s.latencyAt = g.now + 1; g.c.spoken(s) {
 		t.Error("an own answer as fast as others' does not speak for a server")
 	}
@@ -165,15 +165,15 @@
 	for n, m := range g.c.order {
 		m.Zone = map[bool]string{true: "z1", false: "z2"}[n < 3]
 	}
-	g.c.Handle(g.now, Zones{Away: map[string]float64{"z2": 1}})
+	g.c.Handle(g.now, ZoneEvacuation{Evacuated: map[string]float64{"z2": 1}})
 	if got := g.sentTo(60); got[4]+got[5]+got[6] > 0 {
 		t.Errorf("z2 is left: sent %v", got)
 	}
-	g.c.Handle(g.now, Zones{Away: map[string]float64{"z1": 1, "z2": 1}})
+	g.c.Handle(g.now, ZoneEvacuation{Evacuated: map[string]float64{"z1": 1, "z2": 1}})
 	if got := g.sentTo(60); len(got) < 5 {
 		t.Errorf("all are left: sent %v", got)
 	}
-	g.c.Handle(g.now, Zones{Away: map[string]float64{"z2": 0.5}})
+	g.c.Handle(g.now, ZoneEvacuation{Evacuated: map[string]float64{"z2": 0.5}})
 	if got := g.sentTo(400); got[4]+got[5]+got[6] < 50 || got[4]+got[5]+got[6] > 180 {
 		t.Errorf("z2 has half of its traffic: sent %v", got)
 	}
--- a/control/cold.go
+++ b/control/cold.go
@@ -7,13 +7,13 @@
 
 // learn takes an entry of the list before it replaces what was listed. A server that started
 // anew has no record, and starts cold with an empty budget.
-func (c *Controller) learn(s *server, m Member) {
-	if m.HasCameUp && (!s.HasCameUp || m.CameUp > s.CameUp) {
+func (c *Controller) learn(s *server, m Endpoint) {
+	if m.HasStartedAt && (!s.HasStartedAt || m.StartedAt > s.StartedAt) {
 		s.latency, s.failing, s.strikes, s.asideUntil, s.aside = 0, 0, 0, 0, 0
 		clear(s.shut)
 	}
-	if m.HasCameUp && c.now < m.CameUp+c.set.Cold {
-		s.coldRamp, s.coldFrom = true, max(m.CameUp, s.coldFrom)
+	if m.HasStartedAt && c.now < m.StartedAt+c.set.SlowStartDuration {
+		s.coldRamp, s.coldFrom = true, max(m.StartedAt, s.coldFrom)
 		if s.tokens, s.tokensAt = 0, c.now; c.herd() { // so that not all send at the same moment
 			s.tokens = -c.rng.Float64() * c.unitsMean
 		}
@@ -21,15 +21,15 @@
 }
 
 // herd tells whether so many gateways share the load that each knows little of it.
-func (c *Controller) herd() bool { return c.set.GroupSize >= herdLeast }
+func (c *Controller) herd() bool { return c.set.FleetSize >= herdLeast }
 
 // warmth is the part of its capacity that a server has reached at least.
 func (c *Controller) warmth(s *server) float64 {
-	if c.set.Cold <= 0 {
+	if c.set.SlowStartDuration <= 0 {
 		return 1
 	}
-	x := (c.now - s.coldFrom).Seconds() / c.set.Cold.Seconds()
-	return min(1, max(warmLeast, c.set.ColdFrom)+(1-c.set.ColdFrom)*max(0, x))
+	x := (c.now - s.coldFrom).Seconds() / c.set.SlowStartDuration.Seconds()
+	return min(1, max(warmLeast, c.set.SlowStartInitial)+(1-c.set.SlowStartInitial)*max(0, x))
 }
 
 // coldRoom holds a cold server under this gateway's part of its budget: what warm servers do for it,
@@ -38,7 +38,7 @@
 	if !s.coldRamp {
 		return true
 	}
-	if c.now >= s.coldFrom+c.set.Cold {
+	if c.now >= s.coldFrom+c.set.SlowStartDuration {
 		s.coldRamp = false
 		s.home = c.home(s)
 		return true
@@ -49,11 +49,11 @@
 	}
 	// Guards against one attempt a second each by many gateways: a token bucket, not a window.
 	warm := c.count(func(s *server) bool { return s.usable() && !s.coldRamp })
-	bears := c.set.FallMultiple * w * c.servedRate / max(1, warm)
+	bears := c.set.OverloadFactor * w * c.servedRate / max(1, warm)
 	rate := max(coldSafety*bears, 1/c.sharers)
 	if c.herd() { // too little passes here to tell what a server does: it holds so many at a time
 		does := groupLeast / max(c.idle, tick.Seconds()) // requests a second, warm, for all
-		each := c.set.FallMultiple * w * c.unitsMean * does / c.sharers
+		each := c.set.OverloadFactor * w * c.unitsMean * does / c.sharers
 		// Guards against a new connection for nearly each request to a cold server: most of what it
 		// bears is for those that it is home to, whatever passes through them.
 		homes := c.homes(s)
@@ -67,10 +67,10 @@
 	if s.tokensAt = c.now; c.herd() {
 		// Each may go into debt for a request, as small ones would else keep the store too low for
 		// others. Who has not come for longer comes by chance, so that not all do at one moment.
-		full, answers := rate*c.set.Fall.Seconds()/2, cmp.Or(c.answerRate, rateFirst)
+		full, answers := rate*c.set.OverloadWindow.Seconds()/2, cmp.Or(c.answerRate, rateFirst)
 		s.tokens = min(s.tokens, full)
 		return s.tokens >= 0 && (s.tokens < full || c.rng.Float64()*c.unitsMean*answers < coldSurge*rate)
 	}
-	s.tokens = min(s.tokens, max(units, rate*c.set.Fall.Seconds()/2))
+	s.tokens = min(s.tokens, max(units, rate*c.set.OverloadWindow.Seconds()/2))
 	return s.tokens >= units
 }
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -10,7 +10,7 @@
 func TestColdServerIsHeldUnderItsBudget(t *testing.T) {
 	s := settings()
 	list := on(1, 2, 3, 4)
-	list[0].CameUp, list[0].HasCameUp = time.Hour-100*ms, true
+	list[0].StartedAt, list[0].HasStartedAt = time.Hour-100*ms, true
 	g := newGate(t, s, list...)
 	cold, busy := 0, 0
 	for i := 0; i < 100; i++ {
@@ -40,9 +40,9 @@
 // Guards against a just-started server that every gateway of a large group tries at once.
 func TestColdServerIsSharedByALargeGroup(t *testing.T) {
 	s := settings()
-	s.GroupSize = 12
+	s.FleetSize = 12
 	list := on(1, 2)
-	list[0].CameUp, list[0].HasCameUp = time.Hour-ms, true
+	list[0].StartedAt, list[0].HasStartedAt = time.Hour-ms, true
 	g := newGate(t, s, list...)
 	cold := 0
 	for i := 0; i < 300; i++ {
@@ -63,7 +63,7 @@
 // has seen of a few cold ones tells of the others.
 func TestColdServersThatAnswerFastAreUsed(t *testing.T) {
 	s := fleet(80)
-	s.Cold = 40 * time.Second
+	s.SlowStartDuration = 40 * time.Second
 	var warm []uint32
 	for id := uint32(1); id <= 24; id++ {
 		warm = append(warm, id)
@@ -76,11 +76,11 @@
 		return 500 * ms
 	}
 	g.run(10*time.Second, 200*ms, takes)
-	var cold []Member
+	var cold []Endpoint
 	for id := uint32(25); id <= 60; id++ {
-		cold = append(cold, Member{Server: id, Zone: "z1", Size: 1, CameUp: g.now - 10*time.Second, HasCameUp: true})
+		cold = append(cold, Endpoint{Server: id, Zone: "z1", Size: 1, StartedAt: g.now - 10*time.Second, HasStartedAt: true})
 	}
-	g.do(List{Kind: Patch, Members: cold})
+	g.do(EndpointUpdate{Kind: Delta, Endpoints: cold})
 	g.run(10*time.Second, 200*ms, takes)
 	from, n := len(g.sends), 0
 	g.run(15*time.Second, 200*ms, takes)
@@ -98,10 +98,10 @@
 // that may go into debt, and no request sets how much the store may hold.
 func TestSmallRequestsLeaveRoomAtColdServers(t *testing.T) {
 	s := fleet(80)
-	s.Cold = 40 * time.Second
-	var cold []Member
+	s.SlowStartDuration = 40 * time.Second
+	var cold []Endpoint
 	for id := uint32(1); id <= 30; id++ {
-		cold = append(cold, Member{Server: id, Zone: "z1", Size: 1, CameUp: time.Hour - 20*time.Second, HasCameUp: true})
+		cold = append(cold, Endpoint{Server: id, Zone: "z1", Size: 1, StartedAt: time.Hour - 20*time.Second, HasStartedAt: true})
 	}
 	g := newGate(t, s, cold...)
 	g.c.bound, g.c.idle, g.c.latency, g.c.seen, g.c.unitsMean = 4, 0.2, 0.2, 100, 2
@@ -111,7 +111,7 @@
 		if i%4 == 0 {
 			units, large[id] = 6, true
 		}
-		g.do(Request{ID: id, Class: "job", Plan: "low", Customer: id, TTL: 5 * time.Second, Units: units, Spread: 2})
+		g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: 2})
 		g.pass(100 * ms)
 		for n, x := range g.sends {
 			if _, ended := g.ends[x.ID]; !ended && n >= len(g.sends)-4 {
@@ -136,7 +136,7 @@
 	const warmDoes = 12.0 // requests a second
 	for _, group := range []int{1, 3, 10, 40, 100, 300} {
 		s := fleet(group)
-		s.Cold, s.Fall = 16*time.Second, 1500*ms
+		s.SlowStartDuration, s.OverloadWindow = 16*time.Second, 1500*ms
 		gates := make([]*gate, group)
 		for i := range gates {
 			c, err := New(s, uint64(i+1))
@@ -145,7 +145,7 @@
 			}
 			gates[i] = &gate{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{},
 				due: map[uint64]time.Duration{}}
-			gates[i].do(List{Kind: Stale, Members: on(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)})
+			gates[i].do(EndpointUpdate{Kind: Cached, Endpoints: on(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)})
 		}
 		type due struct {
 			at time.Duration
@@ -160,7 +160,7 @@
 		for now := time.Hour; now < up+18*time.Second; now += 10 * ms {
 			if now == up {
 				for _, g := range gates {
-					g.do(List{Kind: Patch, Members: []Member{{Server: 99, Zone: "z1", Size: 1, CameUp: up, HasCameUp: true}}})
+					g.do(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 99, Zone: "z1", Size: 1, StartedAt: up, HasStartedAt: true}}})
 				}
 			}
 			g := gates[asked*7%group] // 100 requests a second in all
@@ -190,11 +190,11 @@
 		for i, from := range at {
 			n, warmth := 0, 0.2+0.8*(from-up).Seconds()/16
 			for _, x := range at[i:] {
-				if x < from+s.Fall {
+				if x < from+s.OverloadWindow {
 					n++
 				}
 			}
-			if most := coldFormula(s.FallMultiple * warmth * warmDoes * s.Fall.Seconds()); from+s.Fall <= up+s.Cold && float64(n) > most {
+			if most := coldFormula(s.OverloadFactor * warmth * warmDoes * s.OverloadWindow.Seconds()); from+s.OverloadWindow <= up+s.SlowStartDuration && float64(n) > most {
 				t.Errorf("%d gateways: %d sends to a cold server %v after its start, it bears %.1f", group, n, from-up, most)
 				break
 			}
@@ -210,19 +210,19 @@
 // server by, so that each is home to as many.
 func TestFewOfTheColdServersAreHome(t *testing.T) {
 	s := fleet(300)
-	s.Cold = 40 * time.Second
+	s.SlowStartDuration = 40 * time.Second
 	homes := map[uint32]int{}
-	for i := 0; i < s.GroupSize; i += 7 {
-		s.SelfIndex = i
-		var cold []Member
+	for i := 0; i < s.FleetSize; i += 7 {
+		s.NodeIndex = i
+		var cold []Endpoint
 		for key := uint32(1); key <= 100; key++ { // each gateway has its own order
 			id := 1 + (key*37+uint32(i))%100
-			cold = append(cold, Member{Server: id, Key: key * 2654435761, Zone: "z1", Size: 1, CameUp: time.Hour - 4*time.Second, HasCameUp: true})
+			cold = append(cold, Endpoint{Server: id, HashKey: key * 2654435761, Zone: "z1", Size: 1, StartedAt: time.Hour - 4*time.Second, HasStartedAt: true})
 		}
 		g := newGate(t, s, cold...)
 		for _, x := range g.c.order {
 			if x.home {
-				homes[x.Key]++
+				homes[x.HashKey]++
 			}
 		}
 		if i > 0 {
@@ -238,11 +238,11 @@
 			t.Errorf("%d sends to cold servers went to %d of 100", len(g.sends), len(used))
 		}
 	}
-	want := float64((s.GroupSize+6)/7) * coldHomes * homeGateways / float64(s.GroupSize)
-	want = max(want, float64((s.GroupSize+6)/7)*coldHomes*homeServers/100)
+	want := float64((s.FleetSize+6)/7) * coldHomes * homeGateways / float64(s.FleetSize)
+	want = max(want, float64((s.FleetSize+6)/7)*coldHomes*homeServers/100)
 	for key, n := range homes {
 		if math.Abs(float64(n)-want) > 2 {
-			t.Errorf("server %d is home to %d of %d gateways, not %.1f", key, n, (s.GroupSize+6)/7, want)
+			t.Errorf("server %d is home to %d of %d gateways, not %.1f", key, n, (s.FleetSize+6)/7, want)
 		}
 	}
 	if len(homes) != 100 {
--- a/control/coldgroup_test.go
+++ b/control/coldgroup_test.go
@@ -42,7 +42,7 @@
 	seed    uint64
 	rng     *rand.Rand
 	gates   []*Controller
-	members []Member
+	members []Endpoint
 	told    []bool
 	busy    []time.Duration // until then, by server
 	sends   [][]coldSend    // of the last span, by cold server
@@ -65,27 +65,27 @@
 	t.Helper()
 	f := &coldFleet{coldRow: x, t: t, set: fleet(x.group), seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(x.group))),
 		busy: make([]time.Duration, x.servers), sends: make([][]coldSend, x.cold), told: make([]bool, x.group)}
-	f.set.Cold, f.set.ColdFrom, f.set.Fall = coldFor, x.from, 1500*ms
-	f.set.GroupSize = max(x.group, x.size)
+	f.set.SlowStartDuration, f.set.SlowStartInitial, f.set.OverloadWindow = coldFor, x.from, 1500*ms
+	f.set.FleetSize = max(x.group, x.size)
 	for i := range x.servers {
-		f.members = append(f.members, Member{Server: uint32(i + 1), Key: uint32(i+1) * 2654435761, Zone: fmt.Sprint("z", i%3), Size: 1})
+		f.members = append(f.members, Endpoint{Server: uint32(i + 1), HashKey: uint32(i+1) * 2654435761, Zone: fmt.Sprint("z", i%3), Size: 1})
 	}
 	f.Now = time.Hour
 	f.gates = make([]*Controller, x.group)
 	loads, all := make([]float64, x.group), 0.0
 	for i := range f.gates {
-		f.begin(i, Stale, f.members[x.cold:])
+		f.begin(i, Cached, f.members[x.cold:])
 		loads[i] = math.Exp(x.uneven * f.rng.NormFloat64())
 		all += loads[i]
 	}
 	for i := range x.cold {
-		f.members[i].CameUp, f.members[i].HasCameUp = coldUp, !x.unaware
+		f.members[i].StartedAt, f.members[i].HasStartedAt = coldUp, !x.unaware
 	}
 	for i := range f.gates {
 		at := coldUp + time.Duration(f.rng.Float64()*float64(x.apart))
 		f.After(at-f.Now, func() {
 			f.told[i] = true
-			f.do(i, List{Kind: Patch, Members: f.members[:x.cold], Sharers: x.sharers})
+			f.do(i, EndpointUpdate{Kind: Delta, Endpoints: f.members[:x.cold], NodesPerServer: x.sharers})
 		})
 	}
 	if x.restart > 0 {
@@ -93,7 +93,7 @@
 			i := k % x.group
 			f.After(coldUp+time.Second+time.Duration(k)*x.restart-f.Now, func() {
 				f.told[i] = true
-				f.begin(i, Stale, f.members)
+				f.begin(i, Cached, f.members)
 			})
 		}
 	}
@@ -101,13 +101,13 @@
 		f.ask(i, f.load*coldDoes*float64(x.servers-x.cold)*loads[i]/all)
 	}
 	f.Run()
-	n := f.allows(coldUp+coldFor/2) / f.set.Fall.Seconds() // a second, in the mean over the ramp
+	n := f.allows(coldUp+coldFor/2) / f.set.OverloadWindow.Seconds() // a second, in the mean over the ramp
 	return f.worst, f.sent / (n * coldFor.Seconds() * float64(x.cold))
 }
 
 // allows is what the settings allow a cold server at a time.
 func (f *coldFleet) allows(now time.Duration) float64 {
-	return settings().FallMultiple * f.warmth(now) * coldDoes * f.set.Fall.Seconds()
+	return settings().OverloadFactor * f.warmth(now) * coldDoes * f.set.OverloadWindow.Seconds()
 }
 
 func (f *coldFleet) warmth(now time.Duration) float64 {
@@ -115,14 +115,14 @@
 }
 
 // begin starts a gateway, also anew.
-func (f *coldFleet) begin(i int, kind ListKind, members []Member) {
+func (f *coldFleet) begin(i int, kind UpdateKind, members []Endpoint) {
 	f.n++
 	s := f.set
-	s.SelfIndex = i * s.GroupSize / f.group
+	s.NodeIndex = i * s.FleetSize / f.group
 	c, err := New(s, f.seed<<32+uint64(f.n))
 	require.NoError(f.t, err)
 	f.gates[i] = c
-	f.do(i, List{Kind: kind, Members: members, Sharers: f.sharers})
+	f.do(i, EndpointUpdate{Kind: kind, Endpoints: members, NodesPerServer: f.sharers})
 }
 
 // ask has requests come to a gateway.
@@ -133,8 +133,8 @@
 		}
 		f.n++
 		work := f.rng.ExpFloat64()
-		f.do(i, Request{ID: fmt.Sprint(f.n, " ", work), Class: "job", Plan: "high", Customer: fmt.Sprint(f.n), TTL: 5 * time.Second,
-			Units: min(8, max(1, math.Round(3*work*math.Exp(0.5*f.rng.NormFloat64())))), Spread: 2})
+		f.do(i, Request{ID: fmt.Sprint(f.n, " ", work), Class: "job", Plan: "high", Tenant: fmt.Sprint(f.n), TimeLeft: 5 * time.Second,
+			Tokens: min(8, max(1, math.Round(3*work*math.Exp(0.5*f.rng.NormFloat64())))), TenantNodes: 2})
 		f.ask(i, rate)
 	})
 }
@@ -146,7 +146,7 @@
 		switch a := a.(type) {
 		case Send:
 			f.send(i, a)
-		case Arm:
+		case SetTimer:
 			f.After(a.After, func() {
 				if f.gates[i] == c && f.Now < coldUp+coldFor {
 					f.do(i, Timer{Label: a.Label})
@@ -170,7 +170,7 @@
 	c := f.gates[i]
 	f.After(max(f.busy[s]-f.Now, seconds(work*coldCores/coldDoes)), func() {
 		if f.gates[i] == c {
-			f.do(i, Response{ID: a.ID, Server: a.Server, Reason: OK, Done: true})
+			f.do(i, AttemptEnded{ID: a.ID, Server: a.Server, Outcome: OK, Done: true})
 		}
 	})
 }
@@ -179,7 +179,7 @@
 func (f *coldFleet) come(s int, work float64) {
 	f.sent++
 	in := append(f.sends[s], coldSend{f.Now, work})
-	for in[0].at < f.Now-f.set.Fall {
+	for in[0].at < f.Now-f.set.OverloadWindow {
 		in = in[1:]
 	}
 	f.sends[s] = in
--- a/control/coldsum_test.go
+++ b/control/coldsum_test.go
@@ -27,21 +27,21 @@
 func coldSumOf(t *testing.T, s Settings, gateways int, sharers float64, servers int, from, load float64, seed uint64) (worst, mean float64) {
 	const does, takes = 18.0, 0.17
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
-	up, group := time.Hour, s.GroupSize
-	s.Cold, s.ColdFrom, s.Fall = 16*time.Second, from, 1500*ms
-	var members []Member
+	up, group := time.Hour, s.FleetSize
+	s.SlowStartDuration, s.SlowStartInitial, s.OverloadWindow = 16*time.Second, from, 1500*ms
+	var members []Endpoint
 	for id := uint32(1); id <= uint32(servers); id++ {
-		members = append(members, Member{Server: id, Key: id * 2654435761, Zone: "z1"})
+		members = append(members, Endpoint{Server: id, HashKey: id * 2654435761, Zone: "z1"})
 	}
-	members[0].CameUp, members[0].HasCameUp = up, true
+	members[0].StartedAt, members[0].HasStartedAt = up, true
 	asked := load * does * float64(servers-1) // requests a second
 	gates := make([]*Controller, gateways)
 	for i := range gates {
-		s.SelfIndex = i * group / gateways
+		s.NodeIndex = i * group / gateways
 		c, err := New(s, seed<<32+uint64(i))
 		require.NoError(t, err)
 		c.latency, c.idle, c.seen, c.unitsMean = takes, takes, 100, 1
-		c.Handle(up, List{Kind: Stale, Members: members, Sharers: sharers})
+		c.Handle(up, EndpointUpdate{Kind: Cached, Endpoints: members, NodesPerServer: sharers})
 		c.servedRate, c.answerRate = asked/float64(gateways), asked/float64(gateways)
 		gates[i] = c
 	}
@@ -53,10 +53,10 @@
 	var out []func()
 	var ends []time.Duration
 	sum, sent, allowed := 0.0, 0.0, 0.0
-	for now := up; now < up+s.Cold; {
+	for now := up; now < up+s.SlowStartDuration; {
 		gap := seconds(rng.ExpFloat64() / asked)
 		now += gap
-		n := s.FallMultiple * (from + (1-from)*(now-up).Seconds()/s.Cold.Seconds()) * does
+		n := s.OverloadFactor * (from + (1-from)*(now-up).Seconds()/s.SlowStartDuration.Seconds()) * does
 		allowed += n * gap.Seconds()
 		for len(ends) > 0 && ends[0] <= now {
 			out[0]()
@@ -72,11 +72,11 @@
 		out, ends = append(out, func() { x.inflight-- }), append(ends, now+seconds(takes))
 		sends = append(sends, send{now, rng.ExpFloat64()})
 		sum, sent = sum+sends[len(sends)-1].work, sent+1
-		for sends[0].at < now-s.Fall {
+		for sends[0].at < now-s.OverloadWindow {
 			sum -= sends[0].work
 			sends = sends[1:]
 		}
-		worst = max(worst, sum/coldFormula(n*s.Fall.Seconds()))
+		worst = max(worst, sum/coldFormula(n*s.OverloadWindow.Seconds()))
 	}
 	return worst, sent / allowed
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -84,7 +84,7 @@
 func (c *Controller) report() {
 	c.nextReport = c.now + reportEvery
 	t := c.tally
-	c.act(Remark{Text: fmt.Sprintf("asked=%d late=%d store=%d chance=%d queue=%d ended=%d cuts=%d bound=%.1f"+
+	c.act(LogLine{Text: fmt.Sprintf("asked=%d late=%d store=%d chance=%d queue=%d ended=%d cuts=%d bound=%.1f"+
 		" inflight=%d latency=%v idle=%v retries=%.1f", t.asked, t.late, t.store, t.chance, t.queue, t.ended, t.cuts,
 		c.bound, c.inflight, seconds(c.latency).Round(time.Millisecond/10), seconds(c.idle).Round(time.Millisecond/10),
 		c.retries)})
@@ -99,17 +99,17 @@
 	c := &Controller{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		classes: map[string]*Class{}, planOf: map[string]*plan{}, reqs: map[string]*request{},
 		usual: map[*Class]*usualTTL{}, labels: map[uint64]*request{}, attempts: map[attemptKey]*attempt{},
-		custs: map[string]*customer{}, servers: map[uint32]*server{}, sharers: float64(s.GroupSize)}
+		custs: map[string]*customer{}, servers: map[uint32]*server{}, sharers: float64(s.FleetSize)}
 	c.retries, c.nextTry, c.clock.lag, c.unitsMean = c.retryRoom(), retryAfter, lagFirst, unitsFirst
 	for i := range c.set.Classes {
 		k := &c.set.Classes[i]
 		c.classes[k.Name], c.usual[k] = k, &usualTTL{}
-		c.topWorth = max(c.topWorth, k.Worth)
+		c.topWorth = max(c.topWorth, k.PriorityWeight)
 	}
 	prices := make([]float64, len(s.Plans))
 	for i, p := range s.Plans {
 		pl := &plan{Plan: p, index: i, share: 1 / float64(len(s.Plans))}
-		c.plans, c.planOf[p.Name], prices[i] = append(c.plans, pl), pl, p.Price
+		c.plans, c.planOf[p.Name], prices[i] = append(c.plans, pl), pl, p.PriceFactor
 	}
 	c.law, c.rules, c.most = newShareLaw(prices), &Rules{}, math.Inf(1)
 	return c, nil
@@ -121,7 +121,7 @@
 	}
 	c.nextReport = c.now + reportEvery
 	c.nextInterval = c.now + interval
-	c.act(Arm{After: tick, Label: tickLabel})
+	c.act(SetTimer{After: tick, Label: tickLabel})
 }
 
 // Handle takes one event and returns what the gateway has to do, in order. The
@@ -135,26 +135,26 @@
 		c.begin()
 	}
 	switch e := e.(type) {
-	case List:
+	case EndpointUpdate:
 		c.onList(e)
 	case Request:
 		c.onRequest(e)
-	case Written:
-		c.written(c.attempts[attemptKey{e.ID, e.N}])
-	case Started:
+	case BodySent:
+		c.written(c.attempts[attemptKey{e.ID, e.Attempt}])
+	case ResponseStarted:
 		c.onStarted(e)
-	case Response:
+	case AttemptEnded:
 		c.onResponse(e)
-	case Hangup:
+	case ClientGone:
 		if r := c.reqs[e.ID]; r != nil {
 			c.forget(r)
 		}
 	case Timer:
 		c.onTimer(e.Label)
-	case Hearsay:
+	case OutlierReport:
 		c.onHearsay(e)
-	case Zones:
-		c.away = e.Away
+	case ZoneEvacuation:
+		c.away = e.Evacuated
 	case Rules:
 		c.onRules(e)
 	}
@@ -172,7 +172,7 @@
 		r.label = c.label
 		c.labels[r.label] = r
 	}
-	c.act(Arm{After: max(after, 0), Label: r.label})
+	c.act(SetTimer{After: max(after, 0), Label: r.label})
 }
 
 // drawn is a chance, where one is asked for: none is drawn where nothing stays away.
--- a/control/customers.go
+++ b/control/customers.go
@@ -12,10 +12,11 @@
 		q = &customer{plan: &p.Plan, at: c.now, seenFrom: c.now, carry: c.rng.Float64(),
 			spread: max(1, float64(spread))}
 		c.allow(q, key)
-		q.level, q.smooth = c.whole()*q.plan.Depth, usePrior*q.plan.Rate
+		q.level, q.smooth = c.whole()*q.plan.Burst, usePrior*q.plan.Rate
 		// Just started, the ceiling's store has the slack only: what a former self passed on is not known.
-		q.ceiling = c.whole() * (ceilingStart*p.CeilingSlack + (c.now-c.start).Seconds()*p.CeilingRate) / q.spread
-		q.openCap = c.whole() * float64(p.Open) / q.spread
+		filled := ceilingStart*p.CeilingOverdraft + (c.now-c.start).Seconds()*p.CeilingRate
+		q.ceiling = c.whole() * filled / q.spread
+		q.openCap = c.whole() * float64(p.MaxConcurrent) / q.spread
 		c.custs[key] = q
 	}
 	q.spread = max(q.spread, float64(spread))
@@ -30,7 +31,7 @@
 	q.at = c.now
 	c.roll(q)
 	part := c.whole()
-	q.level = min(part*q.plan.Depth, q.level+part*dt*q.plan.Rate)
+	q.level = min(part*q.plan.Burst, q.level+part*dt*q.plan.Rate)
 	q.ceiling = min(part*q.plan.CeilingBurst/q.spread, q.ceiling+part*dt*q.plan.CeilingRate/q.spread)
 }
 
@@ -58,8 +59,8 @@
 	q.triesAt = c.now
 	// Guards against tries that can only be late, or of a class worth far less than the dearest,
 	// taking the units or the turn of others.
-	yields := late || k.Worth < worthLow*c.topWorth
-	scarce := !c.free() || p.Rate > 0 && q.level-q.queued < storeSpare*p.Depth
+	yields := late || k.PriorityWeight < worthLow*c.topWorth
+	scarce := !c.free() || p.Rate > 0 && q.level-q.queued < storeSpare*p.Burst
 	c.tally.asked++
 	switch {
 	case late && !c.covered(q) || yields && scarce:
@@ -80,9 +81,9 @@
 		return false
 	}
 	if p.Rate > 0 {
-		left, need := q.level-q.queued, max(storeHigh*p.Depth, units)
+		left, need := q.level-q.queued, max(storeHigh*p.Burst, units)
 		if q.shared {
-			need = SharedNeed(p.Depth, units, q.few())
+			need = SharedBucketMinimum(p.Burst, units, q.few())
 		}
 		if left >= need && c.covered(q) {
 			return true
@@ -102,7 +103,7 @@
 }
 
 // SharedNeed is what a store must hold, as its owner tells many: each may send one on by the same word.
-func SharedNeed(depth, units, few float64) float64 {
+func SharedBucketMinimum(depth, units, few float64) float64 {
 	return min(units*(1+sharedMore*(1-few)), sharedPart*depth)
 }
 
@@ -142,7 +143,7 @@
 	shape := askedShape * (1 + (1-few)*(c.unitsMean-1))
 	mean := askedMean + max(0, 2*q.unseen()-1)*(thinMean-askedMean)
 	demand := (shape + k*q.told + own) / (shape/(mean*r) + k*q.toldFor + seen)
-	return min(1, (r+few*burstPart*q.plan.Depth/toldAge)/demand)
+	return min(1, (r+few*burstPart*q.plan.Burst/toldAge)/demand)
 }
 
 // few is 1 for a customer that comes through so few gateways that each is told of most of its use,
@@ -154,7 +155,7 @@
 // unseen is the part of the chance that counts before the first reading: all where many gateways decide
 // without one and what goes beyond costs its worth. Guards against passing all that heavy customers ask.
 func (q *customer) unseen() float64 {
-	thin, dear := 1-q.few(), min(1, q.plan.OverCost*q.plan.OverCost)
+	thin, dear := 1-q.few(), min(1, q.plan.OverQuotaCost*q.plan.OverQuotaCost)
 	return thin * (thinUnseen + dear*(thin-thinUnseen))
 }
 
@@ -166,7 +167,7 @@
 	if !q.shared { // what others send is in what is told
 		f *= c.others(q)
 	}
-	q.level = max(-q.plan.Depth, q.level-f)
+	q.level = max(-q.plan.Burst, q.level-f)
 	q.own.add(units)
 	q.charged.add(f)
 }
@@ -177,8 +178,8 @@
 	keep, most := custKeep, custMost/2
 	idle := func(_ string, q *customer) bool { return c.now-q.at > keep && q.open == 0 && q.queued == 0 }
 	maps.DeleteFunc(c.custs, func(k string, q *customer) bool { return idle(k, q) && c.full(q) })
-	if c.set.Customers > 0 {
-		most = min(most, c.set.Customers)
+	if c.set.MaxTenants > 0 {
+		most = min(most, c.set.MaxTenants)
 	}
 	for len(c.custs) > most && keep > interval {
 		keep /= 2
@@ -190,6 +191,6 @@
 // full tells whether an idle customer's stores have filled again since it was last looked at.
 func (c *Controller) full(q *customer) bool {
 	p, dt := q.plan, (c.now - q.at).Seconds()
-	return p.Open == 0 && (p.Rate == 0 || q.level+dt*p.Rate >= p.Depth) &&
+	return p.MaxConcurrent == 0 && (p.Rate == 0 || q.level+dt*p.Rate >= p.Burst) &&
 		(p.CeilingRate == 0 || q.ceiling+dt*p.CeilingRate/q.spread >= p.CeilingBurst/q.spread)
 }
--- a/control/customers_test.go
+++ b/control/customers_test.go
@@ -9,7 +9,7 @@
 
 func TestRestartedGatewayStartsItsCeilingEmpty(t *testing.T) {
 	s := settings()
-	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst, s.Plans[0].CeilingSlack = 10, 40, 4
+	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst, s.Plans[0].CeilingOverdraft = 10, 40, 4
 	g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
 	for i := 0; i < 50; i++ {
 		g.ask(fmt.Sprint("s", i), "job", "low", "x")
@@ -37,7 +37,7 @@
 
 func TestUnseenCustomerMaySendItsPartOfTheBurst(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate, s.Plans[0].Depth = 1, 20
+	s.Plans[0].Rate, s.Plans[0].Burst = 1, 20
 	g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
 	for i := 0; i < 60; i++ {
 		g.ask(fmt.Sprint(i), "job", "low", "x")
@@ -53,7 +53,7 @@
 func TestThinKnowledgeOfACustomerOfManyGateways(t *testing.T) {
 	chance := func(pct, spread int) float64 {
 		s := settings()
-		s.GroupSize, s.Plans[0].Rate, s.Plans[0].Depth = 80, 2, 16
+		s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst = 80, 2, 16
 		g := newGate(t, s, on(1, 2, 3)...)
 		g.c.now += time.Minute
 		q := g.c.customerOf(g.c.plans[0], "x", spread)
@@ -63,7 +63,7 @@
 			g.c.now += 4 * time.Second
 			g.c.meter(q, pct+1, 3)
 		}
-		q.level = s.Plans[0].Depth
+		q.level = s.Plans[0].Burst
 		if g.c.passes(q, 3); spread > 40 && pct > 100 && g.c.tally.chance == 0 && g.c.passes(q, 3) {
 			t.Errorf("spread %d: a full store passes what readings of %d%% speak against", spread, pct)
 		}
@@ -89,8 +89,8 @@
 // full again is kept: forgetting it would open its quota or ceiling anew.
 func TestCustomersThatCameOnceAreForgotten(t *testing.T) {
 	s := settings()
-	s.Plans = append(s.Plans, Plan{Name: "slow", Price: 1, Rate: 0.01, Depth: 10},
-		Plan{Name: "capped", Price: 1, Rate: 1000, Depth: 1000, CeilingRate: 0.01, CeilingBurst: 10, CeilingSlack: 9})
+	s.Plans = append(s.Plans, Plan{Name: "slow", PriceFactor: 1, Rate: 0.01, Burst: 10},
+		Plan{Name: "capped", PriceFactor: 1, Rate: 1000, Burst: 1000, CeilingRate: 0.01, CeilingBurst: 10, CeilingOverdraft: 9})
 	g := newGate(t, s, on(1, 2)...)
 	for i := 0; i < 100; i++ {
 		for _, plan := range []string{"low", "slow", "capped"} {
@@ -120,13 +120,13 @@
 // longer once most periods are not told.
 func TestFullStoreIsTrustedSoonAfterTheStart(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate, s.Plans[0].Depth = 10, 20
+	s.Plans[0].Rate, s.Plans[0].Burst = 10, 20
 	g := newGate(t, s, on(1, 2)...)
 	q := g.c.customerOf(g.c.plans[0], "x", 2)
 	let := func() (n int) {
 		g.c.now = g.now
 		g.c.refill(q)
-		q.level, q.tries, q.triesAt, q.carry = q.plan.Depth, 400, g.now, 0 // asked for far more of late
+		q.level, q.tries, q.triesAt, q.carry = q.plan.Burst, 400, g.now, 0 // asked for far more of late
 		for range 10 {
 			if g.c.passes(q, 1) {
 				n++
@@ -153,31 +153,31 @@
 func TestSharedStoreDecides(t *testing.T) {
 	for _, x := range []struct {
 		name   string
-		told   *Shared
+		told   *SharedBucket
 		own    float64 // reckoned here
 		spread int
 		pass   bool
 	}{
 		{"nothing told, full here", nil, 20, 60, true},
 		{"nothing told, empty here", nil, 0, 60, false},
-		{"told empty, full here", &Shared{Units: 0}, 20, 60, false},
-		{"told enough, empty here", &Shared{Units: 15}, 0, 60, true},
-		{"told one request's, to many", &Shared{Units: 2}, 20, 60, false},
-		{"told one request's, to few", &Shared{Units: 2}, 20, 2, true},
-		{"told not low, empty here", &Shared{Units: 14, Least: true}, 0, 60, true},
+		{"told empty, full here", &SharedBucket{Tokens: 0}, 20, 60, false},
+		{"told enough, empty here", &SharedBucket{Tokens: 15}, 0, 60, true},
+		{"told one request's, to many", &SharedBucket{Tokens: 2}, 20, 60, false},
+		{"told one request's, to few", &SharedBucket{Tokens: 2}, 20, 2, true},
+		{"told not low, empty here", &SharedBucket{Tokens: 14, AtLeast: true}, 0, 60, true},
 	} {
 		s := settings()
-		s.Plans[0].Rate, s.Plans[0].Depth = 1, 20
+		s.Plans[0].Rate, s.Plans[0].Burst = 1, 20
 		c, err := New(s, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Handle(time.Hour, List{Kind: Stale, Members: []Member{{Server: 1, Zone: "z1"}}})
+		c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: []Endpoint{{Server: 1, Zone: "z1"}}})
 		q := c.customerOf(c.plans[0], "x", x.spread)
 		q.level, q.metered = x.own, true
 		passed := false
-		for _, a := range c.Handle(time.Hour, Request{ID: "r", Class: "job", Plan: c.plans[0].Name, Customer: "x", TTL: 5 * time.Second,
-			Units: 1, Spread: x.spread, Shared: x.told}) {
+		for _, a := range c.Handle(time.Hour, Request{ID: "r", Class: "job", Plan: c.plans[0].Name, Tenant: "x", TimeLeft: 5 * time.Second,
+			Tokens: 1, TenantNodes: x.spread, Bucket: x.told}) {
 			if _, ok := a.(Send); ok {
 				passed = true
 			}
@@ -192,7 +192,7 @@
 // readings below the quota bring its chance down again, and large requests are refused before small.
 func TestReadingsBelowTheQuotaEndRefusals(t *testing.T) {
 	s := fleet(80)
-	s.Plans[0].Rate, s.Plans[0].Depth = 10, 40
+	s.Plans[0].Rate, s.Plans[0].Burst = 10, 40
 	g := newGate(t, s, on(1, 2, 3)...)
 	q := g.c.customerOf(g.c.plans[0], "x", 60)
 	read := func(pct int) {
--- a/control/fleetquota_test.go
+++ b/control/fleetquota_test.go
@@ -21,7 +21,7 @@
 
 // fill is a step's refill of a store.
 func fill(level float64, p Plan, step time.Duration) float64 {
-	return min(p.Depth, level+p.Rate*step.Seconds())
+	return min(p.Burst, level+p.Rate*step.Seconds())
 }
 
 // blindDay plays 20 s of customers, of whom one in ten asks for three and a half times its quota and the
@@ -32,7 +32,7 @@
 	const step, lag, customers = 100 * ms, time.Second, 80
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := large()
-	s.GroupSize, s.Plans[0].Rate, s.Plans[0].Depth, s.Plans[0].OverCost = gateways, float64(gateways)/30, float64(gateways)/7.5, cost
+	s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst, s.Plans[0].OverQuotaCost = gateways, float64(gateways)/30, float64(gateways)/7.5, cost
 	if !metered {
 		s.MeterPeriod = 0
 	}
@@ -47,7 +47,7 @@
 		gates[i].c.rng = rand.New(rand.NewPCG(seed, uint64(i))) // else all draw alike
 	}
 	for i := range askers {
-		a := &asker{name: fmt.Sprint(i), use: 0.33, level: p.Depth, used: map[int]float64{}}
+		a := &asker{name: fmt.Sprint(i), use: 0.33, level: p.Burst, used: map[int]float64{}}
 		if i%10 == 0 {
 			a.use = 3.5
 		}
@@ -67,7 +67,7 @@
 	var out []sent
 	ideal, all := make([]float64, customers), 0.0
 	for i := range ideal {
-		ideal[i] = p.Depth
+		ideal[i] = p.Burst
 	}
 	for at := time.Duration(0); at < 20*time.Second; at += step {
 		for len(out) > 0 && out[0].at <= at {
@@ -93,7 +93,7 @@
 					n++
 				}
 				g, id := gates[n], fmt.Sprint(at, i, rng.Uint64())
-				g.do(Request{ID: id, Class: "job", Plan: "low", Customer: a.name, TTL: 5 * time.Second, Units: units, Spread: gateways})
+				g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: a.name, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: gateways})
 				if g.n[id] == 0 {
 					continue
 				}
--- a/control/gate_test.go
+++ b/control/gate_test.go
@@ -12,18 +12,18 @@
 
 // settings is a small deployment for tests: one free class, two plans.
 func settings() Settings {
-	return Settings{GroupSize: 2, Zone: "z1", SendCap: 3, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		Cold: 10 * time.Second, ColdFrom: 0.2, Fall: time.Second, FallMultiple: 2, MeterPeriod: time.Second,
-		MayCancel: true,
-		Classes:   []Class{{Name: "job", Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1}},
-		Plans: []Plan{{Name: "low", Price: 0.5, Rate: 1000, Depth: 1000},
-			{Name: "high", Price: 1.5, Rate: 1000, Depth: 1000}}}
+	return Settings{FleetSize: 2, Zone: "z1", MaxAttempts: 3, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.2, OverloadWindow: time.Second, OverloadFactor: 2, MeterPeriod: time.Second,
+		CanCancel: true,
+		Classes:   []Class{{Name: "job", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1}},
+		Plans: []Plan{{Name: "low", PriceFactor: 0.5, Rate: 1000, Burst: 1000},
+			{Name: "high", PriceFactor: 1.5, Rate: 1000, Burst: 1000}}}
 }
 
 // fleet is the settings of a group as large as the servers are many.
 func fleet(group int) Settings {
 	s := settings()
-	s.GroupSize = group
+	s.FleetSize = group
 	return s
 }
 
@@ -39,7 +39,7 @@
 	acts  []Action
 }
 
-func newGate(t *testing.T, s Settings, servers ...Member) *gate {
+func newGate(t *testing.T, s Settings, servers ...Endpoint) *gate {
 	t.Helper()
 	c, err := New(s, 7)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	g := &gate{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{},
 		due: map[uint64]time.Duration{}}
-	g.do(List{Kind: Stale, Members: servers})
+	g.do(EndpointUpdate{Kind: Cached, Endpoints: servers})
 	return g
 }
 
@@ -63,11 +63,11 @@
 			}
 			g.n[a.ID]++
 			g.sends = append(g.sends, a)
-		case Refuse:
+		case Reject:
 			g.end(a.ID, a)
 		case Fail:
 			g.end(a.ID, a)
-		case Arm:
+		case SetTimer:
 			g.due[a.Label] = g.now + a.After
 		}
 	}
@@ -106,15 +106,15 @@
 
 func (g *gate) ask(id, class, plan, customer string) {
 	g.t.Helper()
-	g.do(Request{ID: id, Class: class, Plan: plan, Customer: customer, TTL: 5 * time.Second, Units: 1, Spread: 2})
+	g.do(Request{ID: id, Class: class, Plan: plan, Tenant: customer, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2})
 }
 
 // reply answers the latest send of a request.
-func (g *gate) reply(id string, why Reason, used int) {
+func (g *gate) reply(id string, why Outcome, used int) {
 	g.t.Helper()
 	for i := len(g.sends) - 1; i >= 0; i-- {
 		if g.sends[i].ID == id {
-			g.do(Response{ID: id, N: g.n[id] - 1, Server: g.sends[i].Server, Reason: why, Done: why == OK, Used: used})
+			g.do(AttemptEnded{ID: id, Attempt: g.n[id] - 1, Server: g.sends[i].Server, Outcome: why, Done: why == OK, MeterReading: used})
 			if why == OK {
 				g.ends[id] = Send{}
 			}
@@ -159,21 +159,21 @@
 	got := map[uint32]int{}
 	for i := range n {
 		id := fmt.Sprint("to", g.now, i)
-		for _, a := range g.c.Handle(g.now, Request{ID: id, Class: "job", Plan: "high", Customer: id, TTL: 5 * time.Second, Units: 1, Spread: 1}) {
+		for _, a := range g.c.Handle(g.now, Request{ID: id, Class: "job", Plan: "high", Tenant: id, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1}) {
 			if s, ok := a.(Send); ok {
 				got[s.Server]++
 				g.now += 5 * ms
-				g.c.Handle(g.now, Response{ID: id, Server: s.Server, Reason: OK, Done: true})
+				g.c.Handle(g.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Done: true})
 			}
 		}
 	}
 	return got
 }
 
-func on(ids ...uint32) []Member {
-	var m []Member
+func on(ids ...uint32) []Endpoint {
+	var m []Endpoint
 	for i, id := range ids {
-		m = append(m, Member{Server: id, Zone: fmt.Sprintf("z%d", i%2+1), Cell: i / 2, Size: 1})
+		m = append(m, Endpoint{Server: id, Zone: fmt.Sprintf("z%d", i%2+1), Cell: i / 2, Size: 1})
 	}
 	return m
 }
--- a/control/handover.go
+++ b/control/handover.go
@@ -83,7 +83,7 @@
 	c.split(true)
 	for k, q := range c.custs {
 		c.refill(q)
-		most := 2 * c.planOf[q.plan.Name].Depth // the other one begins without rules
+		most := 2 * c.planOf[q.plan.Name].Burst // the other one begins without rules
 		h.Customers[k] = handoverCustomer{Plan: q.plan.Name, Key: k, Spread: q.spread, SeenFrom: q.seenFrom, At: q.at,
 			ToldAt: q.toldAt, TriesAt: q.triesAt, Level: max(-most, min(q.level, most)), Ceiling: q.ceiling, OpenCap: q.openCap,
 			Chance: q.chance, Carry: q.carry, Metered: q.metered, Base: q.base, LastUsed: q.lastUsed, Tries: q.tries,
@@ -110,7 +110,7 @@
 	for _, s := range c.order {
 		if s.listed {
 			h.Servers[s.Server] = handoverServer{s.latency, s.failing, s.latencyAt, s.failingAt, s.strikes, s.asideUntil,
-				s.aside, s.coldRamp, s.coldFrom, s.tokensAt, s.tokens, s.HasCameUp, s.CameUp}
+				s.aside, s.coldRamp, s.coldFrom, s.tokensAt, s.tokens, s.HasStartedAt, s.StartedAt}
 		}
 	}
 	return h
@@ -118,14 +118,14 @@
 
 // Keep gives what was learnt of all but customers, for a process that starts when this one has
 // ended. It changes nothing.
-func (c *Controller) Keep(now time.Duration) ([]byte, error) {
+func (c *Controller) Snapshot(now time.Duration) ([]byte, error) {
 	c.now = max(c.now, now)
 	return json.Marshal(c.learnt())
 }
 
 // Recall takes what Keep gave, at most so long ago, before this controller has been told anything.
 // After an error nothing is taken.
-func (c *Controller) Recall(now time.Duration, raw []byte, most time.Duration) error {
+func (c *Controller) RestoreSnapshot(now time.Duration, raw []byte, most time.Duration) error {
 	var h handover
 	if err := json.Unmarshal(raw, &h); err != nil {
 		return fmt.Errorf("kept: %w", err)
@@ -138,25 +138,25 @@
 
 // Level gives what a customer's store holds, with its rate and depth and the gateways that share
 // it; ok is false for one that has no such quota here.
-func (c *Controller) Level(plan, customer string) (units, rate, depth float64, spread int, ok bool) {
+func (c *Controller) TenantLevel(plan, customer string) (units, rate, depth float64, spread int, ok bool) {
 	q := c.custs[plan+" "+customer]
 	if q == nil || q.plan.Rate == 0 {
 		return 0, 0, 0, 0, false
 	}
-	return q.level, q.plan.Rate, q.plan.Depth, int(q.spread), true
+	return q.level, q.plan.Rate, q.plan.Burst, int(q.spread), true
 }
 
 // Restore sets what the store of a customer holds that is not known here yet: at most what is given,
 // and no more than a store can.
-func (c *Controller) Restore(now time.Duration, plan, customer string, spread int, units float64) error {
+func (c *Controller) RestoreTenant(now time.Duration, plan, customer string, spread int, units float64) error {
 	p := c.planOf[plan]
-	if p == nil || p.Rate == 0 || spread < 1 || spread > c.set.GroupSize || math.IsNaN(units) || len(c.custs) >= custMost {
+	if p == nil || p.Rate == 0 || spread < 1 || spread > c.set.FleetSize || math.IsNaN(units) || len(c.custs) >= custMost {
 		return fmt.Errorf("kept: the store of customer %q can't be", customer)
 	}
 	c.now = max(c.now, now)
 	c.start = cmp.Or(c.start, c.now)
 	q := c.customerOf(p, customer, spread)
-	q.level = math.Max(-p.Depth, math.Min(q.level, units))
+	q.level = math.Max(-p.Burst, math.Min(q.level, units))
 	return nil
 }
 
@@ -190,7 +190,7 @@
 		}
 	}
 	for k, q := range h.Customers {
-		if c.planOf[q.Plan] == nil || k != q.Key || !(q.Spread >= 1) || q.At > h.At || math.Abs(q.Level) > 2*c.planOf[q.Plan].Depth {
+		if c.planOf[q.Plan] == nil || k != q.Key || !(q.Spread >= 1) || q.At > h.At || math.Abs(q.Level) > 2*c.planOf[q.Plan].Burst {
 			return fmt.Errorf("handover: customer %q can't be", k)
 		}
 	}
@@ -212,7 +212,7 @@
 		s := &server{shut: map[*plan]time.Duration{}, latency: o.Latency, failing: o.Failing, latencyAt: o.LatencyAt,
 			failingAt: o.FailingAt, strikes: o.Strikes, asideUntil: min(o.AsideUntil, c.now+asideMost), aside: o.Aside,
 			coldRamp: o.Cold, coldFrom: o.ColdFrom, tokensAt: o.TokensAt, tokens: o.Tokens}
-		s.Server, s.HasCameUp, s.CameUp = id, o.HasCameUp, o.CameUp
+		s.Server, s.HasStartedAt, s.StartedAt = id, o.HasCameUp, o.CameUp
 		c.servers[id], c.order = s, append(c.order, s)
 	}
 	for k, o := range h.Customers {
@@ -234,7 +234,7 @@
 
 // Rest gives what this controller's half of the stores still holds, for the other one. It is the
 // last that is asked of it: what is given here must not be granted here as well.
-func (c *Controller) Rest(now time.Duration) ([]byte, error) {
+func (c *Controller) Remainder(now time.Duration) ([]byte, error) {
 	c.now = max(c.now, now)
 	rest := map[string][2]float64{}
 	for k, q := range c.custs {
@@ -245,7 +245,7 @@
 }
 
 // Alone ends the sharing: the other controller has ended, and left what Rest gave, if anything.
-func (c *Controller) Alone(now time.Duration, rest []byte) error {
+func (c *Controller) EndSharing(now time.Duration, rest []byte) error {
 	c.now = max(c.now, now)
 	if !c.shares {
 		return nil
@@ -262,8 +262,8 @@
 		return fmt.Errorf("rest: %w", err)
 	}
 	for k, l := range left {
-		if q := c.custs[k]; q != nil && !(math.Abs(l[0]) > 2*q.plan.Depth) && !(l[1] > q.plan.CeilingBurst) {
-			q.level = math.Min(q.plan.Depth, q.level+l[0])
+		if q := c.custs[k]; q != nil && !(math.Abs(l[0]) > 2*q.plan.Burst) && !(l[1] > q.plan.CeilingBurst) {
+			q.level = math.Min(q.plan.Burst, q.level+l[0])
 			q.ceiling += l[1]
 		}
 	}
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -12,8 +12,8 @@
 // alone is a gateway without others whose customers have 20 units at once and 1 a second.
 func aloneSettings() Settings {
 	s := settings()
-	s.GroupSize, s.MeterPeriod = 1, 0
-	s.Plans = []Plan{{Name: "low", Price: 1, Rate: 1, Depth: 20}}
+	s.FleetSize, s.MeterPeriod = 1, 0
+	s.Plans = []Plan{{Name: "low", PriceFactor: 1, Rate: 1, Burst: 20}}
 	return s
 }
 
@@ -23,7 +23,7 @@
 	sent := 0
 	for i := range n {
 		id := fmt.Sprint(prefix, i)
-		g.do(Request{ID: id, Class: "job", Plan: "low", Customer: "c", TTL: 5 * time.Second, Units: 1, Spread: 1})
+		g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: "c", TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1})
 		if g.n[id] > 0 {
 			sent++
 			g.reply(id, OK, 0)
@@ -57,7 +57,7 @@
 		old := newGate(t, s, on(1)...)
 		granted := old.sent("a", 4)
 		fresh := old.successor(s)
-		fresh.do(List{Kind: Whole, Members: on(1)})
+		fresh.do(EndpointUpdate{Kind: Complete, Endpoints: on(1)})
 		granted += fresh.sent("b", 100)
 		if granted != 4+8 {
 			t.Errorf("%d units granted, not 4 and half of the other 16", granted)
@@ -68,11 +68,11 @@
 		var left []byte
 		if rest {
 			var err error
-			if left, err = old.c.Rest(old.now); err != nil {
+			if left, err = old.c.Remainder(old.now); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if err := fresh.c.Alone(fresh.now, left); err != nil {
+		if err := fresh.c.EndSharing(fresh.now, left); err != nil {
 			t.Fatal(err)
 		}
 		granted += fresh.sent("e", 100)
@@ -96,7 +96,7 @@
 	old := newGate(t, s, on(1)...)
 	old.successor(s)
 	bound := old.c.bound
-	if err := old.c.Alone(old.now, nil); err != nil {
+	if err := old.c.EndSharing(old.now, nil); err != nil {
 		t.Fatal(err)
 	}
 	old.pass(30 * time.Second)
@@ -120,12 +120,12 @@
 	g.ask("dead", "job", "high", "c0")
 	g.reply("dead", ConnectFailed, 0)
 	dead := g.sends[len(g.sends)-2].Server
-	if g.c.Avoided(g.now) != 1 {
-		t.Fatalf("%d avoided", g.c.Avoided(g.now))
+	if g.c.AvoidedServers(g.now) != 1 {
+		t.Fatalf("%d avoided", g.c.AvoidedServers(g.now))
 	}
 	f := g.successor(s)
-	f.do(List{Kind: Whole, Members: on(1, 2)})
-	if f.c.Avoided(f.now) != 1 || !f.c.aside(f.c.servers[dead]) {
+	f.do(EndpointUpdate{Kind: Complete, Endpoints: on(1, 2)})
+	if f.c.AvoidedServers(f.now) != 1 || !f.c.aside(f.c.servers[dead]) {
 		t.Error("the server that takes no connections is forgotten")
 	}
 	if f.c.latency != g.c.latency || f.c.start != g.c.start || f.c.clock != g.c.clock || f.c.bound != 2*g.c.bound {
@@ -149,7 +149,7 @@
 	}
 	armed := false
 	for _, a := range f.acts {
-		if m, ok := a.(Arm); ok && m.Label == tickLabel {
+		if m, ok := a.(SetTimer); ok && m.Label == tickLabel {
 			armed = true
 		}
 	}
--- a/control/homes_test.go
+++ b/control/homes_test.go
@@ -16,7 +16,7 @@
 	homes := map[uint32]int{}
 	for i := 0; i < 80; i++ {
 		s := fleet(80)
-		s.SelfIndex = i
+		s.NodeIndex = i
 		g := newGate(t, s, on(ids...)...)
 		zones, before := map[string]int{}, map[uint32]bool{}
 		for _, x := range g.c.order {
@@ -28,7 +28,7 @@
 		if len(zones) < 2 {
 			t.Errorf("gateway %d turns to servers of one zone only", i)
 		}
-		g.do(List{Kind: Patch, Members: []Member{{Server: 7, Condition: Off}, {Server: 61, Zone: "z1"}}})
+		g.do(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 7, Condition: Removed}, {Server: 61, Zone: "z1"}}})
 		for _, x := range g.c.order {
 			if x.Server <= 60 && g.c.home(x) != before[x.Server] {
 				t.Errorf("gateway %d: server %d moved with the list", i, x.Server)
@@ -78,13 +78,13 @@
 // However the keys of the servers lie, each gateway has as many warm ones that it turns to first: who
 // had two of them would jam these, and who had twelve would know little of any.
 func TestEachGatewayHasAsManyHomes(t *testing.T) {
-	var warm []Member
+	var warm []Endpoint
 	for id := uint32(1); id <= 168; id++ {
-		warm = append(warm, Member{Server: id, Key: id*id*2654435761 + id<<7, Zone: "z1", Size: 1})
+		warm = append(warm, Endpoint{Server: id, HashKey: id*id*2654435761 + id<<7, Zone: "z1", Size: 1})
 	}
 	for i := 0; i < 300; i += 11 {
 		s := fleet(300)
-		s.SelfIndex = i
+		s.NodeIndex = i
 		n := 0
 		for _, x := range newGate(t, s, warm...).c.order {
 			if x.home {
@@ -101,28 +101,28 @@
 // and the gateway serves again by itself.
 func TestListsThatAreOddAreLivedThrough(t *testing.T) {
 	g := newGate(t, fleet(80), on(1, 2, 3)...)
-	g.do(List{Kind: Whole})
+	g.do(EndpointUpdate{Kind: Complete})
 	g.ask("a", "job", "low", "x")
 	if len(g.sends) != 0 {
 		t.Fatal("sent to a server that is not listed")
 	}
 	g.pass(3 * time.Second)
-	if _, refused := g.ends["a"].(Refuse); !refused {
+	if _, refused := g.ends["a"].(Reject); !refused {
 		t.Errorf("with no server a request ends as %T", g.ends["a"])
 	}
-	g.do(List{Kind: Whole, Members: on(9)})
+	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(9)})
 	g.ask("b", "job", "low", "y")
 	if len(g.sends) != 1 || g.sends[0].Server != 9 {
 		t.Fatalf("with one server: %v", g.sends)
 	}
-	g.do(List{Kind: Whole, Members: on(11, 12)})
+	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(11, 12)})
 	g.reply("b", OK, 0)
 	g.now += time.Second
 	g.ask("c", "job", "low", "z")
 	if len(g.sends) != 2 || g.sends[1].Server < 11 {
 		t.Errorf("after a list wholly replaced: %v", g.sends)
 	}
-	g.do(List{Kind: Broken})
+	g.do(EndpointUpdate{Kind: Failed})
 	g.reply("c", OK, 0)
 	g.now += time.Second
 	g.ask("d", "job", "low", "w")
@@ -133,11 +133,11 @@
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
 	s := settings()
-	s.OnRequest, s.AskWithin = true, 10*time.Second
+	s.PollDiscovery, s.PollWithin = true, 10*time.Second
 	g := newGate(t, s, on(1)...)
 	follows := func() (n int) {
 		for _, a := range g.acts {
-			if f, ok := a.(Follow); ok && f.Active {
+			if f, ok := a.(Watch); ok && f.Active {
 				n++
 			}
 		}
@@ -147,12 +147,12 @@
 	if follows() != 1 {
 		t.Fatalf("%d askings at start", follows())
 	}
-	g.do(List{Kind: Broken})
+	g.do(EndpointUpdate{Kind: Failed})
 	g.pass(5 * time.Second)
 	if follows() < 2 {
 		t.Error("no second asking after the first failed")
 	}
-	g.do(List{Kind: Whole, Members: on(1)})
+	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(1)})
 	n := follows()
 	g.pass(20 * time.Second)
 	if follows() != n {
--- a/control/interval.go
+++ b/control/interval.go
@@ -5,18 +5,18 @@
 		c.onTick()
 	} else if r := c.labels[label]; r != nil && r.queued {
 		// Guards against a starved plan that looks punctual: one shed counts as its deadline.
-		r.plan.saw(max(1, r.class.Deadline.Seconds()/r.class.Aim.Seconds()))
+		r.plan.saw(max(1, r.class.Deadline.Seconds()/r.class.LatencyObjective.Seconds()))
 		c.tally.queue++
 		c.finish(r)
 	}
 }
 
 func (c *Controller) onTick() {
-	if c.act(Arm{After: tick, Label: tickLabel}); c.now >= c.nextReport {
+	if c.act(SetTimer{After: tick, Label: tickLabel}); c.now >= c.nextReport {
 		c.report()
 	}
-	if c.set.OnRequest && !c.following && c.now >= c.askAt {
-		c.act(Follow{Active: true})
+	if c.set.PollDiscovery && !c.following && c.now >= c.askAt {
+		c.act(Watch{Active: true})
 		c.askAt = c.now + askAgain
 	}
 	// An interval of few answers goes on, as their mean says little.
--- a/control/ledger.go
+++ b/control/ledger.go
@@ -34,12 +34,12 @@
 }
 
 // hear takes what is told of a customer's store in place of what is reckoned here.
-func (q *customer) hear(s *Shared) {
+func (q *customer) hear(s *SharedBucket) {
 	if q.shared = s != nil; !q.shared {
 		return
 	}
-	if !s.Least || s.Units > q.level {
-		q.level = math.Min(s.Units, q.plan.Depth)
+	if !s.AtLeast || s.Tokens > q.level {
+		q.level = math.Min(s.Tokens, q.plan.Burst)
 	}
 }
 
--- a/control/long_test.go
+++ b/control/long_test.go
@@ -9,7 +9,7 @@
 // askLong asks with a body that goes on as it comes.
 func (g *gate) askLong(id string) {
 	g.t.Helper()
-	g.do(Request{ID: id, Class: "job", Plan: "low", Customer: "c", TTL: 5 * time.Second, Units: 1, Spread: 2, Long: true})
+	g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: "c", TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2, StreamedBody: true})
 }
 
 // A body that a slow client still sends takes no place under the bound and speaks against no
@@ -26,21 +26,21 @@
 	if len(g.ends) > 0 {
 		t.Errorf("ended while their clients send: %v", g.ends)
 	}
-	if n := g.c.Avoided(g.now); n != 0 {
+	if n := g.c.AvoidedServers(g.now); n != 0 {
 		t.Errorf("%d servers are avoided for what clients do", n)
 	}
 	for i := range 2 {
-		g.do(Written{ID: fmt.Sprint("l", i)})
+		g.do(BodySent{ID: fmt.Sprint("l", i)})
 	}
 	if g.c.busyNow() != 2 {
 		t.Errorf("%g at work, not the 2 written", g.c.busyNow())
 	}
 	g.pass(100 * ms)
-	g.do(Response{ID: "l0", Server: g.sends[0].Server, Reason: OK, Done: true})
+	g.do(AttemptEnded{ID: "l0", Server: g.sends[0].Server, Outcome: OK, Done: true})
 	if l := g.c.latency; l < 0.09 || l > 0.2 {
 		t.Errorf("a latency of %g s, not from the last byte", l)
 	}
-	g.do(Response{ID: "l2", Server: g.sends[2].Server, Reason: Moot, Done: true})
+	g.do(AttemptEnded{ID: "l2", Server: g.sends[2].Server, Outcome: NeverSent, Done: true})
 	if g.c.busyNow() != 1 {
 		t.Errorf("%g at work, not 1", g.c.busyNow())
 	}
@@ -51,11 +51,11 @@
 	for _, spent := range []bool{false, true} {
 		g := newGate(t, settings(), on(1, 2)...)
 		g.askLong("a")
-		g.do(Response{ID: "a", Server: g.sends[0].Server, Reason: ConnectFailed, Spent: spent})
+		g.do(AttemptEnded{ID: "a", Server: g.sends[0].Server, Outcome: ConnectFailed, BodySpent: spent})
 		if again := len(g.sends) == 2; again == spent {
 			t.Errorf("spent %v: sent again %v", spent, again)
 		}
-		if _, refused := g.ends["a"].(Refuse); refused != spent {
+		if _, refused := g.ends["a"].(Reject); refused != spent {
 			t.Errorf("spent %v: ended with %v", spent, g.ends["a"])
 		}
 	}
@@ -65,13 +65,13 @@
 // what the answer's head tells counts at once.
 func TestAnswerThatStreamsLoadsNobody(t *testing.T) {
 	s := settings()
-	s.CostAfter = true
+	s.CostWithAnswer = true
 	g := newGate(t, s, on(1)...)
 	g.ask("a", "job", "low", "c")
 	g.pass(50 * ms)
 	q := g.c.custs["low c"]
 	level := q.level
-	g.do(Started{ID: "a", Server: 1, Delay: 50 * ms, Cost: 11, Used: 1})
+	g.do(ResponseStarted{ID: "a", Server: 1, Delay: 50 * ms, Tokens: 11, MeterReading: 1})
 	if d := level - q.level; d < 7 || d > 11 {
 		t.Errorf("%g units settled, not about 10", d)
 	}
@@ -82,7 +82,7 @@
 	if srv := g.c.servers[1]; g.c.busyNow() != 0 || srv.working() != 0 {
 		t.Errorf("%g at work, %d at the server", g.c.busyNow(), srv.working())
 	}
-	g.do(Response{ID: "a", Server: 1, Reason: OK, Done: true})
+	g.do(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true})
 	if srv := g.c.servers[1]; g.c.inflight != 0 || g.c.streams != 0 || srv.inflight != 0 || srv.streams != 0 {
 		t.Error("an answer's end is not booked")
 	}
@@ -95,8 +95,8 @@
 	g.reply("a", ConnectFailed, 0)
 	g.pass(10 * time.Second)
 	g.ask("b", "job", "low", "c")
-	g.reply("b", Moot, 0)
-	if n := g.c.Avoided(g.now); n != 0 {
+	g.reply("b", NeverSent, 0)
+	if n := g.c.AvoidedServers(g.now); n != 0 {
 		t.Errorf("%d servers avoided for a trial that was not made", n)
 	}
 }
@@ -104,8 +104,8 @@
 // A repeat that waits for its turn is not sent once its repeats are no longer dropped.
 func TestQueuedRepeatEndsWithItsWindow(t *testing.T) {
 	s := settings()
-	s.Classes = append(s.Classes, Class{Name: "post", Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 1,
-		Effect: Guarded, KeyScope: ScopeZone, RepeatWindow: 500 * ms})
+	s.Classes = append(s.Classes, Class{Name: "post", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1,
+		Idempotency: IdempotentByKey, KeyScope: KeyScopeZone, IdempotencyWindow: 500 * ms})
 	g := newGate(t, s, on(1)...)
 	g.ask("a", "post", "low", "c")
 	for i := range 20 { // more than the bound
@@ -129,10 +129,10 @@
 // while the fleet is cold.
 func TestHerdSharesColdServers(t *testing.T) {
 	s := settings()
-	s.GroupSize = 36
+	s.FleetSize = 36
 	members := on(1, 2, 3, 4)
 	for i := range members[1:] {
-		members[i+1].HasCameUp, members[i+1].CameUp = true, time.Hour-3*time.Second // 0.2 + 0.8 * 0.3 = 0.44 warm
+		members[i+1].HasStartedAt, members[i+1].StartedAt = true, time.Hour-3*time.Second // 0.2 + 0.8 * 0.3 = 0.44 warm
 	}
 	g := newGate(t, s, members...)
 	if f, want := g.c.floor(), 4.0/36*(1+3*0.44); f < want-0.01 || f > want+0.01 {
--- a/control/meter.go
+++ b/control/meter.go
@@ -45,10 +45,10 @@
 	q.base = (1 - q.part()) * min(min(used, q.lastUsed)/c.set.MeterPeriod.Seconds(), q.plan.Rate)
 	q.lastUsed = used
 	q.smooth += (1 - useKeep) * (used/c.set.MeterPeriod.Seconds() - q.smooth)
-	q.level = min(c.whole()*q.plan.Depth, max(-q.plan.Depth/2, q.level-used+charged))
+	q.level = min(c.whole()*q.plan.Burst, max(-q.plan.Burst/2, q.level-used+charged))
 	// What was charged for use elsewhere that no reading has told of yet is a guess, and this one
 	// tells how far the store is from empty.
-	q.level += (1 - few) * thinTold * max(0, c.whole()*q.plan.Depth*(1-pct/100)-q.level)
+	q.level += (1 - few) * thinTold * max(0, c.whole()*q.plan.Burst*(1-pct/100)-q.level)
 }
 
 // learn finds when the meter's periods end and how late they are told: the pair under which own sends
@@ -85,9 +85,9 @@
 	if pct > 100 || q.openHit {
 		q.openCap *= max(openDown, min(boundUp, 100/max(pct, 1)))
 	}
-	most := float64(q.plan.Open)
+	most := float64(q.plan.MaxConcurrent)
 	q.openCap, q.openHit = min(most, max(q.openLeast(), q.openCap)), false
 }
 
 // openLeast is half of an even part of an open quota.
-func (q *customer) openLeast() float64 { return float64(q.plan.Open) / q.spread / 2 }
+func (q *customer) openLeast() float64 { return float64(q.plan.MaxConcurrent) / q.spread / 2 }
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -9,7 +9,7 @@
 
 func TestChanceFollowsTheFormulaAndReadsAPeriodOnce(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate, s.Plans[0].Depth = 1000, 20 // enough units for a reading to outweigh the prior
+	s.Plans[0].Rate, s.Plans[0].Burst = 1000, 20 // enough units for a reading to outweigh the prior
 	g := newGate(t, s, on(1, 2, 3)...)
 	q := g.c.customerOf(g.c.plans[0], "x", fewGateways)
 	read := func(pct int) float64 {
@@ -52,7 +52,7 @@
 // The meter's period and lateness are learned from our own sends.
 func TestClockLearnsTheLateness(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate, s.Plans[0].Depth = 10, 1000
+	s.Plans[0].Rate, s.Plans[0].Burst = 10, 1000
 	g := newGate(t, s, on(1, 2, 3)...)
 	q := g.c.customerOf(g.c.plans[0], "x", 1)
 	const late = 1300 * ms
@@ -84,7 +84,7 @@
 
 func TestOpenQuotaHoldsBack(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate, s.Plans[0].Depth, s.Plans[0].Open = 0, 0, 4
+	s.Plans[0].Rate, s.Plans[0].Burst, s.Plans[0].MaxConcurrent = 0, 0, 4
 	g := newGate(t, s, on(1, 2, 3, 4)...)
 	for i := 0; i < 4; i++ {
 		g.ask(fmt.Sprint(i), "job", "low", "x")
@@ -101,12 +101,12 @@
 
 func TestTrueUnitsAreSettled(t *testing.T) {
 	s := settings()
-	s.CostAfter = true
+	s.CostWithAnswer = true
 	g := newGate(t, s, on(1)...)
 	g.ask("a", "job", "low", "x")
 	q := g.c.customerOf(g.c.plans[0], "x", 2)
 	before := q.level
-	g.do(Response{ID: "a", Server: 1, Reason: OK, Done: true, Cost: 4})
+	g.do(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true, Tokens: 4})
 	if got := before - q.level; math.Abs(got-3) > 1e-9 {
 		t.Errorf("settled %g units, guessed 1, true 4", got)
 	}
@@ -116,7 +116,7 @@
 // through this gateway, no more is charged in a period than is used by all.
 func TestUseElsewhereIsChargedOnce(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate, s.Plans[0].Depth = 22, 10
+	s.Plans[0].Rate, s.Plans[0].Burst = 22, 10
 	g := newGate(t, s, on(1, 2)...)
 	q := g.c.customerOf(g.c.plans[0], "x", 2)
 	g.c.clock.lag = 10 // each period is told a second after its end
@@ -137,7 +137,7 @@
 // One large request says little of how a customer's use is spread over the gateways.
 func TestOneRequestHardlyMovesTheLearnedPart(t *testing.T) {
 	s := settings()
-	s.Plans[0].Rate, s.Plans[0].Depth = 10, 20
+	s.Plans[0].Rate, s.Plans[0].Burst = 10, 20
 	g := newGate(t, s, on(1, 2)...)
 	q := g.c.customerOf(g.c.plans[0], "x", 4)
 	g.c.clock.lag = 0
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -17,7 +17,7 @@
 	c        *Controller
 	now      time.Duration
 	log      []string
-	members  map[uint32]*Member
+	members  map[uint32]*Endpoint
 	toldBad  map[uint32]bool
 	open     map[string]*ask
 	out      []flight
@@ -60,23 +60,23 @@
 }
 
 func varied(rng *rand.Rand) Settings {
-	s := Settings{GroupSize: []int{1, 2, 4, 60, 300, 100000}[rng.IntN(6)], Zone: "z1", SendCap: 1 + rng.IntN(5), RetryAfter: rng.IntN(2) == 0,
-		MaxRetryAfter: time.Second, Cold: 10 * time.Second, ColdFrom: 0.2, Fall: time.Second, FallMultiple: 2,
-		CostAfter: rng.IntN(2) == 0, OnRequest: rng.IntN(2) == 0, AskWithin: 10 * time.Second,
-		MayCancel: rng.IntN(2) == 0, Probes: rng.IntN(2) == 0, UnitsTop: 4}
+	s := Settings{FleetSize: []int{1, 2, 4, 60, 300, 100000}[rng.IntN(6)], Zone: "z1", MaxAttempts: 1 + rng.IntN(5), SendsRetryAfter: rng.IntN(2) == 0,
+		MaxRetryAfter: time.Second, SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.2, OverloadWindow: time.Second, OverloadFactor: 2,
+		CostWithAnswer: rng.IntN(2) == 0, PollDiscovery: rng.IntN(2) == 0, PollWithin: 10 * time.Second,
+		CanCancel: rng.IntN(2) == 0, HealthChecks: rng.IntN(2) == 0, MaxTokens: 4}
 	if rng.IntN(4) > 0 {
 		s.MeterPeriod = time.Second
 	}
-	for e := Free; e <= SingleShot; e++ {
-		for k := ScopeAll; k <= ScopeCell; k++ {
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", e, k), Aim: time.Duration(200+rng.IntN(1500)) * ms,
-				Deadline: time.Duration(2000+rng.IntN(4000)) * ms, Effect: e, KeyScope: k, Worth: 1,
-				RepeatWindow: time.Duration(500+rng.IntN(3000)) * ms, Stream: rng.IntN(5) == 0})
+	for e := Idempotent; e <= NonIdempotent; e++ {
+		for k := KeyScopeAll; k <= KeyScopeCell; k++ {
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint("c", e, k), LatencyObjective: time.Duration(200+rng.IntN(1500)) * ms,
+				Deadline: time.Duration(2000+rng.IntN(4000)) * ms, Idempotency: e, KeyScope: k, PriorityWeight: 1,
+				IdempotencyWindow: time.Duration(500+rng.IntN(3000)) * ms, Stream: rng.IntN(5) == 0})
 		}
 	}
-	s.Plans = []Plan{{Name: "rate", Price: 1, Rate: 20, Depth: 40}, {Name: "open", Price: 0.5, Open: 3},
-		{Name: "both", Price: 2, Rate: 10, Depth: 10, Open: 4},
-		{Name: "ceil", Price: 1.5, Rate: 20, Depth: 20, CeilingRate: 40, CeilingBurst: 40, CeilingSlack: 4}}
+	s.Plans = []Plan{{Name: "rate", PriceFactor: 1, Rate: 20, Burst: 40}, {Name: "open", PriceFactor: 0.5, MaxConcurrent: 3},
+		{Name: "both", PriceFactor: 2, Rate: 10, Burst: 10, MaxConcurrent: 4},
+		{Name: "ceil", PriceFactor: 1.5, Rate: 20, Burst: 20, CeilingRate: 40, CeilingBurst: 40, CeilingOverdraft: 4}}
 	return s
 }
 
@@ -88,21 +88,21 @@
 		switch a := a.(type) {
 		case Send:
 			w.send(a)
-		case Refuse:
+		case Reject:
 			w.refused(a)
 		case Fail:
 			w.finished(a.ID)
-		case Arm:
+		case SetTimer:
 			w.timers, w.due = append(w.timers, Timer{a.Label}), append(w.due, w.now+a.After)
-		case Withdraw:
-			if !w.set.MayCancel {
+		case CancelAttempt:
+			if !w.set.CanCancel {
 				w.t.Fatal("withdrew where it is not permitted")
 			}
-		case Probe:
-			if !w.set.Probes {
+		case HealthCheck:
+			if !w.set.HealthChecks {
 				w.t.Fatal("probed where it is not permitted")
 			}
-		case Say, Count:
+		case SendToPeer, AddToCounter:
 			w.t.Fatalf("%T on the ordinary path", a)
 		}
 	}
@@ -117,16 +117,16 @@
 		w.t.Fatalf("%s went to server %d, which is draining or gone", a.ID, a.Server)
 	case r.out > 0:
 		w.t.Fatalf("%s has two attempts out", a.ID)
-	case r.sends >= w.set.SendCap:
-		w.t.Fatalf("%s was sent more than %d times", a.ID, w.set.SendCap)
+	case r.sends >= w.set.MaxAttempts:
+		w.t.Fatalf("%s was sent more than %d times", a.ID, w.set.MaxAttempts)
 	}
-	if r.mayRun && r.class.Effect == SingleShot {
+	if r.mayRun && r.class.Idempotency == NonIdempotent {
 		w.t.Fatalf("%s may have run and was sent again", a.ID)
 	}
-	if r.mayRun && r.class.Effect == Guarded {
+	if r.mayRun && r.class.Idempotency == IdempotentByKey {
 		f, s := w.members[r.firstSrv], w.members[a.Server]
-		if w.now > r.firstRun+r.class.RepeatWindow || r.class.KeyScope == ScopeCell && f.Cell != s.Cell ||
-			r.class.KeyScope == ScopeZone && f.Zone != s.Zone {
+		if w.now > r.firstRun+r.class.IdempotencyWindow || r.class.KeyScope == KeyScopeCell && f.Cell != s.Cell ||
+			r.class.KeyScope == KeyScopeZone && f.Zone != s.Zone {
 			w.t.Fatalf("%s may have run and was sent again outside its group or window", a.ID)
 		}
 	}
@@ -135,8 +135,8 @@
 		w.drawCeiling(r)
 	}
 	till := r.end
-	if a.Within > 0 {
-		till = min(till, w.now+a.Within)
+	if a.Timeout > 0 {
+		till = min(till, w.now+a.Timeout)
 	}
 	w.out = append(w.out, flight{a.ID, r.sends, a.Server, w.now, till})
 	r.sends++
@@ -147,7 +147,7 @@
 func (w *world) drawCeiling(r *ask) {
 	p := w.set.Plans[3]
 	if _, known := w.ceilings[r.customer]; !known {
-		w.ceilings[r.customer], w.ceilAt[r.customer] = p.CeilingSlack/2, time.Hour
+		w.ceilings[r.customer], w.ceilAt[r.customer] = p.CeilingOverdraft/2, time.Hour
 	}
 	lv := w.ceilings[r.customer] + (w.now-w.ceilAt[r.customer]).Seconds()*p.CeilingRate/2
 	w.ceilings[r.customer], w.ceilAt[r.customer] = min(lv, p.CeilingBurst/2)-r.units, w.now
@@ -156,9 +156,9 @@
 	}
 }
 
-func (w *world) refused(a Refuse) {
+func (w *world) refused(a Reject) {
 	if r := w.open[a.ID]; r != nil && (r.mayRun || r.out > 0) {
-		if r.class.Effect == SingleShot || r.class.Effect == Guarded && r.class.KeyScope != ScopeAll {
+		if r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != KeyScopeAll {
 			w.t.Fatalf("%s may have run and was refused", a.ID)
 		}
 	}
@@ -173,23 +173,23 @@
 }
 
 // list is the whole list in a fixed order, with a chance of change for each.
-func (w *world) list() List {
-	var l List
-	l.Kind = Whole
+func (w *world) list() EndpointUpdate {
+	var l EndpointUpdate
+	l.Kind = Complete
 	for id := uint32(1); id <= 8; id++ {
-		m := &Member{Server: id, Zone: fmt.Sprint("z", 1+id%2), Cell: int(id / 3), Size: 1}
+		m := &Endpoint{Server: id, Zone: fmt.Sprint("z", 1+id%2), Cell: int(id / 3), Size: 1}
 		w.members[id] = m
 		switch w.rng.IntN(6) {
 		case 0:
-			m.Condition = Fading
+			m.Condition = Draining
 		case 1:
 			w.toldBad[id] = true
 			continue // gone
 		case 2:
-			m.HasCameUp, m.CameUp = true, w.now-ms
+			m.HasStartedAt, m.StartedAt = true, w.now-ms
 		}
-		w.toldBad[id] = m.Condition != On
-		l.Members = append(l.Members, *m)
+		w.toldBad[id] = m.Condition != Active
+		l.Endpoints = append(l.Endpoints, *m)
 	}
 	return l
 }
@@ -198,18 +198,18 @@
 func (w *world) outcome(i int) {
 	f := w.out[i]
 	w.out = append(w.out[:i], w.out[i+1:]...)
-	why := []Reason{OK, OK, OK, OK, Errored, Full, ConnectFailed, ResetByPeer}[w.rng.IntN(8)]
+	why := []Outcome{OK, OK, OK, OK, Errored, Overloaded, ConnectFailed, ResetByPeer}[w.rng.IntN(8)]
 	if w.now >= f.till {
 		why = TimedOut
 	}
 	r := w.open[f.id]
-	e := Response{ID: f.id, N: f.n, Server: f.srv, Reason: why, Done: r == nil || why == OK,
-		Used: w.rng.IntN(300), Cost: float64(1 + w.rng.IntN(4)), Load: &Load{Active: 3, CPU: 0.5}}
+	e := AttemptEnded{ID: f.id, Attempt: f.n, Server: f.srv, Outcome: why, Done: r == nil || why == OK,
+		MeterReading: w.rng.IntN(300), Tokens: float64(1 + w.rng.IntN(4)), LoadReport: &LoadReport{Active: 3, CPU: 0.5}}
 	if r != nil {
 		r.out--
 		if why == OK {
 			delete(w.open, f.id)
-		} else if why != Full && why != ConnectFailed && !r.mayRun {
+		} else if why != Overloaded && why != ConnectFailed && !r.mayRun {
 			r.mayRun, r.firstRun, r.firstSrv = true, f.at, f.srv
 		}
 	}
@@ -243,11 +243,11 @@
 	case k < 92:
 		w.handle(w.list())
 	case k < 93:
-		w.handle(List{Kind: Broken})
+		w.handle(EndpointUpdate{Kind: Failed})
 	case k < 94:
-		w.handle(Response{ID: "not held", Server: 3, Reason: OK})
+		w.handle(AttemptEnded{ID: "not held", Server: 3, Outcome: OK})
 	case k < 95:
-		w.handle(ProbeResult{Server: uint32(w.rng.IntN(10)), Reason: OK})
+		w.handle(HealthCheckResult{Server: uint32(w.rng.IntN(10)), Outcome: OK})
 	case k < 96:
 		ids := make([]string, 0, len(w.open))
 		for id := range w.open {
@@ -256,7 +256,7 @@
 		if sort.Strings(ids); len(ids) > 0 {
 			id := ids[w.rng.IntN(len(ids))]
 			delete(w.open, id)
-			w.handle(Hangup{ID: id})
+			w.handle(ClientGone{ID: id})
 		}
 	}
 	for id, r := range w.open {
@@ -276,14 +276,14 @@
 	}
 	id := fmt.Sprint("r", w.next)
 	w.open[id] = r
-	w.handle(Request{ID: id, Class: k.Name, Plan: r.plan, Customer: r.customer, TTL: r.end - w.now,
-		Units: r.units, Spread: 1 + w.rng.IntN(90)}) // the spread may change within a day
+	w.handle(Request{ID: id, Class: k.Name, Plan: r.plan, Tenant: r.customer, TimeLeft: r.end - w.now,
+		Tokens: r.units, TenantNodes: 1 + w.rng.IntN(90)}) // the spread may change within a day
 }
 
 func play(t *testing.T, seed uint64, steps int, first ...Rules) *world {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w := &world{t: t, rng: rng, set: varied(rng), now: time.Hour, members: map[uint32]*Member{},
+	w := &world{t: t, rng: rng, set: varied(rng), now: time.Hour, members: map[uint32]*Endpoint{},
 		toldBad: map[uint32]bool{}, open: map[string]*ask{}, ceilings: map[string]float64{},
 		ceilAt: map[string]time.Duration{}}
 	c, err := New(w.set, seed)
@@ -292,7 +292,7 @@
 	}
 	w.c = c
 	l := w.list()
-	l.Kind = Stale
+	l.Kind = Cached
 	w.handle(l)
 	for i, e := range first {
 		w.handle(e)
@@ -322,7 +322,7 @@
 // Memory for customers, requests and servers stays bounded.
 func TestMemoryIsBounded(t *testing.T) {
 	s := settings()
-	s.Customers = 1500 // as on a machine of 26 MB
+	s.MaxTenants = 1500 // as on a machine of 26 MB
 	g := newGate(t, s, on(1, 2, 3)...)
 	for i := 0; i < 30000; i++ {
 		id := fmt.Sprint("r", i)
@@ -332,11 +332,11 @@
 		}
 		g.pass(2 * ms)
 		if i%100 == 0 {
-			g.do(List{Kind: Whole, Members: on(uint32(i+1), uint32(i+2))})
+			g.do(EndpointUpdate{Kind: Complete, Endpoints: on(uint32(i+1), uint32(i+2))})
 			g.sends, g.acts = nil, nil
 		}
 	}
-	if n := len(g.c.custs); n > s.Customers+500 { // and those of the second since they were last looked at
+	if n := len(g.c.custs); n > s.MaxTenants+500 { // and those of the second since they were last looked at
 		t.Errorf("%d customers remembered", n)
 	}
 	if n := len(g.c.reqs) + len(g.c.labels) + len(g.c.attempts); n > 100 {
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -30,21 +30,21 @@
 // recordedSettings is a deployment with a class of each effect and a plan of each kind of quota.
 func recordedSettings(group int, marksRetry bool) Settings {
 	s := settings()
-	s.GroupSize, s.MarksRetry, s.SendCap = group, marksRetry, 4
+	s.FleetSize, s.ClientsMarkRetries, s.MaxAttempts = group, marksRetry, 4
 	s.Classes = []Class{
-		{Name: "job", Aim: 600 * ms, Deadline: 4 * time.Second, Worth: 1, LateShare: 0.3},
-		{Name: "keyed", Aim: 400 * ms, Deadline: 2 * time.Second, Effect: Guarded, KeyScope: ScopeCell,
-			RepeatWindow: 700 * ms, Worth: 2},
-		{Name: "zoned", Aim: 400 * ms, Deadline: 2 * time.Second, Effect: Guarded, KeyScope: ScopeZone,
-			RepeatWindow: 900 * ms, Worth: 0.4},
-		{Name: "once", Aim: 800 * ms, Deadline: 3 * time.Second, Effect: SingleShot, Worth: 1.5},
+		{Name: "job", LatencyObjective: 600 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3},
+		{Name: "keyed", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, Idempotency: IdempotentByKey, KeyScope: KeyScopeCell,
+			IdempotencyWindow: 700 * ms, PriorityWeight: 2},
+		{Name: "zoned", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, Idempotency: IdempotentByKey, KeyScope: KeyScopeZone,
+			IdempotencyWindow: 900 * ms, PriorityWeight: 0.4},
+		{Name: "once", LatencyObjective: 800 * ms, Deadline: 3 * time.Second, Idempotency: NonIdempotent, PriorityWeight: 1.5},
 	}
 	s.Plans = []Plan{
-		{Name: "low", Price: 0.5, Rate: 60, Depth: 90, OverCost: 0.5, CeilingRate: 90, CeilingBurst: 120, CeilingSlack: 30},
-		{Name: "high", Price: 1.5, Rate: 400, Depth: 500, OverCost: 1},
-		{Name: "open", Price: 1, Open: 6},
+		{Name: "low", PriceFactor: 0.5, Rate: 60, Burst: 90, OverQuotaCost: 0.5, CeilingRate: 90, CeilingBurst: 120, CeilingOverdraft: 30},
+		{Name: "high", PriceFactor: 1.5, Rate: 400, Burst: 500, OverQuotaCost: 1},
+		{Name: "open", PriceFactor: 1, MaxConcurrent: 6},
 	}
-	s.CostAfter = true
+	s.CostWithAnswer = true
 	return s
 }
 
@@ -65,14 +65,14 @@
 	sentAt := map[string]time.Duration{}
 	now := time.Hour
 	list := on(1, 2, 3, 4, 5, 6, 7, 8)
-	due = append(due, event{now, List{Kind: Whole, Members: list}})
-	list[2].CameUp, list[2].HasCameUp = now+6*time.Second, true
-	due = append(due, event{now + 6*time.Second, List{Kind: Patch, Members: list[2:3]}})
-	due = append(due, event{now + 12*time.Second, List{Kind: Patch, Members: []Member{{Server: 5, Zone: "z1", Cell: 2, Size: 1, Condition: Fading}}}})
-	due = append(due, event{now + 8*time.Second, Hearsay{Server: 4, Witnesses: 4, Until: now + 11*time.Second}})
-	due = append(due, event{now + 14*time.Second, Rules{Version: 3, Price: []float64{1, 1, 1}, Quota: []float64{0.5, 1, 1},
-		Attempts: []int{2, 0, 3, 0}, InFlight: 40, Cost: map[string]float64{"z2": 0.2}}})
-	due = append(due, event{now + 17*time.Second, Zones{Away: map[string]float64{"z2": 0.6}}})
+	due = append(due, event{now, EndpointUpdate{Kind: Complete, Endpoints: list}})
+	list[2].StartedAt, list[2].HasStartedAt = now+6*time.Second, true
+	due = append(due, event{now + 6*time.Second, EndpointUpdate{Kind: Delta, Endpoints: list[2:3]}})
+	due = append(due, event{now + 12*time.Second, EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 5, Zone: "z1", Cell: 2, Size: 1, Condition: Draining}}}})
+	due = append(due, event{now + 8*time.Second, OutlierReport{Server: 4, Reporters: 4, Until: now + 11*time.Second}})
+	due = append(due, event{now + 14*time.Second, Rules{Version: 3, PriceFactor: []float64{1, 1, 1}, QuotaFactor: []float64{0.5, 1, 1},
+		MaxAttempts: []int{2, 0, 3, 0}, MaxInFlight: 40, CrossZoneCost: map[string]float64{"z2": 0.2}}})
+	due = append(due, event{now + 17*time.Second, ZoneEvacuation{Evacuated: map[string]float64{"z2": 0.6}}})
 	for i, at := 0, now; at < now+20*time.Second; i++ {
 		at += time.Duration(rng.ExpFloat64() * float64(9*ms))
 		due = append(due, event{at, w.request(rng, i)})
@@ -99,18 +99,18 @@
 			case Send:
 				n := attempts[a.ID]
 				attempts[a.ID], sentAt[a.ID] = n+1, now
-				line += fmt.Sprintf(" S%s.%d:%d,%d", a.ID, n, a.Server, a.Until.Microseconds())
+				line += fmt.Sprintf(" S%s.%d:%d,%d", a.ID, n, a.Server, a.NotAfter.Microseconds())
 				took := time.Duration((0.3 + rng.ExpFloat64()) * float64(90*ms))
 				answer := w.response(rng, a, n)
-				if answer.Reason != OK && rng.IntN(2) == 0 { // fails at once
+				if answer.Outcome != OK && rng.IntN(2) == 0 { // fails at once
 					took /= 20
 				}
 				due = append(due, event{now + took, answer})
-			case Refuse:
+			case Reject:
 				line += fmt.Sprintf(" R%s:%d", a.ID, a.RetryAfter.Milliseconds())
 			case Fail:
 				line += " F" + a.ID
-			case Arm:
+			case SetTimer:
 				due = append(due, event{now + a.After, Timer{Label: a.Label}})
 			}
 		}
@@ -135,31 +135,31 @@
 func (w recordedWorkload) request(rng *rand.Rand, i int) Request {
 	class := w.settings.Classes[rng.IntN(len(w.settings.Classes))]
 	plan := w.settings.Plans[rng.IntN(len(w.settings.Plans))].Name
-	r := Request{ID: fmt.Sprint(i), Class: class.Name, Plan: plan, Customer: fmt.Sprint(rng.IntN(12)),
-		TTL: class.Deadline, Units: 1 + 3*rng.Float64(), Spread: w.settings.GroupSize, Long: rng.IntN(40) == 0}
+	r := Request{ID: fmt.Sprint(i), Class: class.Name, Plan: plan, Tenant: fmt.Sprint(rng.IntN(12)),
+		TimeLeft: class.Deadline, Tokens: 1 + 3*rng.Float64(), TenantNodes: w.settings.FleetSize, StreamedBody: rng.IntN(40) == 0}
 	switch rng.IntN(10) {
 	case 0: // a retry
-		r.TTL = time.Duration(float64(class.Deadline) * (0.2 + 0.7*rng.Float64()))
-		r.Repeat = w.settings.MarksRetry
+		r.TimeLeft = time.Duration(float64(class.Deadline) * (0.2 + 0.7*rng.Float64()))
+		r.Retry = w.settings.ClientsMarkRetries
 	case 1, 2, 3: // a client that always gives up early, at nearly the same time; later others do
-		r.TTL = class.Deadline/3 + time.Duration(rng.IntN(3800))*time.Microsecond
+		r.TimeLeft = class.Deadline/3 + time.Duration(rng.IntN(3800))*time.Microsecond
 		if i > 1100 {
-			r.TTL -= 100 * ms
+			r.TimeLeft -= 100 * ms
 		}
 	case 4: // a retry right after a rejection
-		r.TTL = class.Deadline - time.Second - time.Duration(rng.IntN(30))*ms
-		r.Repeat = w.settings.MarksRetry
+		r.TimeLeft = class.Deadline - time.Second - time.Duration(rng.IntN(30))*ms
+		r.Retry = w.settings.ClientsMarkRetries
 	}
 	return r
 }
 
 // response draws how an attempt ends.
-func (w recordedWorkload) response(rng *rand.Rand, a Send, n int) Response {
-	e := Response{ID: a.ID, N: n, Server: a.Server, Reason: OK, Done: true, Used: 1 + rng.IntN(130), Cost: 1 + 3*rng.Float64()}
+func (w recordedWorkload) response(rng *rand.Rand, a Send, n int) AttemptEnded {
+	e := AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: OK, Done: true, MeterReading: 1 + rng.IntN(130), Tokens: 1 + 3*rng.Float64()}
 	if rng.Float64() < w.failed {
-		reasons := []Reason{Errored, Full, TimedOut, ConnectFailed, ResetByPeer, Cancelled, Moot}
-		e.Reason, e.Done, e.Cost, e.Used = reasons[rng.IntN(len(reasons))], false, 0, 0
-		e.Spent = rng.IntN(30) == 0
+		reasons := []Outcome{Errored, Overloaded, TimedOut, ConnectFailed, ResetByPeer, Cancelled, NeverSent}
+		e.Outcome, e.Done, e.Tokens, e.MeterReading = reasons[rng.IntN(len(reasons))], false, 0, 0
+		e.BodySpent = rng.IntN(30) == 0
 	}
 	return e
 }
@@ -207,13 +207,13 @@
 func TestHandoverIsAsRecorded(t *testing.T) {
 	w := recordedWorkloads()["two-nodes-half-failed"]
 	c, now, _ := w.play(t)
-	kept, err := c.Keep(now)
+	kept, err := c.Snapshot(now)
 	require.NoError(t, err)
 	compareRecorded(t, "kept.json", kept)
 	handed, err := c.Handover(now)
 	require.NoError(t, err)
 	compareRecorded(t, "handover.json", handed)
-	rest, err := c.Rest(now)
+	rest, err := c.Remainder(now)
 	require.NoError(t, err)
 	compareRecorded(t, "rest.json", rest)
 	for _, raw := range [][]byte{kept, handed} {
@@ -239,11 +239,11 @@
 		if name == "handover" {
 			require.NoError(t, c.Adopt(now, raw))
 		} else {
-			require.NoError(t, c.Recall(now, raw, time.Minute))
+			require.NoError(t, c.RestoreSnapshot(now, raw, time.Minute))
 		}
 		var out bytes.Buffer
 		rng := rand.New(rand.NewPCG(5, 5))
-		c.Handle(now, List{Kind: Stale, Members: on(1, 2, 3, 4, 5, 6, 7, 8)})
+		c.Handle(now, EndpointUpdate{Kind: Cached, Endpoints: on(1, 2, 3, 4, 5, 6, 7, 8)})
 		for i := range 600 {
 			now += time.Duration(rng.ExpFloat64() * float64(12*ms))
 			for _, a := range c.Handle(now, w.request(rng, i)) {
@@ -251,7 +251,7 @@
 				case Send:
 					fmt.Fprintf(&out, "S%s:%d\n", a.ID, a.Server)
 					c.Handle(now+30*ms, w.response(rng, a, 0))
-				case Refuse:
+				case Reject:
 					fmt.Fprintf(&out, "R%s:%d\n", a.ID, a.RetryAfter.Milliseconds())
 				case Fail:
 					fmt.Fprintf(&out, "F%s\n", a.ID)
--- a/control/requests.go
+++ b/control/requests.go
@@ -6,29 +6,31 @@
 	k, p := c.classes[e.Class], c.planOf[e.Plan]
 	if c.reqs[e.ID] != nil {
 		return
-	} else if k == nil || p == nil || !(e.Units >= 0) || e.TTL <= 0 {
+	} else if k == nil || p == nil || !(e.Tokens >= 0) || e.TimeLeft <= 0 {
 		c.refuse(e.ID)
 		return
 	}
-	q := c.customerOf(p, e.Customer, e.Spread)
-	q.hear(e.Shared)
+	q := c.customerOf(p, e.Tenant, e.TenantNodes)
+	q.hear(e.Bucket)
 	waited := c.waited(e, k)
-	if !c.admits(q, k, e.Units, waited+seconds(c.latency) >= k.Aim) {
+	if !c.admits(q, k, e.Tokens, waited+seconds(c.latency) >= k.LatencyObjective) {
 		c.refuse(e.ID)
 		return
 	}
-	r := &request{id: e.ID, class: k, plan: p, cust: q, rules: c.rules, units: e.Units, long: e.Long,
-		arrived: c.now, aim: c.now + k.Aim - waited, giveUp: c.now + e.TTL}
+	r := &request{id: e.ID, class: k, plan: p, cust: q, rules: c.rules, units: e.Tokens, long: e.StreamedBody,
+		arrived: c.now, giveUp: c.now + e.TimeLeft}
+	r.aim = c.now + k.LatencyObjective - waited
 	c.reqs[r.id] = r
 	c.retries = min(c.retryRoom(), c.retries+retryEarn)
 	c.enqueue(r, false)
 	part := queueAim
-	if p.Open > 0 {
+	if p.MaxConcurrent > 0 {
 		part = openAim
 	}
 	// Guards, by the third, against a try of a hasty client that is sent when no answer can be there
 	// in its time any more: it takes units and a place for nothing.
-	c.wake(r, min(time.Duration(part*float64(k.Aim)), e.TTL/2, e.TTL-seconds(hastyWait*c.latency),
+	queued := time.Duration(part * float64(k.LatencyObjective))
+	c.wake(r, min(queued, e.TimeLeft/2, e.TimeLeft-seconds(hastyWait*c.latency),
 		max(r.aim-c.now-seconds(c.latency), tick)))
 }
 
@@ -37,29 +39,29 @@
 // against first tries that a gateway that stood still finds late: they lack what its clock skipped.
 func (c *Controller) waited(e Request, k *Class) time.Duration {
 	u := c.usual[k]
-	short := u.ttl - e.TTL
+	short := u.ttl - e.TimeLeft
 	odd := short > max(c.skipped, tick) || short < -tick
-	if odd && u.seen > 0 && !e.Repeat && !c.set.MarksRetry && c.hasty(u, e.TTL, k) {
+	if odd && u.seen > 0 && !e.Retry && !c.set.ClientsMarkRetries && c.hasty(u, e.TimeLeft, k) {
 		return 0
 	}
-	later := e.Repeat || !c.set.MarksRetry && odd && u.seen > 0
-	if !e.Repeat {
-		u.count(e.TTL, odd)
+	later := e.Retry || !c.set.ClientsMarkRetries && odd && u.seen > 0
+	if !e.Retry {
+		u.count(e.TimeLeft, odd)
 	}
 	if !later {
 		return min(max(short, 0), c.skipped)
 	} else if !odd { // as long as a first try's: not the last of its client
-		return min(c.nextTry, k.Deadline-e.TTL)
+		return min(c.nextTry, k.Deadline-e.TimeLeft)
 	}
-	c.nextTry = min(c.nextTry, k.Deadline-e.TTL)
-	return k.Deadline - e.TTL
+	c.nextTry = min(c.nextTry, k.Deadline-e.TimeLeft)
+	return k.Deadline - e.TimeLeft
 }
 
 // hasty tells whether a try with an unusual time is the first of a client that gives its tries up
 // sooner than most, and no later try, which could only be late: what is left to those varies with the
 // answers before them, but where a refusal, at once or after the wait for a turn, advised a time.
 func (c *Controller) hasty(u *usualTTL, ttl time.Duration, k *Class) bool {
-	back, wait := k.Deadline-ttl-c.advice(), time.Duration(openAim*float64(k.Aim))
+	back, wait := k.Deadline-ttl-c.advice(), time.Duration(openAim*float64(k.LatencyObjective))
 	if ttl > u.ttl || back >= 0 && back < wait+tick {
 		return false
 	}
@@ -71,7 +73,7 @@
 func (c *Controller) advice() time.Duration { return min(retryAfter, c.set.MaxRetryAfter) }
 
 func (c *Controller) refuse(id string) {
-	c.act(Refuse{ID: id, RetryAfter: c.advice()})
+	c.act(Reject{ID: id, RetryAfter: c.advice()})
 }
 
 // finish gives the final answer of a request that was not served: a refusal
@@ -86,6 +88,6 @@
 }
 
 func (c *Controller) harmless(r *request) bool {
-	return r.class.Effect == Free || !r.mayRun && r.out == 0 ||
-		r.class.Effect == Guarded && r.class.KeyScope == ScopeAll
+	return r.class.Idempotency == Idempotent || !r.mayRun && r.out == 0 ||
+		r.class.Idempotency == IdempotentByKey && r.class.KeyScope == KeyScopeAll
 }
--- a/control/requests_test.go
+++ b/control/requests_test.go
@@ -11,24 +11,24 @@
 	g.ask("a", "other", "low", "x")
 	g.ask("b", "job", "other", "x")
 	for _, id := range []string{"a", "b"} {
-		if _, ok := g.ends[id].(Refuse); !ok {
+		if _, ok := g.ends[id].(Reject); !ok {
 			t.Errorf("%s ended with %v", id, g.ends[id])
 		}
 	}
-	g.do(Hangup{ID: "z"})
-	g.do(Response{ID: "z", Server: 9, Reason: OK})
+	g.do(ClientGone{ID: "z"})
+	g.do(AttemptEnded{ID: "z", Server: 9, Outcome: OK})
 	g.do(Timer{Label: 999})
-	g.do(ProbeResult{Server: 77})
-	g.do(Counted{Name: 4})
+	g.do(HealthCheckResult{Server: 77})
+	g.do(CounterResult{Name: 4})
 	g.do(PeerMessage{From: 1})
-	g.do(Started{ID: "z"})
+	g.do(ResponseStarted{ID: "z"})
 }
 
 func TestQueuedRequestsAreAnsweredInTime(t *testing.T) {
 	g := newGate(t, settings()) // no server at all
 	g.ask("a", "job", "low", "x")
 	g.pass(5 * time.Second)
-	r, ok := g.ends["a"].(Refuse)
+	r, ok := g.ends["a"].(Reject)
 	if !ok || r.RetryAfter != time.Second {
 		t.Errorf("ended with %#v", g.ends["a"])
 	}
@@ -39,7 +39,7 @@
 	g := newGate(t, settings(), on(1)...)
 	g.ask("a", "job", "low", "x")
 	g.pass(4 * time.Second)
-	g.do(List{Kind: Whole})
+	g.do(EndpointUpdate{Kind: Complete})
 	g.reply("a", Errored, 0)
 	g.pass(990 * ms)
 	if g.ends["a"] != nil {
@@ -57,8 +57,8 @@
 	ask := func(g *gate, n int, ttl func(i int) time.Duration) (refused int) {
 		for i := range n {
 			id := fmt.Sprint("x", g.now, i)
-			g.do(Request{ID: id, Class: "job", Plan: "low", Customer: fmt.Sprint(i), TTL: ttl(i), Units: 1, Spread: 2})
-			if _, ok := g.ends[id].(Refuse); ok {
+			g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: fmt.Sprint(i), TimeLeft: ttl(i), Tokens: 1, TenantNodes: 2})
+			if _, ok := g.ends[id].(Reject); ok {
 				refused++
 			} else {
 				g.reply(id, OK, 0)
@@ -79,7 +79,7 @@
 		{"back when told to after waiting for a turn", func(i int) time.Duration { return 2640 * ms }, 40, 40},
 	} {
 		s := settings()
-		s.MaxRetryAfter, s.Classes[0].Aim, s.Classes[0].Deadline = time.Second, 900*ms, 4*time.Second
+		s.MaxRetryAfter, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = time.Second, 900*ms, 4*time.Second
 		g := newGate(t, s, on(1, 2)...)
 		ask(g, 40, func(int) time.Duration { return 3500 * ms })
 		if n := ask(g, 40, k.ttl); n > k.most || n < k.min {
@@ -94,7 +94,7 @@
 	g := newGate(t, settings(), on(1, 2, 3)...)
 	g.run(10*time.Second, 300*ms, func(uint32) time.Duration { return 200 * ms })
 	ask := func(id string, ttl time.Duration) {
-		g.do(Request{ID: id, Class: "job", Plan: "low", Customer: id, TTL: ttl, Units: 1, Spread: 2})
+		g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: ttl, Tokens: 1, TenantNodes: 2})
 	}
 	const hasty = 300 * ms
 	for i := 0; i < 8; i++ { // by which such clients are known
@@ -112,7 +112,7 @@
 	ask("hasty", hasty)
 	ask("patient", 5*time.Second)
 	g.pass(10 * ms)
-	if _, refused := g.ends["hasty"].(Refuse); !refused {
+	if _, refused := g.ends["hasty"].(Reject); !refused {
 		t.Errorf("a try with 300 ms left, where answers take 200 ms, ends as %T", g.ends["hasty"])
 	}
 	if g.ends["patient"] != nil {
--- a/control/rulebook.go
+++ b/control/rulebook.go
@@ -8,8 +8,8 @@
 func (e *Rules) prices(plans []*plan) []float64 {
 	all := make([]float64, len(plans))
 	for i, p := range plans {
-		if all[i] = p.Price; i < len(e.Price) && e.Price[i] >= 0 { // a NaN is not
-			all[i] = e.Price[i]
+		if all[i] = p.PriceFactor; i < len(e.PriceFactor) && e.PriceFactor[i] >= 0 { // a NaN is not
+			all[i] = e.PriceFactor[i]
 		}
 	}
 	return all
@@ -17,9 +17,9 @@
 
 // quota gives by how much the rules multiply the quota of a customer.
 func (e *Rules) quota(p *plan, key string) float64 {
-	f, ok := e.Customers[key]
-	if !ok && p.index < len(e.Quota) {
-		f, ok = e.Quota[p.index], true
+	f, ok := e.TenantQuotaFactor[key]
+	if !ok && p.index < len(e.QuotaFactor) {
+		f, ok = e.QuotaFactor[p.index], true
 	}
 	if !ok || !(f >= 0) {
 		return 1
@@ -28,16 +28,16 @@
 }
 
 // closed tells whether the rules close a server's zone.
-func (e *Rules) closed(s *server) bool { return slices.Contains(e.Closed, s.Zone) }
+func (e *Rules) closed(s *server) bool { return slices.Contains(e.ClosedZones, s.Zone) }
 
 // mostSends is how many attempts a request may have, by the settings and its rules; 0 is no limit.
 func (c *Controller) mostSends(r *request) int {
-	for i := range r.rules.Attempts {
+	for i := range r.rules.MaxAttempts {
 		if i < len(c.set.Classes) && r.class == &c.set.Classes[i] {
-			return tighter(r.rules.Attempts[i], c.set.SendCap)
+			return tighter(r.rules.MaxAttempts[i], c.set.MaxAttempts)
 		}
 	}
-	return c.set.SendCap
+	return c.set.MaxAttempts
 }
 
 // tighter is the lower of two limits of which 0 is none.
@@ -50,7 +50,7 @@
 
 // Version gives the version of the rules that a request goes by which has not had its final answer;
 // 0 is the settings alone.
-func (c *Controller) Version(id string) uint64 {
+func (c *Controller) RuleVersion(id string) uint64 {
 	if r := c.reqs[id]; r != nil {
 		return r.rules.Version
 	}
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -15,17 +15,17 @@
 func (w *world) change() {
 	e := Rules{}
 	if w.rng.IntN(4) > 0 {
-		e = Rules{Version: w.rules.Version + 1, InFlight: w.rng.IntN(7), Cost: map[string]float64{"z2": w.rng.Float64()},
-			Customers: map[string]float64{"rate k1": 2 * w.rng.Float64()}}
+		e = Rules{Version: w.rules.Version + 1, MaxInFlight: w.rng.IntN(7), CrossZoneCost: map[string]float64{"z2": w.rng.Float64()},
+			TenantQuotaFactor: map[string]float64{"rate k1": 2 * w.rng.Float64()}}
 		for range w.set.Classes {
-			e.Attempts = append(e.Attempts, w.rng.IntN(9)) // more than the settings too
+			e.MaxAttempts = append(e.MaxAttempts, w.rng.IntN(9)) // more than the settings too
 		}
 		for range w.set.Plans {
-			e.Price, e.Quota = append(e.Price, 3*w.rng.Float64()), append(e.Quota, 2*w.rng.Float64())
+			e.PriceFactor, e.QuotaFactor = append(e.PriceFactor, 3*w.rng.Float64()), append(e.QuotaFactor, 2*w.rng.Float64())
 		}
 		for _, zone := range []string{"z1", "z2"} {
 			if w.rng.IntN(3) == 0 {
-				e.Closed = append(e.Closed, zone)
+				e.ClosedZones = append(e.ClosedZones, zone)
 			}
 		}
 	}
@@ -35,27 +35,27 @@
 
 // ruled holds a send to the rules that its request began under, and to the bound of those in force.
 func (w *world) ruled(r *ask, a Send) {
-	require.Equal(w.t, r.rules.Version, w.c.Version(a.ID), "%s goes by another version than it began under", a.ID)
+	require.Equal(w.t, r.rules.Version, w.c.RuleVersion(a.ID), "%s goes by another version than it began under", a.ID)
 	if w.rules == nil {
 		return
 	}
 	if r.sends > 0 && r.rules.Version != w.rules.Version {
 		w.late++
 	}
-	if n := w.rules.InFlight; n > 0 {
+	if n := w.rules.MaxInFlight; n > 0 {
 		require.Less(w.t, len(w.out), n, "attempts out before one that is sent")
 	}
 	class := slices.IndexFunc(w.set.Classes, func(k Class) bool { return k.Name == r.class.Name })
-	if class < len(r.rules.Attempts) && r.rules.Attempts[class] > 0 {
-		require.Less(w.t, r.sends, r.rules.Attempts[class], "attempts before one that is sent")
+	if class < len(r.rules.MaxAttempts) && r.rules.MaxAttempts[class] > 0 {
+		require.Less(w.t, r.sends, r.rules.MaxAttempts[class], "attempts before one that is sent")
 	}
-	if !slices.Contains(r.rules.Closed, w.members[a.Server].Zone) {
+	if !slices.Contains(r.rules.ClosedZones, w.members[a.Server].Zone) {
 		return
 	}
 	for id, m := range w.members {
-		group := !r.mayRun || r.class.Effect != Guarded || r.class.KeyScope == ScopeAll ||
-			r.class.KeyScope == ScopeCell && m.Cell == w.members[r.firstSrv].Cell
-		if group && !w.toldBad[id] && !slices.Contains(r.rules.Closed, m.Zone) {
+		group := !r.mayRun || r.class.Idempotency != IdempotentByKey || r.class.KeyScope == KeyScopeAll ||
+			r.class.KeyScope == KeyScopeCell && m.Cell == w.members[r.firstSrv].Cell
+		if group && !w.toldBad[id] && !slices.Contains(r.rules.ClosedZones, m.Zone) {
 			w.t.Fatalf("%s went to closed zone %s, server %d is open to it", a.ID, w.members[a.Server].Zone, id)
 		}
 	}
@@ -73,13 +73,13 @@
 
 // A zero version restores the settings: the same decisions as without any rules.
 func TestZeroRulesAreTheSettings(t *testing.T) {
-	rules := Rules{Version: 3, Price: []float64{9, 1, 1, 1}, Quota: []float64{0.1, 1, 0.1, 0.1}, InFlight: 1,
-		Attempts: []int{1, 1, 1, 1, 1, 1, 1, 1, 1}, Closed: []string{"z1"}, Cost: map[string]float64{"z2": 1}}
+	rules := Rules{Version: 3, PriceFactor: []float64{9, 1, 1, 1}, QuotaFactor: []float64{0.1, 1, 0.1, 0.1}, MaxInFlight: 1,
+		MaxAttempts: []int{1, 1, 1, 1, 1, 1, 1, 1, 1}, ClosedZones: []string{"z1"}, CrossZoneCost: map[string]float64{"z2": 1}}
 	differ := 0
 	for seed := uint64(1); seed <= 10; seed++ {
 		plain := play(t, seed, 1500).log
 		assert.Equal(t, plain, play(t, seed, 1500, rules, Rules{}).log, "seed %d", seed)
-		with := play(t, seed, 20, Rules{Version: 3, InFlight: 1}).log
+		with := play(t, seed, 20, Rules{Version: 3, MaxInFlight: 1}).log
 		if !slices.Equal(plain[:min(len(plain), len(with))], with) {
 			differ++
 		}
@@ -91,15 +91,15 @@
 // nothing lets nothing through. What the meter tells is a part of the settings' quota.
 func TestRulesMultiplyQuotas(t *testing.T) {
 	s := settings()
-	s.GroupSize, s.Plans[0].Rate, s.Plans[0].Depth = 1, 10, 10
+	s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst = 1, 10, 10
 	g := newGate(t, s, on(1, 2, 3, 4)...)
-	g.do(Rules{Version: 1, Quota: []float64{0.5, 1}, Customers: map[string]float64{"low double": 2, "low none": 0}})
+	g.do(Rules{Version: 1, QuotaFactor: []float64{0.5, 1}, TenantQuotaFactor: map[string]float64{"low double": 2, "low none": 0}})
 	sent := map[string]int{}
 	const secs = 40
 	for i := range secs * 25 {
 		for _, name := range []string{"half", "double", "none"} {
 			id := fmt.Sprint(name, i)
-			g.do(Request{ID: id, Class: "job", Plan: "low", Customer: name, TTL: 5 * time.Second, Units: 1, Spread: 1})
+			g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: name, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1})
 			if g.n[id] > 0 {
 				sent[name]++
 				g.reply(id, OK, 0)
@@ -117,7 +117,7 @@
 	g.c.now = g.now
 	g.c.meter(q, 1+150, 1) // of ten units in a period
 	assert.InDelta(t, 15, q.lastUsed, 1e-9)
-	units, rate, depth, _, _ := g.c.Level("low", "double")
+	units, rate, depth, _, _ := g.c.TenantLevel("low", "double")
 	assert.Equal(t, []float64{20, 20}, []float64{rate, depth})
 	g.do(Rules{})
 	g.now += time.Second
@@ -130,7 +130,7 @@
 // that takes as much of an answer's worth, from other zones only.
 func TestRulesSetPricesAndCosts(t *testing.T) {
 	g := newGate(t, settings(), on(1, 2, 3, 4, 5, 6)...)
-	g.do(Rules{Version: 1, Price: []float64{4.5, math.NaN()}})
+	g.do(Rules{Version: 1, PriceFactor: []float64{4.5, math.NaN()}})
 	assert.Equal(t, []float64{1.5, 0.5}, []float64{g.c.law.w.At(0, 0), g.c.law.w.At(1, 1)})
 	for name, x := range map[string]struct {
 		cost  map[string]float64
@@ -144,7 +144,7 @@
 	} {
 		g := newGate(t, settings(), on(1, 2, 3, 4, 5, 6)...)
 		g.sentTo(60)
-		g.do(Rules{Version: 1, Cost: x.cost})
+		g.do(Rules{Version: 1, CrossZoneCost: x.cost})
 		got := g.sentTo(60)
 		assert.GreaterOrEqual(t, got[1]+got[3]+got[5], x.least, name)
 		assert.LessOrEqual(t, got[1]+got[3]+got[5], x.most, name)
@@ -155,13 +155,13 @@
 func TestHandoverUnderRules(t *testing.T) {
 	s := settings()
 	old := newGate(t, s, on(1, 2)...)
-	old.do(Rules{Version: 1, Quota: []float64{10, 10}})
+	old.do(Rules{Version: 1, QuotaFactor: []float64{10, 10}})
 	old.ask("a", "job", "low", "x")
 	raw, err := old.c.Handover(old.now)
 	require.NoError(t, err)
 	c, err := New(s, 1)
 	require.NoError(t, err)
 	require.NoError(t, c.Adopt(old.now, raw))
-	_, rate, _, _, _ := c.Level("low", "x")
+	_, rate, _, _, _ := c.TenantLevel("low", "x")
 	assert.Equal(t, s.Plans[0].Rate, rate)
 }
--- a/control/scale_test.go
+++ b/control/scale_test.go
@@ -11,8 +11,8 @@
 
 func large() Settings {
 	s := settings()
-	s.GroupSize = 300
-	s.Plans[0].Rate, s.Plans[0].Depth = 1, 4
+	s.FleetSize = 300
+	s.Plans[0].Rate, s.Plans[0].Burst = 1, 4
 	return s
 }
 
@@ -43,8 +43,8 @@
 		asked := 0
 		g.serve(5*time.Minute, time.Duration(k.gap)*time.Second, k.used, func(i int) {
 			asked++
-			g.do(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Customer: "c", TTL: 3 * time.Second,
-				Units: 1, Spread: 60})
+			g.do(Request{ID: fmt.Sprint(i), Class: "job", Plan: "low", Tenant: "c", TimeLeft: 3 * time.Second,
+				Tokens: 1, TenantNodes: 60})
 		})
 		if part := float64(len(g.sends)) / float64(asked); part < k.low || part > k.high {
 			t.Errorf("told %d%%: %.2f of the tries sent on, want %v to %v", k.used-1, part, k.low, k.high)
@@ -78,23 +78,23 @@
 	g := newGate(t, s, on(1, 2)...)
 	k := &g.c.set.Classes[0]
 	for i := 0; i < 3; i++ {
-		if w := g.c.waited(Request{TTL: 3 * time.Second}, k); w != 0 {
+		if w := g.c.waited(Request{TimeLeft: 3 * time.Second}, k); w != 0 {
 			t.Fatalf("a first try has waited %v", w)
 		}
 	}
 	g.c.skipped = 1500 * ms
-	if w := g.c.waited(Request{TTL: 2 * time.Second}, k); w != time.Second {
+	if w := g.c.waited(Request{TimeLeft: 2 * time.Second}, k); w != time.Second {
 		t.Errorf("a first try that lay for 1 s through a stall has waited %v", w)
 	}
 	g.c.skipped = 4 * ms
-	if w := g.c.waited(Request{TTL: 2 * time.Second}, k); w != 4*time.Second {
+	if w := g.c.waited(Request{TimeLeft: 2 * time.Second}, k); w != 4*time.Second {
 		t.Errorf("a later try with 2 s of 6 s left has waited %v", w)
 	}
-	if w := g.c.waited(Request{TTL: 5 * time.Second}, k); w != time.Second {
+	if w := g.c.waited(Request{TimeLeft: 5 * time.Second}, k); w != time.Second {
 		t.Errorf("a last try, with all the rest of the time, has waited %v", w)
 	}
-	g.c.set.MarksRetry = true
-	if w := g.c.waited(Request{TTL: 5 * time.Second}, k); w != 0 {
+	g.c.set.ClientsMarkRetries = true
+	if w := g.c.waited(Request{TimeLeft: 5 * time.Second}, k); w != 0 {
 		t.Errorf("a try without the mark of a later one has waited %v", w)
 	}
 }
@@ -145,7 +145,7 @@
 				}
 				if p == "low" && last.Server <= 2 {
 					refusals++
-					g.reply(id, Full, 0)
+					g.reply(id, Overloaded, 0)
 				} else {
 					g.reply(id, OK, 0)
 				}
@@ -164,11 +164,11 @@
 // Shares move by the law where a gateway sees two answers a second: the interval lasts longer.
 func TestSharesMoveAtAFewRequestsASecond(t *testing.T) {
 	s := large()
-	s.Plans[0].Rate, s.Plans[0].Depth = 1000, 1000
+	s.Plans[0].Rate, s.Plans[0].Burst = 1000, 1000
 	g := newGate(t, s, on(1, 2, 3, 4)...)
 	g.serve(40*time.Second, 500*ms, 0, func(i int) {
 		p := s.Plans[i%2]
-		g.do(Request{ID: fmt.Sprint(i), Class: "job", Plan: p.Name, Customer: "c", TTL: 3 * time.Second, Units: 1, Spread: 9})
+		g.do(Request{ID: fmt.Sprint(i), Class: "job", Plan: p.Name, Tenant: "c", TimeLeft: 3 * time.Second, Tokens: 1, TenantNodes: 9})
 		g.c.plans[1].saw(1.8) // the dear plan is late
 	})
 	if u := g.c.plans[1].share; math.Abs(u-0.5) < 0.05 || u < 0.5 {
@@ -179,8 +179,8 @@
 // A class worth far less leaves the lower half of the store to the others.
 func TestCheapClassYieldsTheStore(t *testing.T) {
 	s := settings()
-	s.Classes = append(s.Classes, Class{Name: "cheap", Aim: 2 * time.Second, Deadline: 6 * time.Second, Worth: 0.2})
-	s.Plans[0].Rate, s.Plans[0].Depth = 1, 10
+	s.Classes = append(s.Classes, Class{Name: "cheap", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 0.2})
+	s.Plans[0].Rate, s.Plans[0].Burst = 1, 10
 	g := newGate(t, s, on(1, 2)...)
 	g.c.customerOf(g.c.plans[0], "x", 2).level = 4
 	g.ask("cheap", "cheap", "low", "x")
@@ -196,18 +196,18 @@
 		b.Run(fmt.Sprint(n, " servers"), func(b *testing.B) {
 			s := settings()
 			c, _ := New(s, 1)
-			var ms []Member
+			var ms []Endpoint
 			for i := uint32(1); i <= n; i++ {
-				ms = append(ms, Member{Server: i, Zone: "z1"})
+				ms = append(ms, Endpoint{Server: i, Zone: "z1"})
 			}
-			c.Handle(time.Hour, List{Kind: Stale, Members: ms})
+			c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: ms})
 			for i := 0; i < b.N; i++ {
 				now := time.Hour + time.Duration(i)*time.Millisecond
 				id := fmt.Sprint(i)
-				for _, a := range c.Handle(now, Request{ID: id, Class: "job", Plan: "high", Customer: "x",
-					TTL: 5 * time.Second, Units: 1, Spread: 2}) {
+				for _, a := range c.Handle(now, Request{ID: id, Class: "job", Plan: "high", Tenant: "x",
+					TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2}) {
 					if a, ok := a.(Send); ok {
-						c.Handle(now, Response{ID: id, Server: a.Server, Reason: OK, Done: true, Used: 50})
+						c.Handle(now, AttemptEnded{ID: id, Server: a.Server, Outcome: OK, Done: true, MeterReading: 50})
 						break
 					}
 				}
--- a/control/server.go
+++ b/control/server.go
@@ -6,7 +6,7 @@
 )
 
 type server struct {
-	Member
+	Endpoint
 	listed, home      bool
 	inflight, streams int     // attempts at work, and those of them whose answer has begun
 	ghosts            int     // attempts given up whose work is taken to go on
@@ -26,7 +26,7 @@
 	toldAt, toldUntil time.Duration // when others spoke against it, and until when that counts
 }
 
-func (s *server) usable() bool { return s.listed && s.Condition == On }
+func (s *server) usable() bool { return s.listed && s.Condition == Active }
 
 // working counts the attempts that keep a server at work: one whose answer has begun waits for its
 // client at most.
@@ -38,21 +38,21 @@
 }
 
 // merge brings the servers up to a list event and forgets those that are gone.
-func (c *Controller) merge(e List) {
-	if c.sharers = e.Sharers; !(e.Sharers > 0) {
-		c.sharers = float64(c.set.GroupSize)
+func (c *Controller) merge(e EndpointUpdate) {
+	if c.sharers = e.NodesPerServer; !(e.NodesPerServer > 0) {
+		c.sharers = float64(c.set.FleetSize)
 	}
 	for _, s := range c.order {
-		s.listed = s.listed && e.Kind == Patch
+		s.listed = s.listed && e.Kind == Delta
 	}
-	for _, m := range e.Members {
+	for _, m := range e.Endpoints {
 		s := c.servers[m.Server]
 		if s == nil {
 			s = &server{shut: map[*plan]time.Duration{}}
 			c.servers[m.Server], c.order = s, append(c.order, s)
 		}
 		c.learn(s, m)
-		s.Member, s.listed = m, m.Condition != Off
+		s.Endpoint, s.listed = m, m.Condition != Removed
 	}
 	sort.Slice(c.order, func(i, j int) bool { return c.order[i].Server < c.order[j].Server })
 	c.prune()
@@ -83,7 +83,7 @@
 
 // Avoided tells, for the operators' figures, how many of the listed servers that run get nothing
 // now while there is another. It changes nothing.
-func (c *Controller) Avoided(now time.Duration) int {
+func (c *Controller) AvoidedServers(now time.Duration) int {
 	return int(c.count(func(s *server) bool {
 		return s.usable() && (s.probing || s.strikes >= strikesOut && now < s.asideUntil || now < s.toldUntil)
 	}))
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -39,12 +39,12 @@
 	for field, spoil := range map[string]func(*Settings){
 		"classes":    func(s *Settings) { s.Classes = nil },
 		"plans":      func(s *Settings) { s.Plans = nil },
-		"self index": func(s *Settings) { s.SelfIndex = 2 },
-		"group size": func(s *Settings) { s.GroupSize = 0 },
+		"self index": func(s *Settings) { s.NodeIndex = 2 },
+		"group size": func(s *Settings) { s.FleetSize = 0 },
 		"rate":       func(s *Settings) { s.Plans[0].Rate = -1 },
-		"price":      func(s *Settings) { s.Plans[1].Price = math.NaN() },
-		"depth":      func(s *Settings) { s.Plans[1].Depth = math.Inf(1) },
-		"aim":        func(s *Settings) { s.Classes[0].Aim = 0 },
+		"price":      func(s *Settings) { s.Plans[1].PriceFactor = math.NaN() },
+		"depth":      func(s *Settings) { s.Plans[1].Burst = math.Inf(1) },
+		"aim":        func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 	} {
 		s := settings()
 		spoil(&s)
--- a/control/sharers_test.go
+++ b/control/sharers_test.go
@@ -18,8 +18,8 @@
 	c, err := New(s, seed)
 	require.NoError(t, err)
 	for _, x := range events {
-		if l, ok := x.e.(List); ok {
-			l.Sharers = sharers
+		if l, ok := x.e.(EndpointUpdate); ok {
+			l.NodesPerServer = sharers
 			x.e = l
 		}
 		for _, a := range c.Handle(x.at, x.e) {
@@ -36,8 +36,8 @@
 	for seed := uint64(1); seed <= 20; seed++ {
 		w := play(t, seed, 2500)
 		none := replay(t, w.set, seed, w.events, 0)
-		all := replay(t, w.set, seed, w.events, float64(w.set.GroupSize))
-		require.Equal(t, none, all, "seed %d, a group of %d", seed, w.set.GroupSize)
+		all := replay(t, w.set, seed, w.events, float64(w.set.FleetSize))
+		require.Equal(t, none, all, "seed %d, a group of %d", seed, w.set.FleetSize)
 		if !reflect.DeepEqual(none, replay(t, w.set, seed, w.events, 1.5)) {
 			differ++
 		}
@@ -52,7 +52,7 @@
 	require.Equal(t, 5800.0, c.sharers)
 	now := time.Hour
 	for _, x := range []struct{ told, want float64 }{{13.6, 13.6}, {20, 20}, {0, 5800}, {-1, 5800}} {
-		c.Handle(now, List{Kind: Patch, Members: on(1), Sharers: x.told})
+		c.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: on(1), NodesPerServer: x.told})
 		require.Equal(t, x.want, c.sharers)
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	c, err := New(fleet(group), 1)
 	require.NoError(t, err)
-	c.Handle(time.Hour, List{Kind: Stale, Members: on(ids...), Sharers: sharers})
+	c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: on(ids...), NodesPerServer: sharers})
 	return c.bound, c.floor()
 }
 
--- a/control/turns.go
+++ b/control/turns.go
@@ -47,12 +47,12 @@
 // One that waits for its open quota or for its own group lets the next pass.
 func (c *Controller) head(p *plan) (*request, *server) {
 	for _, r := range p.queue {
-		if p.Open > 0 && r.sends == 0 && (c.now < r.cust.openNext ||
+		if p.MaxConcurrent > 0 && r.sends == 0 && (c.now < r.cust.openNext ||
 			float64(r.cust.open) >= max(1, math.Floor(r.cust.openCap))) {
 			r.cust.openHit = true
 			continue
 		}
-		if c.dropped(r) && c.now >= r.firstRun+r.class.RepeatWindow {
+		if c.dropped(r) && c.now >= r.firstRun+r.class.IdempotencyWindow {
 			continue // its timer ends it
 		}
 		if s := c.pick(r); s != nil {
@@ -71,7 +71,7 @@
 		c.draw(r.cust, r.units)
 		c.unitsMean += unitsGain * (r.units - c.unitsMean)
 	}
-	if r.group == nil && r.class.Effect == Guarded {
+	if r.group == nil && r.class.Idempotency == IdempotentByKey {
 		r.firstRun = c.now
 	}
 	if s.coldRamp {
@@ -83,7 +83,7 @@
 	c.record(r, s)
 	a := Send{ID: r.id, Server: s.Server}
 	if c.dropped(r) { // a connection may take longer to open than what is left of the window
-		a.Until = r.firstRun + r.class.RepeatWindow
+		a.NotAfter = r.firstRun + r.class.IdempotencyWindow
 	}
 	c.act(a)
 }
--- a/control/turns_test.go
+++ b/control/turns_test.go
@@ -76,7 +76,7 @@
 // Guards against many gateways that jam the fleet by their floors alone.
 func TestFloorsOfALargeGroupAreShared(t *testing.T) {
 	s := settings()
-	s.GroupSize = 16
+	s.FleetSize = 16
 	g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8)...)
 	for i := 0; i < 50; i++ {
 		g.ask(fmt.Sprint(i), "job", "low", "x")
@@ -91,7 +91,7 @@
 func TestFloorKeepsAllCoresBusy(t *testing.T) {
 	for _, group := range []int{3, 4} {
 		s := settings()
-		s.GroupSize = group
+		s.FleetSize = group
 		g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8, 9)...)
 		for range 10 {
 			g.c.bad, g.c.answers = 5, 5
@@ -116,13 +116,13 @@
 			sum := 0
 			for i := 0; i < group; i++ {
 				s := fleet(group)
-				s.SelfIndex, s.Probes, s.OnRequest = i, true, true
+				s.NodeIndex, s.HealthChecks, s.PollDiscovery = i, true, true
 				c, err := New(s, uint64(i))
 				if err != nil {
 					t.Fatal(err)
 				}
 				g := &gate{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
-				g.do(List{Kind: Stale, Members: on(ids...)})
+				g.do(EndpointUpdate{Kind: Cached, Endpoints: on(ids...)})
 				for j := 0; j < 2*int(groupFirst)*servers/group+10; j++ {
 					g.ask(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
 				}
@@ -131,9 +131,9 @@
 				asked := 0
 				for _, a := range g.acts {
 					switch a.(type) {
-					case Probe:
+					case HealthCheck:
 						t.Fatalf("%d gateways, %d servers: a probe", group, servers)
-					case Follow, Snapshot:
+					case Watch, FetchList:
 						asked++
 					}
 				}
--- a/internal/lab/scale/exchange/fleet.go
+++ b/internal/lab/scale/exchange/fleet.go
@@ -182,7 +182,7 @@
 	f.requests.begin()
 	k, ok := n.Level(f.now(node), uint64(which)+1, t.plan, t.set)
 	f.requests.end()
-	need := control.SharedNeed(f.load.quotas[t.plan].Depth, estimate, min(1, 4/float64(t.set.Spread)))
+	need := control.SharedBucketMinimum(f.load.quotas[t.plan].Depth, estimate, min(1, 4/float64(t.set.Spread)))
 	if ok && !k.Least && k.Units < need {
 		return
 	}
--- a/internal/lab/scale/outage/gateway.go
+++ b/internal/lab/scale/outage/gateway.go
@@ -77,10 +77,10 @@
 
 // gatewaySettings are a deployment with a slow start of 16 s from 0.3 of a server's capacity.
 func gatewaySettings(node, group int) control.Settings {
-	return control.Settings{SelfIndex: node, GroupSize: group, Zone: "none", SendCap: 3, RetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, Cold: coldFor, ColdFrom: coldFrom, Fall: coldSpan, FallMultiple: coldMultiple,
-		Classes: []control.Class{{Name: "rate", Aim: time.Second, Deadline: 2 * clientWaits, Worth: 1}},
-		Plans:   []control.Plan{{Name: "plan", Price: 1, Rate: 1000, Depth: 1000}}, MayCancel: true}
+	return control.Settings{NodeIndex: node, FleetSize: group, Zone: "none", MaxAttempts: 3, SendsRetryAfter: true,
+		MaxRetryAfter: 2 * time.Second, SlowStartDuration: coldFor, SlowStartInitial: coldFrom, OverloadWindow: coldSpan, OverloadFactor: coldMultiple,
+		Classes: []control.Class{{Name: "rate", LatencyObjective: time.Second, Deadline: 2 * clientWaits, PriorityWeight: 1}},
+		Plans:   []control.Plan{{Name: "plan", PriceFactor: 1, Rate: 1000, Burst: 1000}}, CanCancel: true}
 }
 
 // add adds a hollow node that holds a part of a list of so many servers, and starts its requests.
@@ -92,7 +92,7 @@
 	g := &gateway{world: w, list: l, listed: listed, set: set, control: c, ids: map[string]uint32{},
 		linked: map[string]bool{}, open: map[string]*openRequest{}}
 	w.gateways = append(w.gateways, g)
-	g.handle(control.List{Kind: control.Whole, Members: g.members(set.Chosen()), Sharers: g.sharers()})
+	g.handle(control.EndpointUpdate{Kind: control.Complete, Endpoints: g.members(set.Chosen()), NodesPerServer: g.sharers()})
 	g.nextRequest()
 	return nil
 }
@@ -127,27 +127,27 @@
 	}
 	members := g.members(change.Updated)
 	for _, id := range change.Removed {
-		members = append(members, control.Member{Server: g.number(id), Condition: control.Off})
+		members = append(members, control.Endpoint{Server: g.number(id), Condition: control.Removed})
 	}
 	if len(members) > 0 {
-		g.handle(control.List{Kind: control.Patch, Members: members, Sharers: g.sharers()})
+		g.handle(control.EndpointUpdate{Kind: control.Delta, Endpoints: members, NodesPerServer: g.sharers()})
 	}
 	return nil
 }
 
 // members returns servers as control is told of them.
-func (g *gateway) members(servers []subset.Server) []control.Member {
-	out := make([]control.Member, 0, len(servers))
+func (g *gateway) members(servers []subset.Server) []control.Endpoint {
+	out := make([]control.Endpoint, 0, len(servers))
 	for _, s := range servers {
-		condition := control.On
+		condition := control.Active
 		if s.State != subset.Available {
-			condition = control.Fading
+			condition = control.Draining
 		}
 		key := fnv.New32a()
 		key.Write([]byte(s.ID))
-		out = append(out, control.Member{Server: g.number(s.ID), Key: key.Sum32(), Condition: condition, Zone: s.Zone,
-			Cell: s.Group, Flavor: s.Model, Size: s.Capacity, HasCameUp: s.BootMS > 0,
-			CameUp: time.Duration(s.BootMS * float64(time.Millisecond))})
+		out = append(out, control.Endpoint{Server: g.number(s.ID), HashKey: key.Sum32(), Condition: condition, Zone: s.Zone,
+			Cell: s.Group, Flavor: s.Model, Size: s.Capacity, HasStartedAt: s.BootMS > 0,
+			StartedAt: time.Duration(s.BootMS * float64(time.Millisecond))})
 	}
 	return out
 }
@@ -179,8 +179,8 @@
 	if w.counting() {
 		w.counts.requests++
 	}
-	g.handle(control.Request{ID: id, Class: "rate", Plan: "plan", Customer: strconv.Itoa(w.rng.IntN(tenantsSeen)),
-		TTL: clientWaits, Units: 1, Spread: 1})
+	g.handle(control.Request{ID: id, Class: "rate", Plan: "plan", Tenant: strconv.Itoa(w.rng.IntN(tenantsSeen)),
+		TimeLeft: clientWaits, Tokens: 1, TenantNodes: 1})
 }
 
 // handle tells control of an event and carries out its actions.
@@ -189,15 +189,15 @@
 		switch a := action.(type) {
 		case control.Send:
 			g.send(a)
-		case control.Arm:
+		case control.SetTimer:
 			g.world.after(a.After, func() { g.handle(control.Timer{Label: a.Label}) })
-		case control.Withdraw:
-			g.world.after(0, func() { g.handle(control.Response{ID: a.ID, N: a.N, Reason: control.Cancelled}) })
-		case control.Refuse:
+		case control.CancelAttempt:
+			g.world.after(0, func() { g.handle(control.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Outcome: control.Cancelled}) })
+		case control.Reject:
 			g.finish(a.ID, &g.world.counts.refused)
 		case control.Fail:
 			g.finish(a.ID, &g.world.counts.failed)
-		case control.Probe:
+		case control.HealthCheck:
 			g.probe(a.Server)
 		}
 	}
@@ -225,12 +225,12 @@
 	if w.sent != nil {
 		w.sent(name)
 	}
-	answer := control.Response{ID: a.ID, N: n, Server: a.Server}
+	answer := control.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server}
 	if w.gone[name] {
 		if w.counting() {
 			w.counts.toGone++
 		}
-		g.unanswered(answer, a.Within, name)
+		g.unanswered(answer, a.Timeout, name)
 		return
 	}
 	took := networkTake + time.Duration(w.rng.ExpFloat64()*float64(workMean))
@@ -238,11 +238,11 @@
 }
 
 // unanswered has an attempt at a lost server end by a time-out, or by a connection that fails.
-func (g *gateway) unanswered(answer control.Response, within time.Duration, server string) {
+func (g *gateway) unanswered(answer control.AttemptEnded, within time.Duration, server string) {
 	w, wait := g.world, connectMost
-	answer.Reason = control.ConnectFailed
+	answer.Outcome = control.ConnectFailed
 	if r := g.open[answer.ID]; g.linked[server] && r != nil {
-		answer.Reason, wait = control.TimedOut, max(0, r.until-w.Now)
+		answer.Outcome, wait = control.TimedOut, max(0, r.until-w.Now)
 		if within > 0 {
 			wait = min(wait, within)
 		}
@@ -257,24 +257,24 @@
 }
 
 // answered takes the end of an attempt's work, unless its server was lost meanwhile.
-func (g *gateway) answered(answer control.Response, server string) {
+func (g *gateway) answered(answer control.AttemptEnded, server string) {
 	if g.world.gone[server] {
 		g.linked[server] = true
 		g.unanswered(answer, 0, server)
 		return
 	}
 	g.linked[server] = true
-	answer.Reason, answer.Done = control.OK, true
+	answer.Outcome, answer.Done = control.OK, true
 	g.finish(answer.ID, &g.world.counts.okay)
 	g.handle(answer)
 }
 
 func (g *gateway) probe(server uint32) {
 	w := g.world
-	result := control.ProbeResult{Server: server, Reason: control.OK}
+	result := control.HealthCheckResult{Server: server, Outcome: control.OK}
 	wait := networkTake
 	if w.gone[g.names[server]] {
-		result.Reason, wait = control.ConnectFailed, connectMost
+		result.Outcome, wait = control.ConnectFailed, connectMost
 	}
 	w.after(wait, func() { g.handle(result) })
 }
--- a/internal/lab/scale/outage/sharefleet.go
+++ b/internal/lab/scale/outage/sharefleet.go
@@ -171,7 +171,7 @@
 func (s *shareFleet) admits(n *shareNode, i, tenant int) bool {
 	t := &s.tenants[tenant]
 	if known, ok := n.Level(s.clock(i), t.key, 0, t.set); ok {
-		return known.Least || known.Units >= control.SharedNeed(tenantBurst, 1, min(1, 4.0/shareSpread))
+		return known.Least || known.Units >= control.SharedBucketMinimum(tenantBurst, 1, min(1, 4.0/shareSpread))
 	}
 	s.counts.blind++
 	store := n.alone[tenant]
--- a/internal/lab/scale/request/deployment.go
+++ b/internal/lab/scale/request/deployment.go
@@ -61,8 +61,8 @@
 // Settings gives what the program makes of a node's file, for a group of nodes.
 func Settings(group int) (control.Settings, error) {
 	s, err := loaded()
-	s.GroupSize = max(1, group)
-	s.SelfIndex = s.GroupSize / 2
+	s.FleetSize = max(1, group)
+	s.NodeIndex = s.FleetSize / 2
 	return s, err
 }
 
@@ -75,14 +75,14 @@
 func zone(index, zones int) string { return fmt.Sprintf("z%d", index%zones) }
 
 // members gives a list of servers that are up, in turn over the zones. None started of late.
-func members(servers, zones int) []control.Member {
-	all := make([]control.Member, servers)
+func members(servers, zones int) []control.Endpoint {
+	all := make([]control.Endpoint, servers)
 	names := make([]string, zones)
 	for i := range names {
 		names[i] = zone(i, zones)
 	}
 	for i := range all {
-		all[i] = control.Member{Server: uint32(i + 1), Key: uint32(i+1) * 2654435761, Condition: control.On, Zone: names[i%zones],
+		all[i] = control.Endpoint{Server: uint32(i + 1), HashKey: uint32(i+1) * 2654435761, Condition: control.Active, Zone: names[i%zones],
 			Cell: i % 64, Flavor: "standard", Size: 1}
 	}
 	return all
--- a/internal/lab/scale/request/fleet.go
+++ b/internal/lab/scale/request/fleet.go
@@ -13,15 +13,15 @@
 	clock     *Clock
 	load      *Load
 	recording *Recording
-	list      control.List // that the controller was told first
+	list      control.EndpointUpdate // that the controller was told first
 }
 
 // shape is what a fleet is made of; every sweep changes one field of the standard one.
 type shape struct {
 	servers, group, zones, tenants int
 	rate                           float64
-	customers                      int           // that the node may remember; below 0 is as the program has it
-	list                           *control.List // that the controller is told; nil is all servers
+	customers                      int                     // that the node may remember; below 0 is as the program has it
+	list                           *control.EndpointUpdate // that the controller is told; nil is all servers
 	seed                           uint64
 }
 
@@ -45,14 +45,14 @@
 		return nil, err
 	}
 	if s.customers >= 0 {
-		set.Customers = s.customers
+		set.MaxTenants = s.customers
 	}
 	f := &fleet{clock: NewClock(start), load: NewLoad(s.rate, s.tenants, min(s.group, spreadMost), s.seed),
 		recording: &Recording{settings: set, seed: s.seed}}
-	if f.list = (control.List{Kind: control.Whole}); s.list != nil {
+	if f.list = (control.EndpointUpdate{Kind: control.Complete}); s.list != nil {
 		f.list = *s.list
 	} else {
-		f.list.Members = members(s.servers, s.zones)
+		f.list.Endpoints = members(s.servers, s.zones)
 	}
 	f.node, err = NewNode(set, s.seed, f.clock, NewModel(s.seed), quotaUsed)
 	if err != nil {
--- a/internal/lab/scale/request/group.go
+++ b/internal/lab/scale/request/group.go
@@ -44,16 +44,16 @@
 
 // listChange gives the CPU time of one changed entry, in us: servers drain and come back.
 func (f *fleet) listChange(ctx context.Context) (float64, error) {
-	changes := changesFor(len(f.list.Members))
+	changes := changesFor(len(f.list.Endpoints))
 	now := f.clock.Now()
 	took, err := scale.LeastCPU(ctx, runsMost, runsTime, func() func() {
 		return func() {
 			for i := range changes {
-				entry := f.list.Members[i/2%len(f.list.Members)]
+				entry := f.list.Endpoints[i/2%len(f.list.Endpoints)]
 				if i%2 == 0 {
-					entry.Condition = control.Fading
+					entry.Condition = control.Draining
 				}
-				f.node.control.Handle(now, control.List{Kind: control.Patch, Members: []control.Member{entry}})
+				f.node.control.Handle(now, control.EndpointUpdate{Kind: control.Delta, Endpoints: []control.Endpoint{entry}})
 			}
 		}
 	})
@@ -78,7 +78,7 @@
 	}
 	f.node.Handle(zoneRules(size))
 	if size > 2 {
-		f.node.Handle(control.Zones{Away: map[string]float64{zone(2, size): 0.5}})
+		f.node.Handle(control.ZoneEvacuation{Evacuated: map[string]float64{zone(2, size): 0.5}})
 	}
 	requests := requestsFor(serversHeld)
 	if err := f.run(ctx, requests, requests); err != nil {
@@ -90,12 +90,12 @@
 
 // zoneRules gives rules with a price for each zone, and one zone closed where there are others.
 func zoneRules(zones int) control.Rules {
-	rules := control.Rules{Version: 1, Cost: make(map[string]float64, zones)}
+	rules := control.Rules{Version: 1, CrossZoneCost: make(map[string]float64, zones)}
 	for i := range zones {
-		rules.Cost[zone(i, zones)] = 0.01
+		rules.CrossZoneCost[zone(i, zones)] = 0.01
 	}
 	if zones > 1 {
-		rules.Closed = []string{zone(1, zones)}
+		rules.ClosedZones = []string{zone(1, zones)}
 	}
 	return rules
 }
--- a/internal/lab/scale/request/hollow.go
+++ b/internal/lab/scale/request/hollow.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{control: c, clock: clock, servers: servers, sendCap: s.SendCap, used: used,
+	n := &Node{control: c, clock: clock, servers: servers, sendCap: s.MaxAttempts, used: used,
 		exchanges: make(map[string]*exchange), up: make(map[uint32]bool)}
 	n.ResetCounts()
 	return n, nil
@@ -83,12 +83,12 @@
 func (n *Node) Record(r *Recording) { n.record = r }
 
 // List takes in what discovery tells. Connections to servers that are not up are closed.
-func (n *Node) List(e control.List) {
-	if e.Kind != control.Patch {
+func (n *Node) List(e control.EndpointUpdate) {
+	if e.Kind != control.Delta {
 		clear(n.up)
 	}
-	for i := range e.Members {
-		if m := &e.Members[i]; m.Condition == control.On {
+	for i := range e.Endpoints {
+		if m := &e.Endpoints[i]; m.Condition == control.Active {
 			n.up[m.Server] = true
 		} else {
 			delete(n.up, m.Server)
@@ -103,7 +103,7 @@
 		return
 	}
 	now := n.clock.Now()
-	n.exchanges[r.ID] = &exchange{request: r, arrived: now, deadline: now + r.TTL}
+	n.exchanges[r.ID] = &exchange{request: r, arrived: now, deadline: now + r.TimeLeft}
 	n.counts.Requests++
 	n.Handle(r)
 }
@@ -129,17 +129,17 @@
 	switch a := a.(type) {
 	case control.Send:
 		n.send(a)
-	case control.Withdraw:
+	case control.CancelAttempt:
 		n.withdraw(a)
-	case control.Refuse:
+	case control.Reject:
 		n.finish(n.exchanges[a.ID], &n.counts.Refused)
 	case control.Fail:
 		n.finish(n.exchanges[a.ID], &n.counts.Failed)
-	case control.Arm:
+	case control.SetTimer:
 		n.clock.After(a.After, func() { n.Handle(control.Timer{Label: a.Label}) })
 	case control.Disconnect:
 		n.counts.Disconnects++
-	case control.Remark:
+	case control.LogLine:
 		n.counts.Remarks++
 	}
 }
@@ -148,26 +148,26 @@
 func (n *Node) send(a control.Send) {
 	x, now := n.exchanges[a.ID], n.clock.Now()
 	if x == nil {
-		n.pending = append(n.pending, control.Response{ID: a.ID, Server: a.Server, Reason: control.Moot, Done: true})
+		n.pending = append(n.pending, control.AttemptEnded{ID: a.ID, Server: a.Server, Outcome: control.NeverSent, Done: true})
 		return
 	}
 	number := x.sends
 	x.sends++
 	left := x.deadline - now
-	if a.Within > 0 && a.Within < left {
-		left = a.Within
+	if a.Timeout > 0 && a.Timeout < left {
+		left = a.Timeout
 	}
-	late := a.Until > 0 && now > a.Until
+	late := a.NotAfter > 0 && now > a.NotAfter
 	if !n.up[a.Server] || x.done || left <= 0 || late || n.sendCap > 0 && x.sends > n.sendCap {
 		x.attempts = append(x.attempts, nil)
-		n.pending = append(n.pending, control.Response{ID: a.ID, N: number, Server: a.Server, Reason: control.Moot, Done: x.done})
+		n.pending = append(n.pending, control.AttemptEnded{ID: a.ID, Attempt: number, Server: a.Server, Outcome: control.NeverSent, Done: x.done})
 		return
 	}
 	x.out++
 	at := &attempt{server: a.Server, sent: now}
 	x.attempts = append(x.attempts, at)
 	n.sent(x, a.Server)
-	took, reason := n.servers.Serve(now, a.Server, x.request.Units), control.OK
+	took, reason := n.servers.Serve(now, a.Server, x.request.Tokens), control.OK
 	if took > left {
 		took, reason = left, control.TimedOut
 	}
@@ -185,24 +185,24 @@
 }
 
 // withdraw stops waiting for an attempt: it ends as cancelled, as soon as the loop comes to it.
-func (n *Node) withdraw(a control.Withdraw) {
+func (n *Node) withdraw(a control.CancelAttempt) {
 	x := n.exchanges[a.ID]
-	if x == nil || a.N >= len(x.attempts) || x.attempts[a.N] == nil {
+	if x == nil || a.Attempt >= len(x.attempts) || x.attempts[a.Attempt] == nil {
 		return
 	}
-	n.clock.After(0, func() { n.settle(x, a.N, x.attempts[a.N], control.Cancelled) })
+	n.clock.After(0, func() { n.settle(x, a.Attempt, x.attempts[a.Attempt], control.Cancelled) })
 }
 
 // settle takes in how an attempt ended. The first good answer is the final one.
-func (n *Node) settle(x *exchange, number int, at *attempt, reason control.Reason) {
+func (n *Node) settle(x *exchange, number int, at *attempt, reason control.Outcome) {
 	if at.over {
 		return
 	}
 	at.over = true
 	x.out--
-	r := control.Response{ID: x.request.ID, N: number, Server: at.server, Reason: reason, Delay: n.clock.Now() - at.sent}
+	r := control.AttemptEnded{ID: x.request.ID, Attempt: number, Server: at.server, Outcome: reason, Delay: n.clock.Now() - at.sent}
 	if reason == control.OK {
-		r.Used, r.Cost = n.used, x.request.Units
+		r.MeterReading, r.Tokens = n.used, x.request.Tokens
 		n.finish(x, &n.counts.Answered)
 	}
 	r.Done = x.done
--- a/internal/lab/scale/request/hollow_test.go
+++ b/internal/lab/scale/request/hollow_test.go
@@ -24,18 +24,18 @@
 	return time.Hour
 }
 
-func hollow(t *testing.T, servers Servers, list ...control.Member) *Node {
+func hollow(t *testing.T, servers Servers, list ...control.Endpoint) *Node {
 	t.Helper()
 	set, err := Settings(1)
 	require.NoError(t, err)
 	n, err := NewNode(set, 7, NewClock(start), servers, quotaUsed)
 	require.NoError(t, err)
-	n.List(control.List{Kind: control.Whole, Members: list})
+	n.List(control.EndpointUpdate{Kind: control.Complete, Endpoints: list})
 	return n
 }
 
 func ask(id, class string, ttl time.Duration) control.Request {
-	return control.Request{ID: id, Class: class, Plan: "basic", Customer: "tenant", TTL: ttl, Units: 1, Spread: 1}
+	return control.Request{ID: id, Class: class, Plan: "basic", Tenant: "tenant", TimeLeft: ttl, Tokens: 1, TenantNodes: 1}
 }
 
 func TestRequestIsSentAndAnswered(t *testing.T) {
@@ -77,8 +77,8 @@
 func TestNothingIsSentToAServerThatIsNotUp(t *testing.T) {
 	list := members(2, 1)
 	n := hollow(t, fixed{1: ms, 2: ms}, list...)
-	list[0].Condition = control.Fading
-	n.List(control.List{Kind: control.Patch, Members: list[:1]})
+	list[0].Condition = control.Draining
+	n.List(control.EndpointUpdate{Kind: control.Delta, Endpoints: list[:1]})
 	load := NewLoad(100, 10, 1, 1)
 	require.NoError(t, n.Run(context.Background(), 200, load.gap, load.next))
 	assert.Zero(t, n.counts.SentTo[1])
@@ -136,7 +136,7 @@
 func TestSettingsAreThoseOfTheProgram(t *testing.T) {
 	s, err := Settings(5800)
 	require.NoError(t, err)
-	assert.Equal(t, 5800, s.GroupSize)
-	assert.Equal(t, 6990, s.Customers, "a sixth of 128 MB, 3,200 bytes each")
-	assert.False(t, s.OnRequest)
+	assert.Equal(t, 5800, s.FleetSize)
+	assert.Equal(t, 6990, s.MaxTenants, "a sixth of 128 MB, 3,200 bytes each")
+	assert.False(t, s.PollDiscovery)
 }
--- a/internal/lab/scale/request/known.go
+++ b/internal/lab/scale/request/known.go
@@ -8,12 +8,12 @@
 // known is what a node makes of the server list: what its controller is told of the whole list and of
 // each change.
 type known struct {
-	list    control.List
+	list    control.EndpointUpdate
 	numbers map[string]uint32 // by which the controller knows the servers
 	chosen  []subset.Server
 	// apply takes changed entries and gives what the controller is told; any is false where they do not
 	// concern the node.
-	apply func(delta []subset.Server) (told control.List, any bool, err error)
+	apply func(delta []subset.Server) (told control.EndpointUpdate, any bool, err error)
 	held  any // what the node holds of the list beside its controller
 }
 
@@ -26,9 +26,9 @@
 	if err != nil {
 		return nil, err
 	}
-	return &known{list: control.List{Kind: control.Whole, Members: f.members(all)}, numbers: f.numbers, chosen: all,
-		apply: func(delta []subset.Server) (control.List, bool, error) {
-			return control.List{Kind: control.Patch, Members: f.members(delta)}, true, nil
+	return &known{list: control.EndpointUpdate{Kind: control.Complete, Endpoints: f.members(all)}, numbers: f.numbers, chosen: all,
+		apply: func(delta []subset.Server) (control.EndpointUpdate, bool, error) {
+			return control.EndpointUpdate{Kind: control.Delta, Endpoints: f.members(delta)}, true, nil
 		}, held: f}, nil
 }
 
--- a/internal/lab/scale/request/load.go
+++ b/internal/lab/scale/request/load.go
@@ -47,8 +47,8 @@
 // of is the next request, of one tenant.
 func (l *Load) of(tenant int) control.Request {
 	l.count++
-	r := control.Request{ID: strconv.Itoa(l.count), Class: "rate", Plan: "basic", Customer: l.known[tenant],
-		TTL: 2 * time.Second, Units: 1, Spread: l.Spread}
+	r := control.Request{ID: strconv.Itoa(l.count), Class: "rate", Plan: "basic", Tenant: l.known[tenant],
+		TimeLeft: 2 * time.Second, Tokens: 1, TenantNodes: l.Spread}
 	if l.count%4 == 0 {
 		r.Class = "charge"
 	}
--- a/internal/lab/scale/request/rules.go
+++ b/internal/lab/scale/request/rules.go
@@ -49,13 +49,13 @@
 
 // factors gives a rule set with a factor for each of so many tenants, those of the load first.
 func factors(version uint64, tenants int) control.Rules {
-	rules := control.Rules{Version: version, Customers: make(map[string]float64, tenants)}
+	rules := control.Rules{Version: version, TenantQuotaFactor: make(map[string]float64, tenants)}
 	for i := range tenants {
 		plan := "basic"
 		if i%8 == 0 {
 			plan = "premium"
 		}
-		rules.Customers[plan+" tenant-"+strconv.Itoa(i)] = 1 + float64(version%7)/8
+		rules.TenantQuotaFactor[plan+" tenant-"+strconv.Itoa(i)] = 1 + float64(version%7)/8
 	}
 	return rules
 }
--- a/internal/lab/scale/request/serverlist.go
+++ b/internal/lab/scale/request/serverlist.go
@@ -26,43 +26,43 @@
 }
 
 // replace takes a whole list and gives what the controller is told of it.
-func (f *follower) replace(all []subset.Server) (control.List, error) {
+func (f *follower) replace(all []subset.Server) (control.EndpointUpdate, error) {
 	list := f.set.NewList()
 	for _, server := range all {
 		if err := list.Add(server); err != nil {
-			return control.List{}, err
+			return control.EndpointUpdate{}, err
 		}
 	}
 	f.set.Replace(list)
 	clear(f.numbers)
-	return control.List{Kind: control.Whole, Members: f.members(f.set.Chosen()), Sharers: f.set.Sharers(f.group)}, nil
+	return control.EndpointUpdate{Kind: control.Complete, Endpoints: f.members(f.set.Chosen()), NodesPerServer: f.set.Sharers(f.group)}, nil
 }
 
 // apply takes changed entries and gives what the controller is told of them; any is false where they
 // do not concern the node.
-func (f *follower) apply(delta []subset.Server) (told control.List, any bool, err error) {
+func (f *follower) apply(delta []subset.Server) (told control.EndpointUpdate, any bool, err error) {
 	change, err := f.set.Apply(delta)
 	if err != nil || len(change.Updated)+len(change.Removed) == 0 {
-		return control.List{}, false, err
+		return control.EndpointUpdate{}, false, err
 	}
-	told = control.List{Kind: control.Patch, Members: f.members(change.Updated), Sharers: f.set.Sharers(f.group)}
+	told = control.EndpointUpdate{Kind: control.Delta, Endpoints: f.members(change.Updated), NodesPerServer: f.set.Sharers(f.group)}
 	for _, id := range change.Removed {
-		told.Members = append(told.Members, control.Member{Server: f.numbers[id], Condition: control.Off})
+		told.Endpoints = append(told.Endpoints, control.Endpoint{Server: f.numbers[id], Condition: control.Removed})
 		delete(f.numbers, id)
 	}
 	return told, true, nil
 }
 
 // members gives servers as the controller is told of them.
-func (f *follower) members(servers []subset.Server) []control.Member {
-	all := make([]control.Member, len(servers))
+func (f *follower) members(servers []subset.Server) []control.Endpoint {
+	all := make([]control.Endpoint, len(servers))
 	for i := range servers {
 		all[i] = f.member(&servers[i])
 	}
 	return all
 }
 
-func (f *follower) member(s *subset.Server) control.Member {
+func (f *follower) member(s *subset.Server) control.Endpoint {
 	number, ok := f.numbers[s.ID]
 	if !ok {
 		f.last++
@@ -71,10 +71,10 @@
 	}
 	key := fnv.New32a()
 	io.WriteString(key, s.ID)
-	m := control.Member{Server: number, Key: key.Sum32(), Condition: control.On, Zone: s.Zone, Cell: s.Group,
+	m := control.Endpoint{Server: number, HashKey: key.Sum32(), Condition: control.Active, Zone: s.Zone, Cell: s.Group,
 		Flavor: s.Model, Size: s.Capacity}
 	if s.State == subset.Draining {
-		m.Condition = control.Fading
+		m.Condition = control.Draining
 	}
 	return m
 }
--- a/internal/lab/scale/request/serverset.go
+++ b/internal/lab/scale/request/serverset.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	heap := f.setHeap(size, choose)
-	requests := requestsFor(len(k.list.Members))
+	requests := requestsFor(len(k.list.Endpoints))
 	if err := f.run(ctx, requests, requests); err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 // the list and nothing else. The settings and the choice were taken before.
 func (f *fleet) setHeap(size int, choose choice) float64 {
 	return scale.HeapOf(func() any {
-		k, err := choose(servers(size), f.recording.settings.GroupSize)
+		k, err := choose(servers(size), f.recording.settings.FleetSize)
 		if err != nil {
 			panic(err)
 		}
@@ -162,7 +162,7 @@
 
 // changeCost gives the CPU time of one change of servers that drain and come back, in us.
 func (f *fleet) changeCost(ctx context.Context, k *known, changing []subset.Server) (float64, error) {
-	changes := changesFor(len(k.list.Members))
+	changes := changesFor(len(k.list.Endpoints))
 	var failed error
 	took, err := scale.LeastCPU(ctx, runsMost, runsTime, func() func() {
 		return func() {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -12,17 +12,17 @@
 func (l *loop) send(a control.Send) {
 	x := l.exchanges[a.ID]
 	if x == nil {
-		l.pending = append(l.pending, control.Response{ID: a.ID, Server: a.Server, Reason: control.Moot, Done: true})
+		l.pending = append(l.pending, control.AttemptEnded{ID: a.ID, Server: a.Server, Outcome: control.NeverSent, Done: true})
 		return
 	}
 	n, to := x.sends, l.pools[a.Server]
 	x.sends++
 	var limit *time.Timer
 	ctx, stop := context.WithCancelCause(l.life)
-	if until := x.deadline; !until.IsZero() || a.Within > 0 {
+	if until := x.deadline; !until.IsZero() || a.Timeout > 0 {
 		left := time.Until(until)
-		if until.IsZero() || a.Within > 0 && a.Within < left {
-			left = a.Within
+		if until.IsZero() || a.Timeout > 0 && a.Timeout < left {
+			left = a.Timeout
 		}
 		if left <= 0 {
 			stop(context.DeadlineExceeded)
@@ -36,7 +36,7 @@
 	}
 	if to == nil || x.done || ctx.Err() != nil || x.spent() || l.sendCap > 0 && x.sends > l.sendCap {
 		l.over(x, n)
-		l.pending = append(l.pending, control.Response{ID: a.ID, N: n, Server: a.Server, Reason: control.Moot, Done: x.done, Spent: x.spent()})
+		l.pending = append(l.pending, control.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: control.NeverSent, Done: x.done, BodySpent: x.spent()})
 		return
 	}
 	x.out++
@@ -44,17 +44,17 @@
 		x.watched[n] = l.watching.began(a.Server)
 	}
 	if l.sharing != nil && n == 0 {
-		l.sharing.sent(&x.req, x.req.Units, false)
+		l.sharing.sent(&x.req, x.req.Tokens, false)
 	}
 	if l.keeping != nil && n == 0 {
 		l.keeping.granted(&x.req)
 	}
 	sent := time.Now()
-	t := &attempt{req: x.message(), first: x.body, rest: x.rest, until: l.at(a.Until),
+	t := &attempt{req: x.message(), first: x.body, rest: x.rest, until: l.at(a.NotAfter),
 		written: func() {
 			l.stats.calls.Add(1)
 			if x.rest != nil {
-				l.post(func() { l.handle(control.Written{ID: x.req.ID, N: n}) })
+				l.post(func() { l.handle(control.BodySent{ID: x.req.ID, Attempt: n}) })
 			}
 		},
 		begin: func(o outcome, length int64) (to *io.PipeWriter) {
@@ -97,7 +97,7 @@
 	l.cost(x, o)
 	from, to := io.Pipe()
 	x.end(answer{status: http.StatusOK, header: o.header, body: o.body, stream: from, length: length})
-	l.handle(control.Started{ID: x.req.ID, N: n, Server: server, Delay: time.Since(sent), Cost: o.cost(l.unitsTop), Used: o.used()})
+	l.handle(control.ResponseStarted{ID: x.req.ID, Attempt: n, Server: server, Delay: time.Since(sent), Tokens: o.cost(l.unitsTop), MeterReading: o.used()})
 	return to
 }
 
@@ -110,9 +110,9 @@
 	}
 	x.out--
 	x.last = o.reason
-	r := control.Response{ID: x.req.ID, N: n, Server: server, Reason: o.reason, Delay: time.Since(sent), Spent: x.spent()}
+	r := control.AttemptEnded{ID: x.req.ID, Attempt: n, Server: server, Outcome: o.reason, Delay: time.Since(sent), BodySpent: x.spent()}
 	if o.header != nil && !o.begun {
-		r.Used, r.Cost, r.Load = o.used(), o.cost(l.unitsTop), o.load()
+		r.MeterReading, r.Tokens, r.LoadReport = o.used(), o.cost(l.unitsTop), o.load()
 	}
 	if o.reason == control.OK && !x.done {
 		l.finish(x, answer{status: http.StatusOK, header: o.header, body: o.body, held: o.held})
@@ -131,6 +131,6 @@
 	}
 	if cost := o.cost(l.unitsTop); cost > 0 {
 		x.settled = true
-		l.sharing.sent(&x.req, cost-x.req.Units, true)
+		l.sharing.sent(&x.req, cost-x.req.Tokens, true)
 	}
 }
--- a/internal/node/clientends_test.go
+++ b/internal/node/clientends_test.go
@@ -190,7 +190,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	q := r.call(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
 	w := httptest.NewRecorder()
-	x := &exchange{req: control.Request{ID: "id-1", Class: "visit-update", Plan: q.Header.Get(headerPlan), Customer: "1", Units: 1, Spread: 1, Write: true},
+	x := &exchange{req: control.Request{ID: "id-1", Class: "visit-update", Plan: q.Header.Get(headerPlan), Tenant: "1", Tokens: 1, TenantNodes: 1, Write: true},
 		forward: q, left: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1), stats: r.node.stats}
 	begun, end := make(chan struct{}), make(chan struct{})
 	x.rest = newClientBody(readerFunc(func([]byte) (int, error) { close(begun); <-end; return 0, io.EOF }), http.NewResponseController(w))
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -43,8 +43,8 @@
 			return nil, bad(http.StatusBadRequest, "%s: given twice", name)
 		}
 	}
-	e := control.Request{ID: r.Header.Get(headerID), Plan: r.Header.Get(headerPlan), Units: 1, Spread: 1,
-		Repeat: r.Header.Get(headerRepeat) == "1", Write: r.Method != http.MethodGet}
+	e := control.Request{ID: r.Header.Get(headerID), Plan: r.Header.Get(headerPlan), Tokens: 1, TenantNodes: 1,
+		Retry: r.Header.Get(headerRepeat) == "1", Write: r.Method != http.MethodGet}
 	if e.ID == "" || len(e.ID) > idMost {
 		return nil, bad(http.StatusBadRequest, "%s: none, or too long", headerID)
 	}
@@ -53,24 +53,24 @@
 	if !ok {
 		return nil, bad(http.StatusNotFound, "unknown class %q", e.Class)
 	}
-	if (class.Effect == control.Free) != (r.Method == http.MethodGet) ||
-		class.Effect != control.Free && r.Method != http.MethodPost {
+	if (class.Idempotency == control.Idempotent) != (r.Method == http.MethodGet) ||
+		class.Idempotency != control.Idempotent && r.Method != http.MethodPost {
 		return nil, bad(http.StatusMethodNotAllowed, "%s: not a method of class %s", r.Method, e.Class)
 	}
-	if class.Effect == control.Free && r.ContentLength > 0 {
+	if class.Idempotency == control.Idempotent && r.ContentLength > 0 {
 		return nil, bad(http.StatusBadRequest, "a body with %s", r.Method)
 	}
-	if class.Effect == control.Guarded && r.Header.Get(headerKey) == "" {
+	if class.Idempotency == control.IdempotentByKey && r.Header.Get(headerKey) == "" {
 		return nil, bad(http.StatusBadRequest, "%s: none", headerKey)
 	}
 	if !f.plans[e.Plan] {
 		return nil, bad(http.StatusBadRequest, "%s: unknown plan %q", headerPlan, e.Plan)
 	}
 	if accounts := r.URL.Query()["account"]; len(accounts) == 1 {
-		e.Customer = strings.ToLower(accounts[0])
+		e.Tenant = strings.ToLower(accounts[0])
 	}
-	if n, err := strconv.ParseUint(e.Customer, 16, 64); err != nil || len(e.Customer) != 16 || n >= customersMost {
-		return nil, bad(http.StatusBadRequest, "account: %q is none", e.Customer)
+	if n, err := strconv.ParseUint(e.Tenant, 16, 64); err != nil || len(e.Tenant) != 16 || n >= customersMost {
+		return nil, bad(http.StatusBadRequest, "account: %q is none", e.Tenant)
 	}
 	left, err := parseTimeLeft(r.Header.Get(headerTimeLeft), class.Deadline)
 	if err != nil {
@@ -131,7 +131,7 @@
 		x.held.shrink(0)
 		return bad(http.StatusBadRequest, "a body with %s", r.Method)
 	}
-	x.rest, x.req.Long = rest, true
+	x.rest, x.req.StreamedBody = rest, true
 	rest.whole = func() {
 		x.take()
 		at := time.Now()
@@ -210,13 +210,13 @@
 		switch name {
 		case "units":
 			ok = ok && err == nil && v > 0 && (f.unitsTop == 0 || v <= f.unitsTop)
-			e.Units = v
+			e.Tokens = v
 		case "spread":
 			ok = ok && whole && v >= 1 && v <= float64(f.group)
-			e.Spread = int(v)
+			e.TenantNodes = int(v)
 		case "first":
 			ok = ok && whole && v >= 0 && v < float64(f.group)
-			e.SetStart = int(v)
+			e.FirstNode = int(v)
 		}
 		if !ok {
 			return fmt.Errorf("%s: %q", name, value)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -93,8 +93,8 @@
 	if err := c.Settings.Validate(); err != nil {
 		return c, "settings", err
 	}
-	c.Settings.Customers = customersIn(c.MemoryMB)
-	c.Settings.OnRequest = false // on sockets a watch is always kept; nothing has to be asked for
+	c.Settings.MaxTenants = customersIn(c.MemoryMB)
+	c.Settings.PollDiscovery = false // on sockets a watch is always kept; nothing has to be asked for
 	if c.Keepalive, err = millis(paths, "limits.keepalive", 15*time.Second); err != nil {
 		return c, "settings.limits.keepalive", err
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -24,17 +24,17 @@
 		c.Keepalive != 15*time.Second || c.Connect != 250*time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	if small := customersIn(32); s.Customers != customersIn(192) || small < 1500 || small*customerBytes > 32<<20/4 {
-		t.Errorf("%d customers in 192 MB, %d in 32", s.Customers, small)
+	if small := customersIn(32); s.MaxTenants != customersIn(192) || small < 1500 || small*customerBytes > 32<<20/4 {
+		t.Errorf("%d customers in 192 MB, %d in 32", s.MaxTenants, small)
 	}
-	if s.GroupSize != 2 || !s.CostAfter || !s.MarksRetry || s.SendCap != 6 || s.Cold != 15*time.Second ||
+	if s.FleetSize != 2 || !s.CostWithAnswer || !s.ClientsMarkRetries || s.MaxAttempts != 6 || s.SlowStartDuration != 15*time.Second ||
 		len(s.Classes) != 2 || len(s.Plans) != 2 {
 		t.Errorf("settings %+v", s)
 	}
-	if k := s.Classes[1]; k.Effect != control.Guarded || k.KeyScope != control.ScopeCell || k.Aim != 2*time.Second {
+	if k := s.Classes[1]; k.Idempotency != control.IdempotentByKey || k.KeyScope != control.KeyScopeCell || k.LatencyObjective != 2*time.Second {
 		t.Errorf("class %+v", k)
 	}
-	if p := s.Plans[0]; p.Rate != 0.5 || p.Depth != 8 || p.OverCost != 0.6 {
+	if p := s.Plans[0]; p.Rate != 0.5 || p.Burst != 8 || p.OverQuotaCost != 0.6 {
 		t.Errorf("plan %+v", p)
 	}
 }
--- a/internal/node/council.go
+++ b/internal/node/council.go
@@ -48,7 +48,7 @@
 	f := cfg.Fleet.Council
 	c := &council{cfg: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Machine{})
-	lc := learn.Config{Self: cfg.Settings.SelfIndex, Group: cfg.Settings.GroupSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
+	lc := learn.Config{Self: cfg.Settings.NodeIndex, Group: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
 		Settings: c.settings, Terms: rules.Usual, Dir: f.Dir, Disk: fs, Send: c.send, Meet: c.meet, Act: c.act}
 	var voters []agreement.Peer
 	for _, v := range f.Voters {
@@ -82,7 +82,7 @@
 // fleet file's regions, and the node's own.
 func ruleSettings(cfg Config) rules.Settings {
 	s := &cfg.Settings
-	out := rules.Settings{Zones: []string{s.Zone}, Attempts: s.SendCap, InFlight: s.OpenCap}
+	out := rules.Settings{Zones: []string{s.Zone}, Attempts: s.MaxAttempts, InFlight: s.MaxInFlight}
 	for _, zones := range cfg.Fleet.Regions {
 		out.Zones = append(out.Zones, zones...)
 	}
@@ -167,8 +167,8 @@
 		c.ruled = a.Number
 		e := control.Rules{Version: a.Number}
 		if r := a.Rules; r != nil {
-			e.Price, e.Quota, e.Customers, e.Attempts = r.Price, r.Quota, r.Customers, r.Attempts
-			e.InFlight, e.Closed, e.Cost = r.InFlight, r.Closed, r.Cost
+			e.PriceFactor, e.QuotaFactor, e.TenantQuotaFactor, e.MaxAttempts = r.Price, r.Quota, r.Customers, r.Attempts
+			e.MaxInFlight, e.ClosedZones, e.CrossZoneCost = r.InFlight, r.Closed, r.Cost
 		}
 		c.loop.handle(e)
 	}
--- a/internal/node/degraded.go
+++ b/internal/node/degraded.go
@@ -35,8 +35,8 @@
 }
 
 func newDegraded(s control.Settings, l *loop) *degraded {
-	d := &degraded{loop: l, grace: s.DrainGrace, group: s.GroupSize, self: s.SelfIndex}
-	if s.Probes && d.grace > 0 { // without a grace no answer comes in time
+	d := &degraded{loop: l, grace: s.DrainGrace, group: s.FleetSize, self: s.NodeIndex}
+	if s.HealthChecks && d.grace > 0 { // without a grace no answer comes in time
 		within := d.grace / 2
 		client := &http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true,
 			DialContext: (&net.Dialer{Timeout: within}).DialContext}}
@@ -126,6 +126,6 @@
 	d.demoted = demoted
 	slices.SortFunc(news.Targets, func(a, b discovery.Target) int { return cmp.Compare(a.UID, b.UID) })
 	if len(news.Targets) > 0 {
-		d.loop.show(control.Patch, news)
+		d.loop.show(control.Delta, news)
 	}
 }
--- a/internal/node/degraded_test.go
+++ b/internal/node/degraded_test.go
@@ -15,7 +15,7 @@
 // they serve, and to none where these may not be asked; when it speaks again, to all that it lists.
 func TestDegradedDiscoveryLeavesOnlyServersThatVouch(t *testing.T) {
 	for probes, want := range map[bool]int{true: 1, false: 0} {
-		r := newRigWith(t, func(c *Config) { c.Settings.Probes, c.Settings.DrainGrace = probes, 400*time.Millisecond })
+		r := newRigWith(t, func(c *Config) { c.Settings.HealthChecks, c.Settings.DrainGrace = probes, 400*time.Millisecond })
 		sound := newApp(t, served)
 		drains := newApp(t, func(w http.ResponseWriter, q *http.Request) {
 			if q.URL.Path == "/healthz" {
@@ -52,6 +52,6 @@
 
 // Where the settings tell no grace no word comes in time, and a call for one would have no end.
 func TestNobodyIsAskedWithoutAGrace(t *testing.T) {
-	require.Nil(t, newDegraded(control.Settings{Probes: true}, nil).ask)
-	require.NotNil(t, newDegraded(control.Settings{Probes: true, DrainGrace: time.Second}, nil).ask)
+	require.Nil(t, newDegraded(control.Settings{HealthChecks: true}, nil).ask)
+	require.NotNil(t, newDegraded(control.Settings{HealthChecks: true, DrainGrace: time.Second}, nil).ask)
 }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -38,7 +38,7 @@
 	stop     []context.CancelCauseFunc
 	limit    []*time.Timer // end the attempts with the client's time; nil where it has not begun
 	start    []*start      // of the attempts; nil is one that was not made
-	last     control.Reason
+	last     control.Outcome
 	settled  bool     // its true units were told to others
 	version  uint64   // of the rules that it goes by, to its end; 0 is the settings alone
 	watched  []uint64 // numbers of the attempts, where verdicts are shared
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -170,7 +170,7 @@
 		if err != nil {
 			return nil, err
 		}
-		pc := peer.Config{Label: f.Label, Name: cfg.Name, Index: s.SelfIndex, Zone: s.Zone, Region: cfg.Fleet.region(s.Zone),
+		pc := peer.Config{Label: f.Label, Name: cfg.Name, Index: s.NodeIndex, Zone: s.Zone, Region: cfg.Fleet.region(s.Zone),
 			Program: program(), Bind: net.JoinHostPort(host, strconv.Itoa(f.Port)), Seeds: f.Seeds, Via: f.Via, Seed: cfg.Seed}
 		var changed []func()
 		if l.sharing != nil {
--- a/internal/node/fleetsubset_test.go
+++ b/internal/node/fleetsubset_test.go
@@ -75,15 +75,15 @@
 	l, err := newLoop(cfg, newUpstreamOf(cfg, newSockets(64, 0)), newStats(cfg.Settings.Classes))
 	require.NoError(t, err)
 	for i, u := range told {
-		kind := control.Patch
+		kind := control.Delta
 		if u.All {
-			kind = control.Whole
+			kind = control.Complete
 		}
 		l.keep(kind, u)
 		all = append(all, l.apply(kind, u))
 		for k := range 5 {
 			all = append(all, control.Request{ID: fmt.Sprint(i, " ", k), Class: cfg.Settings.Classes[0].Name, Plan: "enterprise",
-				Customer: fmt.Sprint("c", k), TTL: time.Second, Units: 1, Spread: 2})
+				Tenant: fmt.Sprint("c", k), TimeLeft: time.Second, Tokens: 1, TenantNodes: 2})
 		}
 	}
 	return all
@@ -178,7 +178,7 @@
 			state := t.TempDir()
 			with := func(c *Config) {
 				subsetOf(6)(c)
-				if c.Settings.GroupSize = 1; how == "handed over" {
+				if c.Settings.FleetSize = 1; how == "handed over" {
 					list(c)
 				} else {
 					c.Fleet.State = &StateConfig{Dir: state}
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -21,8 +21,8 @@
 func (n *Node) follow(cfg Config) error {
 	n.degraded = newDegraded(cfg.Settings, n.loop)
 	n.updated = n.listed
-	watch := discovery.Config{Address: cfg.Discovery, Group: cfg.Settings.GroupSize, DrainGrace: cfg.Settings.DrainGrace,
-		Seed: cfg.Seed, Polled: cfg.Settings.OnRequest, Subset: cfg.Fleet.subset(cfg.Settings.SelfIndex),
+	watch := discovery.Config{Address: cfg.Discovery, Group: cfg.Settings.FleetSize, DrainGrace: cfg.Settings.DrainGrace,
+		Seed: cfg.Seed, Polled: cfg.Settings.PollDiscovery, Subset: cfg.Fleet.subset(cfg.Settings.NodeIndex),
 		Updated:  func(u discovery.Update) { n.updated(u) },
 		Degraded: func(on bool) { n.loop.post(func() { n.degraded.turn(on) }) }}
 	var dropped prometheus.Counter
@@ -43,9 +43,9 @@
 
 // listed hands an update of discovery to the loop.
 func (n *Node) listed(u discovery.Update) {
-	kind := control.Patch
+	kind := control.Delta
 	if u.All {
-		kind = control.Whole
+		kind = control.Complete
 	}
 	n.loop.post(func() {
 		n.listDue.Store(false)
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -44,7 +44,7 @@
 
 func newFront(s control.Settings, l *loop, socks *sockets, counts *stats) *front {
 	f := &front{loop: l, classes: make(map[string]control.Class), plans: make(map[string]bool),
-		group: s.GroupSize, unitsTop: s.UnitsTop, idle: make(map[*clientConn]time.Time),
+		group: s.FleetSize, unitsTop: s.MaxTokens, idle: make(map[*clientConn]time.Time),
 		fresh: make(map[*clientConn]time.Time), sockets: socks, stats: counts, budget: l.upstream.budget}
 	for _, k := range s.Classes {
 		f.classes[k.Name] = k
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -138,7 +138,7 @@
 
 // alone has the node go on without the other process.
 func (n *Node) alone(rest []byte) {
-	if err := n.loop.ctl.Alone(n.loop.now(), rest); err != nil {
+	if err := n.loop.ctl.EndSharing(n.loop.now(), rest); err != nil {
 		slog.Warn("the rest can't be used", "err", err)
 	}
 	n.upstream.sockets.share(false)
@@ -206,7 +206,7 @@
 		slog.Warn("the process that took over has gone")
 		n.loop.post(func() { n.alone(nil) })
 	case <-n.loop.ended: // what is left is granted there only
-		if m, err := n.loop.ctl.Rest(n.loop.now()); err == nil && n.loop.failed == nil {
+		if m, err := n.loop.ctl.Remainder(n.loop.now()); err == nil && n.loop.failed == nil {
 			c.SetWriteDeadline(time.Now().Add(handoverWithin))
 			writeMessage(c, m)
 		}
@@ -238,8 +238,8 @@
 }
 
 // keep remembers the list, for a process that takes over.
-func (l *loop) keep(kind control.ListKind, news discovery.Update) {
-	if kind != control.Patch {
+func (l *loop) keep(kind control.UpdateKind, news discovery.Update) {
+	if kind != control.Delta {
 		clear(l.targets)
 	}
 	for _, t := range news.Targets {
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -48,8 +48,8 @@
 
 // load reads the app server's report. The header's words for the figures are not
 // those of the settings; what is not known, or can't be, is skipped.
-func (o *outcome) load() *control.Load {
-	none := control.Load{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
+func (o *outcome) load() *control.LoadReport {
+	none := control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
 	l := none
 	for pair := range strings.SplitSeq(o.header.Get(headerLoad), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
--- a/internal/node/keeping.go
+++ b/internal/node/keeping.go
@@ -53,7 +53,7 @@
 }
 
 func newKeeping(cfg Config, l *loop, discovery func() string) *keeping {
-	most := cfg.Settings.Customers
+	most := cfg.Settings.MaxTenants
 	if most <= 0 {
 		most = marksMost
 	}
@@ -151,7 +151,7 @@
 }
 
 func (k *keeping) begin(f *store.Folder, from *store.State) {
-	most := k.set.Customers
+	most := k.set.MaxTenants
 	if most <= 0 {
 		most = marksMost
 	}
@@ -180,7 +180,7 @@
 		err = from.List.Check()
 	}
 	if err == nil {
-		err = k.loop.ctl.Recall(now, from.Module, learntFor)
+		err = k.loop.ctl.RestoreSnapshot(now, from.Module, learntFor)
 	}
 	if err == nil {
 		n.takeList(from, false)
@@ -194,7 +194,7 @@
 		if !ok {
 			continue // full again, or a clock that went back
 		}
-		if err := k.loop.ctl.Restore(now, r.Plan, r.Customer, r.Spread, units); err != nil {
+		if err := k.loop.ctl.RestoreTenant(now, r.Plan, r.Customer, r.Spread, units); err != nil {
 			k.dropped.Inc()
 			continue
 		}
@@ -210,7 +210,7 @@
 		if p.Name == r.Plan {
 			since := now - time.Duration(r.At)*time.Millisecond
 			units = r.Level + p.Rate*max(0, since).Seconds() // a clock that went back refills nothing
-			return units, units < p.Depth
+			return units, units < p.Burst
 		}
 	}
 	return 0, false
@@ -218,12 +218,12 @@
 
 // granted notes that a customer's request was sent on.
 func (k *keeping) granted(r *control.Request) {
-	units, rate, depth, spread, ok := k.loop.ctl.Level(r.Plan, r.Customer)
+	units, rate, depth, spread, ok := k.loop.ctl.TenantLevel(r.Plan, r.Tenant)
 	if !ok {
 		return
 	}
 	now := k.loop.now()
-	if k.marks.Grant(store.Key{Plan: r.Plan, Customer: r.Customer}, store.Level{Units: units, Rate: rate, Depth: depth, Spread: spread}, now) {
+	if k.marks.Grant(store.Key{Plan: r.Plan, Customer: r.Tenant}, store.Level{Units: units, Rate: rate, Depth: depth, Spread: spread}, now) {
 		k.arm()
 	}
 	k.uncovered.Store(k.marks.Uncovered)
@@ -261,7 +261,7 @@
 
 // learnt is what was learnt of all but customers, with the list and the names of its servers.
 func (k *keeping) learnt() ([]byte, error) {
-	module, err := k.loop.ctl.Keep(k.loop.now())
+	module, err := k.loop.ctl.Snapshot(k.loop.now())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/keeping_test.go
+++ b/internal/node/keeping_test.go
@@ -36,7 +36,7 @@
 			t.Parallel()
 			app, dir := newApp(t, served), t.TempDir()
 			with := func(c *Config) {
-				if c.Settings.GroupSize = 1; how != "off" {
+				if c.Settings.FleetSize = 1; how != "off" {
 					c.Fleet = &Fleet{State: &StateConfig{Dir: dir}}
 				}
 			}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -54,9 +54,9 @@
 		return nil, err
 	}
 	life, end := context.WithCancel(context.Background())
-	return &loop{life: life, end: end, ctl: ctl, upstream: up, start: time.Now(), sendCap: cfg.Settings.SendCap,
+	return &loop{life: life, end: end, ctl: ctl, upstream: up, start: time.Now(), sendCap: cfg.Settings.MaxAttempts,
 		events: make(chan func(), 256), ended: make(chan struct{}), exchanges: make(map[string]*exchange),
-		ids: make(map[string]uint32), targets: make(map[string]discovery.Target), pools: make(map[uint32]*pool), unitsTop: cfg.Settings.UnitsTop, stats: counts}, nil
+		ids: make(map[string]uint32), targets: make(map[string]discovery.Target), pools: make(map[uint32]*pool), unitsTop: cfg.Settings.MaxTokens, stats: counts}, nil
 }
 
 // registry takes the figures of a part that a fleet file switches on.
@@ -123,7 +123,7 @@
 // publish puts out the figures that only the loop and the module know.
 func (l *loop) publish() {
 	l.stats.listed.Store(int64(len(l.ids)))
-	l.stats.down.Store(int64(l.ctl.Avoided(l.now())))
+	l.stats.down.Store(int64(l.ctl.AvoidedServers(l.now())))
 }
 
 // handle tells the module of an event, and of those that follow from what it does.
@@ -142,11 +142,11 @@
 	switch a := a.(type) {
 	case control.Send:
 		l.send(a)
-	case control.Withdraw:
-		if x := l.exchanges[a.ID]; x != nil && a.N < len(x.stop) {
-			x.stop[a.N](context.Canceled)
+	case control.CancelAttempt:
+		if x := l.exchanges[a.ID]; x != nil && a.Attempt < len(x.stop) {
+			x.stop[a.Attempt](context.Canceled)
 		}
-	case control.Refuse:
+	case control.Reject:
 		l.finishID(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 	case control.Fail:
 		status := http.StatusBadGateway
@@ -154,13 +154,13 @@
 			status = http.StatusGatewayTimeout
 		}
 		l.finishID(a.ID, answer{status: status})
-	case control.Arm:
+	case control.SetTimer:
 		time.AfterFunc(a.After, func() {
 			l.post(func() { l.handle(control.Timer{Label: a.Label}) })
 		})
 	case control.Disconnect:
 		l.retire(a.Server, true)
-	case control.Remark:
+	case control.LogLine:
 		slog.Info("module", "remark", a.Text)
 	}
 }
@@ -176,11 +176,11 @@
 		x.version = l.council.look()
 		l.council.header(x)
 	}
-	if x.req.TTL = x.left; !x.deadline.IsZero() {
-		x.req.TTL = time.Until(x.deadline)
+	if x.req.TimeLeft = x.left; !x.deadline.IsZero() {
+		x.req.TimeLeft = time.Until(x.deadline)
 	}
 	if l.sharing != nil {
-		x.req.Shared = l.sharing.known(&x.req)
+		x.req.Bucket = l.sharing.known(&x.req)
 	}
 	l.handle(x.req)
 }
@@ -202,7 +202,7 @@
 		return
 	}
 	l.finish(x, answer{})
-	l.handle(control.Hangup{ID: x.req.ID})
+	l.handle(control.ClientGone{ID: x.req.ID})
 }
 
 // finishID gives a request its final answer where it has none.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -107,7 +107,7 @@
 		// connection to it opens.
 		connect = min(connect, grace)
 	}
-	return newUpstream(connect, cfg.Keepalive, cfg.Settings.GroupSize, socks, newBudget(memory))
+	return newUpstream(connect, cfg.Keepalive, cfg.Settings.FleetSize, socks, newBudget(memory))
 }
 
 // assemble adds the parts that the configuration and the fleet file switch on, and the list watch.
@@ -156,7 +156,7 @@
 }
 
 // learn tells the loop's side of a list; with a server to send to the node is ready, else by readyBy.
-func (n *Node) learn(kind control.ListKind, news discovery.Update) {
+func (n *Node) learn(kind control.UpdateKind, news discovery.Update) {
 	n.loop.list(kind, news)
 	if len(n.loop.ids) > 0 && !n.listDue.Load() {
 		n.front.ready.Store(true)
@@ -190,7 +190,7 @@
 	parts.Go(func() { n.loop.run(work) })
 	// Guards against a bound that the module sets by a list of no servers.
 	if len(n.known.Targets) > 0 {
-		n.loop.post(func() { n.learn(control.Stale, n.known) })
+		n.loop.post(func() { n.learn(control.Cached, n.known) })
 	}
 	if before != nil {
 		parts.Go(func() { n.succeed(life, before) })
--- a/internal/node/resets_test.go
+++ b/internal/node/resets_test.go
@@ -165,7 +165,7 @@
 		parts  [][]byte
 		within func(n *line) // before the second part
 		after  func(n *line) // when all is written
-		want   control.Reason
+		want   control.Outcome
 	}{
 		"before its bytes": {[][]byte{{1}, {2}}, (*line).reset, nil, control.ConnectFailed},
 		"in its bytes": {[][]byte{make([]byte, piece), make([]byte, piece)}, func(n *line) {
--- a/internal/node/serveranswers.go
+++ b/internal/node/serveranswers.go
@@ -130,7 +130,7 @@
 		o.reason = control.OK
 	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get(headerUnseen) == "1":
-		o.reason = control.Full
+		o.reason = control.Overloaded
 	default:
 		o.reason = control.Errored
 	}
@@ -148,7 +148,7 @@
 	case length >= 0:
 		size = length
 	}
-	fail := func(reason control.Reason, err error) (outcome, bool) {
+	fail := func(reason control.Outcome, err error) (outcome, bool) {
 		o.held.shrink(0)
 		return outcome{reason: reason, err: err, begun: o.begun}, false
 	}
@@ -187,10 +187,10 @@
 		}
 		switch {
 		case o.begun && to == nil:
-			return fail(control.Moot, errLeft)
+			return fail(control.NeverSent, errLeft)
 		case o.begun && n > 0:
 			if _, gone := to.Write(piece[:n]); gone != nil {
-				return fail(control.Moot, gone)
+				return fail(control.NeverSent, gone)
 			}
 		case !o.begun:
 			if o.body = append(o.body, piece[:n]...); len(o.body) > bodyMost && o.reason != control.OK {
--- a/internal/node/serverconns_test.go
+++ b/internal/node/serverconns_test.go
@@ -71,7 +71,7 @@
 	socks := newSockets(0, 0)
 	socks.most.Store(0)
 	u := newUpstream(patience, patience, 1, socks, newBudget(64))
-	if o := u.try(context.Background(), u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.Moot || a.count() > 0 {
+	if o := u.try(context.Background(), u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.NeverSent || a.count() > 0 {
 		t.Errorf("%d (%v)", o.reason, o.err)
 	}
 }
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -13,21 +13,21 @@
 func condition(s discovery.Status) control.Condition {
 	switch s {
 	case discovery.Available:
-		return control.On
+		return control.Active
 	case discovery.Removed:
-		return control.Off
+		return control.Removed
 	}
-	return control.Fading
+	return control.Draining
 }
 
 // member is what the decision module is told of a target under the id that this node gave it. Ids are
 // given in the order in which a node hears of servers; the key is the same at all nodes.
-func member(t *discovery.Target, id uint32) control.Member {
+func member(t *discovery.Target, id uint32) control.Endpoint {
 	key := fnv.New32a()
 	io.WriteString(key, t.UID)
-	return control.Member{Server: id, Key: key.Sum32(), Condition: condition(t.Status()), Zone: t.Zone, Cell: t.Group,
-		Flavor: t.Model, Size: t.Capacity, HasCameUp: t.BootMS > 0,
-		CameUp: time.Duration(t.BootMS * float64(time.Millisecond))}
+	return control.Endpoint{Server: id, HashKey: key.Sum32(), Condition: condition(t.Status()), Zone: t.Zone, Cell: t.Group,
+		Flavor: t.Model, Size: t.Capacity, HasStartedAt: t.BootMS > 0,
+		StartedAt: time.Duration(t.BootMS * float64(time.Millisecond))}
 }
 
 // retire lets go of the connections to an app server, and takes new ones where it goes on.
@@ -44,36 +44,36 @@
 }
 
 // list takes in what discovery tells. What is no longer listed is forgotten.
-func (l *loop) list(kind control.ListKind, news discovery.Update) {
+func (l *loop) list(kind control.UpdateKind, news discovery.Update) {
 	l.keep(kind, news)
 	l.show(kind, news)
 }
 
 // show has the module and the pools go by a list.
-func (l *loop) show(kind control.ListKind, news discovery.Update) {
+func (l *loop) show(kind control.UpdateKind, news discovery.Update) {
 	l.handle(l.apply(kind, news))
 	l.publish()
 }
 
 // apply has the pools and the other parts of the node go by a list, and gives what the module is told.
-func (l *loop) apply(kind control.ListKind, news discovery.Update) control.List {
-	e := control.List{Kind: kind, Sharers: l.sharers}
+func (l *loop) apply(kind control.UpdateKind, news discovery.Update) control.EndpointUpdate {
+	e := control.EndpointUpdate{Kind: kind, NodesPerServer: l.sharers}
 	listed := make(map[string]bool)
 	for i := range news.Targets {
 		t := &news.Targets[i]
 		m := member(t, l.idOf(t.UID))
 		l.note(m.Server, t)
-		e.Members = append(e.Members, m)
-		listed[t.UID] = m.Condition != control.Off
-		if p := l.pools[m.Server]; p != nil && (m.Condition != control.On || p.endpoint != t.Endpoint) {
+		e.Endpoints = append(e.Endpoints, m)
+		listed[t.UID] = m.Condition != control.Removed
+		if p := l.pools[m.Server]; p != nil && (m.Condition != control.Active || p.endpoint != t.Endpoint) {
 			l.retire(m.Server, false)
 		}
-		if m.Condition == control.On && l.pools[m.Server] == nil {
+		if m.Condition == control.Active && l.pools[m.Server] == nil {
 			l.pools[m.Server] = l.upstream.pool(t.Endpoint)
 		}
 	}
 	for uid, id := range l.ids {
-		if is, told := listed[uid]; told && !is || !told && kind != control.Patch {
+		if is, told := listed[uid]; told && !is || !told && kind != control.Delta {
 			l.retire(id, false)
 			delete(l.ids, uid)
 			l.note(id, nil)
--- a/internal/node/servers_test.go
+++ b/internal/node/servers_test.go
@@ -113,10 +113,10 @@
 // Nodes that hear of servers in another order know them by the same keys.
 func TestServersHaveTheSameKeyAtAllNodes(t *testing.T) {
 	a, b := discovery.Target{UID: "s-1", State: "up"}, discovery.Target{UID: "s-2", State: "up"}
-	if here, there := member(&a, 1), member(&a, 2); here.Key != there.Key || here.Key == 0 || here.Server == there.Server {
+	if here, there := member(&a, 1), member(&a, 2); here.HashKey != there.HashKey || here.HashKey == 0 || here.Server == there.Server {
 		t.Errorf("%+v and %+v", here, there)
 	}
-	if member(&a, 1).Key == member(&b, 1).Key {
+	if member(&a, 1).HashKey == member(&b, 1).HashKey {
 		t.Error("two servers have one key")
 	}
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -139,7 +139,7 @@
 			require.Positive(t, n.most)
 			// Within what discovery's TestPausesOfAnySettingsArePositive draws from.
 			require.GreaterOrEqual(t, cfg.Settings.DrainGrace, time.Duration(0))
-			require.Positive(t, cfg.Settings.GroupSize)
+			require.Positive(t, cfg.Settings.FleetSize)
 		})
 	}
 }
--- a/internal/node/sharing.go
+++ b/internal/node/sharing.go
@@ -94,16 +94,16 @@
 func (s *sharing) start(p *peer.Peers) {
 	quotas := make(map[uint32]share.Quota)
 	for _, plan := range s.set.Plans {
-		quotas[planKey(plan.Name)] = share.Quota{Rate: plan.Rate, Depth: plan.Depth}
+		quotas[planKey(plan.Name)] = share.Quota{Rate: plan.Rate, Depth: plan.Burst}
 	}
-	customers := s.set.Customers
+	customers := s.set.MaxTenants
 	if customers <= 0 {
 		customers = customersAt
 	}
 	s.peers.Store(p)
 	s.done.Go(s.carry)
 	s.loop.post(func() { // it waits for a loop that has not begun
-		s.ex = share.NewExchange(share.Config{Self: s.set.SelfIndex, Group: s.set.GroupSize, Life: p.Incarnation(),
+		s.ex = share.NewExchange(share.Config{Self: s.set.NodeIndex, Group: s.set.FleetSize, Life: p.Incarnation(),
 			Quotas: quotas, Customers: customers}, s.loop.now())
 		s.members()
 	})
@@ -112,24 +112,24 @@
 func planKey(plan string) uint32 { return uint32(xxhash.Sum64String(plan)) }
 
 func customerKey(r *control.Request) uint64 {
-	return xxhash.Sum64String(r.Plan + " " + r.Customer)
+	return xxhash.Sum64String(r.Plan + " " + r.Tenant)
 }
 
 // ---- the loop's ----
 
 // known gives what is known of the store that a request is held against; nil is nothing.
-func (s *sharing) known(r *control.Request) *control.Shared {
+func (s *sharing) known(r *control.Request) *control.SharedBucket {
 	if s.ex == nil || !s.on.Limits {
 		return nil
 	}
-	k, ok := s.ex.Level(s.loop.now(), customerKey(r), planKey(r.Plan), share.Set{First: r.SetStart, Spread: r.Spread})
+	k, ok := s.ex.Level(s.loop.now(), customerKey(r), planKey(r.Plan), share.Set{First: r.FirstNode, Spread: r.TenantNodes})
 	if !ok {
 		s.unknown.Inc()
 		return nil
 	}
 	s.knownStore.Inc()
 	s.age.Observe(k.Age.Seconds())
-	return &control.Shared{Units: k.Units, Least: k.Least, Age: k.Age}
+	return &control.SharedBucket{Tokens: k.Units, AtLeast: k.Least, Age: k.Age}
 }
 
 // sent tells of units sent on; see share.Exchange.
@@ -137,7 +137,7 @@
 	if s.ex == nil || !s.on.Limits {
 		return
 	}
-	s.ex.Sent(s.loop.now(), customerKey(r), planKey(r.Plan), share.Set{First: r.SetStart, Spread: r.Spread}, units, correction)
+	s.ex.Sent(s.loop.now(), customerKey(r), planKey(r.Plan), share.Set{First: r.FirstNode, Spread: r.TenantNodes}, units, correction)
 	s.arm()
 }
 
@@ -167,7 +167,7 @@
 	for _, v := range s.ex.Verdicts(s.loop.now(), len(s.ids)) {
 		if id, ok := s.ids[v.Server]; ok {
 			slog.Info("sharing: others speak against a server", "server", id, "witnesses", v.Witnesses)
-			s.loop.handle(control.Hearsay{Server: id, Witnesses: v.Witnesses, Until: v.At + share.VerdictLife})
+			s.loop.handle(control.OutlierReport{Server: id, Reporters: v.Witnesses, Until: v.At + share.VerdictLife})
 		}
 	}
 }
@@ -237,7 +237,7 @@
 
 // receive takes a message; the bytes are the caller's after it.
 func (s *sharing) receive(raw []byte) {
-	m, err := share.Decode(raw, s.set.GroupSize)
+	m, err := share.Decode(raw, s.set.FleetSize)
 	if err != nil {
 		s.spoilt.Inc()
 		slog.Debug("sharing: a spoilt message", "bytes", len(raw), "err", err)
--- a/internal/node/sharing_test.go
+++ b/internal/node/sharing_test.go
@@ -29,7 +29,7 @@
 	var rigs [2]*rig
 	for i := range rigs {
 		rigs[i] = newRigWith(t, func(c *Config) {
-			c.Name, c.Settings.SelfIndex, c.Settings.PeerMessages = fmt.Sprint("n", i), i, true
+			c.Name, c.Settings.NodeIndex, c.Settings.PeerMessages = fmt.Sprint("n", i), i, true
 			c.Listen = host + ":0"
 			c.Fleet = &Fleet{Peers: &PeersConfig{Label: t.Name(), Port: ports[i], Seeds: []string{fmt.Sprint(host, ":", ports[1-i])}, Limits: limits}}
 		})
@@ -56,7 +56,7 @@
 			t.Parallel()
 			app := newApp(t, served)
 			rigs := pair(t, limits)
-			q := &control.Request{Plan: "basic", Customer: "00000000b4d65521", Spread: 2}
+			q := &control.Request{Plan: "basic", Tenant: "00000000b4d65521", TenantNodes: 2}
 			for _, r := range rigs {
 				r.list(app.target("a", 1))
 				if limits {
@@ -78,7 +78,7 @@
 			}
 			b.wait("word of the store", func() bool {
 				s := b.node.loop.sharing.known(q)
-				return s != nil && !s.Least && s.Units < 3
+				return s != nil && !s.AtLeast && s.Tokens < 3
 			})
 			if got := askBasic(b, "b", 4, 2); got != http.StatusServiceUnavailable {
 				t.Errorf("a node that is told of an empty store answers %d", got)
@@ -102,8 +102,8 @@
 
 // What the loop does more for a request where limits are shared, and the store known.
 func BenchmarkSharing(b *testing.B) {
-	q := &control.Request{Plan: "basic", Customer: "x", Spread: 3, Units: 1}
-	s := newSharing(&control.Settings{GroupSize: 3}, PeersConfig{Limits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
+	q := &control.Request{Plan: "basic", Tenant: "x", TenantNodes: 3, Tokens: 1}
+	s := newSharing(&control.Settings{FleetSize: 3}, PeersConfig{Limits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
 	s.ex = share.NewExchange(share.Config{Self: 0, Group: 3, Life: 1, Customers: 1000,
 		Quotas: map[uint32]share.Quota{planKey("basic"): {Rate: 1e9, Depth: 1e9}}}, s.loop.now())
 	s.ex.Live(s.loop.now(), []share.Node{{Index: 1, Life: 1}, {Index: 2, Life: 1}})
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -134,7 +134,7 @@
 	const window = time.Second
 	for name, late := range map[string]bool{"in time": false, "too late": true} {
 		t.Run(name, func(t *testing.T) {
-			r := newRigWith(t, func(c *Config) { c.Settings.Classes[1].RepeatWindow = window })
+			r := newRigWith(t, func(c *Config) { c.Settings.Classes[1].IdempotencyWindow = window })
 			first := true
 			a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
 				if first {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -15,7 +15,7 @@
 
 // outcome is how an attempt ended.
 type outcome struct {
-	reason control.Reason
+	reason control.Outcome
 	err    error // why, where there was no answer
 	header http.Header
 	body   []byte
@@ -85,14 +85,14 @@
 func (u *upstream) try(ctx context.Context, p *pool, a *attempt) outcome {
 	c, err := u.get(ctx, p)
 	if errors.Is(err, errNoDescriptor) { // speaks against no app server
-		return outcome{reason: control.Moot, err: err}
+		return outcome{reason: control.NeverSent, err: err}
 	} else if err != nil {
 		return outcome{reason: control.ConnectFailed, err: err}
 	}
 	// No sooner: a connection takes its time to come up, and what it was for may be over then.
 	if ctx.Err() != nil || a.expired() || !a.start.begin() {
 		u.put(p, c)
-		return outcome{reason: control.Moot, err: errOff}
+		return outcome{reason: control.NeverSent, err: errOff}
 	}
 	c.in.start(ctx)
 	// Guards against a peer that takes or gives nothing: both directions end with ctx.
@@ -166,7 +166,7 @@
 	a.rest.mu.Lock()
 	defer a.rest.mu.Unlock()
 	if a.rest.fault != nil { // the client's: speaks against no app server
-		return outcome{reason: control.Moot, err: a.rest.fault}, false
+		return outcome{reason: control.NeverSent, err: a.rest.fault}, false
 	}
 	return outcome{reason: control.ConnectFailed, err: err}, false
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -44,7 +44,7 @@
 	refusing.Close()
 	for name, tc := range map[string]struct {
 		answer string // "" is an endpoint that refuses connections
-		want   control.Reason
+		want   control.Outcome
 	}{
 		"served":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK},
 		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", control.OK},
@@ -53,8 +53,8 @@
 		"not found":            {"HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", control.Errored},
 		"503 of no account":    {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", control.Errored},
 		"504 marked otherwise": {"HTTP/1.1 504 No\r\nX-Unprocessed: 0\r\nContent-Length: 0\r\n\r\n", control.Errored},
-		"503 turned away":      {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.Full},
-		"504 turned away":      {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.Full},
+		"503 turned away":      {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.Overloaded},
+		"504 turned away":      {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.Overloaded},
 		"500 marked":           {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", control.Errored},
 		"hung up":              {" ", control.ResetByPeer},
 		"no HTTP":              {"what?\r\n\r\n", control.ResetByPeer},
@@ -127,7 +127,7 @@
 	defer l.Close()
 	for name, tc := range map[string]struct {
 		body []byte
-		want control.Reason
+		want control.Outcome
 	}{
 		"takes nothing":   {make([]byte, 64<<20), control.ConnectFailed},
 		"answers nothing": {[]byte("body"), control.TimedOut},
@@ -170,7 +170,7 @@
 	if o.used() != 86 || o.cost(4) != 3 {
 		t.Errorf("used %d, cost %g", o.used(), o.cost(4))
 	}
-	if l := *o.load(); l != (control.Load{Active: 7, Waiting: 2, CPU: 0.61, AvgMS: 12.5, RPS: -1, ErrRPS: -1}) {
+	if l := *o.load(); l != (control.LoadReport{Active: 7, Waiting: 2, CPU: 0.61, AvgMS: 12.5, RPS: -1, ErrRPS: -1}) {
 		t.Errorf("load %+v", l)
 	}
 	for _, odd := range []string{"", "x", "-1", "NaN", "1e400", "1e300", "99999", "inflight=-1,util=NaN", "queue=1e300"} {
--- a/internal/node/watching.go
+++ b/internal/node/watching.go
@@ -36,10 +36,10 @@
 
 // failing are the ends that speak against a server. One that is full speaks of its load; one that was
 // called off says nothing.
-var failing = map[control.Reason]bool{control.Errored: true, control.TimedOut: true, control.ConnectFailed: true, control.ResetByPeer: true}
+var failing = map[control.Outcome]bool{control.Errored: true, control.TimedOut: true, control.ConnectFailed: true, control.ResetByPeer: true}
 
 // ended takes how an attempt ended.
-func (w *watching) ended(number uint64, how control.Reason) {
+func (w *watching) ended(number uint64, how control.Outcome) {
 	server, took, late, ok := w.w.Ended(w.loop.now(), number, how == control.OK)
 	switch {
 	case !ok:
--- a/internal/node/zoning.go
+++ b/internal/node/zoning.go
@@ -114,7 +114,7 @@
 	}
 	if changed {
 		z.views.Store(&views)
-		z.loop.handle(control.Zones{Away: away})
+		z.loop.handle(control.ZoneEvacuation{Evacuated: away})
 	}
 	return cut
 }
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -24,31 +24,31 @@
 	case control.Send:
 		b = pair(begin(b, "call_out", who), " xid=", a.ID)
 		b = strconv.AppendUint(append(b, " server="...), uint64(a.Server), 10)
-		if a.Within != 0 {
-			b = appendMS(append(b, " within="...), a.Within)
+		if a.Timeout != 0 {
+			b = appendMS(append(b, " within="...), a.Timeout)
 		}
-	case control.Withdraw:
+	case control.CancelAttempt:
 		b = pair(begin(b, "withdraw", who), " xid=", a.ID)
-		b = strconv.AppendInt(append(b, " n="...), int64(a.N), 10)
-	case control.Refuse:
+		b = strconv.AppendInt(append(b, " n="...), int64(a.Attempt), 10)
+	case control.Reject:
 		b = pair(begin(b, "busy", who), " xid=", a.ID)
 		if a.RetryAfter > 0 {
 			b = appendMS(append(b, " backoff="...), a.RetryAfter)
 		}
 	case control.Fail:
 		b = pair(begin(b, "finish_error", who), " xid=", a.ID)
-	case control.Arm:
+	case control.SetTimer:
 		b = appendMS(append(begin(b, "arm", who), " offset="...), a.After)
 		b = strconv.AppendUint(append(b, " label="...), a.Label, 10)
-	case control.Probe:
+	case control.HealthCheck:
 		b = strconv.AppendUint(append(begin(b, "poll", who), " server="...), uint64(a.Server), 10)
 	case control.Disconnect:
 		b = strconv.AppendUint(append(begin(b, "disconnect", who), " server="...), uint64(a.Server), 10)
-	case control.Follow:
+	case control.Watch:
 		b = pair(begin(b, "follow", who), " active=", map[bool]string{true: "1", false: "0"}[a.Active])
-	case control.Snapshot:
+	case control.FetchList:
 		b = begin(b, "snapshot", who)
-	case control.Say:
+	case control.SendToPeer:
 		b = append(begin(b, "say", who), " neighbour-id="...)
 		if a.To < 0 {
 			b = append(b, "all"...)
@@ -56,11 +56,11 @@
 			b = strconv.AppendInt(b, int64(a.To), 10)
 		}
 		b = pair(b, " raw=", hexOrDash(a.Raw))
-	case control.Count:
+	case control.AddToCounter:
 		b = strconv.AppendUint(append(begin(b, "incr", who), " cname="...), a.Name, 10)
 		b = strconv.AppendFloat(append(b, " by="...), a.Add, 'f', -1, 64)
-		b = appendMS(append(b, " expire-in="...), a.Lives)
-	case control.Remark:
+		b = appendMS(append(b, " expire-in="...), a.TTL)
+	case control.LogLine:
 		return appendText(begin(b, "remark", who), a.Text)
 	default:
 		panic(fmt.Sprintf("wire: no text for action %T", a))
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -60,19 +60,19 @@
 
 func (g *facts) settings() control.Settings {
 	s := control.Settings{
-		SelfIndex: int(g.num("self-index")), GroupSize: int(g.num("group-size")), Zone: g.m["zone"],
-		OnRequest: g.m["discovery"] == "on_request",
-		AskWithin: g.ms("contract.ask-within", false), DrainGrace: g.ms("contract.drain-grace", false),
-		Cold: g.ms("contract.cold", false), ColdFrom: g.num("contract.cold-from"),
-		Fall: g.ms("contract.fall", false), FallMultiple: g.num("contract.fall-multiple"),
-		MeterPeriod: g.ms("domain.meter-period", false), CostAfter: g.flag("domain.cost-after"),
-		UnitsTop: g.num("domain.units-top"), HasCounter: g.flag("domain.has-counter"),
-		InboxPerS: g.num("domain.inbox-per-s"),
-		SendCap:   int(g.num("limits.send-cap")), OpenCap: int(g.num("limits.open-cap")),
-		MayCancel: g.flag("limits.may-cancel"), MarksRetry: g.flag("clients.marks-retry"), Probes: g.flag("limits.probes"),
-		PeerMessages: g.flag("limits.peer-messages"), SecondCopies: g.flag("limits.second-copies"),
-		RetryAfter: g.flag("limits.retry-after"), MaxRetryAfter: g.ms("limits.max-retry-after", false),
-		CrossZone: g.num("charges.cross-zone"),
+		NodeIndex: int(g.num("self-index")), FleetSize: int(g.num("group-size")), Zone: g.m["zone"],
+		PollDiscovery: g.m["discovery"] == "on_request",
+		PollWithin:    g.ms("contract.ask-within", false), DrainGrace: g.ms("contract.drain-grace", false),
+		SlowStartDuration: g.ms("contract.cold", false), SlowStartInitial: g.num("contract.cold-from"),
+		OverloadWindow: g.ms("contract.fall", false), OverloadFactor: g.num("contract.fall-multiple"),
+		MeterPeriod: g.ms("domain.meter-period", false), CostWithAnswer: g.flag("domain.cost-after"),
+		MaxTokens: g.num("domain.units-top"), HasCounter: g.flag("domain.has-counter"),
+		PeerMessagesPerSecond: g.num("domain.inbox-per-s"),
+		MaxAttempts:           int(g.num("limits.send-cap")), MaxInFlight: int(g.num("limits.open-cap")),
+		CanCancel: g.flag("limits.may-cancel"), ClientsMarkRetries: g.flag("clients.marks-retry"), HealthChecks: g.flag("limits.probes"),
+		PeerMessages: g.flag("limits.peer-messages"), HedgedRequests: g.flag("limits.second-copies"),
+		SendsRetryAfter: g.flag("limits.retry-after"), MaxRetryAfter: g.ms("limits.max-retry-after", false),
+		CrossZoneCost: g.num("charges.cross-zone"),
 	}
 	for i := 0; i < g.count("classes"); i++ {
 		s.Classes = append(s.Classes, g.class(fmt.Sprintf("classes.%d.", i)))
@@ -94,26 +94,26 @@
 }
 
 func (g *facts) class(p string) control.Class {
-	c := control.Class{Name: g.m[p+"name"], Aim: g.ms(p+"aim", false), Deadline: g.ms(p+"deadline", false),
-		RepeatWindow: g.ms(p+"repeat-window", false), Worth: g.num(p + "worth"),
-		LateShare: g.num(p + "late-share"), Stream: g.flag(p + "stream")}
+	c := control.Class{Name: g.m[p+"name"], LatencyObjective: g.ms(p+"aim", false), Deadline: g.ms(p+"deadline", false),
+		IdempotencyWindow: g.ms(p+"repeat-window", false), PriorityWeight: g.num(p + "worth"),
+		LateValueFraction: g.num(p + "late-share"), Stream: g.flag(p + "stream")}
 	switch e := g.m[p+"effect"]; e {
 	case "free":
-		c.Effect = control.Free
+		c.Idempotency = control.Idempotent
 	case "guarded":
-		c.Effect = control.Guarded
+		c.Idempotency = control.IdempotentByKey
 	case "single_shot":
-		c.Effect = control.SingleShot
+		c.Idempotency = control.NonIdempotent
 	default:
 		g.bad(p+"effect", fmt.Errorf("unknown value %q", e))
 	}
 	switch k := g.m[p+"key-scope"]; k {
 	case "", "all":
-		c.KeyScope = control.ScopeAll
+		c.KeyScope = control.KeyScopeAll
 	case "zone":
-		c.KeyScope = control.ScopeZone
+		c.KeyScope = control.KeyScopeZone
 	case "cell":
-		c.KeyScope = control.ScopeCell
+		c.KeyScope = control.KeyScopeCell
 	default:
 		g.bad(p+"key-scope", fmt.Errorf("unknown value %q", k))
 	}
@@ -121,8 +121,8 @@
 }
 
 func (g *facts) plan(p string) control.Plan {
-	return control.Plan{Name: g.m[p+"name"], Price: g.num(p + "value-factor"), Rate: g.num(p + "quota-rate"),
-		Depth: g.num(p + "depth"), Open: int(g.num(p + "open")), OverCost: g.num(p + "overrun-cost"),
-		OverEarns: g.num(p + "beyond-earns"), CeilingRate: g.num(p + "cap-rate"),
-		CeilingBurst: g.num(p + "hard-burst"), CeilingSlack: g.num(p + "ceiling-slack")}
+	return control.Plan{Name: g.m[p+"name"], PriceFactor: g.num(p + "value-factor"), Rate: g.num(p + "quota-rate"),
+		Burst: g.num(p + "depth"), MaxConcurrent: int(g.num(p + "open")), OverQuotaCost: g.num(p + "overrun-cost"),
+		OverQuotaValue: g.num(p + "beyond-earns"), CeilingRate: g.num(p + "cap-rate"),
+		CeilingBurst: g.num(p + "hard-burst"), CeilingOverdraft: g.num(p + "ceiling-slack")}
 }
