--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -116,27 +116,27 @@
 			return in, true, d.fail(name, f.err)
 		}
 		members, err := d.members(count)
-		in.Event = control.List{Kind: kind, Members: members}
+		in.Event = control.EndpointUpdate{Kind: kind, Endpoints: members}
 		return in, true, err
 	case "request":
 		in.Event = request(f)
 	case "started":
-		in.Event = control.Started{ID: f.text("xid", true), N: int(f.integer("n", false)),
+		in.Event = control.ResponseStarted{ID: f.text("xid", true), Attempt: int(f.integer("n", false)),
 			Server: f.server(), Delay: f.ms("delay-seen", false)}
 	case "response":
 		in.Event = response(f)
 	case "hangup":
-		in.Event = control.Hangup{ID: f.text("xid", true)}
+		in.Event = control.ClientGone{ID: f.text("xid", true)}
 	case "elapsed":
 		in.Event = control.Timer{Label: f.unsigned("label", true)}
 	case "ping_result":
-		in.Event = control.ProbeResult{Server: f.server(), Reason: control.Reason(f.integer("reason", true)),
-			Delay: f.ms("delay-seen", false), Load: load(f)}
+		in.Event = control.HealthCheckResult{Server: f.server(), Outcome: control.Outcome(f.integer("reason", true)),
+			Delay: f.ms("delay-seen", false), LoadReport: load(f)}
 	case "peer":
 		in.Event = control.PeerMessage{From: int(f.integer("src", true)), Raw: f.bytes("raw")}
 	case "reckoned":
-		in.Event = control.Counted{Name: f.unsigned("cname", true), Total: f.number("total", false),
-			Delay: f.ms("delay-seen", false), Reason: control.Reason(f.integer("reason", true))}
+		in.Event = control.CounterResult{Name: f.unsigned("cname", true), Total: f.number("total", false),
+			Delay: f.ms("delay-seen", false), Outcome: control.Outcome(f.integer("reason", true))}
 	default:
 		return in, false, nil
 	}
@@ -150,43 +150,43 @@
 func request(f *fields) control.Request {
 	bits := f.unsigned("bitmap", false)
 	r := control.Request{ID: f.text("xid", true), Class: f.text("class", true), Plan: f.text("terms", false),
-		Customer: f.text("client-id", false), TTL: f.ms("ttl", true), Units: 1, Spread: 1,
-		SetStart: int(f.number("set-start", false)), Repeat: bits&2 != 0, Write: bits&4 != 0}
+		Tenant: f.text("client-id", false), TimeLeft: f.ms("ttl", true), Tokens: 1, TenantNodes: 1,
+		FirstNode: int(f.number("set-start", false)), Retry: bits&2 != 0, Write: bits&4 != 0}
 	if f.has("weight") {
-		r.Units = f.number("weight", true)
+		r.Tokens = f.number("weight", true)
 	}
 	if f.has("spread") {
-		r.Spread = int(f.number("spread", true))
+		r.TenantNodes = int(f.number("spread", true))
 	}
 	return r
 }
 
-func response(f *fields) control.Response {
-	return control.Response{ID: f.text("xid", true), N: int(f.integer("n", false)), Server: f.server(),
-		Reason: control.Reason(f.integer("reason", true)), Done: f.boolean("no-more"),
-		Delay: f.ms("delay-seen", false), Cost: f.number("cost", false),
-		Used: int(f.integer("use-pct", false)), Load: load(f)}
+func response(f *fields) control.AttemptEnded {
+	return control.AttemptEnded{ID: f.text("xid", true), Attempt: int(f.integer("n", false)), Server: f.server(),
+		Outcome: control.Outcome(f.integer("reason", true)), Done: f.boolean("no-more"),
+		Delay: f.ms("delay-seen", false), Tokens: f.number("cost", false),
+		MeterReading: int(f.integer("use-pct", false)), LoadReport: load(f)}
 }
 
-func listKind(f *fields) control.ListKind {
+func listKind(f *fields) control.UpdateKind {
 	switch k := f.text("kind", true); k {
 	case "patch":
-		return control.Patch
+		return control.Delta
 	case "whole":
-		return control.Whole
+		return control.Complete
 	case "stale_copy":
-		return control.Stale
+		return control.Cached
 	case "broken":
-		return control.Broken
+		return control.Failed
 	default:
 		f.bad("kind", fmt.Errorf("unknown value %q", k))
-		return control.Broken
+		return control.Failed
 	}
 }
 
 // members reads the item lines of a discovery event.
-func (d *Decoder) members(count int64) ([]control.Member, error) {
-	var list []control.Member
+func (d *Decoder) members(count int64) ([]control.Endpoint, error) {
+	var list []control.Endpoint
 	for ; count > 0; count-- {
 		s, err := d.next()
 		if err != nil {
@@ -197,16 +197,16 @@
 			return nil, d.fail(name, fmt.Errorf("an item was expected"))
 		}
 		f := parse(rest)
-		m := control.Member{Server: f.server(), Zone: f.text("area", false), Flavor: f.text("flavor", false),
-			Cell: int(f.integer("unit-group", false)), Size: f.number("size", false), CameUp: f.ms("came-up", false)}
-		m.HasCameUp = m.CameUp != 0
+		m := control.Endpoint{Server: f.server(), Zone: f.text("area", false), Flavor: f.text("flavor", false),
+			Cell: int(f.integer("unit-group", false)), Size: f.number("size", false), StartedAt: f.ms("came-up", false)}
+		m.HasStartedAt = m.StartedAt != 0
 		switch c := f.text("condition", true); c {
 		case "on":
-			m.Condition = control.On
+			m.Condition = control.Active
 		case "fading":
-			m.Condition = control.Fading
+			m.Condition = control.Draining
 		case "off":
-			m.Condition = control.Off
+			m.Condition = control.Removed
 		default:
 			f.bad("condition", fmt.Errorf("unknown value %q", c))
 		}
@@ -219,12 +219,12 @@
 }
 
 // load reads the report of a server; names that are not known are skipped.
-func load(f *fields) *control.Load {
+func load(f *fields) *control.LoadReport {
 	s := f.text("pressure", false)
 	if s == "" {
 		return nil
 	}
-	l := &control.Load{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
+	l := &control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
 	into := map[string]*float64{"active": &l.Active, "waiting": &l.Waiting, "cpu": &l.CPU,
 		"avg_ms": &l.AvgMS, "rps": &l.RPS, "err_rps": &l.ErrRPS}
 	for s != "" {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -34,14 +34,14 @@
 		t.Errorf("%+v", b)
 	}
 	k := s.Classes[0]
-	if k.Effect != control.Guarded || k.KeyScope != control.ScopeCell || k.RepeatWindow != 5*time.Second {
+	if k.Idempotency != control.IdempotentByKey || k.KeyScope != control.KeyScopeCell || k.IdempotencyWindow != 5*time.Second {
 		t.Errorf("class %+v", k)
 	}
 	p := s.Plans[0]
-	if p.Rate != 0.84 || p.Depth != 4 || p.Open != 2 || p.CeilingRate != 17 {
+	if p.Rate != 0.84 || p.Burst != 4 || p.MaxConcurrent != 2 || p.CeilingRate != 17 {
 		t.Errorf("plan %+v", p)
 	}
-	if !s.OnRequest || !s.CostAfter || !s.Probes || s.GroupSize != 2 || s.SelfIndex != 1 || s.SendCap != 3 {
+	if !s.PollDiscovery || !s.CostWithAnswer || !s.HealthChecks || s.FleetSize != 2 || s.NodeIndex != 1 || s.MaxAttempts != 3 {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -63,17 +63,17 @@
 	if len(b.Inputs) != 10 {
 		t.Fatalf("%d inputs", len(b.Inputs))
 	}
-	l := b.Inputs[0].Event.(control.List)
-	if l.Kind != control.Stale || len(l.Members) != 2 || l.Members[1].Condition != control.Fading ||
-		l.Members[1].CameUp != 6100*time.Millisecond || l.Members[0].HasCameUp {
+	l := b.Inputs[0].Event.(control.EndpointUpdate)
+	if l.Kind != control.Cached || len(l.Endpoints) != 2 || l.Endpoints[1].Condition != control.Draining ||
+		l.Endpoints[1].StartedAt != 6100*time.Millisecond || l.Endpoints[0].HasStartedAt {
 		t.Errorf("list %+v", l)
 	}
 	r := b.Inputs[1].Event.(control.Request)
-	if r.TTL != 240*time.Millisecond || r.Units != 2 || r.Spread != 3 || !r.Repeat || !r.Write {
+	if r.TimeLeft != 240*time.Millisecond || r.Tokens != 2 || r.TenantNodes != 3 || !r.Retry || !r.Write {
 		t.Errorf("request %+v", r)
 	}
-	o := b.Inputs[2].Event.(control.Response)
-	if !o.Done || o.Cost != 3 || o.Used != 86 || o.Reason != control.OK || o.Load.CPU != 0.62 || o.Load.RPS != -1 {
+	o := b.Inputs[2].Event.(control.AttemptEnded)
+	if !o.Done || o.Tokens != 3 || o.MeterReading != 86 || o.Outcome != control.OK || o.LoadReport.CPU != 0.62 || o.LoadReport.RPS != -1 {
 		t.Errorf("response %+v", o)
 	}
 	if !b.Inputs[9].PowerOff {
@@ -114,20 +114,20 @@
 
 func TestActions(t *testing.T) {
 	for want, a := range map[string]control.Action{
-		"call_out who=3 xid=0a server=51 within=80\n": control.Send{ID: "0a", Server: 51, Within: 80 * time.Millisecond},
+		"call_out who=3 xid=0a server=51 within=80\n": control.Send{ID: "0a", Server: 51, Timeout: 80 * time.Millisecond},
 		"call_out who=3 xid=0a server=51\n":           control.Send{ID: "0a", Server: 51},
-		"withdraw who=3 xid=0a n=1\n":                 control.Withdraw{ID: "0a", N: 1},
-		"busy who=3 xid=0a backoff=250.5\n":           control.Refuse{ID: "0a", RetryAfter: 250500 * time.Microsecond},
+		"withdraw who=3 xid=0a n=1\n":                 control.CancelAttempt{ID: "0a", Attempt: 1},
+		"busy who=3 xid=0a backoff=250.5\n":           control.Reject{ID: "0a", RetryAfter: 250500 * time.Microsecond},
 		"finish_error who=3 xid=0a\n":                 control.Fail{ID: "0a"},
-		"arm who=3 offset=500 label=77\n":             control.Arm{After: 500 * time.Millisecond, Label: 77},
-		"poll who=3 server=51\n":                      control.Probe{Server: 51},
+		"arm who=3 offset=500 label=77\n":             control.SetTimer{After: 500 * time.Millisecond, Label: 77},
+		"poll who=3 server=51\n":                      control.HealthCheck{Server: 51},
 		"disconnect who=3 server=51\n":                control.Disconnect{Server: 51},
-		"follow who=3 active=1\n":                     control.Follow{Active: true},
-		"snapshot who=3\n":                            control.Snapshot{},
-		"say who=3 neighbour-id=all raw=6869\n":       control.Say{To: -1, Raw: []byte("hi")},
-		"say who=3 neighbour-id=2 raw=-\n":            control.Say{To: 2},
-		"incr who=3 cname=9 by=-4 expire-in=3000\n":   control.Count{Name: 9, Add: -4, Lives: 3 * time.Second},
-		"remark who=3 body-text=two servers known\n":  control.Remark{Text: "two\nservers known"},
+		"follow who=3 active=1\n":                     control.Watch{Active: true},
+		"snapshot who=3\n":                            control.FetchList{},
+		"say who=3 neighbour-id=all raw=6869\n":       control.SendToPeer{To: -1, Raw: []byte("hi")},
+		"say who=3 neighbour-id=2 raw=-\n":            control.SendToPeer{To: 2},
+		"incr who=3 cname=9 by=-4 expire-in=3000\n":   control.AddToCounter{Name: 9, Add: -4, TTL: 3 * time.Second},
+		"remark who=3 body-text=two servers known\n":  control.LogLine{Text: "two\nservers known"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want {
 			t.Errorf("%#v: %q, not %q", a, got, want)
