--- /dev/null
+++ b/control/attempt.go
@@ -0,0 +1,202 @@
+package control
+
+import "time"
+
+// startAttempt sends a request to a server.
+func (c *Controller) startAttempt(r *request, s *server) {
+	c.scheduler.dequeue(r)
+	if r.attempts == 0 {
+		c.tenants.consume(r.tenant, r.tokens)
+		c.traffic.meanTokens += meanTokensGain * (r.tokens - c.traffic.meanTokens)
+	}
+	if r.duplicates == nil && r.class.Idempotency == IdempotentByKey {
+		r.firstRun = c.env.now
+	}
+	if s.warmingUp {
+		s.tokens -= r.tokens
+	}
+	if s.consecutiveFailures >= ejectionFailures {
+		s.trial = true
+	}
+	c.recordStart(r, s)
+	send := Send{ID: r.id, Server: s.Server}
+	if r.windowed() { // its connection may take longer to open than what is left of the window
+		send.NotAfter = r.windowEnd()
+	}
+	c.env.act(send)
+}
+
+// recordStart counts an attempt that starts now. While the body of a streamed request is being sent the
+// attempt loads no server.
+func (c *Controller) recordStart(r *request, s *server) {
+	if s.working() == 0 {
+		s.lastHeard = c.env.now
+	}
+	key := attemptKey{r.id, r.attempts}
+	c.attempts[key] = &attempt{
+		request: r,
+		server:  s,
+		tenant:  r.tenant,
+		started: c.env.now,
+		sending: r.streamedBody,
+	}
+	r.attempts++
+	r.outstanding++
+	r.tried = append(r.tried, s.Server)
+	if !r.streamedBody {
+		s.inFlight++
+		c.concurrency.inFlight++
+	}
+	r.tenant.inFlight++
+}
+
+// onBodySent notes that the work on an attempt begins now.
+func (c *Controller) onBodySent(e BodySent) {
+	if a := c.attempts[attemptKey{e.ID, e.Attempt}]; a != nil {
+		c.recordBodySent(a)
+	}
+}
+
+// recordBodySent counts an attempt as work from now on. The time until then was the client's.
+func (c *Controller) recordBodySent(a *attempt) {
+	if !a.sending {
+		return
+	}
+	if a.server.working() == 0 {
+		a.server.lastHeard = c.env.now
+	}
+	a.sending = false
+	a.server.inFlight++
+	c.concurrency.inFlight++
+	took := c.env.now - a.started
+	a.started = c.env.now
+	a.request.arrived += took
+	a.request.objective += took
+	a.request.giveUp += took
+}
+
+// onResponseStarted takes the header of a streamed answer. Its server has done its work.
+func (c *Controller) onResponseStarted(e ResponseStarted) {
+	a := c.attempts[attemptKey{e.ID, e.Attempt}]
+	if a == nil || a.request.streaming {
+		return
+	}
+	c.recordBodySent(a)
+	a.request.streaming = true
+	c.concurrency.responding++
+	a.server.responding++
+	a.server.lastHeard = c.env.now
+	c.meter.read(a.tenant, e.MeterReading, a.request.tokens)
+	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
+	c.observeAnswer(a, e.Delay)
+}
+
+// onAttemptEnded learns from an outcome, and retries or ends the request where it has no final answer.
+func (c *Controller) onAttemptEnded(e AttemptEnded) {
+	a := c.recordEnd(attemptKey{e.ID, e.Attempt})
+	if a == nil {
+		return
+	}
+	r := a.request
+	a.server.lastHeard = c.env.now
+	c.concurrency.restFraction()
+	if a.tenant.plan.MaxConcurrent > 0 {
+		a.tenant.pause(c.env.now, c.env.now-a.started)
+	}
+	c.meter.read(a.tenant, e.MeterReading, r.tokens)
+	c.learn(a, e)
+	switch {
+	case c.requests[r.id] != r: // it has its final answer
+	case e.Done:
+		c.forget(r)
+	case !r.queued && r.outstanding == 0:
+		c.retryOrFinish(r, a, e)
+	}
+}
+
+// recordEnd counts the end of an attempt and returns it; nil is none with this key.
+func (c *Controller) recordEnd(key attemptKey) *attempt {
+	a := c.attempts[key]
+	if a == nil {
+		return nil
+	}
+	delete(c.attempts, key)
+	a.request.outstanding--
+	a.tenant.inFlight--
+	if a.sending {
+		return a
+	}
+	a.server.inFlight--
+	c.concurrency.inFlight--
+	if a.request.streaming {
+		c.concurrency.responding--
+		a.server.responding--
+	}
+	return a
+}
+
+// learn takes what an outcome says of the server, the in-flight bound and the request.
+func (c *Controller) learn(a *attempt, e AttemptEnded) {
+	s, r := a.server, a.request
+	took := c.env.since(a.started)
+	switch e.Outcome {
+	case OK:
+		c.learnSuccess(a, e)
+	case Overloaded:
+		c.outliers.recordRejection(s, r.plan)
+		c.interval.overloaded++
+	case ConnectFailed:
+		c.outliers.recordFailure(s, ejectionFailures)
+	case ResetByPeer, Errored:
+		c.outliers.recordError(s)
+	case NeverSent: // says nothing of the server
+		s.trial = false
+	case TimedOut:
+		// A client that gives up before its answer is due speaks neither against the server nor for a
+		// lower bound.
+		if took >= r.class.LatencyObjective.Seconds() {
+			c.outliers.recordFailure(s, 1)
+			s.observeLatency(c.env.now, took)
+			c.interval.overloaded++
+		}
+	}
+	goesOn := e.Outcome == TimedOut || e.Outcome == Cancelled
+	if goesOn {
+		c.concurrency.abandon(s, took)
+	}
+	ran := goesOn || e.Outcome == Errored || e.Outcome == ResetByPeer
+	if ran && !r.mayHaveRun {
+		r.mayHaveRun = true
+		r.firstRun = a.started
+		r.duplicates = s
+	}
+}
+
+func (c *Controller) learnSuccess(a *attempt, e AttemptEnded) {
+	c.outliers.recordSuccess(a.server)
+	if !a.server.warmingUp {
+		c.interval.servedTokens += a.request.tokens
+	}
+	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
+	if !a.request.streaming {
+		c.observeAnswer(a, c.env.now-a.started)
+	}
+}
+
+// observeAnswer takes the latency of a good answer.
+func (c *Controller) observeAnswer(a *attempt, took time.Duration) {
+	latency := took.Seconds()
+	objective := a.request.class.LatencyObjective.Seconds()
+	a.server.observeLatency(c.env.now, latency)
+	if a.server.warmingUp {
+		c.traffic.observeSlowStart(latency, objective)
+	}
+	c.traffic.observe(min(latency, objective))
+	c.interval.secondsSum += min(latency, objective)
+	c.interval.latencySum += min(1, latency/objective)
+	c.interval.latencies++
+	c.interval.answers++
+	if c.tenants.rejectionChance(a.tenant) == 0 {
+		a.request.plan.observeLateness(c.env.since(a.request.arrived) / objective)
+	}
+}
--- a/control/controller.go
+++ b/control/controller.go
@@ -1,203 +1,187 @@
 package control
 
 import (
-	"fmt"
 	"math"
 	"math/rand/v2"
 	"time"
-
-	"gonum.org/v1/gonum/mat"
 )
 
-// Controller decides for one gateway. It is not safe for concurrent use.
+// Controller decides for one node. Each rule is a type of its own; the Controller composes them and routes
+// events to them. It is not safe for concurrent use.
 type Controller struct {
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	skipped time.Duration // between the last two times at which anything was told
-	start   time.Duration
-	started bool
-	out     []Action
+	env     environment
+	started bool // has handled an event
 
+	requests map[string]*request     // without a final answer, by ID
+	attempts map[attemptKey]*attempt // outstanding
+	timers   timerTable
 	classes  map[string]*Class
-	plans    []*plan
-	planOf   map[string]*plan
-	reqs     map[string]*request
-	usual    map[*Class]*usualTTL
-	topWorth float64
-	nextTry  time.Duration // the shortest time seen from a client's first try to a later one
-	labels   map[uint64]*request
-	attempts map[attemptKey]*attempt
-	custs    map[string]*customer
-	servers  map[uint32]*server
-	order    []*server
-	label    uint64
-
-	inflight, streams int // attempts at work, and those of them whose answer has begun
-	ghosts            []ghost
-	bound             float64
-	span                      // counts of the interval
-	latency           float64 // s, of answers in the fleet
-	cutAt             time.Duration
-	restUntil         time.Duration // of the part of the bound beyond a whole number
-	idle, seen        float64
-	servedRate        float64 // units a second by warm servers, smoothed
-	answerRate        float64 // answers a second, smoothed
-	coldLatency       float64 // s, of answers of cold servers; 0 is none yet
-	usables           float64 // servers that could be sent to by the last list
-	sharers           float64 // gateways that send to each of them, in the mean, by the last list
-	retries           float64
-	unitsMean         float64 // of a request
-	shares            bool    // another controller decides for this gateway too; see handover.go
-	clock             meterClock
-	nextInterval      time.Duration
-	law               *shareLaw
-	away              map[string]float64 // by zone, the part that stays away
-	rules             *Rules             // in force
-	most              float64            // that the rules let the bound be
-	following         bool
-	askAt             time.Duration
-	nextReport        time.Duration
-	tally             tally
-}
-
-// span is what is counted in one control interval.
-type span struct {
-	cut, pressed         bool
-	latSum, secSum, latN float64 // latency over aim, in s, and their number
-	answers, bad, served float64 // served: units by warm servers
-}
-
-// tally counts, between two lines of the operators' log, why requests were refused. Without it
-// a refusal for want of a turn looks like one for want of quota.
-type tally struct {
-	asked  int // requests that the quota decided on
-	late   int // refused: could only be late, or yields
-	store  int // refused: the customer's store is empty
-	chance int // refused: by the metered chance
-	queue  int // ended: no turn in time
-	ended  int // ended: an attempt failed and no further one was allowed
-	cuts   int // of the bound
-}
 
-// report writes the tally as one line and starts it anew.
-func (c *Controller) report() {
-	c.nextReport = c.now + reportEvery
-	t := c.tally
-	c.act(LogLine{Text: fmt.Sprintf("asked=%d late=%d store=%d chance=%d queue=%d ended=%d cuts=%d bound=%.1f"+
-		" inflight=%d latency=%v idle=%v retries=%.1f", t.asked, t.late, t.store, t.chance, t.queue, t.ended, t.cuts,
-		c.bound, c.inflight, seconds(c.latency).Round(time.Millisecond/10), seconds(c.idle).Round(time.Millisecond/10),
-		c.retries)})
-	c.tally = tally{}
+	classifier  attemptClassifier
+	admission   admission
+	tenants     tenantTable
+	meter       usageMeter
+	scheduler   scheduler
+	concurrency concurrencyLimit
+	shares      *shareController
+	servers     serverSet
+	watch       endpointWatch
+	balancer    balancer
+	outliers    outlierDetector
+	slowStart   slowStart
+	retries     retryPolicy
+	traffic     trafficStats
+	interval    intervalStats
+	counts      rejectionCounts
+
+	intervalEnd time.Duration // when the control interval ends, at the earliest
+	nextReport  time.Duration // when the next line of the operators' log is due
 }
 
-// New makes the controller of one gateway. All randomness comes from seed.
+// New returns the controller of one node. All its random numbers come from seed.
 func New(s Settings, seed uint64) (*Controller, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Controller{set: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		classes: map[string]*Class{}, planOf: map[string]*plan{}, reqs: map[string]*request{},
-		usual: map[*Class]*usualTTL{}, labels: map[uint64]*request{}, attempts: map[attemptKey]*attempt{},
-		custs: map[string]*customer{}, servers: map[uint32]*server{}, sharers: float64(s.FleetSize)}
-	c.retries, c.nextTry, c.clock.lag, c.unitsMean = c.retryRoom(), retryAfter, lagFirst, unitsFirst
-	for i := range c.set.Classes {
-		k := &c.set.Classes[i]
-		c.classes[k.Name], c.usual[k] = k, &usualTTL{}
-		c.topWorth = max(c.topWorth, k.PriorityWeight)
+	const stream = 0x9e3779b97f4a7c15
+	c := &Controller{
+		requests: map[string]*request{},
+		attempts: map[attemptKey]*attempt{},
+		classes:  map[string]*Class{},
+		timers:   timerTable{byLabel: map[uint64]*request{}},
 	}
-	prices := make([]float64, len(s.Plans))
-	for i, p := range s.Plans {
-		pl := &plan{Plan: p, index: i, share: 1 / float64(len(s.Plans))}
-		c.plans, c.planOf[p.Name], prices[i] = append(c.plans, pl), pl, p.PriceFactor
+	c.env = environment{settings: s, random: rand.New(rand.NewPCG(seed, seed^stream)), rules: &Rules{}}
+	env := &c.env
+	for i := range env.settings.Classes {
+		class := &env.settings.Classes[i]
+		c.classes[class.Name] = class
 	}
-	c.law, c.rules, c.most = newShareLaw(prices), &Rules{}, math.Inf(1)
-	return c, nil
-}
-
-func (c *Controller) begin() {
-	if c.started = true; c.start == 0 { // else that of the process before
-		c.start = c.now
+	c.traffic = trafficStats{meanTokens: initialMeanTokens}
+	c.servers = serverSet{env: env, byID: map[uint32]*server{}, nodesPerServer: float64(s.FleetSize)}
+	c.slowStart = slowStart{env: env, servers: &c.servers, traffic: &c.traffic}
+	c.outliers = outlierDetector{env: env, servers: &c.servers, traffic: &c.traffic}
+	c.balancer = balancer{
+		env:       env,
+		servers:   &c.servers,
+		traffic:   &c.traffic,
+		outliers:  &c.outliers,
+		slowStart: &c.slowStart,
+	}
+	c.watch = endpointWatch{env: env}
+	c.concurrency = concurrencyLimit{
+		env:        env,
+		servers:    &c.servers,
+		slowStart:  &c.slowStart,
+		traffic:    &c.traffic,
+		rulesBound: math.Inf(1),
+	}
+	c.tenants = tenantTable{env: env, traffic: &c.traffic, byKey: map[string]*tenant{}}
+	c.meter = usageMeter{env: env, tenants: &c.tenants, phase: meterPhase{lag: initialMeterLag}}
+	c.classifier = newAttemptClassifier(env)
+	c.admission = admission{
+		env:         env,
+		tenants:     &c.tenants,
+		concurrency: &c.concurrency,
+		traffic:     &c.traffic,
+		counts:      &c.counts,
+		topWeight:   topPriorityWeight(s.Classes),
 	}
-	c.nextReport = c.now + reportEvery
-	c.nextInterval = c.now + interval
-	c.act(SetTimer{After: tick, Label: tickLabel})
+	c.scheduler = newScheduler(env, &c.balancer)
+	c.shares = newShareController(c.scheduler.prices())
+	c.retries = newRetryPolicy(env, &c.traffic)
+	return c, nil
 }
 
-// Handle takes one event and returns what the gateway has to do, in order. The
-// slice is the controller's own and holds until the next call.
+// Handle takes one event and returns what the node has to do, in order. The slice is the controller's own
+// and valid until the next call.
 func (c *Controller) Handle(now time.Duration, e Event) []Action {
-	c.out = c.out[:0]
-	if now > c.now {
-		c.now, c.skipped = now, now-c.now
+	c.env.actions = c.env.actions[:0]
+	if now > c.env.now {
+		c.env.skipped = now - c.env.now
+		c.env.now = now
 	}
 	if !c.started {
-		c.begin()
+		c.start()
 	}
+	c.route(e)
+	c.dispatch()
+	return c.env.actions
+}
+
+func (c *Controller) route(e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
-		c.onList(e)
+		c.onEndpointUpdate(e)
 	case Request:
 		c.onRequest(e)
 	case BodySent:
-		c.written(c.attempts[attemptKey{e.ID, e.Attempt}])
+		c.onBodySent(e)
 	case ResponseStarted:
-		c.onStarted(e)
+		c.onResponseStarted(e)
 	case AttemptEnded:
-		c.onResponse(e)
+		c.onAttemptEnded(e)
 	case ClientGone:
-		if r := c.reqs[e.ID]; r != nil {
-			c.forget(r)
-		}
+		c.onClientGone(e)
 	case Timer:
 		c.onTimer(e.Label)
 	case OutlierReport:
-		c.onHearsay(e)
+		c.outliers.onReport(e)
 	case ZoneEvacuation:
-		c.away = e.Evacuated
+		c.env.evacuated = e.Evacuated
 	case Rules:
 		c.onRules(e)
 	}
-	c.pump()
-	return c.out
 }
 
-func (c *Controller) act(a Action) { c.out = append(c.out, a) }
-
-const tickLabel = 0
+// start begins the controller's clock with the first event.
+func (c *Controller) start() {
+	c.started = true
+	if c.tenants.observingSince == 0 { // else that of the process before
+		c.tenants.observingSince = c.env.now
+	}
+	c.nextReport = c.env.now + reportInterval
+	c.intervalEnd = c.env.now + controlInterval
+	c.env.act(SetTimer{After: tick, Label: tickLabel})
+}
 
-func (c *Controller) wake(r *request, after time.Duration) {
-	if r.label == 0 {
-		c.label++
-		r.label = c.label
-		c.labels[r.label] = r
+// dispatch sends queued requests while the in-flight bound has room.
+func (c *Controller) dispatch() {
+	for c.concurrency.hasRoom() {
+		r, s := c.scheduler.next()
+		if r == nil {
+			return
+		}
+		c.startAttempt(r, s)
 	}
-	c.act(SetTimer{After: max(after, 0), Label: r.label})
+	c.interval.saturated = true
 }
 
-// drawn is a chance, where one is asked for: none is drawn where nothing stays away.
-func (c *Controller) drawn() float64 {
-	if len(c.away) == 0 {
-		return 0
+// onClientGone drops the request of a client that has left.
+func (c *Controller) onClientGone(e ClientGone) {
+	if r := c.requests[e.ID]; r != nil {
+		c.forget(r)
 	}
-	return c.rng.Float64()
 }
 
-// shareLaw estimates y(k+1) = X [u(k); y(k)] by RLS and sets shares by law (14).
-type shareLaw struct {
-	n   int
-	w   *mat.DiagDense
-	x   *mat.Dense    // n by 2n: [B0 A1]
-	p   *mat.Dense    // covariance, 2n by 2n
-	phi *mat.VecDense // nil until shares have been set
+// forget drops a request that has its final answer. Its outstanding attempts go on.
+func (c *Controller) forget(r *request) {
+	c.scheduler.dequeue(r)
+	delete(c.requests, r.id)
+	delete(c.timers.byLabel, r.timer)
 }
 
-// ease moves an estimate by a part of what it lacks of the value seen; the first is taken whole.
-func ease(estimate *float64, seen, gain float64) {
-	if *estimate == 0 {
-		*estimate = seen
-	}
-	*estimate += gain * (seen - *estimate)
+// timerTable holds the requests that wait for a timer. A request has one label for all its timers.
+type timerTable struct {
+	last    uint64
+	byLabel map[uint64]*request
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// setTimer asks for a Timer event of a request.
+func (c *Controller) setTimer(r *request, after time.Duration) {
+	if r.timer == 0 {
+		c.timers.last++
+		r.timer = c.timers.last
+		c.timers.byLabel[r.timer] = r
+	}
+	c.env.act(SetTimer{After: max(after, 0), Label: r.timer})
+}
--- a/control/meter.go
+++ b/control/meter.go
@@ -1,93 +1,183 @@
 package control
 
-import "math"
+import (
+	"math"
+)
 
-// meter reads the told use of a customer, once for each period. The chance d'
-// is what was in force while that period was metered, whoever decided it then.
-func (c *Controller) meter(q *customer, told int, units float64) {
-	if told <= 0 || c.set.MeterPeriod == 0 {
+// usageMeter takes the readings of the platform's usage meter: how much of its quota a tenant used over
+// all nodes in the last metered period. When a period ends and how late it is reported is learnt from
+// this node's own attempts.
+type usageMeter struct {
+	env     *environment
+	tenants *tenantTable
+	phase   meterPhase
+}
+
+// tenantUsage is what is known of a tenant's use over all nodes.
+type tenantUsage struct {
+	metered          bool    // there was a reading
+	readEnd          int64   // bin in which the last period read ended
+	elsewhereRate    float64 // tokens per second that are taken to be used at other nodes
+	lastPeriodTokens float64 // of the last reading
+	ownTokens        float64 // through this node, decaying with readings
+	allTokens        float64 // through all nodes, decaying with readings
+	meanRate         float64 // tokens per second through all nodes, average
+
+	// By bin: tokens of attempts, tokens taken from the bucket, requests asked and rejected.
+	sent, charged, asked, rejected history
+}
+
+const (
+	initialMeterLag = 8  // bins by which a period is taken to be reported late, until learnt
+	maxMeterLag     = 66 // bins of lateness that are considered
+	misfitDecay     = 0.99
+	// missingWeight is the weight of attempts that a reading lacks against attempts that can't be in it.
+	missingWeight = 0.5
+	// phaseHysteresis is the factor by which another phase must fit better to be taken.
+	phaseHysteresis = 0.8
+
+	usageDecay       = 0.85 // of own and all tokens, by reading
+	localPriorTokens = 10.0 // of belief in a use that is spread evenly over the nodes
+	minLocalFraction = 0.05
+	meanRateGain     = 0.2
+	// surgeShape is the shape of the belief about others' use: a small one takes more of an own surge to
+	// be a surge everywhere.
+	surgeShape = 0.5
+	// unmeteredSeconds is how much use the meter has not reported yet.
+	unmeteredSeconds = 2.0
+	// levelCorrection is the fraction by which a reading moves the bucket's level towards what it says,
+	// where the nodes are many.
+	levelCorrection = 0.4
+)
+
+// read takes a reading that came with an answer to a request of some tokens: 1 + percent of the quota, 0
+// is none. Each period is read once.
+func (m *usageMeter) read(t *tenant, reading int, tokens float64) {
+	if reading <= 0 || m.env.settings.MeterPeriod == 0 {
 		return
 	}
-	c.refill(q)
-	pct := float64(told-1) / q.quota // the meter knows the settings' quota only
-	used := pct / 100 * q.plan.Rate * c.set.MeterPeriod.Seconds()
-	if q.plan.Rate > 0 {
-		c.clock.learn(q, used, units, q.part(), c.binNow())
+	m.tenants.refill(t)
+	period := m.env.settings.MeterPeriod.Seconds()
+	percent := float64(reading-1) / t.quotaFactor // the meter knows the settings' quota only
+	used := percent / 100 * t.plan.Rate * period
+	if t.plan.Rate > 0 {
+		m.phase.learn(t, used, tokens, m.env.bin())
 	}
-	end := c.clock.end(c.binNow())
-	if q.metered && end < q.readEnd+binsPeriod/2 {
+	end := m.phase.periodEnd(m.env.bin())
+	if t.metered && end < t.readEnd+binsPerPeriod/2 {
 		return
 	}
-	q.metered, q.readEnd = true, end
-	own, charged := q.own.over(end), q.charged.over(end)
-	asked, force := q.asked.over(end), c.chanceNow(q)
-	if asked > 0 {
-		force = q.refused.over(end) / asked
+	t.metered = true
+	t.readEnd = end
+	asked := t.asked.inPeriodBefore(end)
+	rejected := m.rejectedFraction(t, end)
+	t.tenantDemand.read(m.env.now, used, rejected, period, t.plan.Rate, t.visibility())
+	if t.plan.Rate == 0 {
+		t.adjustSlots(percent, rejected, asked)
+		return
 	}
-	// Where many decide, what all let through is what fits once use is at the quota. Guards against a
-	// belief that runs away, as each takes what it refuses itself to be refused everywhere.
-	few := q.few()
-	if q.plan.Rate > 0 && q.metered {
-		force = few*force + (1-few)*(1-c.fits(q))
+	m.updateUsage(t, used, period, end)
+	m.correctLevel(t, used, percent, end)
+}
+
+// rejectedFraction returns the fraction of a tenant's requests that was rejected in the period that was
+// read, whoever decided it. Where many nodes decide, what all admit is what fits, once use is at the
+// quota: a node would else take what it rejects itself to be rejected everywhere, and its belief would
+// run away.
+func (m *usageMeter) rejectedFraction(t *tenant, end int64) float64 {
+	asked := t.asked.inPeriodBefore(end)
+	rejected := m.tenants.rejectionChance(t)
+	if asked > 0 {
+		rejected = t.rejected.inPeriodBefore(end) / asked
 	}
-	period := c.set.MeterPeriod.Seconds()
-	k := math.Exp(-(c.now - q.toldAt).Seconds() / toldAge)
-	q.cover = q.cover*k + period
-	k *= math.Exp(-q.plan.Rate * period / (toldUnits * (2 - few)))
-	q.told, q.toldFor, q.toldAt = q.told*k+used, q.toldFor*k+(1-force)*period, c.now
-	if q.plan.Rate == 0 {
-		c.meterOpen(q, pct, force, asked)
-		return
+	if t.plan.Rate > 0 {
+		visibility := t.visibility()
+		rejected = visibility*rejected + (1-visibility)*(1-m.tenants.admissibleFraction(t))
 	}
-	q.ownSum = q.ownSum*shareKeep + min(own, used)
-	q.allSum = q.allSum*shareKeep + used
+	return rejected
+}
+
+func (m *usageMeter) updateUsage(t *tenant, used, period float64, end int64) {
+	t.ownTokens = t.ownTokens*usageDecay + min(t.sent.inPeriodBefore(end), used)
+	t.allTokens = t.allTokens*usageDecay + used
 	// The lower of the last two readings is taken to go on elsewhere.
-	q.base = (1 - q.part()) * min(min(used, q.lastUsed)/c.set.MeterPeriod.Seconds(), q.plan.Rate)
-	q.lastUsed = used
-	q.smooth += (1 - useKeep) * (used/c.set.MeterPeriod.Seconds() - q.smooth)
-	q.level = min(c.whole()*q.plan.Burst, max(-q.plan.Burst/2, q.level-used+charged))
-	// What was charged for use elsewhere that no reading has told of yet is a guess, and this one
-	// tells how far the store is from empty.
-	q.level += (1 - few) * thinTold * max(0, c.whole()*q.plan.Burst*(1-pct/100)-q.level)
+	t.elsewhereRate = (1 - t.localFraction()) * min(min(used, t.lastPeriodTokens)/period, t.plan.Rate)
+	t.lastPeriodTokens = used
+	t.meanRate += meanRateGain * (used/period - t.meanRate)
 }
 
-// learn finds when the meter's periods end and how late they are told: the pair under which own sends
-// fit best with what is told. Guards against a period read many times or matched with another's sends.
-func (m *meterClock) learn(q *customer, used, units, part float64, now int64) {
-	least, at, lag := math.Inf(1), int64(0), int64(0)
-	var misfit [binsPeriod + lagMost]float64 // of a period that ended so many bins ago
+// correctLevel takes what the period really used from the bucket in place of what was charged. Where the
+// nodes are many, charges for use elsewhere that no reading has reported yet are guesses, and the reading
+// says how far the bucket is from empty.
+func (m *usageMeter) correctLevel(t *tenant, used, percent float64, end int64) {
+	burst := m.env.quotaFraction() * t.plan.Burst
+	t.level = min(burst, max(-t.plan.Burst/2, t.level-used+t.charged.inPeriodBefore(end)))
+	t.level += (1 - t.visibility()) * levelCorrection * max(0, burst*(1-percent/100)-t.level)
+}
+
+// advance brings the histories up to a bin.
+func (u *tenantUsage) advance(bin int64) {
+	u.sent.advance(bin)
+	u.charged.advance(bin)
+	u.asked.advance(bin)
+	u.rejected.advance(bin)
+}
+
+// localFraction returns the learnt fraction of a tenant's use that comes through this node.
+func (t *tenant) localFraction() float64 {
+	return min(1, max(minLocalFraction, (localPriorTokens/t.nodes+t.ownTokens)/(localPriorTokens+t.allTokens)))
+}
+
+// fleetUsePerToken returns the tokens that all nodes are taken to have sent for each one sent here.
+func (t *tenant) fleetUsePerToken() float64 {
+	local := t.localFraction()
+	if !t.metered { // the design's rule for a tenant that is not metered yet
+		return 1 / local
+	}
+	// What goes on elsewhere in any case is in the next reading, and no sign of a surge.
+	steady := min(1, t.elsewhereRate/max(t.plan.Rate, t.elsewhereRate+epsilon))
+	return 1 + (1-steady)*(1-local)/(local+surgeShape/max(t.meanRate*unmeteredSeconds, surgeShape/10))
+}
+
+// meterPhase is what is learnt of the meter's clock: the bin at which its periods end, and how many bins
+// late they are reported.
+type meterPhase struct {
+	misfit     [binsPerPeriod][maxMeterLag]float64 // of each pair, decaying
+	phase, lag int64
+}
+
+// learn finds the phase and the lag under which own attempts fit best with what is read. Without it a
+// period would be read many times, or matched with another one's attempts.
+func (m *meterPhase) learn(t *tenant, used, tokens float64, now int64) {
+	local := t.localFraction()
+	var misfit [binsPerPeriod + maxMeterLag]float64 // of a period that ended so many bins ago
 	for ago := range misfit {
-		own := q.own.over(now - int64(ago))
-		misfit[ago] = (max(0, own-used) + lagWeak*max(0, part*used-own)) / (units + used + own)
+		own := t.sent.inPeriodBefore(now - int64(ago))
+		misfit[ago] = (max(0, own-used) + missingWeight*max(0, local*used-own)) / (tokens + used + own)
 	}
-	for ph := int64(0); ph < binsPeriod; ph++ {
-		ago := now - flip(now, ph)
-		for l := int64(0); l < lagMost; l++ {
-			e := &m.miss[ph][l]
-			if *e = *e*lagKeep + misfit[ago+l]; *e < least {
-				least, at, lag = *e, ph, l
+	least := math.Inf(1)
+	bestPhase, bestLag := int64(0), int64(0)
+	for phase := range int64(binsPerPeriod) {
+		ago := now - lastBinAt(now, phase)
+		for lag := range int64(maxMeterLag) {
+			sum := &m.misfit[phase][lag]
+			*sum = *sum*misfitDecay + misfit[ago+lag]
+			if *sum < least {
+				least = *sum
+				bestPhase, bestLag = phase, lag
 			}
 		}
 	}
-	if least < lagSwitch*m.miss[m.phase][m.lag] {
-		m.phase, m.lag = at, lag
+	if least < phaseHysteresis*m.misfit[m.phase][m.lag] {
+		m.phase = bestPhase
+		m.lag = bestLag
 	}
 }
 
-// meterOpen moves this gateway's part of an open quota by the told maximum. A part
-// below one is kept by a pause after each attempt; see onResponse. The chance comes last.
-func (c *Controller) meterOpen(q *customer, pct, force, asked float64) {
-	if q.openCap > q.openLeast() {
-		q.chance = 0
-	} else if asked > 0 || pct <= 100 {
-		q.chance = min(chanceMax, max(0, 1-(1-force)*100/max(pct, 1)))
-	}
-	if pct > 100 || q.openHit {
-		q.openCap *= max(openDown, min(boundUp, 100/max(pct, 1)))
-	}
-	most := float64(q.plan.MaxConcurrent)
-	q.openCap, q.openHit = min(most, max(q.openLeast(), q.openCap)), false
-}
+// periodEnd returns the bin in which the period ended that is reported now.
+func (m *meterPhase) periodEnd(now int64) int64 { return lastBinAt(now, m.phase) - m.lag }
 
-// openLeast is half of an even part of an open quota.
-func (q *customer) openLeast() float64 { return float64(q.plan.MaxConcurrent) / q.spread / 2 }
+// lastBinAt returns the latest bin at or before now that lies at a phase of the period.
+func lastBinAt(now, phase int64) int64 {
+	return now - ((now-phase)%binsPerPeriod+binsPerPeriod)%binsPerPeriod
+}
--- /dev/null
+++ b/control/overrides.go
@@ -0,0 +1,93 @@
+package control
+
+import (
+	"math"
+	"slices"
+)
+
+// minQuotaFactor is the least that rules make of a quota, as zero would be no quota.
+const minQuotaFactor = 1e-6
+
+// onRules puts other rules in force. A tenant keeps what its bucket holds.
+func (c *Controller) onRules(e Rules) {
+	c.env.rules = &e
+	c.concurrency.rulesBound = math.Inf(1)
+	if e.MaxInFlight > 0 {
+		c.concurrency.rulesBound = float64(lowerLimit(e.MaxInFlight, c.env.settings.MaxInFlight))
+	}
+	c.shares.setPrices(e.prices(c.scheduler.plans))
+	for key, t := range c.tenants.byKey {
+		c.tenants.refill(t)
+		c.tenants.applyRules(t, key)
+	}
+}
+
+// applyRules gives a tenant the quota that the rules in force make of the settings'.
+func (table *tenantTable) applyRules(t *tenant, key string) {
+	settings := &t.queue.Plan
+	t.plan = settings
+	t.quotaFactor = 1
+	factor := table.env.rules.quotaFactor(t.queue, key)
+	if factor == 1 || settings.Rate <= 0 {
+		return
+	}
+	t.quotaFactor = max(factor, minQuotaFactor)
+	plan := *settings
+	plan.Rate = settings.Rate * t.quotaFactor
+	plan.Burst = settings.Burst * t.quotaFactor
+	t.plan = &plan
+}
+
+// prices returns the plans' price factors by the rules. NaN leaves the settings'.
+func (e *Rules) prices(plans []*planQueue) []float64 {
+	prices := make([]float64, len(plans))
+	for i, p := range plans {
+		prices[i] = p.PriceFactor
+		if i < len(e.PriceFactor) && e.PriceFactor[i] >= 0 {
+			prices[i] = e.PriceFactor[i]
+		}
+	}
+	return prices
+}
+
+// quotaFactor returns by how much the rules multiply the quota of a tenant.
+func (e *Rules) quotaFactor(plan *planQueue, key string) float64 {
+	factor, ok := e.TenantQuotaFactor[key]
+	if !ok && plan.index < len(e.QuotaFactor) {
+		factor, ok = e.QuotaFactor[plan.index], true
+	}
+	if !ok || !(factor >= 0) {
+		return 1
+	}
+	return factor
+}
+
+// closes reports whether the rules close a server's zone.
+func (e *Rules) closes(s *server) bool { return slices.Contains(e.ClosedZones, s.Zone) }
+
+// maxAttempts returns how many attempts a request may have, by the settings and its rules; 0 is no limit.
+func (s *Settings) maxAttempts(r *request) int {
+	for i, limit := range r.rules.MaxAttempts {
+		if i < len(s.Classes) && r.class == &s.Classes[i] {
+			return lowerLimit(limit, s.MaxAttempts)
+		}
+	}
+	return s.MaxAttempts
+}
+
+// lowerLimit returns the lower of two limits, of which 0 is none.
+func lowerLimit(a, b int) int {
+	if a <= 0 || b > 0 && b < a {
+		return b
+	}
+	return a
+}
+
+// RuleVersion returns the version of the rules that a request without a final answer goes by; 0 is the
+// settings alone.
+func (c *Controller) RuleVersion(id string) uint64 {
+	if r := c.requests[id]; r != nil {
+		return r.rules.Version
+	}
+	return 0
+}
--- /dev/null
+++ b/control/retry.go
@@ -0,0 +1,84 @@
+package control
+
+import "time"
+
+// retryPolicy bounds retries by a budget: each request earns a part of a retry, and each retry spends one
+// or less.
+type retryPolicy struct {
+	env     *environment
+	traffic *trafficStats
+	budget  float64 // retries that may be made now
+}
+
+const (
+	retryBudgetPerRequest = 0.1  // retries earned by each request
+	minRetryCost          = 0.1  // retries that an attempt costs at least which failed at once
+	maxRetryBudget        = 20.0 // retries saved up by each of a few nodes
+	minRetryBudgetLimit   = 3.0  // retries saved up by each of many nodes
+	// fullBudgetNodes is the fleet size up to which each node may save up maxRetryBudget. What a whole
+	// fleet may save up is bounded: many nodes have it at their start, and when a zone is lost.
+	fullBudgetNodes = 4.0
+	// retryMargin is the time that must be left to the client for a retry.
+	retryMargin = time.Millisecond
+)
+
+func newRetryPolicy(env *environment, traffic *trafficStats) retryPolicy {
+	p := retryPolicy{env: env, traffic: traffic}
+	p.budget = p.limit()
+	return p
+}
+
+// limit returns how many retries may be saved up.
+func (p *retryPolicy) limit() float64 {
+	return max(minRetryBudgetLimit, maxRetryBudget*min(1, fullBudgetNodes/float64(p.env.settings.FleetSize)))
+}
+
+// earn adds what a request earns.
+func (p *retryPolicy) earn() { p.budget = min(p.limit(), p.budget+retryBudgetPerRequest) }
+
+// cost returns what a retry costs after an outcome. An attempt that failed at once took little work and
+// costs little.
+func (p *retryPolicy) cost(a *attempt, outcome Outcome) float64 {
+	if outcome != Errored && outcome != ResetByPeer && outcome != ConnectFailed {
+		return 1
+	}
+	took := p.env.since(a.started)
+	return min(1, max(minRetryCost, took/max(p.traffic.latency, epsilon)))
+}
+
+// allows reports whether a request may be retried after an attempt. What may have run is retried only if
+// its class is idempotent, or by key within the idempotency window; all by the budget, the limit of
+// attempts and the client's time.
+func (p *retryPolicy) allows(r *request, e AttemptEnded, cost float64) bool {
+	if e.Outcome == NeverSent || e.BodySpent {
+		return false
+	}
+	if limit := p.env.settings.maxAttempts(r); limit > 0 && r.attempts >= limit {
+		return false
+	}
+	if p.budget < cost || p.env.now >= r.giveUp-retryMargin {
+		return false
+	}
+	if r.mayHaveRun && r.class.Idempotency != Idempotent {
+		return r.windowed() && p.env.now < r.windowEnd()
+	}
+	return true
+}
+
+// retryOrFinish queues a request for another attempt where the retry policy allows one, and ends it
+// elsewhere. A retry does not wait beyond the client's time, nor beyond its idempotency window.
+func (c *Controller) retryOrFinish(r *request, a *attempt, e AttemptEnded) {
+	cost := c.retries.cost(a, e.Outcome)
+	if !c.retries.allows(r, e, cost) {
+		c.counts.failed++
+		c.finish(r)
+		return
+	}
+	c.retries.budget -= cost
+	c.scheduler.enqueue(r, true)
+	until := r.giveUp
+	if r.windowed() {
+		until = min(until, r.windowEnd())
+	}
+	c.setTimer(r, until-c.env.now-retryMargin)
+}
--- /dev/null
+++ b/control/scheduler.go
@@ -0,0 +1,139 @@
+package control
+
+// scheduler queues requests by plan and dispatches them by weighted round robin: each plan gets turns in
+// proportion to its share.
+type scheduler struct {
+	env      *environment
+	balancer *balancer
+	plans    []*planQueue
+	byName   map[string]*planQueue
+}
+
+// planQueue is the queue of a plan.
+type planQueue struct {
+	Plan
+	index    int // in the settings
+	requests []*request
+	share    float64 // of the turns
+	credit   float64 // turns that it is owed
+
+	latenessSum float64 // of latency over objective, in this control interval
+	latenesses  float64 // number of values in latenessSum
+	lateness    float64 // mean of the last interval that had any
+
+	candidate       *request // that may be dispatched now, during one turn
+	candidateServer *server
+}
+
+func newScheduler(env *environment, balancer *balancer) scheduler {
+	s := scheduler{env: env, balancer: balancer, byName: map[string]*planQueue{}}
+	plans := env.settings.Plans
+	for i, p := range plans {
+		queue := &planQueue{Plan: p, index: i, share: 1 / float64(len(plans))}
+		s.plans = append(s.plans, queue)
+		s.byName[p.Name] = queue
+	}
+	return s
+}
+
+// prices returns the price factors of the plans.
+func (s *scheduler) prices() []float64 {
+	prices := make([]float64, len(s.plans))
+	for i, p := range s.plans {
+		prices[i] = p.PriceFactor
+	}
+	return prices
+}
+
+// next returns the request to be dispatched now and its server, or nil. It is one turn of the round
+// robin: the plan with the most credit among those with a request that can be dispatched. Other plans
+// lose nothing by it.
+func (s *scheduler) next() (*request, *server) {
+	var chosen *planQueue
+	total := 0.0
+	for _, p := range s.plans {
+		p.candidate, p.candidateServer = s.firstDispatchable(p)
+		if p.candidate == nil {
+			continue
+		}
+		p.credit += p.share
+		total += p.share
+		if chosen == nil || p.credit > chosen.credit {
+			chosen = p
+		}
+	}
+	if chosen == nil {
+		return nil, nil
+	}
+	chosen.credit -= total
+	return chosen.candidate, chosen.candidateServer
+}
+
+// firstDispatchable returns the first request of a plan's queue that can be sent now, and its server. A
+// request that waits for a slot of its tenant, or for a server that drops its duplicates, lets the next
+// one pass.
+func (s *scheduler) firstDispatchable(p *planQueue) (*request, *server) {
+	for _, r := range p.requests {
+		if p.MaxConcurrent > 0 && r.attempts == 0 && !r.tenant.hasFreeSlot(s.env.now) {
+			r.tenant.slotsExhausted = true
+			continue
+		}
+		if r.windowed() && s.env.now >= r.windowEnd() {
+			continue // its timer ends it
+		}
+		if server := s.balancer.pick(r); server != nil {
+			return r, server
+		}
+		if r.duplicates == nil {
+			return nil, nil
+		}
+	}
+	return nil, nil
+}
+
+// enqueue adds a request to the queue of its plan; a retry goes to the front.
+func (s *scheduler) enqueue(r *request, front bool) {
+	r.queued = true
+	if r.attempts == 0 {
+		r.tenant.queuedTokens += r.tokens
+	}
+	if front {
+		r.plan.requests = append([]*request{r}, r.plan.requests...)
+	} else {
+		r.plan.requests = append(r.plan.requests, r)
+	}
+}
+
+// dequeue removes a request from the queue, if it is in it.
+func (s *scheduler) dequeue(r *request) {
+	if !r.queued {
+		return
+	}
+	r.queued = false
+	if r.attempts == 0 {
+		r.tenant.queuedTokens -= r.tokens
+	}
+	for i, other := range r.plan.requests {
+		if other == r {
+			r.plan.requests = append(r.plan.requests[:i], r.plan.requests[i+1:]...)
+			break
+		}
+	}
+}
+
+// observeLateness adds the latency of an answer over its objective.
+func (p *planQueue) observeLateness(lateness float64) {
+	p.latenessSum += lateness
+	p.latenesses++
+}
+
+// meanLateness returns the mean lateness of the control interval that ends now, or the last known, and begins
+// the next interval.
+func (p *planQueue) meanLateness() float64 {
+	if p.latenesses > 0 {
+		p.lateness = p.latenessSum / p.latenesses
+	}
+	p.latenessSum = 0
+	p.latenesses = 0
+	return p.lateness
+}
--- a/control/server.go
+++ b/control/server.go
@@ -5,86 +5,111 @@
 	"time"
 )
 
+// server is what a node knows of one server.
 type server struct {
 	Endpoint
-	listed, home      bool
-	inflight, streams int     // attempts at work, and those of them whose answer has begun
-	ghosts            int     // attempts given up whose work is taken to go on
-	latency           float64 // s
-	latencyAt         time.Duration
-	heard             time.Duration // last outcome, or first send since it held nothing
-	strikes           int
-	failing           float64 // part of the late attempts that failed
-	failingAt         time.Duration
-	shut              map[*plan]time.Duration // not tried for a plan until then
-	asideUntil, aside time.Duration
-	probing           bool
-	coldFrom          time.Duration // start of the ramp, if coldRamp
-	coldRamp          bool
-	tokens            float64 // of a cold server, in units
-	tokensAt          time.Duration
-	toldAt, toldUntil time.Duration // when others spoke against it, and until when that counts
+	listed    bool
+	preferred bool // see serverSet.isPreferred
+
+	inFlight   int           // attempts at work
+	responding int           // those of them whose answer has begun
+	abandoned  int           // attempts given up whose work is assumed to go on
+	lastHeard  time.Duration // last outcome, or first attempt since it had none
+
+	latency   float64 // s: average of its answers; 0 is none yet
+	latencyAt time.Duration
+
+	outlierState
+	warmUp
+}
+
+// serverLatencyGain is the gain of a server's average latency.
+const serverLatencyGain = 0.2
+
+func newServer() *server {
+	s := &server{}
+	s.rejectsPlanUntil = map[*planQueue]time.Duration{}
+	return s
 }
 
+// usable reports whether new attempts may go to the server.
 func (s *server) usable() bool { return s.listed && s.Condition == Active }
 
-// working counts the attempts that keep a server at work: one whose answer has begun waits for its
-// client at most.
-func (s *server) working() int { return s.inflight - s.streams }
+// working returns the number of attempts that keep the server at work. One whose answer has begun waits
+// for its client at most.
+func (s *server) working() int { return s.inFlight - s.responding }
 
-func (c *Controller) sawLatency(s *server, t float64) {
-	ease(&s.latency, t, latencyGain)
-	s.latencyAt = c.now
+// observeLatency adds the latency of an attempt, in seconds.
+func (s *server) observeLatency(now time.Duration, latency float64) {
+	updateAverage(&s.latency, latency, serverLatencyGain)
+	s.latencyAt = now
 }
 
-// merge brings the servers up to a list event and forgets those that are gone.
-func (c *Controller) merge(e EndpointUpdate) {
-	if c.sharers = e.NodesPerServer; !(e.NodesPerServer > 0) {
-		c.sharers = float64(c.set.FleetSize)
+// forgetObservations drops what was observed of a server that has started anew.
+func (s *server) forgetObservations() {
+	s.latency = 0
+	s.failureRate = 0
+	s.consecutiveFailures = 0
+	s.ejectedUntil = 0
+	s.ejectionTime = 0
+	clear(s.rejectsPlanUntil)
+}
+
+// serverSet holds the servers of the endpoint list, and those that are gone while attempts are in flight.
+type serverSet struct {
+	env            *environment
+	byID           map[uint32]*server
+	ordered        []*server // by ID
+	usable         float64   // number of usable servers as of the last update
+	nodesPerServer float64   // nodes that send to each of them, in the mean, as of the last update
+}
+
+// replace brings the set up to an update. It calls observe with each entry before the entry replaces what
+// was listed.
+func (set *serverSet) replace(update EndpointUpdate, observe func(*server, Endpoint)) {
+	set.nodesPerServer = update.NodesPerServer
+	if !(update.NodesPerServer > 0) {
+		set.nodesPerServer = float64(set.env.settings.FleetSize)
 	}
-	for _, s := range c.order {
-		s.listed = s.listed && e.Kind == Delta
+	for _, s := range set.ordered {
+		s.listed = s.listed && update.Kind == Delta
 	}
-	for _, m := range e.Endpoints {
-		s := c.servers[m.Server]
+	for _, endpoint := range update.Endpoints {
+		s := set.byID[endpoint.Server]
 		if s == nil {
-			s = &server{shut: map[*plan]time.Duration{}}
-			c.servers[m.Server], c.order = s, append(c.order, s)
+			s = newServer()
+			set.byID[endpoint.Server] = s
+			set.ordered = append(set.ordered, s)
 		}
-		c.learn(s, m)
-		s.Endpoint, s.listed = m, m.Condition != Removed
+		observe(s, endpoint)
+		s.Endpoint = endpoint
+		s.listed = endpoint.Condition != Removed
 	}
-	sort.Slice(c.order, func(i, j int) bool { return c.order[i].Server < c.order[j].Server })
-	c.prune()
+	sort.Slice(set.ordered, func(i, j int) bool { return set.ordered[i].Server < set.ordered[j].Server })
+	set.prune()
+	set.usable = set.count((*server).usable)
 }
 
-// prune forgets servers that are gone and hold nothing of ours.
-func (c *Controller) prune() {
-	kept := c.order[:0]
-	for _, s := range c.order {
-		if s.listed || s.inflight > 0 {
+// prune drops servers that are gone and have no attempt in flight.
+func (set *serverSet) prune() {
+	kept := set.ordered[:0]
+	for _, s := range set.ordered {
+		if s.listed || s.inFlight > 0 {
 			kept = append(kept, s)
 		} else {
-			delete(c.servers, s.Server)
+			delete(set.byID, s.Server)
 		}
 	}
-	c.order = kept
+	set.ordered = kept
 }
 
-func (c *Controller) count(is func(*server) bool) float64 {
+// count returns the number of servers for which a condition holds.
+func (set *serverSet) count(condition func(*server) bool) float64 {
 	n := 0.0
-	for _, s := range c.order {
-		if is(s) {
+	for _, s := range set.ordered {
+		if condition(s) {
 			n++
 		}
 	}
 	return n
 }
-
-// Avoided tells, for the operators' figures, how many of the listed servers that run get nothing
-// now while there is another. It changes nothing.
-func (c *Controller) AvoidedServers(now time.Duration) int {
-	return int(c.count(func(s *server) bool {
-		return s.usable() && (s.probing || s.strikes >= strikesOut && now < s.asideUntil || now < s.toldUntil)
-	}))
-}
--- /dev/null
+++ b/control/snapshot.go
@@ -0,0 +1,176 @@
+package control
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"math"
+	"time"
+)
+
+// Snapshot returns what was learnt of all but tenants, for a process that starts when this one has ended.
+// It changes nothing.
+func (c *Controller) Snapshot(now time.Duration) ([]byte, error) {
+	c.env.now = max(c.env.now, now)
+	return json.Marshal(c.learnt())
+}
+
+// RestoreSnapshot takes what Snapshot returned, at most some time ago, before this controller has handled
+// an event. After an error nothing is taken.
+func (c *Controller) RestoreSnapshot(now time.Duration, raw []byte, maxAge time.Duration) error {
+	var h handover
+	if err := json.Unmarshal(raw, &h); err != nil {
+		return fmt.Errorf("kept: %w", err)
+	}
+	h.Tenants = nil
+	err := c.take(now, &h, maxAge)
+	c.tenants.observingSince = 0 // what the process before granted is not known
+	return err
+}
+
+// TenantLevel returns what a tenant's bucket holds, with its rate and burst and the number of nodes that
+// share it; ok is false for a tenant without such a quota here.
+func (c *Controller) TenantLevel(plan, tenant string) (tokens, rate, burst float64, nodes int, ok bool) {
+	t := c.tenants.byKey[tenantKey(plan, tenant)]
+	if t == nil || t.plan.Rate == 0 {
+		return 0, 0, 0, 0, false
+	}
+	return t.level, t.plan.Rate, t.plan.Burst, int(t.nodes), true
+}
+
+// RestoreTenant sets what the bucket of a tenant holds that is not known here yet: at most tokens, and no
+// more than a bucket can.
+func (c *Controller) RestoreTenant(now time.Duration, plan, tenant string, nodes int, tokens float64) error {
+	p := c.scheduler.byName[plan]
+	switch {
+	case p == nil || p.Rate == 0:
+		return fmt.Errorf("kept: tenant %q: plan %q has no quota", tenant, plan)
+	case nodes < 1 || nodes > c.env.settings.FleetSize:
+		return fmt.Errorf("kept: tenant %q: %d nodes of %d", tenant, nodes, c.env.settings.FleetSize)
+	case math.IsNaN(tokens):
+		return fmt.Errorf("kept: tenant %q: its tokens are no number", tenant)
+	case len(c.tenants.byKey) >= maxTenants:
+		return fmt.Errorf("kept: tenant %q: %d tenants are known already", tenant, maxTenants)
+	}
+	c.env.now = max(c.env.now, now)
+	c.tenants.observingSince = cmp.Or(c.tenants.observingSince, c.env.now)
+	t := c.tenants.get(p, tenant, nodes)
+	t.level = math.Max(-p.Burst, math.Min(t.level, tokens))
+	return nil
+}
+
+func (u *usualTimeLeft) save() handoverTimeLeft {
+	return handoverTimeLeft{TimeLeft: u.timeLeft, Recurring: u.recurring, Seen: u.seen, Recurred: u.recurred}
+}
+
+func (u *usualTimeLeft) load(saved handoverTimeLeft) {
+	u.timeLeft = saved.TimeLeft
+	u.seen = saved.Seen
+	u.recurring = saved.Recurring
+	u.recurred = saved.Recurred
+}
+
+func (s *server) save() handoverServer {
+	return handoverServer{
+		Latency:             s.latency,
+		FailureRate:         s.failureRate,
+		LatencyAt:           s.latencyAt,
+		FailureRateAt:       s.failureRateAt,
+		ConsecutiveFailures: s.consecutiveFailures,
+		EjectedUntil:        s.ejectedUntil,
+		EjectionTime:        s.ejectionTime,
+		WarmingUp:           s.warmingUp,
+		WarmingSince:        s.warmingSince,
+		RefilledAt:          s.refilledAt,
+		Tokens:              s.tokens,
+		HasStartedAt:        s.HasStartedAt,
+		StartedAt:           s.StartedAt,
+	}
+}
+
+func loadServer(id uint32, saved handoverServer, now time.Duration) *server {
+	s := newServer()
+	s.Server = id
+	s.HasStartedAt = saved.HasStartedAt
+	s.StartedAt = saved.StartedAt
+	s.latency = saved.Latency
+	s.latencyAt = saved.LatencyAt
+	s.failureRate = saved.FailureRate
+	s.failureRateAt = saved.FailureRateAt
+	s.consecutiveFailures = saved.ConsecutiveFailures
+	s.ejectedUntil = min(saved.EjectedUntil, now+maxEjection)
+	s.ejectionTime = saved.EjectionTime
+	s.warmingUp = saved.WarmingUp
+	s.warmingSince = saved.WarmingSince
+	s.refilledAt = saved.RefilledAt
+	s.tokens = saved.Tokens
+	return s
+}
+
+// save returns a tenant's state. Its level is held to what a process without rules can take.
+func (t *tenant) save(key string) handoverTenant {
+	limit := 2 * t.queue.Burst
+	return handoverTenant{
+		Plan:                t.plan.Name,
+		Key:                 key,
+		Nodes:               t.nodes,
+		FirstSeen:           t.firstSeen,
+		RefilledAt:          t.refilledAt,
+		ReadAt:              t.readAt,
+		RequestedAt:         t.requestedAt,
+		Level:               max(-limit, min(t.level, limit)),
+		Ceiling:             t.ceiling,
+		SlotLimit:           t.slotLimit,
+		SlotRejectionChance: t.slotRejectionChance,
+		ChanceRemainder:     t.chanceRemainder,
+		Metered:             t.metered,
+		ElsewhereRate:       t.elsewhereRate,
+		LastPeriodTokens:    t.lastPeriodTokens,
+		RequestedTokens:     t.requestedTokens,
+		ReadTokens:          t.readTokens,
+		ReadSeconds:         t.readSeconds,
+		CoveredSeconds:      t.coveredSeconds,
+		OwnTokens:           t.ownTokens,
+		AllTokens:           t.allTokens,
+		MeanRate:            t.meanRate,
+		ReadEnd:             t.readEnd,
+		Sent:                t.sent.save(),
+		Charged:             t.charged.save(),
+		Asked:               t.asked.save(),
+		Rejected:            t.rejected.save(),
+	}
+}
+
+func loadTenant(plan *planQueue, saved handoverTenant, lastBin int64) *tenant {
+	t := &tenant{
+		queue:           plan,
+		plan:            &plan.Plan,
+		nodes:           saved.Nodes,
+		firstSeen:       saved.FirstSeen,
+		refilledAt:      saved.RefilledAt,
+		level:           saved.Level,
+		ceiling:         saved.Ceiling,
+		chanceRemainder: saved.ChanceRemainder,
+	}
+	t.tenantSlots = tenantSlots{slotLimit: saved.SlotLimit, slotRejectionChance: saved.SlotRejectionChance}
+	t.tenantDemand = tenantDemand{
+		requestedTokens: saved.RequestedTokens,
+		requestedAt:     saved.RequestedAt,
+		readTokens:      saved.ReadTokens,
+		readSeconds:     saved.ReadSeconds,
+		coveredSeconds:  saved.CoveredSeconds,
+		readAt:          saved.ReadAt,
+	}
+	t.metered = saved.Metered
+	t.readEnd = saved.ReadEnd
+	t.elsewhereRate = saved.ElsewhereRate
+	t.lastPeriodTokens = saved.LastPeriodTokens
+	t.ownTokens = saved.OwnTokens
+	t.allTokens = saved.AllTokens
+	t.meanRate = saved.MeanRate
+	t.sent.load(saved.Sent, lastBin)
+	t.charged.load(saved.Charged, lastBin)
+	t.asked.load(saved.Asked, lastBin)
+	t.rejected.load(saved.Rejected, lastBin)
+	return t
+}
