--- a/fleet/share/exchange_test.go
+++ b/fleet/ratelimit/exchange_test.go
@@ -1,4 +1,4 @@
-package share
+package ratelimit
 
 import (
 	"math/rand/v2"
@@ -40,7 +40,7 @@
 			f.run(t, 100*time.Millisecond, all)
 		}
 		for i := range f.x {
-			if k, ok := f.level(i); !ok || k.Units > quota.Depth*lowPart+1 {
+			if k, ok := f.level(i); !ok || k.Tokens > quota.Burst*lowFraction+1 {
 				t.Fatalf("%d nodes, node %d: told %+v, %v of a store that is empty", nodes, i, k, ok)
 			}
 		}
@@ -51,10 +51,10 @@
 			}
 			return 1
 		}
-		for f.now < cut+3*Life {
+		for f.now < cut+3*ReportLifetime {
 			f.run(t, 50*time.Millisecond, apart)
 			for i := range f.x {
-				if k, ok := f.level(i); ok && i != owner && f.now > cut+Life+10*time.Millisecond {
+				if k, ok := f.level(i); ok && i != owner && f.now > cut+ReportLifetime+10*time.Millisecond {
 					t.Fatalf("%d nodes: %v after the cut node %d is told %+v", nodes, f.now-cut, i, k)
 				}
 			}
@@ -118,8 +118,8 @@
 				f.tellLive(func(a, b int) bool { return side[a] == side[b] })
 			}
 			for i := range f.x { // as greedy as can be
-				for k, ok := f.level(i); side[i] && ok && k.Units >= 1; k, ok = f.level(i) {
-					if f.now > cut+Life+20*time.Millisecond && !side[f.owner()] {
+				for k, ok := f.level(i); side[i] && ok && k.Tokens >= 1; k, ok = f.level(i) {
+					if f.now > cut+ReportLifetime+20*time.Millisecond && !side[f.owner()] {
 						t.Fatalf("node %d decides by %+v %v after it was cut off", i, k, f.now-cut)
 					}
 					f.send(i, 1)
@@ -132,14 +132,14 @@
 		if side[f.owner()] {
 			owned = quota.Rate * (found + time.Second).Seconds()
 		}
-		if most := float64(few)*(quota.Depth+quota.Rate*Life.Seconds()) + owned; passed > most {
+		if most := float64(few)*(quota.Burst+quota.Rate*ReportLifetime.Seconds()) + owned; passed > most {
 			t.Fatalf("%g units passed on the side of %d of %d nodes, the formula has %g", passed, few, nodes, most)
 		}
 		f.tellLive(func(a, b int) bool { return true })
 		f.run(t, 2*time.Second, all)
 		stores := 0
 		for _, x := range f.x {
-			stores += len(x.owned)
+			stores += len(x.ownedTenants)
 		}
 		if stores > 1 {
 			t.Fatalf("%d stores 2 s after the partition has healed", stores)
@@ -161,17 +161,17 @@
 	f.alive[owner] = false
 	f.tellLive(func(a, b int) bool { return true }) // it goes on for a while, and hears of who comes and goes
 	f.send(owner, 1)
-	if _, ok := f.level(owner); ok || len(f.x[owner].owned) > 0 {
+	if _, ok := f.level(owner); ok || len(f.x[owner].ownedTenants) > 0 {
 		t.Error("one that has left owns a store")
 	}
 	f.run(t, 200*time.Millisecond, all)
 	next := f.x[f.owner()]
-	e := next.owned[customer]
+	e := next.ownedTenants[customer]
 	if e == nil {
 		t.Fatal("the next owner has no store")
 	}
-	if got := e.store.Level(f.at(f.owner())); got > held.Units+quota.Rate+0.5 || got < held.Units-0.5 {
-		t.Errorf("the store held %g, and 0.2 s later %g at its next owner", held.Units, got)
+	if got := e.bucket.Level(f.at(f.owner())); got > held.Tokens+quota.Rate+0.5 || got < held.Tokens-0.5 {
+		t.Errorf("the store held %g, and 0.2 s later %g at its next owner", held.Tokens, got)
 	}
 }
 
@@ -179,17 +179,17 @@
 // after that, and owns again when it returns.
 func TestLeaveWithNobodyToFollow(t *testing.T) {
 	f := newFleet(3)
-	x, set := f.x[0], Set{0, 1}
-	x.Sent(f.now, 77, 1, set, 1, false)
+	x, set := f.x[0], NodeRange{0, 1}
+	x.Consume(f.now, 77, 1, set, 1, false)
 	x.Leave(f.now)
-	x.Live(f.now, nil)
-	x.Live(f.now, []Node{{1, x.lives[1]}})
-	if x.owned[77] == nil {
+	x.SetLive(f.now, nil)
+	x.SetLive(f.now, []Peer{{1, x.incarnations[1]}})
+	if x.ownedTenants[77] == nil {
 		t.Fatal("the store is gone")
 	}
-	x.Return()
-	x.Live(f.now, nil)
-	if k, ok := x.Level(f.now+settleFor+1, 77, 1, set); !ok || k.Units >= x.cfg.Quotas[1].Depth+1 {
+	x.Rejoin()
+	x.SetLive(f.now, nil)
+	if k, ok := x.Level(f.now+ownershipSettleTime+1, 77, 1, set); !ok || k.Tokens >= x.config.Quotas[1].Burst+1 {
 		t.Fatalf("after its return: %+v, %v", k, ok)
 	}
 }
@@ -200,15 +200,15 @@
 	f := newFleet(4)
 	for c := range uint64(3000) {
 		for i := range 2 {
-			f.x[i].Sent(f.at(i), c, plan, f.set, 39, false)
+			f.x[i].Consume(f.at(i), c, plan, f.set, 39, false)
 		}
 		if c%500 == 0 {
 			f.run(t, 100*time.Millisecond, all) // hear fails for a message that is too long
 		}
 	}
 	for i, x := range f.x {
-		if n := len(x.young) + len(x.old); n > x.cfg.Customers {
-			t.Errorf("node %d remembers %d customers of %d at most", i, n, x.cfg.Customers)
+		if n := len(x.recentTenants) + len(x.olderTenants); n > x.config.MaxTenants {
+			t.Errorf("node %d remembers %d customers of %d at most", i, n, x.config.MaxTenants)
 		}
 	}
 	f.run(t, 12*time.Second, all)
--- a/fleet/share/golden_test.go
+++ b/fleet/ratelimit/golden_test.go
@@ -1,4 +1,4 @@
-package share
+package ratelimit
 
 import (
 	"testing"
--- a/fleet/share/interleaving_test.go
+++ b/fleet/ratelimit/interleaving_test.go
@@ -1,4 +1,4 @@
-package share
+package ratelimit
 
 import "testing"
 
@@ -23,7 +23,7 @@
 		owner := f.owner()
 		f.send((owner+1)%3, 1)
 		f.send((owner+2)%3, 2)
-		f.run(t, batch, all) // both are on their way, or there
+		f.run(t, batchInterval, all) // both are on their way, or there
 		f.send((owner+1)%3, 4)
 		width := make([]int, depth)
 		for d := range depth {
@@ -57,7 +57,7 @@
 
 func choose(t *testing.T, f *fleet, choice int, planted bool) {
 	if choice == 0 {
-		f.now += resend / 2
+		f.now += resendInterval / 2
 		f.flush()
 		return
 	}
@@ -72,7 +72,7 @@
 	if choice != 3 {
 		if planted {
 			for _, l := range f.x[o.To].links {
-				l.counted = 0 // forgets what it has counted
+				l.appliedSequence = 0 // forgets what it has counted
 			}
 		}
 		f.hear(t, o)
--- /dev/null
+++ b/fleet/ratelimit/receive.go
@@ -0,0 +1,141 @@
+package ratelimit
+
+import "time"
+
+// Receive takes a message. One of a process that is not live is dropped; what comes twice is applied once.
+func (l *Limiter) Receive(now time.Duration, m *Message) {
+	if m.Sender == l.config.Node || m.Incarnation == 0 || m.Incarnation != l.incarnations[m.Sender] {
+		l.Counts.UnknownSender++
+		return
+	}
+	l.Counts.Received++
+	link := l.link(m.Sender)
+	if int32(m.Number-link.receivedNumber) > 0 || link.receivedNumber == 0 {
+		link.receivedNumber = m.Number
+		link.receivedAt = now
+	}
+	if link.unacknowledged != nil && m.Acknowledged == link.unacknowledged.Sequence {
+		link.unacknowledged = nil
+		if link.hasPending() {
+			l.sendBy(m.Sender, now+batchInterval)
+		}
+	}
+	if m.Sequence > 0 {
+		l.receiveConsumptions(link, m, now)
+	}
+	if len(m.Levels)+len(m.Owners)+len(m.SlowReports) > 0 {
+		l.receiveReports(link, m, now)
+		if !link.hasSent || now > link.lastSentAt+echoInterval {
+			l.sendBy(m.Sender, now) // so that the ages of its reports are known
+		}
+	}
+}
+
+// receiveConsumptions applies transfers and consumption, each once, and has them acknowledged.
+func (l *Limiter) receiveConsumptions(link *peerLink, m *Message, now time.Duration) {
+	link.ackDue = true
+	l.sendBy(m.Sender, now)
+	first := int32(m.Sequence-link.appliedSequence) > 0
+	if first {
+		link.appliedSequence = m.Sequence
+		l.applyTransfers(m, now)
+	} else {
+		l.Counts.Duplicates++
+	}
+	waited := time.Duration(m.ConsumptionAge) * time.Millisecond
+	for _, c := range m.Consumptions {
+		t := l.lookUp(c.Tenant, c.Plan, NodeRange{c.First, c.Count}, now)
+		if t == nil {
+			continue
+		}
+		if l.ownerOf(t, now) != l.config.Node {
+			if first { // the sender does not know of the owner's change yet
+				l.notifyOwner(t, float64(c.Tokens), now-waited, now, now+batchInterval)
+			}
+			continue
+		}
+		if first {
+			l.consume(t, float64(c.Tokens), waited, now)
+		}
+		link.ackLevels[t.key] = t
+	}
+}
+
+// applyTransfers takes over buckets. The refill while they were on their way is left out.
+func (l *Limiter) applyTransfers(m *Message, now time.Duration) {
+	age := time.Duration(m.TransferAge) * time.Millisecond
+	for _, tr := range m.Transfers {
+		t := l.lookUp(tr.Tenant, tr.Plan, NodeRange{tr.First, tr.Count}, now)
+		if t == nil {
+			continue
+		}
+		l.Counts.TransferredIn++
+		l.bucketOf(t, now).Merge(float64(tr.Level), float64(tr.Consumed), tr.Inherited, age, now)
+		l.consume(t, 0, 0, now)
+	}
+}
+
+// receiveReports takes reports by their ages, and has them forwarded where this node is a relay.
+func (l *Limiter) receiveReports(link *peerLink, m *Message, now time.Duration) {
+	sent, ok := link.sentAtLeastAt(m, l.config.Incarnation)
+	if !ok || sent > now {
+		l.Counts.UnknownAge++
+		return
+	}
+	for _, r := range m.Levels {
+		validAt := sent - time.Duration(r.Age)*time.Millisecond
+		if validAt+ReportLifetime < now {
+			l.Counts.Late++
+			continue
+		}
+		l.receiveLevel(r, validAt, now)
+		level := queuedLevel{float64(r.Tokens), validAt, NodeRange{r.First, r.Count}}
+		l.forward(m.Hop, func(q *reportQueue) { q.addLevel(r.Tenant, level) }, now)
+	}
+	for _, r := range m.SlowReports {
+		reportedAt := sent - time.Duration(r.Age)*time.Millisecond
+		if reportedAt+SlowReportLifetime < now {
+			l.Counts.Late++
+			continue
+		}
+		key := slowReportKey{Server{r.ServerKey, r.StartedAt}, r.Node}
+		l.slowReports.add(key, reportedAt)
+		l.forward(m.Hop, func(q *reportQueue) { q.addSlow(key, reportedAt) }, now)
+	}
+	for _, r := range m.Owners {
+		validAt := sent - time.Duration(r.Age)*time.Millisecond
+		if validAt+ReportLifetime < now {
+			l.Counts.Late++
+			continue
+		}
+		l.coveredUntil[r.Node] = max(l.coveredUntil[r.Node], validAt)
+		l.forward(m.Hop, func(q *reportQueue) { q.addOwner(r.Node, queuedOwner{validAt, r.MaxRange}) }, now)
+	}
+}
+
+// receiveLevel takes a level of a tenant, less own consumption that the owner may not have applied yet.
+func (l *Limiter) receiveLevel(r LevelReport, validAt, now time.Duration) {
+	t := l.tenant(r.Tenant, now)
+	newer := !t.cached.known || validAt > t.cached.validAt
+	t.cached.Update(float64(r.Tokens), validAt)
+	// A tenant whose quota is not known here was reported because its bucket is low.
+	t.cached.low = t.quota.Burst == 0 || float64(r.Tokens) < lowFraction*t.quota.Burst
+	if newer {
+		l.deductUnacknowledged(t)
+	}
+}
+
+// forward queues what has come to a relay with a number of hops where it goes on from.
+func (l *Limiter) forward(hop int, queue func(*reportQueue), now time.Duration) {
+	if hop == 0 || hop == lastHop {
+		return
+	}
+	if hop == 1 {
+		queue(&l.toRelays)
+	}
+	queue(&l.toGroup)
+	if l.relayAt == 0 {
+		l.relayAt = now + relayInterval
+	}
+	l.flushBy(l.relayAt)
+}
--- /dev/null
+++ b/fleet/ratelimit/reports.go
@@ -0,0 +1,95 @@
+package ratelimit
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"time"
+)
+
+// reportQueue holds reports that are to be forwarded, the latest of each subject.
+type reportQueue struct {
+	levels map[uint64]queuedLevel          // by tenant
+	owners map[int]queuedOwner             // by node
+	slow   map[slowReportKey]time.Duration // when each was made
+}
+
+// queuedLevel is a level with the time at which it was true, and the nodes that it is for.
+type queuedLevel struct {
+	level   float64
+	validAt time.Duration
+	nodes   NodeRange
+}
+
+// queuedOwner is when an owner's low buckets were all reported, and how far its tenants' nodes are.
+type queuedOwner struct {
+	validAt  time.Duration
+	maxRange int
+}
+
+func newReportQueue() reportQueue {
+	return reportQueue{
+		levels: make(map[uint64]queuedLevel),
+		owners: make(map[int]queuedOwner),
+		slow:   make(map[slowReportKey]time.Duration),
+	}
+}
+
+func (q *reportQueue) isEmpty() bool { return len(q.levels)+len(q.owners)+len(q.slow) == 0 }
+
+func (q *reportQueue) addLevel(tenant uint64, level queuedLevel) {
+	if old, ok := q.levels[tenant]; !ok || level.validAt > old.validAt {
+		q.levels[tenant] = level
+	}
+}
+
+func (q *reportQueue) addSlow(key slowReportKey, reportedAt time.Duration) {
+	if old, ok := q.slow[key]; !ok || reportedAt > old {
+		q.slow[key] = reportedAt
+	}
+}
+
+func (q *reportQueue) addOwner(node int, owner queuedOwner) {
+	if old, ok := q.owners[node]; !ok || owner.validAt > old.validAt {
+		q.owners[node] = owner
+	}
+}
+
+// reportBatch is queued reports in the form and order in which they are sent.
+type reportBatch struct {
+	levels []LevelReport
+	owners []OwnerReport
+	slow   []SlowReport
+}
+
+// drain returns all queued reports with their ages and empties the queue.
+func (q *reportQueue) drain(now time.Duration) reportBatch {
+	var batch reportBatch
+	age := func(validAt time.Duration) uint32 {
+		return uint32(math.Ceil(float64(max(0, now-validAt)) / float64(time.Millisecond)))
+	}
+	for _, tenant := range slices.Sorted(maps.Keys(q.levels)) {
+		l := q.levels[tenant]
+		batch.levels = append(batch.levels, LevelReport{
+			Tenant: tenant,
+			First:  l.nodes.First,
+			Count:  l.nodes.Count,
+			Tokens: float32(l.level),
+			Age:    age(l.validAt),
+		})
+	}
+	for _, node := range slices.Sorted(maps.Keys(q.owners)) {
+		o := q.owners[node]
+		batch.owners = append(batch.owners, OwnerReport{Node: node, MaxRange: o.maxRange, Age: age(o.validAt)})
+	}
+	for _, key := range slices.SortedFunc(maps.Keys(q.slow), compareKeys) {
+		batch.slow = append(batch.slow, SlowReport{
+			ServerKey: key.server.Key,
+			StartedAt: key.server.StartedAt,
+			Node:      key.node,
+			Age:       age(q.slow[key]),
+		})
+	}
+	*q = newReportQueue()
+	return batch
+}
--- /dev/null
+++ b/fleet/ratelimit/send.go
@@ -0,0 +1,248 @@
+package ratelimit
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+	"time"
+)
+
+// Flush returns the messages that are due.
+func (l *Limiter) Flush(now time.Duration) []Outgoing {
+	if l.flushAt >= 0 && now > l.flushAt+suspendThreshold {
+		// What the others have reported meanwhile has not been read yet, and may be that a bucket is low.
+		l.quietUntil = now + ReportLifetime/2
+	}
+	l.flushAt = -1
+	var out []Outgoing
+	out = l.publish(now, out)
+	out = l.relayReports(now, out)
+	for _, node := range slices.Sorted(maps.Keys(l.activeLinks)) {
+		out = l.flushLink(node, l.activeLinks[node], now, out)
+	}
+	return out
+}
+
+// flushLink adds what is due to one node: what was not acknowledged in time, and what waits to be sent.
+func (l *Limiter) flushLink(node int, link *peerLink, now time.Duration, out []Outgoing) []Outgoing {
+	if link.unacknowledged != nil && now >= link.unacknowledgedSentAt+resendInterval {
+		l.Counts.Resent++
+		link.unacknowledgedSentAt = now
+		again := *link.unacknowledged
+		again.ConsumptionAge = milliseconds(now - link.oldestConsumption)
+		out = append(out, l.stamp(node, &again, now))
+	}
+	if link.sendAt >= 0 && link.sendAt <= now {
+		out = append(out, l.sendPending(node, link, now))
+	}
+	if link.unacknowledged != nil {
+		l.flushBy(link.unacknowledgedSentAt + resendInterval)
+	}
+	if link.sendAt >= 0 {
+		l.flushBy(link.sendAt)
+	} else if link.unacknowledged == nil {
+		delete(l.activeLinks, node)
+	}
+	return out
+}
+
+// sendPending returns a message with an acknowledgement and consumption, as far as they are due; else an empty one,
+// which carries an echo.
+func (l *Limiter) sendPending(node int, link *peerLink, now time.Duration) Outgoing {
+	link.sendAt = -1
+	m := &Message{}
+	if link.ackDue {
+		link.addAcknowledgement(m, now)
+	}
+	if link.unacknowledged == nil && link.hasPending() {
+		l.sequence++
+		m.Sequence = l.sequence
+		link.addConsumptions(m, now)
+		if link.hasPending() {
+			l.sendBy(node, now+batchInterval)
+		}
+	}
+	return l.stamp(node, m, now)
+}
+
+// addAcknowledgement adds what was applied last, with the levels of its tenants.
+func (p *peerLink) addAcknowledgement(m *Message, now time.Duration) {
+	m.Acknowledged = p.appliedSequence
+	p.ackDue = false
+	for _, key := range slices.Sorted(maps.Keys(p.ackLevels)) {
+		t := p.ackLevels[key]
+		if t.bucket == nil || len(m.Levels) >= maxAckLevels {
+			continue
+		}
+		m.Levels = append(m.Levels, LevelReport{
+			Tenant: key,
+			First:  t.nodes.First,
+			Count:  t.nodes.Count,
+			Tokens: float32(t.bucket.Level(now)),
+		})
+	}
+	clear(p.ackLevels)
+}
+
+// addConsumptions moves transfers and consumption to a message, as many as fit, and remembers them until they are
+// acknowledged.
+func (p *peerLink) addConsumptions(m *Message, now time.Duration) {
+	transfers := min(len(p.transfers), maxConsumptions-maxAckLevels)
+	m.Transfers = p.transfers[:transfers:transfers]
+	p.transfers = p.transfers[transfers:]
+	since := now
+	for _, key := range slices.Sorted(maps.Keys(p.pending)) {
+		if len(m.Consumptions)+transfers >= maxConsumptions {
+			break
+		}
+		pending := p.pending[key]
+		m.Consumptions = append(m.Consumptions, pending.Consumption)
+		since = min(since, pending.since)
+		delete(p.pending, key)
+	}
+	m.ConsumptionAge = milliseconds(now - since)
+	if p.oldestTransfer > 0 {
+		m.TransferAge = milliseconds(now - p.oldestTransfer)
+	}
+	if len(p.transfers) == 0 {
+		p.oldestTransfer = 0
+	}
+	p.unacknowledged = &Message{
+		Sequence:     m.Sequence,
+		Consumptions: m.Consumptions,
+		Transfers:    m.Transfers,
+		TransferAge:  m.TransferAge,
+	}
+	p.unacknowledgedSentAt = now
+	p.oldestConsumption = since
+}
+
+// milliseconds returns a time as messages hold it.
+func milliseconds(d time.Duration) uint32 {
+	return uint32(max(0, min(maxAgeMillis, d.Milliseconds())))
+}
+
+// publish reports, as an owner, the levels that are due, and that all other buckets are not low.
+func (l *Limiter) publish(now time.Duration, out []Outgoing) []Outgoing {
+	if l.left {
+		l.ownReports = newReportQueue()
+		return out
+	}
+	if now > l.lastConsumption+publishDuration && l.ownReports.isEmpty() {
+		return out
+	}
+	if now < l.publishAt || now < l.quietUntil {
+		l.flushBy(max(l.publishAt, l.quietUntil))
+		return out
+	}
+	l.publishAt = now + publishInterval
+	l.flushBy(l.publishAt)
+	for _, key := range slices.Sorted(maps.Keys(l.lowTenants)) {
+		l.reportIfDue(l.lowTenants[key], now)
+	}
+	l.ownReports.addOwner(l.config.Node, queuedOwner{now, l.maxRange})
+	if l.relay != l.config.Node {
+		everything := func(NodeRange) bool { return true }
+		return l.sendReports(l.ownReports.drain(now), 1, l.relay, everything, now, out)
+	}
+	l.forwardOwnReports(now)
+	return out
+}
+
+// forwardOwnReports queues this node's own reports where it is the relay of its group.
+func (l *Limiter) forwardOwnReports(now time.Duration) {
+	for tenant, level := range l.ownReports.levels {
+		l.forward(1, func(q *reportQueue) { q.addLevel(tenant, level) }, now)
+	}
+	for key, reportedAt := range l.ownReports.slow {
+		l.forward(1, func(q *reportQueue) { q.addSlow(key, reportedAt) }, now)
+	}
+	l.forward(1, func(q *reportQueue) { q.addOwner(l.config.Node, queuedOwner{now, l.maxRange}) }, now)
+	l.ownReports = newReportQueue()
+}
+
+// relayReports forwards, as a relay, what has come: to the other relays, and to the nodes of its group.
+func (l *Limiter) relayReports(now time.Duration, out []Outgoing) []Outgoing {
+	if l.relayAt == 0 {
+		return out
+	}
+	if now < l.relayAt {
+		l.flushBy(l.relayAt)
+		return out
+	}
+	l.relayAt = 0
+	toRelays := l.toRelays.drain(now)
+	toGroup := l.toGroup.drain(now)
+	for group, relay := range l.relayGroups.relays {
+		if relay >= 0 && relay != l.config.Node {
+			inGroup := func(nodes NodeRange) bool { return l.relayGroups.overlaps(nodes, group) }
+			out = l.sendReports(toRelays, 2, relay, inGroup, now, out)
+		}
+	}
+	for _, node := range l.groupMembers {
+		forNode := func(nodes NodeRange) bool { return nodes.contains(node, l.config.FleetSize) }
+		out = l.sendReports(toGroup, lastHop, node, forNode, now, out)
+	}
+	return out
+}
+
+// sendReports adds messages that each fit a datagram with the reports of a batch that concern a node. Slow reports
+// concern all.
+func (l *Limiter) sendReports(batch reportBatch, hop, to int, concerns func(NodeRange) bool, now time.Duration, out []Outgoing) []Outgoing {
+	var levels []LevelReport
+	for _, r := range batch.levels {
+		if concerns(NodeRange{r.First, r.Count}) {
+			levels = append(levels, r)
+		}
+	}
+	var owners []OwnerReport
+	for _, r := range batch.owners {
+		if concerns(rangeAround(r.Node, r.MaxRange, l.config.FleetSize)) {
+			owners = append(owners, r)
+		}
+	}
+	// Slow reports go first, alone, and levels before the report that all are reported.
+	slow := batch.slow
+	for len(levels)+len(owners)+len(slow) > 0 {
+		m := &Message{Hop: hop}
+		switch {
+		case len(slow) > 0:
+			m.SlowReports, slow = split(slow, maxSlowReports)
+		case len(levels) > maxLevels:
+			m.Levels, levels = split(levels, maxLevels)
+		default:
+			m.Levels, levels = levels, nil
+			m.Owners, owners = split(owners, maxOwners)
+		}
+		out = append(out, l.stamp(to, m, now))
+	}
+	return out
+}
+
+// split returns the first n elements of a list, or all, and the rest.
+func split[T any](list []T, n int) (first, rest []T) {
+	n = min(n, len(list))
+	return list[:n], list[n:]
+}
+
+// stamp puts a message's header on it.
+func (l *Limiter) stamp(node int, m *Message, now time.Duration) Outgoing {
+	link := l.link(node)
+	link.number++
+	link.number = cmp.Or(link.number, 1)
+	link.sentAt[link.number%rememberedNumbers] = now
+	link.hasSent = true
+	link.lastSentAt = now
+	m.Sender = l.config.Node
+	m.Incarnation = l.config.Incarnation
+	m.Number = link.number
+	if link.receivedNumber > 0 {
+		delay := int64((now - link.receivedAt) / time.Microsecond)
+		m.Echo = link.receivedNumber
+		m.EchoIncarnation = uint32(link.incarnation)
+		m.EchoDelay = uint32(min(int64(math.MaxUint32), delay))
+	}
+	l.Counts.Sent++
+	return Outgoing{node, m}
+}
--- a/fleet/share/share_test.go
+++ b/fleet/ratelimit/share_test.go
@@ -1,4 +1,4 @@
-package share
+package ratelimit
 
 import (
 	"flag"
@@ -18,7 +18,7 @@
 	const customers = 20000
 	for _, n := range []int{3, 10, 60, 300} {
 		for _, gone := range []int{0, n / 2, n - 1} {
-			moved, all := 0, Set{n / 3, n}
+			moved, all := 0, NodeRange{n / 3, n}
 			for c := range uint64(customers) {
 				before, _ := Owner(c, all, n, func(int) bool { return true })
 				after, _ := Owner(c, all, n, func(i int) bool { return i != gone })
@@ -40,7 +40,7 @@
 func TestOneSideHasTheQuorum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := rapid.IntRange(1, 40).Draw(t, "group")
-		s := Set{rapid.IntRange(0, group-1).Draw(t, "first"), rapid.IntRange(1, group).Draw(t, "spread")}
+		s := NodeRange{rapid.IntRange(0, group-1).Draw(t, "first"), rapid.IntRange(1, group).Draw(t, "spread")}
 		side := rapid.SliceOfN(rapid.IntRange(0, 2), group, group).Draw(t, "sides")
 		customer, sides := rapid.Uint64().Draw(t, "customer"), 0
 		for k := range 3 {
@@ -48,7 +48,7 @@
 			if quorum {
 				sides++
 			}
-			if owner >= 0 && (side[owner] != k || (owner-s.First+group)%group >= s.Spread) {
+			if owner >= 0 && (side[owner] != k || (owner-s.First+group)%group >= s.Count) {
 				t.Fatalf("owner %d of set %v is on side %d, asked for %d", owner, s, side[owner], k)
 			}
 			if owner < 0 && quorum {
@@ -66,18 +66,18 @@
 func TestStoreIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := Quota{rapid.Float64Range(0.1, 50).Draw(t, "rate"), rapid.Float64Range(1, 100).Draw(t, "depth")}
-		s := NewStore(q, q.Depth, 0)
+		s := NewBucket(q, q.Burst, 0)
 		now, sent := time.Duration(0), 0.0
 		for range rapid.IntRange(1, 100).Draw(t, "uses") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond
 			units := float64(rapid.IntRange(0, 8).Draw(t, "units"))
 			held := s.Level(now)
-			s.Take(units, now)
+			s.Consume(units, now)
 			if held >= units {
 				sent += units
 			}
-			if level := s.Level(now); level < 0 || level > q.Depth || sent > q.Depth+q.Rate*now.Seconds()+1e-6 {
-				t.Fatalf("level %g of %g, %g sent by %v", level, q.Depth, sent, now)
+			if level := s.Level(now); level < 0 || level > q.Burst || sent > q.Burst+q.Rate*now.Seconds()+1e-6 {
+				t.Fatalf("level %g of %g, %g sent by %v", level, q.Burst, sent, now)
 			}
 		}
 	})
@@ -88,7 +88,7 @@
 func TestLateUsesCountAsOfThen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := Quota{rapid.Float64Range(1, 20).Draw(t, "rate"), rapid.Float64Range(5, 100).Draw(t, "depth")}
-		want, late, merged := NewStore(q, q.Depth, 0), NewStore(q, q.Depth, 0), NewStore(q, q.Depth, 0)
+		want, late, merged := NewBucket(q, q.Burst, 0), NewBucket(q, q.Burst, 0), NewBucket(q, q.Burst, 0)
 		type use struct {
 			units float64
 			at    time.Duration
@@ -101,22 +101,22 @@
 			if want.Level(now) < units {
 				continue
 			}
-			want.Take(units, now)
+			want.Consume(units, now)
 			if rapid.Bool().Draw(t, "far") {
 				far, sum = append(far, use{units, now}), sum+units
 				continue
 			}
-			late.Take(units, now)
-			merged.Take(units, now)
+			late.Consume(units, now)
+			merged.Consume(units, now)
 		}
-		now += lateFrom
+		now += lateAfter
 		for _, i := range rapid.Permutation(indices(len(far))).Draw(t, "order") {
-			late.TakeLate(far[i].units, now-far[i].at, now)
+			late.ConsumeLate(far[i].units, now-far[i].at, now)
 		}
 		least := want.Level(now) - 1e-3 // bins are single floats
-		assert.InDelta(t, late.Level(now), least, q.Rate*spillWidth.Seconds()*1.001+2e-3)
+		assert.InDelta(t, late.Level(now), least, q.Rate*overflowBinWidth.Seconds()*1.001+2e-3)
 		assert.GreaterOrEqual(t, late.Level(now), least)
-		merged.Merge(q.Depth, sum, true, now, now)
+		merged.Merge(q.Burst, sum, true, now, now)
 		assert.GreaterOrEqual(t, merged.Level(now), least)
 	})
 }
@@ -132,18 +132,18 @@
 		all := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) told {
 			return told{float64(rapid.IntRange(0, 40).Draw(t, "level")), time.Duration(rapid.IntRange(1, 5).Draw(t, "at")) * 100 * time.Millisecond}
 		}), 1, 8).Draw(t, "told")
-		var a, b View
+		var a, b CachedLevel
 		for _, x := range all {
-			a.Hear(x.level, x.at)
+			a.Update(x.level, x.at)
 		}
 		for _, x := range rapid.Permutation(append(all, all...)).Draw(t, "again") {
-			b.Hear(x.level, x.at)
+			b.Update(x.level, x.at)
 		}
 		if a != b {
 			t.Fatalf("heard in another order and twice: %+v, not %+v", b, a)
 		}
-		if !a.Fresh(a.at+Life) || a.Fresh(a.at+Life+1) {
-			t.Fatalf("a level of %v is fresh until another time than %v", a.at, a.at+Life)
+		if !a.Fresh(a.validAt+ReportLifetime) || a.Fresh(a.validAt+ReportLifetime+1) {
+			t.Fatalf("a level of %v is fresh until another time than %v", a.validAt, a.validAt+ReportLifetime)
 		}
 	})
 }
@@ -153,16 +153,16 @@
 func TestOthersReckonWithTheLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := Quota{rapid.Float64Range(0.5, 20).Draw(t, "rate"), 40}
-		s, now := NewStore(q, q.Depth, 0), time.Duration(0)
-		var v View
+		s, now := NewBucket(q, q.Burst, 0), time.Duration(0)
+		var v CachedLevel
 		for range 200 {
 			now += time.Duration(rapid.IntRange(1, 300).Draw(t, "pause")) * time.Millisecond
-			s.Take(rapid.Float64Range(-2, 8).Draw(t, "units"), now)
-			if level, ok := s.Due(now); ok {
-				v.Hear(level, now)
+			s.Consume(rapid.Float64Range(-2, 8).Draw(t, "units"), now)
+			if level, ok := s.DueReport(now); ok {
+				v.Update(level, now)
 			}
-			if level := s.Level(now); s.low(level) && (!v.Fresh(now) || math.Abs(v.Level(q, now)-level) > step*q.Depth) {
-				t.Fatalf("at %v the store holds %g, the others reckon with %g of %v", now, level, v.level, v.at)
+			if level := s.Level(now); s.isLow(level) && (!v.Fresh(now) || math.Abs(v.Level(q, now)-level) > reportStep*q.Burst) {
+				t.Fatalf("at %v the store holds %g, the others reckon with %g of %v", now, level, v.level, v.validAt)
 			}
 		}
 	})
@@ -175,9 +175,9 @@
 		q := Quota{2, 40}
 		a, b := rapid.Float64Range(0, 40).Draw(t, "a"), rapid.Float64Range(0, 40).Draw(t, "b")
 		here, there := rapid.Bool().Draw(t, "here"), rapid.Bool().Draw(t, "there")
-		s, want := NewStore(q, a, 0), math.Min(math.Max(0, a-3), b)
-		s.guessed = here
-		s.Take(3, 0)
+		s, want := NewBucket(q, a, 0), math.Min(math.Max(0, a-3), b)
+		s.inherited = here
+		s.Consume(3, 0)
 		switch {
 		case here && !there:
 			want = math.Max(0, b-3)
@@ -191,8 +191,8 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	seed, err := (&Message{From: 1, Life: 7, Number: 3, Seq: 2, Uses: []Use{{Customer: 9, Plan: 1, Spread: 2, Units: 3}},
-		Hop: 1, Levels: []Level{{Customer: 9, Units: 2, Age: 40}}, Owners: []Told{{Node: 1}}}).Encode()
+	seed, err := (&Message{Sender: 1, Incarnation: 7, Number: 3, Sequence: 2, Consumptions: []Consumption{{Tenant: 9, Plan: 1, Count: 2, Tokens: 3}},
+		Hop: 1, Levels: []LevelReport{{Tenant: 9, Tokens: 2, Age: 40}}, Owners: []OwnerReport{{Node: 1}}}).Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -203,13 +203,13 @@
 		if err != nil {
 			return
 		}
-		if _, err := m.Encode(); err != nil && len(raw) < MessageMost/2 {
+		if _, err := m.Encode(); err != nil && len(raw) < MaxMessageBytes/2 {
 			t.Fatalf("%+v can't be written again: %v", m, err)
 		}
-		x := NewExchange(Config{Self: 0, Group: 4, Life: 1, Quotas: map[uint32]Quota{1: {2, 20}}, Customers: 100}, 0)
-		x.Live(0, []Node{{1, m.Life}, {2, 5}, {3, 6}})
-		m.From = 1
-		x.Hear(time.Second, m)
+		x := NewLimiter(Config{Node: 0, FleetSize: 4, Incarnation: 1, Quotas: map[uint32]Quota{1: {2, 20}}, MaxTenants: 100}, 0)
+		x.SetLive(0, []Peer{{1, m.Incarnation}, {2, 5}, {3, 6}})
+		m.Sender = 1
+		x.Receive(time.Second, m)
 		x.Flush(2 * time.Second)
 	})
 }
@@ -219,27 +219,27 @@
 func TestSetsAndCells(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		group := rapid.IntRange(1, 50).Draw(t, "group")
-		s := Set{rapid.IntRange(0, group-1).Draw(t, "first"), rapid.IntRange(1, group).Draw(t, "spread")}
+		s := NodeRange{rapid.IntRange(0, group-1).Draw(t, "first"), rapid.IntRange(1, group).Draw(t, "spread")}
 		lo := rapid.IntRange(0, group-1).Draw(t, "lo")
 		hi := rapid.IntRange(lo+1, group).Draw(t, "hi")
 		meets := false
 		for n := lo; n < hi; n++ {
-			meets = meets || s.holds(n, group)
+			meets = meets || s.contains(n, group)
 		}
-		if got := s.meets(lo, hi, group); got != meets {
+		if got := s.overlaps(lo, hi, group); got != meets {
 			t.Fatalf("set %v of %d meets %d to %d: %v", s, group, lo, hi, got)
 		}
 		node, reach := rapid.IntRange(0, group-1).Draw(t, "node"), rapid.IntRange(0, group-1).Draw(t, "reach")
 		for n := range group {
 			d := min((n-node+group)%group, (node-n+group)%group)
-			if got := around(node, reach, group).holds(n, group); got != (d <= reach) {
+			if got := rangeAround(node, reach, group).contains(n, group); got != (d <= reach) {
 				t.Fatalf("%d within %d of %d in %d: %v", n, reach, node, group, got)
 			}
 		}
 		live := rapid.SliceOfNDistinct(rapid.IntRange(0, group-1), 1, group, rapid.ID).Draw(t, "live")
-		c := newCells(group, live)
+		c := newRelayGroups(group, live)
 		for _, n := range live {
-			if h := c.heads[c.of(n)]; h < 0 || c.of(h) != c.of(n) {
+			if h := c.relays[c.of(n)]; h < 0 || c.of(h) != c.of(n) {
 				t.Fatalf("node %d has head %d", n, h)
 			}
 		}
@@ -256,11 +256,11 @@
 
 // A wait longer than any that a node tells is a spoilt message: nobody has the refill of a minute on its word.
 func TestWaitsAreBounded(t *testing.T) {
-	for _, m := range []*Message{{UseAge: ageMost}, {UseAge: ageMost + 1}, {HandAge: ageMost + 1}} {
+	for _, m := range []*Message{{ConsumptionAge: maxAgeMillis}, {ConsumptionAge: maxAgeMillis + 1}, {TransferAge: maxAgeMillis + 1}} {
 		m.Number = 1
 		raw, err := m.Encode()
 		assert.NoError(t, err)
 		_, err = Decode(raw, 3)
-		assert.Equal(t, m.UseAge > ageMost || m.HandAge > ageMost, err != nil, "%+v", m)
+		assert.Equal(t, m.ConsumptionAge > maxAgeMillis || m.TransferAge > maxAgeMillis, err != nil, "%+v", m)
 	}
 }
--- a/fleet/share/verdict_test.go
+++ b/fleet/ratelimit/verdict_test.go
@@ -1,4 +1,4 @@
-package share
+package ratelimit
 
 import (
 	"testing"
@@ -23,13 +23,13 @@
 	for end := f.now + d; f.now < end; {
 		f.run(t, 20*time.Millisecond, carry)
 		for i, x := range f.x {
-			for _, v := range x.Verdicts(f.at(i), 5) {
+			for _, v := range x.Outliers(f.at(i), 5) {
 				if got[i] == nil {
 					got[i] = map[Server]int{}
 				}
-				got[i][v.Server] = v.Witnesses
-				if v.At > f.at(i) || v.At < f.at(i)-VerdictLife {
-					t.Errorf("node %d is told a verdict of %v, now is %v", i, v.At, f.at(i))
+				got[i][v.Server] = v.Reporters
+				if v.ReportedAt > f.at(i) || v.ReportedAt < f.at(i)-SlowReportLifetime {
+					t.Errorf("node %d is told a verdict of %v, now is %v", i, v.ReportedAt, f.at(i))
 				}
 			}
 		}
@@ -38,7 +38,7 @@
 }
 
 func TestVerdicts(t *testing.T) {
-	slow := Server{Key: 3, Boot: 1}
+	slow := Server{Key: 3, StartedAt: 1}
 	for _, x := range []struct {
 		name    string
 		charge  func(f *fleet)
@@ -48,28 +48,28 @@
 	}{
 		{"four are silent to at one server", func(f *fleet) {
 			for i := range 4 {
-				f.x[i].Charge(f.at(i), slow)
+				f.x[i].ReportSlow(f.at(i), slow)
 			}
 		}, 10, all, 1},
 		{"one node's own link is bad: all servers are silent to it", func(f *fleet) {
 			for n := range uint64(5) {
-				f.x[0].Charge(f.at(0), Server{Key: n, Boot: 1})
+				f.x[0].ReportSlow(f.at(0), Server{Key: n, StartedAt: 1})
 			}
 		}, 0, all, 0},
 		{"four nodes' links are bad", func(f *fleet) {
 			for i := range 4 {
 				for n := range uint64(5) {
-					f.x[i].Charge(f.at(i), Server{Key: n, Boot: 1})
+					f.x[i].ReportSlow(f.at(i), Server{Key: n, StartedAt: 1})
 				}
 			}
 		}, 0, all, 0},
 		{"they speak of two starts of a server", func(f *fleet) {
-			f.x[0].Charge(f.at(0), slow)
-			f.x[1].Charge(f.at(1), Server{Key: 3, Boot: 2})
+			f.x[0].ReportSlow(f.at(0), slow)
+			f.x[1].ReportSlow(f.at(1), Server{Key: 3, StartedAt: 2})
 		}, 0, all, 0},
 		{"no word comes through", func(f *fleet) {
 			for i := range 4 {
-				f.x[i].Charge(f.at(i), slow)
+				f.x[i].ReportSlow(f.at(i), slow)
 			}
 		}, 0, func(int, int) int { return 0 }, 0},
 	} {
@@ -93,7 +93,7 @@
 func TestWitnessesAgreeInTime(t *testing.T) {
 	f := courtroom(t)
 	for i := range 6 {
-		f.x[i].Charge(f.at(i), Server{Key: 3, Boot: 1})
+		f.x[i].ReportSlow(f.at(i), Server{Key: 3, StartedAt: 1})
 		if got := f.condemned(t, 800*time.Millisecond, all); len(got) > 0 {
 			t.Fatalf("told of %v by witnesses 0.8 s apart", got)
 		}
@@ -102,11 +102,11 @@
 
 // What is remembered of charges is bounded, whatever comes.
 func TestCourtIsBounded(t *testing.T) {
-	x := NewExchange(Config{Self: 0, Group: 4, Life: 1, Customers: 100}, 0)
+	x := NewLimiter(Config{Node: 0, FleetSize: 4, Incarnation: 1, MaxTenants: 100}, 0)
 	for n := range uint64(12000) {
-		x.court.hear(word{Server{Key: n, Boot: n}, int(n % 4)}, time.Duration(n))
+		x.slowReports.add(slowReportKey{Server{Key: n, StartedAt: n}, int(n % 4)}, time.Duration(n))
 	}
-	if c := &x.court; len(c.charges) > chargesKept || len(c.news) > chargesKept {
-		t.Errorf("%d servers charged, %d of them news", len(c.charges), len(c.news))
+	if c := &x.slowReports; len(c.reports) > maxReportedServers || len(c.changed) > maxReportedServers {
+		t.Errorf("%d servers charged, %d of them news", len(c.reports), len(c.changed))
 	}
 }
--- a/internal/lab/build.go
+++ b/internal/lab/build.go
@@ -52,7 +52,7 @@
 	d := p.day
 	var quotas []ledger.Quota
 	for _, c := range d.Customers {
-		quotas = append(quotas, ledger.Quota{Rate: d.Plans[c.Plan].Rate, Depth: d.Plans[c.Plan].Depth})
+		quotas = append(quotas, ledger.Quota{Rate: d.Plans[c.Plan].Rate, Burst: d.Plans[c.Plan].Depth})
 	}
 	p.ledger = ledger.New(quotas, time.Duration(d.File.Rules.MeterS*float64(time.Second)), d.MeterLate)
 	p.fleet = origin.NewFleet(d, p.book, p.ledger, p.clock)
--- a/internal/lab/judge/price.go
+++ b/internal/lab/judge/price.go
@@ -55,7 +55,7 @@
 func (j *judge) offered() []float64 {
 	var quotas []ledger.Quota
 	for _, c := range j.day.Customers {
-		quotas = append(quotas, ledger.Quota{Rate: j.day.Plans[c.Plan].Rate, Depth: j.day.Plans[c.Plan].Depth})
+		quotas = append(quotas, ledger.Quota{Rate: j.day.Plans[c.Plan].Rate, Burst: j.day.Plans[c.Plan].Depth})
 	}
 	l := ledger.New(quotas, 0, 0)
 	out := make([]float64, len(j.day.Arrivals))
--- a/internal/lab/late/late.go
+++ b/internal/lab/late/late.go
@@ -68,7 +68,7 @@
 	w := &world{d: d, rng: rand.New(rand.NewPCG(d.Seed, 9)), served: make([]bool, len(d.Arrivals)), nodes: make([][]gone, len(d.Nodes))}
 	var quotas []ledger.Quota
 	for _, c := range d.Customers {
-		quotas = append(quotas, ledger.Quota{Rate: d.Plans[c.Plan].Rate, Depth: d.Plans[c.Plan].Depth})
+		quotas = append(quotas, ledger.Quota{Rate: d.Plans[c.Plan].Rate, Burst: d.Plans[c.Plan].Depth})
 	}
 	w.ledger = ledger.New(quotas, 0, 0)
 	for i, m := range d.Servers {
--- a/internal/lab/ledger/ledger.go
+++ b/internal/lab/ledger/ledger.go
@@ -9,7 +9,7 @@
 )
 
 // Quota is what a plan gives each of its customers: units a second, and units held at most.
-type Quota struct{ Rate, Depth float64 }
+type Quota struct{ Rate, Burst float64 }
 
 // Store is one customer's account.
 type Store struct {
@@ -20,7 +20,7 @@
 }
 
 func (s *Store) fill(now time.Duration) {
-	s.level = math.Min(s.q.Depth, s.level+s.q.Rate*(now-s.at).Seconds())
+	s.level = math.Min(s.q.Burst, s.level+s.q.Rate*(now-s.at).Seconds())
 	s.at = now
 }
 
@@ -35,7 +35,7 @@
 func New(quotas []Quota, period, late time.Duration) *Ledger {
 	l := &Ledger{period: period, late: late}
 	for _, q := range quotas {
-		l.stores = append(l.stores, Store{q: q, level: q.Depth, used: make(map[int]float64)})
+		l.stores = append(l.stores, Store{q: q, level: q.Burst, used: make(map[int]float64)})
 	}
 	return l
 }
@@ -66,7 +66,7 @@
 	defer l.mu.Unlock()
 	s := &l.stores[customer]
 	s.fill(now)
-	s.level = math.Min(s.q.Depth, s.level+guess-real)
+	s.level = math.Min(s.q.Burst, s.level+guess-real)
 }
 
 // Room is the part of a customer's store that is unused.
@@ -75,7 +75,7 @@
 	defer l.mu.Unlock()
 	s := &l.stores[customer]
 	s.fill(now)
-	return s.level / s.q.Depth
+	return s.level / s.q.Burst
 }
 
 // Used is the customer's use in percent of its rate over the last period that the meter has told;
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/lab/ledger/ledger_test.go
@@ -15,13 +15,13 @@
 // its depth and its rate times the span; what is beyond takes nothing.
 func TestStoreGrantsNoMoreThanItsQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := Quota{Rate: rapid.Float64Range(0.1, 50).Draw(t, "rate"), Depth: rapid.Float64Range(1, 100).Draw(t, "depth")}
+		q := Quota{Rate: rapid.Float64Range(0.1, 50).Draw(t, "rate"), Burst: rapid.Float64Range(1, 100).Draw(t, "depth")}
 		l := New([]Quota{q}, time.Second, 0)
 		now, granted := time.Duration(0), 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "tries") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
 			units := float64(rapid.IntRange(1, 8).Draw(t, "units"))
-			room := l.Room(0, now) * q.Depth
+			room := l.Room(0, now) * q.Burst
 			inside := l.Take(0, units, now)
 			if inside != (room >= units) {
 				t.Fatalf("%g units of %g left: inside %v", units, room, inside)
@@ -29,7 +29,7 @@
 			if inside {
 				granted += units
 			}
-			if most := q.Depth + q.Rate*now.Seconds() + 1e-6; granted > most {
+			if most := q.Burst + q.Rate*now.Seconds() + 1e-6; granted > most {
 				t.Fatalf("granted %g by %v, %g are in the quota", granted, now, most)
 			}
 		}
@@ -38,7 +38,7 @@
 
 // The meter tells the use of the last period that it has added up, and not before.
 func TestMeterIsLate(t *testing.T) {
-	l := New([]Quota{{Rate: 10, Depth: 100}}, time.Second, 500*time.Millisecond)
+	l := New([]Quota{{Rate: 10, Burst: 100}}, time.Second, 500*time.Millisecond)
 	l.Take(0, 5, 200*time.Millisecond)
 	l.Take(0, 8, 1200*time.Millisecond)
 	for at, want := range map[time.Duration]int{1600 * time.Millisecond: 50, 2400 * time.Millisecond: 50, 2600 * time.Millisecond: 80, 3600 * time.Millisecond: 0} {
--- a/internal/lab/scale/exchange/fleet.go
+++ b/internal/lab/scale/exchange/fleet.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloestile/control"
-	"sloestile/fleet/share"
+	"sloestile/fleet/ratelimit"
 	"sloestile/internal/lab/agenda"
 	"sloestile/internal/lab/scale"
 )
@@ -40,7 +40,7 @@
 
 // hollowNode is one node's part of the exchange, on a clock of its own.
 type hollowNode struct {
-	*share.Exchange
+	*ratelimit.Limiter
 	skew    time.Duration
 	waiting bool
 	at      time.Duration // of the next flush, by the node's clock
@@ -84,9 +84,9 @@
 	for i := range f.nodes {
 		n := &f.nodes[i]
 		n.skew = time.Duration(f.rng.Int64N(int64(time.Hour)))
-		n.Exchange = share.NewExchange(share.Config{Self: i, Group: cfg.nodes, Life: lifeOf(i), Quotas: f.load.quotas,
-			Customers: max(tenantsLeast, 2*cfg.tenants)}, n.skew)
-		n.Live(n.skew, all)
+		n.Limiter = ratelimit.NewLimiter(ratelimit.Config{Node: i, FleetSize: cfg.nodes, Incarnation: lifeOf(i), Quotas: f.load.quotas,
+			MaxTenants: max(tenantsLeast, 2*cfg.tenants)}, n.skew)
+		n.SetLive(n.skew, all)
 	}
 	return f
 }
@@ -94,9 +94,9 @@
 // lifeOf is the incarnation of a node's process. It is as long as a real one, in ms of Unix time.
 func lifeOf(node int) uint64 { return 1_790_000_000_000 + uint64(node) }
 
-func (f *hollowFleet) members() (all []share.Node) {
+func (f *hollowFleet) members() (all []ratelimit.Peer) {
 	for i := range f.nodes {
-		all = append(all, share.Node{Index: i, Life: lifeOf(i)})
+		all = append(all, ratelimit.Peer{Index: i, Incarnation: lifeOf(i)})
 	}
 	return all
 }
@@ -144,7 +144,7 @@
 	for range int(f.load.rate * f.fill.Seconds()) {
 		which, node := f.load.pick(f.rng, len(f.nodes))
 		t, key := &f.load.tenants[which], uint64(which)+1
-		owner, _ := share.Owner(key, t.set, len(f.nodes), func(int) bool { return true })
+		owner, _ := ratelimit.Owner(key, t.set, len(f.nodes), func(int) bool { return true })
 		f.nodes[node].Level(f.now(node), key, t.plan, t.set)
 		f.nodes[owner].Level(f.now(owner), key, t.plan, t.set)
 	}
@@ -157,9 +157,9 @@
 		if t.usage < 1 {
 			continue
 		}
-		n := (t.set.First + f.rng.IntN(t.set.Spread)) % len(f.nodes)
+		n := (t.set.First + f.rng.IntN(t.set.Count)) % len(f.nodes)
 		f.after(time.Duration(f.rng.Int64N(int64(500*time.Millisecond))), func() {
-			f.sent(n, i, primed*f.load.quotas[t.plan].Depth, false)
+			f.sent(n, i, primed*f.load.quotas[t.plan].Burst, false)
 		})
 	}
 }
@@ -182,8 +182,8 @@
 	f.requests.begin()
 	k, ok := n.Level(f.now(node), uint64(which)+1, t.plan, t.set)
 	f.requests.end()
-	need := control.SharedBucketMinimum(f.load.quotas[t.plan].Depth, estimate, min(1, 4/float64(t.set.Spread)))
-	if ok && !k.Least && k.Units < need {
+	need := control.SharedBucketMinimum(f.load.quotas[t.plan].Burst, estimate, min(1, 4/float64(t.set.Count)))
+	if ok && !k.AtLeast && k.Tokens < need {
 		return
 	}
 	f.sent(node, which, estimate, false)
@@ -196,7 +196,7 @@
 func (f *hollowFleet) sent(node, which int, units float64, correction bool) {
 	t, n := &f.load.tenants[which], &f.nodes[node]
 	f.requests.begin()
-	n.Sent(f.now(node), uint64(which)+1, t.plan, t.set, units, correction)
+	n.Consume(f.now(node), uint64(which)+1, t.plan, t.set, units, correction)
 	f.requests.end()
 	f.flushSoon(node)
 }
@@ -204,7 +204,7 @@
 // flushSoon has a node flush when it next has something to send.
 func (f *hollowFleet) flushSoon(node int) {
 	n := &f.nodes[node]
-	when, ok := n.Wake()
+	when, ok := n.NextFlush()
 	if !ok || n.waiting && n.at <= when {
 		return
 	}
@@ -235,7 +235,7 @@
 		if o.Message.Hop > 0 {
 			f.relayed.add(datagramOverhead + len(raws[i]))
 		}
-		if f.plant.fullState && len(o.Message.Uses) > 0 {
+		if f.plant.fullState && len(o.Message.Consumptions) > 0 {
 			f.sendFullState(node, o.To)
 		}
 	}
@@ -249,9 +249,9 @@
 		n := &f.nodes[to]
 		n.in.add(datagramOverhead + len(raw))
 		f.messages.begin()
-		m, err := share.Decode(raw, len(f.nodes))
+		m, err := ratelimit.Decode(raw, len(f.nodes))
 		if err == nil {
-			n.Hear(f.now(to), m)
+			n.Receive(f.now(to), m)
 		}
 		f.messages.end()
 		if err != nil {
@@ -287,9 +287,9 @@
 func (f *hollowFleet) sendFullState(from, to int) {
 	const inMessage = 36
 	for first := 0; first < len(f.nodes); first += inMessage {
-		m := &share.Message{From: from, Life: lifeOf(from), Number: 1}
+		m := &ratelimit.Message{Sender: from, Incarnation: lifeOf(from), Number: 1}
 		for i := first; i < min(first+inMessage, len(f.nodes)); i++ {
-			m.Owners = append(m.Owners, share.Told{Node: i})
+			m.Owners = append(m.Owners, ratelimit.OwnerReport{Node: i})
 		}
 		raw, err := m.Encode()
 		if err != nil {
--- a/internal/lab/scale/exchange/share.go
+++ b/internal/lab/scale/exchange/share.go
@@ -139,9 +139,9 @@
 	spent := time.Duration(0)
 	for range liveSample {
 		i := rng.IntN(len(f.nodes))
-		all[(i+1)%len(all)].Life++
+		all[(i+1)%len(all)].Incarnation++
 		from := threadCPU()
-		f.nodes[i].Live(f.now(i), all)
+		f.nodes[i].SetLive(f.now(i), all)
 		spent += max(0, threadCPU()-from-f.messages.overhead)
 	}
 	return float64(spent.Microseconds()) / liveSample
--- a/internal/lab/scale/exchange/workload.go
+++ b/internal/lab/scale/exchange/workload.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"sloestile/fleet/share"
+	"sloestile/fleet/ratelimit"
 )
 
 // The workload of shared limits: assumptions, stated in docs/CAPACITY.md. The plans are those of
@@ -37,13 +37,13 @@
 // tenant is one that sends requests.
 type tenant struct {
 	plan  uint32
-	set   share.Set
+	set   ratelimit.NodeRange
 	usage float64 // part of the limit that it asks for
 }
 
 // workload draws requests of tenants.
 type workload struct {
-	quotas  map[uint32]share.Quota
+	quotas  map[uint32]ratelimit.Quota
 	tenants []tenant
 	summed  []float64 // of the tenants' parts of the load
 	rate    float64   // requests a second of all
@@ -52,14 +52,14 @@
 // newWorkload draws tenants over some nodes that get rate requests a second each. The limits do not depend
 // on how many tenants there are; what each asks for does.
 func newWorkload(rng *rand.Rand, nodes, tenants int, rate float64) *workload {
-	w := &workload{quotas: make(map[uint32]share.Quota), rate: rate * float64(nodes)}
+	w := &workload{quotas: make(map[uint32]ratelimit.Quota), rate: rate * float64(nodes)}
 	raise, tenantsOf := limitRaise()
 	for i, p := range planShapes {
-		w.quotas[uint32(i)] = share.Quota{Rate: p.rate * raise, Depth: p.rate * raise * p.burst}
+		w.quotas[uint32(i)] = ratelimit.Quota{Rate: p.rate * raise, Burst: p.rate * raise * p.burst}
 	}
 	total := 0.0
 	for range tenants {
-		t := tenant{plan: pickPlan(rng, tenantsOf), set: share.Set{First: rng.IntN(nodes), Spread: min(setMost, nodes)}}
+		t := tenant{plan: pickPlan(rng, tenantsOf), set: ratelimit.NodeRange{First: rng.IntN(nodes), Count: min(setMost, nodes)}}
 		t.usage = usageLeast + (usageMost-usageLeast)*rng.Float64()
 		total += t.usage * w.quotas[t.plan].Rate
 		w.tenants, w.summed = append(w.tenants, t), append(w.summed, total)
@@ -97,7 +97,7 @@
 func (w *workload) pick(rng *rand.Rand, nodes int) (which, node int) {
 	which = min(sort.SearchFloat64s(w.summed, rng.Float64()), len(w.tenants)-1)
 	s := w.tenants[which].set
-	return which, (s.First + rng.IntN(s.Spread)) % nodes
+	return which, (s.First + rng.IntN(s.Count)) % nodes
 }
 
 // wait draws the time until the next request.
--- a/internal/lab/scale/outage/sharefleet.go
+++ b/internal/lab/scale/outage/sharefleet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloestile/control"
-	"sloestile/fleet/share"
+	"sloestile/fleet/ratelimit"
 	"sloestile/internal/lab/agenda"
 	"sloestile/internal/lab/ledger"
 )
@@ -23,7 +23,7 @@
 	shareHeader  = packetHeader - 1
 )
 
-// shareFleet runs the exchange of shared limits of a whole fleet in virtual time: share.Exchange at each
+// shareFleet runs the exchange of shared limits of a whole fleet in virtual time: ratelimit.Exchange at each
 // node. Links and membership are simulated. All tenants have the same owner.
 type shareFleet struct {
 	agenda.Agenda
@@ -42,18 +42,18 @@
 
 // shareNode is one node, with a clock of its own.
 type shareNode struct {
-	*share.Exchange
+	*ratelimit.Limiter
 	skew   time.Duration
 	armed  time.Duration // its next flush; below zero is none
 	dead   bool
-	relays float64              // messages of the last hop that it has sent
-	alone  map[int]*share.Store // by tenant, where the node knows nothing of the store
+	relays float64                   // messages of the last hop that it has sent
+	alone  map[int]*ratelimit.Bucket // by tenant, where the node knows nothing of the store
 }
 
 // shareTenant is a tenant, and the nodes that it comes through.
 type shareTenant struct {
 	key uint64
-	set share.Set
+	set ratelimit.NodeRange
 }
 
 // shareCounts are requests since a time.
@@ -65,12 +65,12 @@
 func newShareFleet(ctx context.Context, f fleetSize, l links, end time.Duration, seed uint64) (s *shareFleet, owner int) {
 	s = &shareFleet{ctx: ctx, size: f, links: l, rng: rand.New(rand.NewPCG(seed, 81)), end: end,
 		nodes: make([]shareNode, f.nodes), meter: newMeter(f.nodes)}
-	quota := share.Quota{Rate: tenantRate, Depth: tenantBurst}
+	quota := ratelimit.Quota{Rate: tenantRate, Burst: tenantBurst}
 	for i := range s.nodes {
 		n := &s.nodes[i]
-		n.skew, n.armed, n.alone = time.Duration(s.rng.Int64N(int64(time.Hour))), -1, map[int]*share.Store{}
-		n.Exchange = share.NewExchange(share.Config{Self: i, Group: f.nodes, Life: uint64(i) + 1,
-			Quotas: map[uint32]share.Quota{0: quota}, Customers: 20000}, n.skew)
+		n.skew, n.armed, n.alone = time.Duration(s.rng.Int64N(int64(time.Hour))), -1, map[int]*ratelimit.Bucket{}
+		n.Limiter = ratelimit.NewLimiter(ratelimit.Config{Node: i, FleetSize: f.nodes, Incarnation: uint64(i) + 1,
+			Quotas: map[uint32]ratelimit.Quota{0: quota}, MaxTenants: 20000}, n.skew)
 	}
 	owner = s.drawTenants(quota)
 	for i := range s.nodes {
@@ -83,13 +83,13 @@
 }
 
 // drawTenants draws tenants that the same node owns.
-func (s *shareFleet) drawTenants(quota share.Quota) (owner int) {
+func (s *shareFleet) drawTenants(quota ratelimit.Quota) (owner int) {
 	owner = s.rng.IntN(s.size.nodes)
 	var quotas []ledger.Quota
 	for len(s.tenants) < shareTenants {
 		first := (owner - s.rng.IntN(shareSpread) + s.size.nodes) % s.size.nodes
-		t := shareTenant{key: s.rng.Uint64(), set: share.Set{First: first, Spread: shareSpread}}
-		if of, _ := share.Owner(t.key, t.set, s.size.nodes, func(int) bool { return true }); of == owner {
+		t := shareTenant{key: s.rng.Uint64(), set: ratelimit.NodeRange{First: first, Count: shareSpread}}
+		if of, _ := ratelimit.Owner(t.key, t.set, s.size.nodes, func(int) bool { return true }); of == owner {
 			s.tenants = append(s.tenants, t)
 			quotas = append(quotas, ledger.Quota(quota))
 		}
@@ -117,13 +117,13 @@
 
 // live tells a node who is live.
 func (s *shareFleet) live(i int) {
-	others := make([]share.Node, 0, len(s.nodes))
+	others := make([]ratelimit.Peer, 0, len(s.nodes))
 	for j := range s.nodes {
 		if j != i && !s.nodes[j].dead {
-			others = append(others, share.Node{Index: j, Life: uint64(j) + 1})
+			others = append(others, ratelimit.Peer{Index: j, Incarnation: uint64(j) + 1})
 		}
 	}
-	s.nodes[i].Live(s.clock(i), others)
+	s.nodes[i].SetLive(s.clock(i), others)
 	s.arm(i)
 }
 
@@ -149,7 +149,7 @@
 // request has a live node of a tenant's set decide on a request of one unit.
 func (s *shareFleet) request(tenant int) {
 	t := &s.tenants[tenant]
-	i := (t.set.First + s.rng.IntN(t.set.Spread)) % len(s.nodes)
+	i := (t.set.First + s.rng.IntN(t.set.Count)) % len(s.nodes)
 	n := &s.nodes[i]
 	if n.dead {
 		return
@@ -162,7 +162,7 @@
 	if !s.truth.Take(tenant, 1, s.Now) {
 		s.counts.over++
 	}
-	n.Sent(s.clock(i), t.key, 0, t.set, 1, false)
+	n.Consume(s.clock(i), t.key, 0, t.set, 1, false)
 	s.arm(i)
 }
 
@@ -171,25 +171,25 @@
 func (s *shareFleet) admits(n *shareNode, i, tenant int) bool {
 	t := &s.tenants[tenant]
 	if known, ok := n.Level(s.clock(i), t.key, 0, t.set); ok {
-		return known.Least || known.Units >= control.SharedBucketMinimum(tenantBurst, 1, min(1, 4.0/shareSpread))
+		return known.AtLeast || known.Tokens >= control.SharedBucketMinimum(tenantBurst, 1, min(1, 4.0/shareSpread))
 	}
 	s.counts.blind++
 	store := n.alone[tenant]
 	if store == nil {
-		store = share.NewStore(share.Quota{Rate: tenantRate, Depth: tenantBurst}, tenantBurst, s.Now)
+		store = ratelimit.NewBucket(ratelimit.Quota{Rate: tenantRate, Burst: tenantBurst}, tenantBurst, s.Now)
 		n.alone[tenant] = store
 	}
 	if store.Level(s.Now) < 0.5 {
 		return false
 	}
-	store.Take(shareSpread, s.Now)
+	store.Consume(shareSpread, s.Now)
 	return true
 }
 
 // arm has a node flush when it next has something to send.
 func (s *shareFleet) arm(i int) {
 	n := &s.nodes[i]
-	when, ok := n.Wake()
+	when, ok := n.NextFlush()
 	if !ok || n.dead || n.armed >= 0 && n.armed <= when {
 		return
 	}
@@ -235,12 +235,12 @@
 		return
 	}
 	s.meter.message(s.Now, to, float64(shareHeader+len(raw)))
-	m, err := share.Decode(raw, len(s.nodes))
+	m, err := ratelimit.Decode(raw, len(s.nodes))
 	if err != nil {
 		s.err = err
 		return
 	}
-	n.Hear(s.clock(to), m)
+	n.Receive(s.clock(to), m)
 	s.arm(to)
 }
 
@@ -249,7 +249,7 @@
 func (s *shareFleet) blindPart() float64 {
 	blind, all := 0.0, 0.0
 	for _, t := range s.tenants {
-		for k := range t.set.Spread {
+		for k := range t.set.Count {
 			i := (t.set.First + k) % len(s.nodes)
 			if s.nodes[i].dead {
 				continue
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -13,8 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"sloestile/control"
+	"sloestile/fleet/ratelimit"
 	"sloestile/fleet/rules"
-	"sloestile/fleet/share"
 	"sloestile/internal/lab/agenda"
 	"sloestile/internal/lab/judge"
 	"sloestile/internal/lab/ledger"
@@ -51,7 +51,7 @@
 	truth   *ledger.Ledger
 	nodes   []node
 	owners  []int // by customer
-	stores  []*share.Store
+	stores  []*ratelimit.Bucket
 	age     *hdrhistogram.Histogram
 	tries   float64
 	refused float64
@@ -66,7 +66,7 @@
 
 // node is one node's part, with a clock of its own.
 type node struct {
-	*share.Exchange
+	*ratelimit.Limiter
 	views   map[int]*view // alone and by leases
 	skew    time.Duration
 	waiting bool
@@ -74,7 +74,7 @@
 }
 
 type view struct {
-	even   *share.Store // as it is reckoned alone
+	even   *ratelimit.Bucket // as it is reckoned alone
 	spread float64
 	lease  float64       // units left
 	until  time.Duration // of the lease
@@ -93,13 +93,13 @@
 	}
 	p := &play{d: d, way: way, loss: loss, rng: rand.New(rand.NewPCG(d.Seed, 5)), nodes: make([]node, len(d.Nodes)),
 		age: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	quotas, held := map[uint32]share.Quota{}, []ledger.Quota{}
+	quotas, held := map[uint32]ratelimit.Quota{}, []ledger.Quota{}
 	for i, plan := range d.Plans {
-		quotas[uint32(i)] = share.Quota{Rate: plan.Rate, Depth: plan.Depth}
+		quotas[uint32(i)] = ratelimit.Quota{Rate: plan.Rate, Burst: plan.Depth}
 	}
-	var all []share.Node
+	var all []ratelimit.Peer
 	for i := range d.Nodes {
-		all = append(all, share.Node{Index: i, Life: uint64(i) + 1})
+		all = append(all, ratelimit.Peer{Index: i, Incarnation: uint64(i) + 1})
 	}
 	for i := range p.nodes {
 		x := &p.nodes[i]
@@ -107,15 +107,15 @@
 		if !p.shares() {
 			continue
 		}
-		x.Exchange = share.NewExchange(share.Config{Self: i, Group: len(d.Nodes), Life: uint64(i) + 1, Quotas: quotas, Customers: 20000}, x.skew)
-		x.Live(x.skew, slices.Concat(all[:i], all[i+1:]))
+		x.Limiter = ratelimit.NewLimiter(ratelimit.Config{Node: i, FleetSize: len(d.Nodes), Incarnation: uint64(i) + 1, Quotas: quotas, MaxTenants: 20000}, x.skew)
+		x.SetLive(x.skew, slices.Concat(all[:i], all[i+1:]))
 	}
 	for i, c := range d.Customers {
 		q := quotas[uint32(c.Plan)]
 		held = append(held, ledger.Quota(q))
-		owner, _ := share.Owner(uint64(i)+1, share.Set{First: c.First, Spread: c.Spread}, len(d.Nodes), func(int) bool { return true })
+		owner, _ := ratelimit.Owner(uint64(i)+1, ratelimit.NodeRange{First: c.First, Count: c.Spread}, len(d.Nodes), func(int) bool { return true })
 		p.owners = append(p.owners, owner)
-		p.stores = append(p.stores, share.NewStore(q, q.Depth, 0))
+		p.stores = append(p.stores, ratelimit.NewBucket(q, q.Burst, 0))
 	}
 	p.truth = ledger.New(held, 0, 0)
 	if way == Uncut || way == Cut || way == Provided {
@@ -188,15 +188,15 @@
 	v := p.nodes[n].views[customer]
 	if v == nil {
 		c := &p.d.Customers[customer]
-		v = &view{even: share.NewStore(p.quota(customer), p.quota(customer).Depth, 0), spread: float64(c.Spread)}
+		v = &view{even: ratelimit.NewBucket(p.quota(customer), p.quota(customer).Burst, 0), spread: float64(c.Spread)}
 		p.nodes[n].views[customer] = v
 	}
 	return v
 }
 
-func (p *play) quota(customer int) share.Quota {
+func (p *play) quota(customer int) ratelimit.Quota {
 	q := p.d.Plans[p.d.Customers[customer].Plan]
-	return share.Quota{Rate: q.Rate, Depth: q.Depth}
+	return ratelimit.Quota{Rate: q.Rate, Burst: q.Depth}
 }
 
 func (p *play) admits(v *view, n int, a *scenario.Arrival) bool {
@@ -213,7 +213,7 @@
 // shared decides by what the node knows of the store, and alone where it knows nothing.
 func (p *play) shared(v *view, n int, a *scenario.Arrival) bool {
 	c, x := &p.d.Customers[a.Customer], &p.nodes[n]
-	k, ok := x.Level(p.now+x.skew, uint64(a.Customer)+1, uint32(c.Plan), share.Set{First: c.First, Spread: c.Spread})
+	k, ok := x.Level(p.now+x.skew, uint64(a.Customer)+1, uint32(c.Plan), ratelimit.NodeRange{First: c.First, Count: c.Spread})
 	q := p.quota(a.Customer)
 	if lent := p.purse(n, a.Customer); lent != nil {
 		return lent.Spend(p.now, float64(a.Units))
@@ -223,7 +223,7 @@
 		return p.alone(v, float64(a.Units))
 	}
 	p.age.RecordValue(max(1, int64(k.Age/time.Microsecond)))
-	return k.Least || k.Units >= control.SharedBucketMinimum(q.Depth, float64(a.Units), math.Min(1, 4/float64(c.Spread)))
+	return k.AtLeast || k.Tokens >= control.SharedBucketMinimum(q.Burst, float64(a.Units), math.Min(1, 4/float64(c.Spread)))
 }
 
 // alone decides by the even part of the store that this node holds.
@@ -233,7 +233,7 @@
 	if v.even.Level(p.now) < units/2 {
 		return false
 	}
-	v.even.Take(units*v.spread, p.now)
+	v.even.Consume(units*v.spread, p.now)
 	return true
 }
 
@@ -269,18 +269,18 @@
 	p.message(leaseBytes)
 	p.after(p.wire(), func() {
 		s := p.stores[customer]
-		s.Take(-back, p.now)
+		s.Consume(-back, p.now)
 		give := math.Max(0, math.Min(want, leasePart*s.Level(p.now)))
-		s.Take(give, p.now)
+		s.Consume(give, p.now)
 		p.message(leaseBytes)
 		p.after(p.wire(), func() {
-			v.asks, v.lease, v.until = false, give, asked+share.Life
-			p.after(share.Life, func() { // what is left goes back
+			v.asks, v.lease, v.until = false, give, asked+ratelimit.ReportLifetime
+			p.after(ratelimit.ReportLifetime, func() { // what is left goes back
 				if p.now > v.until && v.lease > 0 {
 					left := v.lease
 					v.lease = 0
 					p.message(leaseBytes)
-					p.after(p.wire(), func() { s.Take(-left, p.now) })
+					p.after(p.wire(), func() { s.Consume(-left, p.now) })
 				}
 			})
 		})
@@ -300,14 +300,14 @@
 		return
 	}
 	c := &p.d.Customers[customer]
-	p.nodes[n].Sent(p.now+p.nodes[n].skew, uint64(customer)+1, uint32(c.Plan), share.Set{First: c.First, Spread: c.Spread}, units, correction)
+	p.nodes[n].Consume(p.now+p.nodes[n].skew, uint64(customer)+1, uint32(c.Plan), ratelimit.NodeRange{First: c.First, Count: c.Spread}, units, correction)
 	p.flushSoon(n)
 }
 
 // flushSoon has a node send when it next has something to.
 func (p *play) flushSoon(n int) {
 	x := &p.nodes[n]
-	when, ok := x.Wake()
+	when, ok := x.NextFlush()
 	if !ok || x.waiting && x.at <= when {
 		return
 	}
@@ -336,11 +336,11 @@
 			continue
 		}
 		p.after(p.wire(), func() {
-			m, err := share.Decode(raw, len(p.nodes))
+			m, err := ratelimit.Decode(raw, len(p.nodes))
 			if err != nil {
 				panic(err)
 			}
-			p.nodes[o.To].Hear(p.now+p.nodes[o.To].skew, m)
+			p.nodes[o.To].Receive(p.now+p.nodes[o.To].skew, m)
 			p.flushSoon(o.To)
 		})
 	}
--- a/internal/lab/virtual/window.go
+++ b/internal/lab/virtual/window.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sloestile/fleet/provision"
-	"sloestile/fleet/share"
+	"sloestile/fleet/ratelimit"
 	"sloestile/internal/lab/judge"
 	"sloestile/internal/lab/ledger"
 	"sloestile/internal/lab/scenario"
@@ -86,7 +86,7 @@
 }
 
 // plan has the window come and go.
-func (p *play) plan(all []share.Node) {
+func (p *play) plan(all []ratelimit.Peer) {
 	w := p.win
 	if p.way == Provided {
 		p.after(w.span.At-provision.Margin-handAhead, func() { p.handOut(all) })
@@ -100,7 +100,7 @@
 
 // handOut has the hall's nodes give the stores that they hold to those outside, as nodes that leave
 // do: the rest of the fleet goes on with its owners, and the hall is lent units of all customers.
-func (p *play) handOut(all []share.Node) {
+func (p *play) handOut(all []ratelimit.Peer) {
 	for i := range p.nodes {
 		if p.inside(i) {
 			p.nodes[i].Leave(p.now + p.nodes[i].skew)
@@ -110,21 +110,21 @@
 	p.win.resting = true
 	for i := range p.d.Customers {
 		c := &p.d.Customers[i]
-		p.owners[i], _ = share.Owner(uint64(i)+1, share.Set{First: c.First, Spread: c.Spread}, len(p.nodes), func(n int) bool { return !p.inside(n) })
+		p.owners[i], _ = ratelimit.Owner(uint64(i)+1, ratelimit.NodeRange{First: c.First, Count: c.Spread}, len(p.nodes), func(n int) bool { return !p.inside(n) })
 	}
 	p.members(all)
 }
 
 // members tells each node who is to be seen; a link that goes at a known time is told at once.
-func (p *play) members(all []share.Node) {
+func (p *play) members(all []ratelimit.Peer) {
 	for i := range p.nodes {
-		var seen []share.Node
+		var seen []ratelimit.Peer
 		for _, o := range all {
 			if o.Index != i && !p.parted(i, o.Index) && !(p.win.resting && p.inside(o.Index)) {
 				seen = append(seen, o)
 			}
 		}
-		p.nodes[i].Live(p.now+p.nodes[i].skew, seen)
+		p.nodes[i].SetLive(p.now+p.nodes[i].skew, seen)
 		p.flushSoon(i)
 	}
 }
@@ -140,10 +140,10 @@
 			continue
 		}
 		l := provision.NewLedger(uint64(i), p.now)
-		whole := provision.Part{Depth: q.Depth, Rate: q.Rate}
+		whole := provision.Part{Depth: q.Burst, Rate: q.Rate}
 		c, now := &p.d.Customers[i], p.now+p.nodes[owner].skew
-		if k, ok := p.nodes[owner].Level(now, uint64(i)+1, uint32(c.Plan), share.Set{First: c.First, Spread: c.Spread}); ok {
-			whole.Units = k.Units
+		if k, ok := p.nodes[owner].Level(now, uint64(i)+1, uint32(c.Plan), ratelimit.NodeRange{First: c.First, Count: c.Spread}); ok {
+			whole.Units = k.Tokens
 		}
 		want := provision.Size(expect, spare, whole, w.span.For)
 		loan, take, err := l.Lend(p.now, provision.ID{Edge: w.zone, Life: 1, Seq: uint32(i) + 1}, want, length, whole)
@@ -179,7 +179,7 @@
 		p.win.resting = false
 		for i := range p.nodes {
 			if p.inside(i) {
-				p.nodes[i].Return()
+				p.nodes[i].Rejoin()
 			}
 		}
 	}
--- a/internal/node/sharing.go
+++ b/internal/node/sharing.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"sloestile/control"
-	"sloestile/fleet/share"
+	"sloestile/fleet/ratelimit"
 	"sloestile/internal/discovery"
 	"sloestile/internal/peer"
 )
@@ -25,28 +25,28 @@
 // for what receives and sends messages; neither waits for the other.
 type sharing struct {
 	loop  *loop
-	ex    *share.Exchange // nil until the membership has begun
+	ex    *ratelimit.Limiter // nil until the membership has begun
 	set   *control.Settings
-	on    PeersConfig             // what is shared
-	uids  map[uint32]share.Server // of the listed rating servers
-	ids   map[share.Server]uint32
+	on    PeersConfig                 // what is shared
+	uids  map[uint32]ratelimit.Server // of the listed rating servers
+	ids   map[ratelimit.Server]uint32
 	peers atomic.Pointer[peer.Peers] // nil until the membership has begun
-	out   chan share.Out
+	out   chan ratelimit.Outgoing
 	done  sync.WaitGroup
 	timer *time.Timer
 	armed time.Duration // when the timer rings; zero is not
 
 	changing atomic.Bool  // news of members is on its way to the loop
 	waiting  atomic.Int64 // messages on their way to the loop
-	figures  atomic.Pointer[share.Counts]
+	figures  atomic.Pointer[ratelimit.Counts]
 	age      prometheus.Histogram
 	spoilt, lost, lostOut,
 	knownStore, unknown prometheus.Counter
 }
 
 func newSharing(set *control.Settings, on PeersConfig, l *loop) *sharing {
-	s := &sharing{loop: l, set: set, on: on, uids: make(map[uint32]share.Server), ids: make(map[share.Server]uint32), out: make(chan share.Out, sendQueue)}
-	s.figures.Store(&share.Counts{})
+	s := &sharing{loop: l, set: set, on: on, uids: make(map[uint32]ratelimit.Server), ids: make(map[ratelimit.Server]uint32), out: make(chan ratelimit.Outgoing, sendQueue)}
+	s.figures.Store(&ratelimit.Counts{})
 	s.describe()
 	return s
 }
@@ -67,34 +67,34 @@
 	s.lostOut = counter("node_share_unsent_total", "Messages that could not be sent.")
 	s.knownStore = counter("node_share_known_total", "Requests whose store was known.")
 	s.unknown = counter("node_share_unknown_total", "Requests whose store was not known: decided as by one alone.")
-	for name, of := range map[string]func(*share.Counts) int64{
-		"node_share_sent_total":     func(c *share.Counts) int64 { return c.Sent },
-		"node_share_heard_total":    func(c *share.Counts) int64 { return c.Heard },
-		"node_share_late_total":     func(c *share.Counts) int64 { return c.Late },
-		"node_share_ageless_total":  func(c *share.Counts) int64 { return c.Ageless },
-		"node_share_strange_total":  func(c *share.Counts) int64 { return c.Strange },
-		"node_share_resent_total":   func(c *share.Counts) int64 { return c.Resent },
-		"node_share_repeated_total": func(c *share.Counts) int64 { return c.Repeated },
-		"node_share_untold_total":   func(c *share.Counts) int64 { return c.Untold },
-		"node_share_charges_total":  func(c *share.Counts) int64 { return c.Charges },
-		"node_share_verdicts_total": func(c *share.Counts) int64 { return c.Verdicts },
-		"node_share_handed_total":   func(c *share.Counts) int64 { return c.Handed },
-		"node_share_taken_total":    func(c *share.Counts) int64 { return c.Taken },
+	for name, of := range map[string]func(*ratelimit.Counts) int64{
+		"node_share_sent_total":     func(c *ratelimit.Counts) int64 { return c.Sent },
+		"node_share_heard_total":    func(c *ratelimit.Counts) int64 { return c.Received },
+		"node_share_late_total":     func(c *ratelimit.Counts) int64 { return c.Late },
+		"node_share_ageless_total":  func(c *ratelimit.Counts) int64 { return c.UnknownAge },
+		"node_share_strange_total":  func(c *ratelimit.Counts) int64 { return c.UnknownSender },
+		"node_share_resent_total":   func(c *ratelimit.Counts) int64 { return c.Resent },
+		"node_share_repeated_total": func(c *ratelimit.Counts) int64 { return c.Duplicates },
+		"node_share_untold_total":   func(c *ratelimit.Counts) int64 { return c.Unowned },
+		"node_share_charges_total":  func(c *ratelimit.Counts) int64 { return c.SlowReports },
+		"node_share_verdicts_total": func(c *ratelimit.Counts) int64 { return c.Outliers },
+		"node_share_handed_total":   func(c *ratelimit.Counts) int64 { return c.TransferredOut },
+		"node_share_taken_total":    func(c *ratelimit.Counts) int64 { return c.TransferredIn },
 	} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
 			func() float64 { return float64(of(s.figures.Load())) }))
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "node_share_stores", Help: "Customers' stores kept here for all nodes."},
-		func() float64 { return float64(s.figures.Load().Stores) }))
+		func() float64 { return float64(s.figures.Load().Buckets) }))
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "node_share_low", Help: "Those of them that are low."},
-		func() float64 { return float64(s.figures.Load().Lows) }))
+		func() float64 { return float64(s.figures.Load().LowBuckets) }))
 }
 
 // start begins to take part, once the membership has begun.
 func (s *sharing) start(p *peer.Peers) {
-	quotas := make(map[uint32]share.Quota)
+	quotas := make(map[uint32]ratelimit.Quota)
 	for _, plan := range s.set.Plans {
-		quotas[planKey(plan.Name)] = share.Quota{Rate: plan.Rate, Depth: plan.Burst}
+		quotas[planKey(plan.Name)] = ratelimit.Quota{Rate: plan.Rate, Burst: plan.Burst}
 	}
 	customers := s.set.MaxTenants
 	if customers <= 0 {
@@ -103,8 +103,8 @@
 	s.peers.Store(p)
 	s.done.Go(s.carry)
 	s.loop.post(func() { // it waits for a loop that has not begun
-		s.ex = share.NewExchange(share.Config{Self: s.set.NodeIndex, Group: s.set.FleetSize, Life: p.Incarnation(),
-			Quotas: quotas, Customers: customers}, s.loop.now())
+		s.ex = ratelimit.NewLimiter(ratelimit.Config{Node: s.set.NodeIndex, FleetSize: s.set.FleetSize, Incarnation: p.Incarnation(),
+			Quotas: quotas, MaxTenants: customers}, s.loop.now())
 		s.members()
 	})
 }
@@ -122,22 +122,22 @@
 	if s.ex == nil || !s.on.Limits {
 		return nil
 	}
-	k, ok := s.ex.Level(s.loop.now(), customerKey(r), planKey(r.Plan), share.Set{First: r.FirstNode, Spread: r.TenantNodes})
+	k, ok := s.ex.Level(s.loop.now(), customerKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes})
 	if !ok {
 		s.unknown.Inc()
 		return nil
 	}
 	s.knownStore.Inc()
 	s.age.Observe(k.Age.Seconds())
-	return &control.SharedBucket{Tokens: k.Units, AtLeast: k.Least, Age: k.Age}
+	return &control.SharedBucket{Tokens: k.Tokens, AtLeast: k.AtLeast, Age: k.Age}
 }
 
-// sent tells of units sent on; see share.Exchange.
+// sent tells of units sent on; see ratelimit.Exchange.
 func (s *sharing) sent(r *control.Request, units float64, correction bool) {
 	if s.ex == nil || !s.on.Limits {
 		return
 	}
-	s.ex.Sent(s.loop.now(), customerKey(r), planKey(r.Plan), share.Set{First: r.FirstNode, Spread: r.TenantNodes}, units, correction)
+	s.ex.Consume(s.loop.now(), customerKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes}, units, correction)
 	s.arm()
 }
 
@@ -148,7 +148,7 @@
 		delete(s.uids, id)
 	}
 	if t != nil {
-		v := share.Server{Key: xxhash.Sum64String(t.UID), Boot: uint64(max(0, t.BootMS))}
+		v := ratelimit.Server{Key: xxhash.Sum64String(t.UID), StartedAt: uint64(max(0, t.BootMS))}
 		s.uids[id], s.ids[v] = v, id
 	}
 }
@@ -156,7 +156,7 @@
 // charge speaks against a server to the other nodes.
 func (s *sharing) charge(server uint32) {
 	if v, ok := s.uids[server]; ok && s.ex != nil && s.on.Verdicts {
-		s.ex.Charge(s.loop.now(), v)
+		s.ex.ReportSlow(s.loop.now(), v)
 		s.arm()
 	}
 }
@@ -164,10 +164,10 @@
 // judge tells the module of servers against which enough nodes speak. It is not to be called while
 // the loop carries out what the module answered.
 func (s *sharing) judge() {
-	for _, v := range s.ex.Verdicts(s.loop.now(), len(s.ids)) {
+	for _, v := range s.ex.Outliers(s.loop.now(), len(s.ids)) {
 		if id, ok := s.ids[v.Server]; ok {
-			slog.Info("sharing: others speak against a server", "server", id, "witnesses", v.Witnesses)
-			s.loop.handle(control.OutlierReport{Server: id, Reporters: v.Witnesses, Until: v.At + share.VerdictLife})
+			slog.Info("sharing: others speak against a server", "server", id, "witnesses", v.Reporters)
+			s.loop.handle(control.OutlierReport{Server: id, Reporters: v.Reporters, Until: v.ReportedAt + ratelimit.SlowReportLifetime})
 		}
 	}
 }
@@ -178,14 +178,14 @@
 	if s.ex == nil {
 		return
 	}
-	var nodes []share.Node
+	var nodes []ratelimit.Peer
 	live, _ := s.peers.Load().Live()
 	for _, m := range live {
 		if m.State >= peer.StateVersion {
-			nodes = append(nodes, share.Node{Index: m.Index, Life: m.Incarnation})
+			nodes = append(nodes, ratelimit.Peer{Index: m.Index, Incarnation: m.Incarnation})
 		}
 	}
-	s.ex.Live(s.loop.now(), nodes)
+	s.ex.SetLive(s.loop.now(), nodes)
 	s.arm()
 }
 
@@ -208,14 +208,14 @@
 		}
 	}
 	s.judge()
-	counts := s.ex.Figures()
+	counts := s.ex.Stats()
 	s.figures.Store(&counts)
 	s.arm()
 }
 
 // arm has flush called when something is due.
 func (s *sharing) arm() {
-	when, ok := s.ex.Wake()
+	when, ok := s.ex.NextFlush()
 	if !ok || s.armed != 0 && s.armed <= when {
 		return
 	}
@@ -237,7 +237,7 @@
 
 // receive takes a message; the bytes are the caller's after it.
 func (s *sharing) receive(raw []byte) {
-	m, err := share.Decode(raw, s.set.FleetSize)
+	m, err := ratelimit.Decode(raw, s.set.FleetSize)
 	if err != nil {
 		s.spoilt.Inc()
 		slog.Debug("sharing: a spoilt message", "bytes", len(raw), "err", err)
@@ -252,8 +252,8 @@
 		s.waiting.Add(-1)
 		if s.ex != nil {
 			now := s.loop.now()
-			s.ex.Hear(now, m)
-			if when, ok := s.ex.Wake(); ok && when <= now { // as most answers to others are
+			s.ex.Receive(now, m)
+			if when, ok := s.ex.NextFlush(); ok && when <= now { // as most answers to others are
 				s.flush()
 				return
 			}
--- a/internal/node/sharing_test.go
+++ b/internal/node/sharing_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"sloestile/control"
-	"sloestile/fleet/share"
+	"sloestile/fleet/ratelimit"
 )
 
 // pair starts two nodes that know each other, and share limits or don't.
@@ -104,9 +104,9 @@
 func BenchmarkSharing(b *testing.B) {
 	q := &control.Request{Plan: "basic", Tenant: "x", TenantNodes: 3, Tokens: 1}
 	s := newSharing(&control.Settings{FleetSize: 3}, PeersConfig{Limits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
-	s.ex = share.NewExchange(share.Config{Self: 0, Group: 3, Life: 1, Customers: 1000,
-		Quotas: map[uint32]share.Quota{planKey("basic"): {Rate: 1e9, Depth: 1e9}}}, s.loop.now())
-	s.ex.Live(s.loop.now(), []share.Node{{Index: 1, Life: 1}, {Index: 2, Life: 1}})
+	s.ex = ratelimit.NewLimiter(ratelimit.Config{Node: 0, FleetSize: 3, Incarnation: 1, MaxTenants: 1000,
+		Quotas: map[uint32]ratelimit.Quota{planKey("basic"): {Rate: 1e9, Burst: 1e9}}}, s.loop.now())
+	s.ex.SetLive(s.loop.now(), []ratelimit.Peer{{Index: 1, Incarnation: 1}, {Index: 2, Incarnation: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
 		s.known(q)
