--- a/cmd/edgenode/councilfleet_test.go
+++ b/cmd/edgenode/councilfleet_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"sloestile/internal/lab/link"
-	"sloestile/internal/store/disk/lying"
+	"sloestile/internal/store/disk/faulty"
 )
 
 // councilBin builds the program for the lab, whose disk can fail, once for all tests.
@@ -115,7 +115,7 @@
 		require.NoError(t, os.WriteFile(config, out, 0o600))
 		require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "[regions]\nr = ['z1', 'z2', 'z3']\n[council]\ndir = %q\nheader = 'X-Rules'\nvoters = [%s]\n[peers]\nlabel = 'test'\nport = %d\nseeds = [%s]\n[peers.via]\n%s",
 			n.dir, strings.Join(votes, ", "), atPeers, strings.Join(seeds, ", "), f.ways(i, voters, nodes)), 0o600))
-		n.env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_FLEET="+file, "NODE_LISTEN="+n.listen, "NODE_CONSOLE="+n.console, lying.Variable+"="+n.drive)
+		n.env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_FLEET="+file, "NODE_LISTEN="+n.listen, "NODE_CONSOLE="+n.console, faulty.Variable+"="+n.drive)
 		f.nodes = append(f.nodes, n)
 		f.start(i)
 	}
--- a/cmd/edgenode/councilplays_test.go
+++ b/cmd/edgenode/councilplays_test.go
@@ -20,7 +20,7 @@
 
 	"sloestile/fleet/rules"
 	"sloestile/internal/lab/link"
-	"sloestile/internal/store/disk/lying"
+	"sloestile/internal/store/disk/faulty"
 )
 
 var (
@@ -145,18 +145,18 @@
 		f.turn(rng, disk.dir)
 		f.start(i)
 	case 5: // syncs say yes and bring nothing, and the power goes
-		require.NoError(f.t, lying.Set(disk.drive, lying.Faults{Lies: true}))
+		require.NoError(f.t, faulty.Set(disk.drive, faulty.Faults{Lies: true}))
 		time.Sleep(pause)
 		f.kill(i)
-		_, err := lying.Lose(disk.drive, lying.Loss{})
+		_, err := faulty.Lose(disk.drive, faulty.Loss{})
 		require.NoError(f.t, err)
-		require.NoError(f.t, lying.Set(disk.drive, lying.Faults{}))
+		require.NoError(f.t, faulty.Set(disk.drive, faulty.Faults{}))
 		f.start(i)
 	case 6: // the disk fails, or stands still
-		x := []lying.Faults{{Errors: 0.5, Seed: rng.Uint64()}, {Stalled: true}, {ReadOnly: true}, {Full: true}}[rng.IntN(4)]
-		require.NoError(f.t, lying.Set(disk.drive, x))
+		x := []faulty.Faults{{Errors: 0.5, Seed: rng.Uint64()}, {Stalled: true}, {ReadOnly: true}, {Full: true}}[rng.IntN(4)]
+		require.NoError(f.t, faulty.Set(disk.drive, x))
 		time.Sleep(2 * pause)
-		require.NoError(f.t, lying.Set(disk.drive, lying.Faults{}))
+		require.NoError(f.t, faulty.Set(disk.drive, faulty.Faults{}))
 	case 7: // a majority, or all, at once
 		n := voters/2 + 1 + rng.IntN(voters/2+1)
 		for j := range n {
--- a/cmd/edgenode/disk_lab.go
+++ b/cmd/edgenode/disk_lab.go
@@ -6,14 +6,14 @@
 	"os"
 
 	"sloestile/internal/store/disk"
-	"sloestile/internal/store/disk/lying"
+	"sloestile/internal/store/disk/faulty"
 )
 
 // machineDisk is the file system under what the node keeps; where the stand-in platform names a
 // folder, one that fails as the platform says there.
 func machineDisk() (disk.FS, error) {
-	if dir := os.Getenv(lying.Variable); dir != "" {
-		return lying.New(disk.Machine{}, dir)
+	if dir := os.Getenv(faulty.Variable); dir != "" {
+		return faulty.New(disk.Local{}, dir)
 	}
-	return disk.Machine{}, nil
+	return disk.Local{}, nil
 }
--- a/cmd/edgenode/disk_test.go
+++ b/cmd/edgenode/disk_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/store/disk/lying"
+	"sloestile/internal/store/disk/faulty"
 )
 
 // The deployed program has nothing of the disk that fails: not its code, not its variable, and it
@@ -25,12 +25,12 @@
 		require.NoError(t, err)
 		dir := filepath.Join(t.TempDir(), "drive")
 		cmd := exec.Command(bin) // it comes to the disk and ends at the socket, which is none
-		cmd.Env = append(os.Environ(), "NODE_CONFIG="+testConfig, "NODE_SOCKET_FD=99", lying.Variable+"="+dir)
+		cmd.Env = append(os.Environ(), "NODE_CONFIG="+testConfig, "NODE_SOCKET_FD=99", faulty.Variable+"="+dir)
 		require.Error(t, cmd.Run())
 		lab := tags == "lab"
-		require.Equal(t, lab, bytes.Contains(symbols, []byte("disk/lying")), "symbols with tags %q", tags)
-		require.Equal(t, lab, bytes.Contains(raw, []byte(lying.Variable)), "the variable with tags %q", tags)
-		require.Equal(t, lab, bytes.Contains(raw, []byte("disk/lying")), "paths with tags %q", tags)
+		require.Equal(t, lab, bytes.Contains(symbols, []byte("disk/faulty")), "symbols with tags %q", tags)
+		require.Equal(t, lab, bytes.Contains(raw, []byte(faulty.Variable)), "the variable with tags %q", tags)
+		require.Equal(t, lab, bytes.Contains(raw, []byte("disk/faulty")), "paths with tags %q", tags)
 		_, err = os.Stat(dir)
 		require.Equal(t, lab, err == nil, "the folder with tags %q: %v", tags, err)
 	}
--- a/internal/council/council_test.go
+++ b/internal/council/council_test.go
@@ -94,7 +94,7 @@
 	o := g.all[i]
 	o.sum = &adder{}
 	var err error
-	o.Voter, err = New(Config{Label: "test", Self: g.peers[i].Name, Voters: g.peers, Dir: o.dir, Disk: disk.Machine{},
+	o.Voter, err = New(Config{Label: "test", Self: g.peers[i].Name, Voters: g.peers, Dir: o.dir, Disk: disk.Local{},
 		Machines: map[byte]Machine{'a': o.sum}})
 	require.NoError(g.t, err)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/council/learn/golden_test.go
+++ b/internal/council/learn/golden_test.go
@@ -29,11 +29,11 @@
 // The mark of the version acted by has the recorded name and bytes.
 func TestMarkIsAsRecorded(t *testing.T) {
 	dir := t.TempDir()
-	require.NoError(t, writeMark(disk.Machine{}, dir, "n1", 42))
+	require.NoError(t, writeMark(disk.Local{}, dir, "n1", 42))
 	raw, err := os.ReadFile(filepath.Join(dir, "acted"))
 	require.NoError(t, err)
 	golden.Check(t, "mark", raw)
-	number, err := readMark(disk.Machine{}, dir, "n1")
+	number, err := readMark(disk.Local{}, dir, "n1")
 	require.NoError(t, err)
 	require.EqualValues(t, 42, number)
 }
--- a/internal/council/raftlog/raftlog_test.go
+++ b/internal/council/raftlog/raftlog_test.go
@@ -22,7 +22,7 @@
 
 // fill writes a term, a vote, records and a snapshot up to one of them.
 func fill(t *testing.T, dir string) (identity string) {
-	l, why, err := Open(disk.Machine{}, dir, "n1")
+	l, why, err := Open(disk.Local{}, dir, "n1")
 	require.NoError(t, err)
 	require.NoError(t, why)
 	require.True(t, l.Fresh)
@@ -45,11 +45,11 @@
 func TestReadBack(t *testing.T) {
 	dir := t.TempDir()
 	identity := fill(t, dir)
-	l, why, err := Open(disk.Machine{}, dir, "n1")
+	l, why, err := Open(disk.Local{}, dir, "n1")
 	require.NoError(t, err)
 	require.NoError(t, why)
 	require.Equal(t, identity, l.Identity)
-	_, _, err = Open(disk.Machine{}, dir, "n1")
+	_, _, err = Open(disk.Local{}, dir, "n1")
 	require.ErrorAs(t, err, new(*UsedError))
 	var r raft.Log
 	require.NoError(t, l.GetLog(20, &r))
@@ -95,7 +95,7 @@
 			spoilt := bytes.Clone(whole)
 			spoilt[at] ^= 1 << (at % 8)
 			require.NoError(t, os.WriteFile(filepath.Join(dir, rel), spoilt, 0o600))
-			l, why, err := Open(disk.Machine{}, dir, "n1")
+			l, why, err := Open(disk.Local{}, dir, "n1")
 			require.NoError(t, err, "%s at %d", rel, at)
 			tried++
 			if why != nil {
@@ -116,7 +116,7 @@
 		require.NoError(t, os.CopyFS(dir, os.DirFS(from)))
 		rel, _ := filepath.Rel(from, name)
 		require.NoError(t, os.Remove(filepath.Join(dir, rel)))
-		l, why, err := Open(disk.Machine{}, dir, "n1")
+		l, why, err := Open(disk.Local{}, dir, "n1")
 		require.NoError(t, err)
 		require.ErrorAs(t, why, new(*SpoiltError), rel)
 		require.NotEqual(t, identity, l.Identity)
--- a/internal/lab/disks.go
+++ b/internal/lab/disks.go
@@ -9,7 +9,7 @@
 	"slices"
 
 	"sloestile/internal/lab/scenario"
-	"sloestile/internal/store/disk/lying"
+	"sloestile/internal/store/disk/faulty"
 )
 
 // diskOf is the folder by which a node's disk is driven; its process is told of it where the
@@ -31,7 +31,7 @@
 		n := p.nodes[i]
 		p.mu.Lock()
 		n.faults = change(n.faults)
-		f := lying.Faults{Seed: p.day.Seed}
+		f := faulty.Faults{Seed: p.day.Seed}
 		for _, e := range n.faults {
 			switch part := cmp.Or(e.Size, 1); e.How {
 			case "lies":
@@ -48,7 +48,7 @@
 				f.Turned = max(f.Turned, part)
 			}
 		}
-		err := lying.Set(p.diskOf(n), f)
+		err := faulty.Set(p.diskOf(n), f)
 		p.mu.Unlock()
 		if err != nil {
 			p.crash("the disk of %s: %v", n.Name, err)
@@ -60,12 +60,12 @@
 // start anew after a while.
 func (p *play) power(ctx context.Context, e scenario.Event) {
 	p.end9(e.Targets)
-	loss := lying.Loss{Torn: e.How == "torn"}
+	loss := faulty.Loss{Torn: e.How == "torn"}
 	if e.How == "older" {
 		loss.Syncs = int(e.Size)
 	}
 	for _, i := range e.Targets {
-		steps, err := lying.Lose(p.diskOf(p.nodes[i]), loss)
+		steps, err := faulty.Lose(p.diskOf(p.nodes[i]), loss)
 		if err != nil {
 			p.crash("the disk of %s at the end of its power: %v", p.nodes[i].Name, err)
 		}
@@ -77,7 +77,7 @@
 // driven tells whether all nodes' disks were driven: the program was built for it.
 func (p *play) driven() error {
 	for _, n := range p.nodes {
-		if _, err := os.Stat(filepath.Join(p.diskOf(n), lying.UndoName)); err != nil {
+		if _, err := os.Stat(filepath.Join(p.diskOf(n), faulty.UndoName)); err != nil {
 			return fmt.Errorf("the disk of %s is not driven; build the program with the tag lab: %w", n.Name, err)
 		}
 	}
--- a/internal/lab/scale/exchange/learners.go
+++ b/internal/lab/scale/exchange/learners.go
@@ -101,7 +101,7 @@
 func newLearnerFleet(dir string, size int) *learnerFleet {
 	f := &learnerFleet{learners: make(map[int]*learn.Learner), sent: make(map[int]*learnerCounts), acting: make(chan struct{}, 1)}
 	// The leader is the only voter: others, which take no part here, would be asked in vain.
-	cfg := learn.Config{Group: size, Voters: []string{memberName(0)}, Terms: rules.Usual, Disk: disk.Machine{}, Settings: ruleSettings()}
+	cfg := learn.Config{Group: size, Voters: []string{memberName(0)}, Terms: rules.Usual, Disk: disk.Local{}, Settings: ruleSettings()}
 	cfg.Settings.Zones = nil
 	for z := range memberZones {
 		cfg.Settings.Zones = append(cfg.Settings.Zones, memberZone(z))
--- a/internal/node/council.go
+++ b/internal/node/council.go
@@ -47,7 +47,7 @@
 func newCouncil(cfg Config, l *loop) (*council, error) {
 	f := cfg.Fleet.Council
 	c := &council{cfg: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
-	fs := cmp.Or[disk.FS](cfg.Disk, disk.Machine{})
+	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
 	lc := learn.Config{Self: cfg.Settings.NodeIndex, Group: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
 		Settings: c.settings, Terms: rules.Usual, Dir: f.Dir, Disk: fs, Send: c.send, Meet: c.meet, Act: c.act}
 	var voters []agreement.Peer
--- a/internal/node/keeping.go
+++ b/internal/node/keeping.go
@@ -40,8 +40,8 @@
 	disk      disk.FS
 	dir, node string
 	discovery func() string
-	marks     *store.Marks
-	keeper    *store.Keeper // nil until the folder is this process's
+	marks     *store.Checkpoints
+	keeper    *store.Persister // nil until the folder is this process's
 	armed     bool
 	learntAt  time.Time
 
@@ -57,8 +57,8 @@
 	if most <= 0 {
 		most = marksMost
 	}
-	k := &keeping{loop: l, set: &cfg.Settings, disk: cmp.Or[disk.FS](cfg.Disk, disk.Machine{}), dir: cfg.Fleet.State.Dir, node: cfg.Name, discovery: discovery,
-		marks: store.NewMarks(most)}
+	k := &keeping{loop: l, set: &cfg.Settings, disk: cmp.Or[disk.FS](cfg.Disk, disk.Local{}), dir: cfg.Fleet.State.Dir, node: cfg.Name, discovery: discovery,
+		marks: store.NewCheckpoints(most)}
 	figures := l.registry()
 	counter := func(name, help string) prometheus.Counter {
 		c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
@@ -91,7 +91,7 @@
 	f, err := store.Open(k.disk, k.dir, k.node)
 	if err != nil {
 		slog.Warn("state: not kept", "err", err)
-		_, used := errors.AsType[*store.UsedError](err)
+		_, used := errors.AsType[*store.InUseError](err)
 		return !used
 	}
 	read := make(chan *store.State, 1)
@@ -134,7 +134,7 @@
 			return
 		}
 		f, err := store.Open(k.disk, k.dir, k.node)
-		if _, used := errors.AsType[*store.UsedError](err); used {
+		if _, used := errors.AsType[*store.InUseError](err); used {
 			continue
 		}
 		if err != nil {
@@ -155,7 +155,7 @@
 	if most <= 0 {
 		most = marksMost
 	}
-	k.keeper = store.NewKeeper(f, from, 2*most, func(err error, bytes int, took time.Duration) {
+	k.keeper = store.NewPersister(f, from, 2*most, func(err error, bytes int, took time.Duration) {
 		if err != nil {
 			k.failed.Inc()
 		} else {
@@ -189,12 +189,12 @@
 		slog.Warn("state: what was learnt is not taken", "err", err)
 	}
 	restored := 0
-	for _, r := range s.Records {
+	for _, r := range s.Checkpoints {
 		units, ok := k.left(r, now)
 		if !ok {
 			continue // full again, or a clock that went back
 		}
-		if err := k.loop.ctl.RestoreTenant(now, r.Plan, r.Customer, r.Spread, units); err != nil {
+		if err := k.loop.ctl.RestoreTenant(now, r.Plan, r.Tenant, r.Nodes, units); err != nil {
 			k.dropped.Inc()
 			continue
 		}
@@ -205,7 +205,7 @@
 }
 
 // left is what a store holds now by its mark; ok is false where it is full.
-func (k *keeping) left(r store.Record, now time.Duration) (units float64, ok bool) {
+func (k *keeping) left(r store.Checkpoint, now time.Duration) (units float64, ok bool) {
 	for _, p := range k.set.Plans {
 		if p.Name == r.Plan {
 			since := now - time.Duration(r.At)*time.Millisecond
@@ -223,7 +223,7 @@
 		return
 	}
 	now := k.loop.now()
-	if k.marks.Grant(store.Key{Plan: r.Plan, Customer: r.Tenant}, store.Level{Units: units, Rate: rate, Depth: depth, Spread: spread}, now) {
+	if k.marks.Granted(store.Key{Plan: r.Plan, Tenant: r.Tenant}, store.Level{Tokens: units, Rate: rate, Burst: depth, Nodes: spread}, now) {
 		k.arm()
 	}
 	k.uncovered.Store(k.marks.Uncovered)
@@ -241,7 +241,7 @@
 func (k *keeping) flush() {
 	k.armed = false
 	now := time.Now()
-	records := k.marks.Batch(k.loop.now(), now)
+	records := k.marks.NextBatch(k.loop.now(), now)
 	if records == nil {
 		return
 	}
@@ -253,8 +253,8 @@
 			parts, k.learntAt = map[string][]byte{learntPart: raw}, now
 		}
 	}
-	if !k.keeper.Put(records, parts) {
-		k.marks.Done(false)
+	if !k.keeper.Submit(records, parts) {
+		k.marks.BatchWritten(false)
 		k.arm()
 	}
 }
@@ -270,7 +270,7 @@
 
 // wrote takes that a state has come to the disk, or has not.
 func (k *keeping) wrote(ok bool) {
-	k.marks.Done(ok)
+	k.marks.BatchWritten(ok)
 	if k.marks.Due() {
 		k.arm()
 	}
@@ -282,7 +282,7 @@
 		return
 	}
 	if raw, err := k.learnt(); err == nil {
-		k.keeper.Put(k.marks.Last(k.loop.now(), time.Now()), map[string][]byte{learntPart: raw})
+		k.keeper.Submit(k.marks.Final(k.loop.now(), time.Now()), map[string][]byte{learntPart: raw})
 	}
 	if err := k.keeper.Close(closeWait); err != nil {
 		slog.Warn("state: the last is not written", "err", err)
--- a/internal/node/keeping_test.go
+++ b/internal/node/keeping_test.go
@@ -14,7 +14,7 @@
 
 	"sloestile/internal/store"
 	"sloestile/internal/store/disk"
-	"sloestile/internal/store/disk/lying"
+	"sloestile/internal/store/disk/faulty"
 )
 
 // end stops a node and waits for its end.
@@ -112,13 +112,13 @@
 	}
 	b.wait("a state of its own", func() bool { return b.node.loop.keeping.writtenAt.Load() > 0 })
 	b.end()
-	f, err := store.Open(disk.Machine{}, dir, "n0")
+	f, err := store.Open(disk.Local{}, dir, "n0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
 	s, err := f.Read()
-	if err != nil || !slices.ContainsFunc(s.Records, func(r store.Record) bool { return r.Plan == "basic" }) {
+	if err != nil || !slices.ContainsFunc(s.Checkpoints, func(r store.Checkpoint) bool { return r.Plan == "basic" }) {
 		t.Errorf("the state lacks the mark of the process before: %+v, %v", s, err)
 	}
 }
@@ -126,7 +126,7 @@
 // A disk that stands still holds up neither the start nor a request; when it goes on, the state is kept, with what was marked there before.
 func TestDiskThatStandsStill(t *testing.T) {
 	dir, drive := t.TempDir(), t.TempDir()
-	lies, err := lying.New(disk.Machine{}, drive)
+	lies, err := faulty.New(disk.Local{}, drive)
 	require.NoError(t, err)
 	with := func(c *Config) { c.Fleet, c.Disk = &Fleet{State: &StateConfig{Dir: dir}}, lies }
 	app := newApp(t, served)
@@ -134,22 +134,22 @@
 	a.list(app.target("a", 1))
 	require.Equal(t, http.StatusOK, askBasic(a, "a", 4, 1))
 	a.end()
-	require.NoError(t, lying.Set(drive, lying.Faults{Stalled: true}))
+	require.NoError(t, faulty.Set(drive, faulty.Faults{Stalled: true}))
 	b := newRigWith(t, with)
 	b.list(app.target("a", 1))
 	req := b.call(http.MethodGet, "/roster-read", "b") // another customer's
 	resp, _ := b.do(req)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.NoError(t, lying.Set(drive, lying.Faults{}))
+	require.NoError(t, faulty.Set(drive, faulty.Faults{}))
 	b.wait("the folder", func() bool { return b.node.loop.keeping.keeper != nil })
 	resp, _ = b.do(b.call(http.MethodGet, "/roster-read", "c"))
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	b.wait("a state of its own", func() bool { return b.node.loop.keeping.writtenAt.Load() > 0 })
 	b.end()
-	f, err := store.Open(disk.Machine{}, dir, "n0")
+	f, err := store.Open(disk.Local{}, dir, "n0")
 	require.NoError(t, err)
 	defer f.Close()
 	s, err := f.Read()
 	require.NoError(t, err)
-	require.True(t, slices.ContainsFunc(s.Records, func(r store.Record) bool { return r.Plan == "basic" }), "the mark of before is gone: %+v", s)
+	require.True(t, slices.ContainsFunc(s.Checkpoints, func(r store.Checkpoint) bool { return r.Plan == "basic" }), "the mark of before is gone: %+v", s)
 }
--- a/internal/store/marks_test.go
+++ b/internal/store/checkpoints_test.go
@@ -13,34 +13,34 @@
 // that count before they are on the disk are found.
 func TestMarksCoverGrants(t *testing.T) {
 	run := func(t *rapid.T, planted bool) (forgot string) {
-		m, l := NewMarks(10), Level{Rate: rapid.Float64Range(0.1, 20).Draw(t, "rate"), Depth: 40, Spread: 1, Units: 40}
+		m, l := NewCheckpoints(10), Level{Rate: rapid.Float64Range(0.1, 20).Draw(t, "rate"), Burst: 40, Nodes: 1, Tokens: 40}
 		k, now, wall := Key{"p", "c"}, time.Hour, time.UnixMilli(1e12)
-		var disk, writing []Record
+		var disk, writing []Checkpoint
 		covered := false
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			pause := time.Duration(rapid.IntRange(1, 400).Draw(t, "pause")) * time.Millisecond
 			now, wall = now+pause, wall.Add(pause)
-			l.Units = min(l.Depth, l.Units+l.Rate*pause.Seconds())
+			l.Tokens = min(l.Burst, l.Tokens+l.Rate*pause.Seconds())
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1:
-				l.Units -= float64(rapid.IntRange(1, 6).Draw(t, "units"))
+				l.Tokens -= float64(rapid.IntRange(1, 6).Draw(t, "units"))
 				before := m.Uncovered
-				m.Grant(k, l, now)
+				m.Granted(k, l, now)
 				covered = m.Uncovered == before
 			case 2:
-				if b := m.Batch(now, wall); b != nil {
+				if b := m.NextBatch(now, wall); b != nil {
 					writing = b
 					if planted {
-						m.Done(true)
+						m.BatchWritten(true)
 					}
 				}
 			case 3:
 				if writing != nil {
 					if ok := rapid.Bool().Draw(t, "written"); ok {
 						disk = writing
-						m.Done(true)
+						m.BatchWritten(true)
 					} else {
-						m.Done(false)
+						m.BatchWritten(false)
 					}
 					writing = nil
 				}
@@ -50,8 +50,8 @@
 			}
 			if covered {
 				since := wall.Sub(time.UnixMilli(disk[0].At)).Seconds()
-				if left := min(l.Depth, disk[0].Level+l.Rate*since); left > l.Units+0.1 { // marks are told in ms
-					return fmt.Sprintf("recovery gives %g, the store holds %g", left, l.Units)
+				if left := min(l.Burst, disk[0].Level+l.Rate*since); left > l.Tokens+0.1 { // marks are told in ms
+					return fmt.Sprintf("recovery gives %g, the store holds %g", left, l.Tokens)
 				}
 			}
 		}
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the file layer under all that a node keeps: the state folder and the log of
-// agreement. It is as little of a file system as those need, so that a test can take it away at any
-// moment and the stand-in platform can put one in its place that fails as disks do.
+// Package disk is the file layer under all that a node persists: the state folder and the consensus log. It is as little
+// of a file system as those need, so that tests can cut it off at any moment and the testbed can replace it by a faulty
+// one.
 package disk
 
 import (
@@ -13,14 +13,14 @@
 	"syscall"
 )
 
-// FS is a file system. What is made can be read by its owner alone. It is safe for concurrent use.
+// FS is a file system. What it creates is readable by its owner alone. It is safe for concurrent use.
 type FS interface {
 	OpenFile(name string, flag int) (File, error) // flag as of os.OpenFile
 	MkdirAll(dir string) error
 	Rename(from, to string) error
 	Remove(name string) error                     // a file or an empty folder
 	Names(dir string, most int) ([]string, error) // up to most of what is in a folder
-	SyncDir(dir string) error                     // brings a folder's names to the disk
+	SyncDir(dir string) error                     // makes a folder's names durable
 }
 
 // File is an open file. *os.File has all of it but Allocate.
@@ -33,18 +33,18 @@
 	Stat() (fs.FileInfo, error)
 	Sync() error
 	Truncate(size int64) error
-	Allocate(size int64) error // grows it to a size, zeros, with room on the disk where that can be had
+	Allocate(size int64) error // grows it to a size with zeros, with room on the disk where that can be had
 }
 
-// Machine is the machine's own file system.
-type Machine struct{}
+// Local is the local file system.
+type Local struct{}
 
-var _ FS = Machine{}
+var _ FS = Local{}
 
 type file struct{ *os.File }
 
 // OpenFile opens a file or makes it.
-func (Machine) OpenFile(name string, flag int) (File, error) {
+func (Local) OpenFile(name string, flag int) (File, error) {
 	f, err := os.OpenFile(name, flag, 0o600)
 	if err != nil {
 		return nil, err
@@ -66,21 +66,21 @@
 }
 
 // MkdirAll makes a folder and those above it.
-func (Machine) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
+func (Local) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
 // Rename puts a file in another's place.
-func (Machine) Rename(from, to string) error { return os.Rename(from, to) }
+func (Local) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file or an empty folder.
-func (Machine) Remove(name string) error { return os.Remove(name) }
+func (Local) Remove(name string) error { return os.Remove(name) }
 
-// Names gives names of what is in a folder, in no order.
-func (Machine) Names(dir string, most int) ([]string, error) {
+// Names returns names of what is in a folder, in no order.
+func (Local) Names(dir string, most int) ([]string, error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // nothing was written
 	names, err := f.Readdirnames(most)
 	if errors.Is(err, io.EOF) {
 		err = nil
@@ -88,8 +88,8 @@
 	return names, err
 }
 
-// SyncDir brings a folder's names to the disk.
-func (Machine) SyncDir(dir string) error {
+// SyncDir makes a folder's names durable.
+func (Local) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return err
@@ -97,28 +97,29 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// ReadFile reads a file whole; one that holds more than most bytes or is no plain file is an error.
-func ReadFile(d FS, name string, most int64) (raw []byte, err error) {
+// ReadFile reads a whole file. It is an error if the file has more than limit bytes or is not a regular file.
+func ReadFile(d FS, name string, limit int64) ([]byte, error) {
 	f, err := d.OpenFile(name, os.O_RDONLY)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	if s, err := f.Stat(); err != nil {
+	defer func() { _ = f.Close() }() // nothing was written
+	info, err := f.Stat()
+	if err != nil {
 		return nil, err
-	} else if !s.Mode().IsRegular() {
-		return nil, fmt.Errorf("%s is no plain file", filepath.Base(name))
 	}
-	raw, err = io.ReadAll(io.LimitReader(f, most+1))
-	if err == nil && int64(len(raw)) > most {
-		err = fmt.Errorf("%s holds more than %d bytes", filepath.Base(name), most)
+	if !info.Mode().IsRegular() {
+		return nil, fmt.Errorf("%s is not a regular file", filepath.Base(name))
+	}
+	raw, err := io.ReadAll(io.LimitReader(f, limit+1))
+	if err == nil && int64(len(raw)) > limit {
+		err = fmt.Errorf("%s has more than %d bytes", filepath.Base(name), limit)
 	}
 	return raw, err
 }
 
-// WriteFile puts a file in place whole, by way of another beside it: when it returns without an error
-// the file is on the disk, whatever becomes of the machine. After an error the one before is, or
-// this one.
+// WriteFile replaces a file by way of another one beside it: when it returns without an error the file is durable. After
+// an error the disk holds the file before, or this one.
 func WriteFile(d FS, name string, raw []byte) error {
 	beside := name + ".new"
 	f, err := d.OpenFile(beside, os.O_WRONLY|os.O_CREATE|os.O_TRUNC)
--- a/internal/store/disk/lying/lying.go
+++ b/internal/store/disk/faulty/faulty.go
@@ -1,4 +1,4 @@
-// Package lying is a file system that fails as disks do, for plays of the stand-in platform: the
+// Package faulty is a file system that fails as disks do, for plays of the stand-in platform: the
 // program that is built with the tag lab puts it under what a node keeps, and the platform drives it
 // by a folder that the process is told of. The deployed program has none of it.
 //
@@ -6,7 +6,7 @@
 // step. What a loss of power leaves is made by Lose, once the process is dead: it undoes all that no
 // honest sync has brought to the disk. A sync counts for all that was written before, as a flush of the
 // device's own buffer does.
-package lying
+package faulty
 
 import (
 	"encoding/json"
--- a/internal/store/disk/lying/lying_test.go
+++ b/internal/store/disk/faulty/faulty_test.go
@@ -1,4 +1,4 @@
-package lying
+package faulty
 
 import (
 	"flag"
@@ -42,7 +42,7 @@
 		defer os.RemoveAll(root)
 		dir, drive := filepath.Join(root, "data"), filepath.Join(root, "drive")
 		require.NoError(t, os.Mkdir(dir, 0o700))
-		d, err := New(disk.Machine{}, drive)
+		d, err := New(disk.Local{}, drive)
 		require.NoError(t, err)
 		name := func() string {
 			return filepath.Join(dir, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"))
@@ -84,7 +84,7 @@
 				}
 			case 9: // another process
 				open = nil
-				d, err = New(disk.Machine{}, drive)
+				d, err = New(disk.Local{}, drive)
 				require.NoError(t, err)
 			}
 		}
@@ -101,7 +101,7 @@
 // pair is a disk that is driven, with one file of ten bytes on it.
 func pair(t *testing.T) (d *FS, drive, name string) {
 	drive, name = t.TempDir(), filepath.Join(t.TempDir(), "f")
-	d, err := New(disk.Machine{}, drive)
+	d, err := New(disk.Local{}, drive)
 	require.NoError(t, err)
 	require.NoError(t, disk.WriteFile(d, name, []byte("0123456789")))
 	return d, drive, name
@@ -114,7 +114,7 @@
 	steps, err := Lose(drive, Loss{Torn: true})
 	require.NoError(t, err)
 	require.Zero(t, steps)
-	d, err := New(disk.Machine{}, drive)
+	d, err := New(disk.Local{}, drive)
 	require.NoError(t, err)
 	require.NoError(t, Set(drive, Faults{Lies: true}))
 	require.NoError(t, disk.WriteFile(d, name, []byte("abcdefgh")))
@@ -122,7 +122,7 @@
 	require.NoError(t, err)
 	require.Equal(t, map[string]string{"f": "abcd"}, holds(t, filepath.Dir(name)))
 
-	d, err = New(disk.Machine{}, drive)
+	d, err = New(disk.Local{}, drive)
 	require.NoError(t, err)
 	f, err := d.OpenFile(name, os.O_RDWR)
 	require.NoError(t, err)
--- a/internal/store/disk/lying/undo.go
+++ b/internal/store/disk/faulty/undo.go
@@ -1,4 +1,4 @@
-package lying
+package faulty
 
 import (
 	"bufio"
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -9,14 +9,14 @@
 
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
-		&AsideError{File: "d/state", Why: oncall.ErrCause, Err: oncall.ErrCause},
+		&QuarantineError{File: "d/state", Why: oncall.ErrCause, Err: oncall.ErrCause},
 		&FolderError{Dir: "d", Err: oncall.ErrCause},
 		&OwnerError{File: "d/state", Have: "n-2", Want: "n-1"},
 		&ReadError{File: "d/state", Err: oncall.ErrCause},
 		&SizeError{File: "d/state", What: "customers", Have: 3, Most: 2},
-		&SpoiltError{File: "d/state", Err: oncall.ErrCause},
-		&StillError{Dir: "d", Within: time.Second},
-		&UsedError{Dir: "d"},
+		&CorruptError{File: "d/state", Err: oncall.ErrCause},
+		&StalledError{Dir: "d", Within: time.Second},
+		&InUseError{Dir: "d"},
 		&VersionError{File: "d/state", Have: 2, Want: 1},
 		&WriteError{File: "d/state", Err: oncall.ErrCause},
 	)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -13,5 +13,5 @@
 	s := &State{}
 	golden.Fill(s)
 	golden.RoundTripOf(t, "state", s, encode, func(raw []byte) (*State, error) { return decode("state", raw, s.Node) })
-	require.Equal(t, "state lock state.bad-", stateName+" "+lockName+" "+asideName)
+	require.Equal(t, "state lock state.bad-", stateName+" "+lockName+" "+quarantineName)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,9 @@
-// Package store keeps what a node has learnt on a disk that outlives its process: it writes it,
-// checks it, and reads it back. One file holds all of it, written anew each time and put in place by
-// a rename, so that there is nothing to compact and never a part of a state.
+// Package store persists what a node has learnt on a disk that outlives its process: it writes, verifies and reads back
+// one state. A single file holds all of it; each write replaces the file by a rename, so there is nothing to compact and
+// never a part of a state.
 //
-// A state that can't be read whole is put aside and nothing of it is used. The disk is never waited
-// for: a Keeper writes beside its owner and tells when a state has come to the disk.
+// A state that can't be read completely is moved aside (quarantined) and not used. The node never waits for the disk: a
+// Persister writes in a goroutine of its own and reports when a state is durable.
 package store
 
 import (
@@ -23,46 +23,46 @@
 )
 
 const (
-	version   = 1
+	version   = 1 // of the file's format
 	magic     = "lfst"
-	headBytes = 4 + 2 + 8 + 4 // magic, version, length and sum of the rest
-
-	// BytesMost bounds the file; a state that is larger is not written.
-	BytesMost = 8 << 20
-
-	stateName  = "state"
-	lockName   = "lock"
-	asideName  = "state.bad-" // and a number
-	asideMost  = 2            // states put aside that are kept
-	namesMost  = 1000         // of a folder that are looked at
-	readTries  = 2            // of a state: a bit may be turned on the way from the disk alone
-	recordMost = 1 << 20      // customers in a state
+	headBytes = 4 + 2 + 8 + 4 // magic, version, length and checksum of the rest
+
+	// MaxStateBytes is the size of the file at most; a larger state is not written.
+	MaxStateBytes = 8 << 20
+
+	stateName      = "state"
+	lockName       = "lock"
+	quarantineName = "state.bad-" // and a number
+	maxQuarantined = 2            // states moved aside that are kept
+	maxNames       = 1000         // of a folder's files that are looked at
+	readAttempts   = 2            // a bit may be flipped on the way from the disk alone
+	maxCheckpoints = 1 << 20      // in a state
 )
 
-// State is what is kept.
+// State is what is persisted, as CBOR by the numbers in its tags.
 type State struct {
-	Node       string            `cbor:"1,keyasint"` // whose it is
-	Generation uint64            `cbor:"2,keyasint"` // grows with each state written
-	Written    int64             `cbor:"3,keyasint"` // ms of Unix time
-	Parts      map[string][]byte `cbor:"4,keyasint"` // by name, each in its owner's form
-	Records    []Record          `cbor:"5,keyasint"`
+	Node        string            `cbor:"1,keyasint"` // whose it is
+	Generation  uint64            `cbor:"2,keyasint"` // grows with each state written
+	Written     int64             `cbor:"3,keyasint"` // ms of Unix time
+	Parts       map[string][]byte `cbor:"4,keyasint"` // by name, each in its owner's format
+	Checkpoints []Checkpoint      `cbor:"5,keyasint"`
 }
 
-// Record is the mark of one customer's store: of what it held at a time, what is sure to be left
-// whatever has been granted under the mark since.
-type Record struct {
-	_        struct{} `cbor:",toarray"`
-	Plan     string
-	Customer string
-	Spread   int
-	Level    float64
-	At       int64 // ms of Unix time
-	Full     int64 // ms of Unix time when the store is full again, and the mark of no worth
+// Checkpoint is a level that one tenant's token bucket has at least at a time, whatever was granted since it was
+// written.
+type Checkpoint struct {
+	_      struct{} `cbor:",toarray"`
+	Plan   string
+	Tenant string
+	Nodes  int     // that the tenant may come through
+	Level  float64 // tokens
+	At     int64   // ms of Unix time
+	FullAt int64   // ms of Unix time when the bucket is full again, and the checkpoint worthless
 }
 
 var (
-	encoding = must(cbor.CanonicalEncOptions().EncMode())
-	decoding = must(cbor.DecOptions{MaxArrayElements: recordMost, MaxMapPairs: 64, MaxNestedLevels: 6,
+	encoder = must(cbor.CanonicalEncOptions().EncMode())
+	decoder = must(cbor.DecOptions{MaxArrayElements: maxCheckpoints, MaxMapPairs: 64, MaxNestedLevels: 6,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
@@ -74,9 +74,9 @@
 	return v
 }
 
-// encode gives a state's bytes with their head.
+// encode returns the file's content for a state.
 func encode(s *State) ([]byte, error) {
-	raw, err := encoding.Marshal(s)
+	raw, err := encoder.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
@@ -88,25 +88,25 @@
 	return append(b, raw...), nil
 }
 
-// decode reads a state of a node, which is the content of a file.
+// decode reads a state of a node from a file's content.
 func decode(file string, b []byte, node string) (*State, error) {
-	spoilt := func(why string) error { return &SpoiltError{file, errors.New(why)} }
+	corrupt := func(why string) error { return &CorruptError{file, errors.New(why)} }
 	if len(b) < headBytes || string(b[:4]) != magic {
-		return nil, spoilt("its head is not a state's")
+		return nil, corrupt("no state header")
 	}
 	sum := crc32.Update(crc32.Checksum(b[:headBytes-4], castagnoli), castagnoli, b[headBytes:])
 	if sum != binary.BigEndian.Uint32(b[headBytes-4:]) {
-		return nil, spoilt("its sum is not that of its bytes")
+		return nil, corrupt("checksum mismatch")
 	}
 	if v := binary.BigEndian.Uint16(b[4:]); v != version {
 		return nil, &VersionError{file, int(v), version}
 	}
 	if binary.BigEndian.Uint64(b[6:]) != uint64(len(b)-headBytes) {
-		return nil, spoilt("its length is not the one it tells")
+		return nil, corrupt("length mismatch")
 	}
 	s := &State{}
-	if err := decoding.Unmarshal(b[headBytes:], s); err != nil {
-		return nil, &SpoiltError{file, err}
+	if err := decoder.Unmarshal(b[headBytes:], s); err != nil {
+		return nil, &CorruptError{file, err}
 	}
 	if s.Node != node {
 		return nil, &OwnerError{file, s.Node, node}
@@ -122,9 +122,9 @@
 	lock *os.File // nil where the file layer is a test's
 }
 
-// Open takes a folder of a file system, which is made where there is none. It waits for no other
-// process: where another has the folder its error is a UsedError, else a FolderError. The lock is the
-// machine's own: a disk that fails must not let two processes in.
+// Open opens a folder of a file system and makes it where there is none. It does not wait: where another process uses
+// the folder the error is an InUseError, else a FolderError. The lock is always on the local file system, as a faulty
+// disk must not let two processes in.
 func Open(d disk.FS, dir, node string) (*Folder, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, &FolderError{dir, err}
@@ -136,14 +136,14 @@
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
-			return nil, &UsedError{dir}
+			return nil, &InUseError{dir}
 		}
 		return nil, &FolderError{dir, err}
 	}
 	return &Folder{fs: d, dir: dir, node: node, lock: lock}, nil
 }
 
-// Close lets another process use the folder.
+// Close releases the folder for another process.
 func (f *Folder) Close() error {
 	if f.lock == nil {
 		return nil
@@ -153,24 +153,27 @@
 
 func (f *Folder) path(name string) string { return filepath.Join(f.dir, name) }
 
-// Read gives the last state that came to the disk; nil is none. One that is of no use, also when it is
-// read again, is put aside and why tells the reason: a SpoiltError, VersionError, OwnerError or
-// ReadError, within an AsideError where it can't be put aside. The folder can be written to all the same.
-func (f *Folder) Read() (s *State, why error) {
-	for range readTries {
-		if s, why = f.read(); why == nil {
+// Read returns the last durable state; nil is none. A state that can't be used, also when it is read again, is moved
+// aside, and the error says why: a CorruptError, VersionError, OwnerError or ReadError, within a QuarantineError where
+// it can't be moved. The folder can be written to all the same.
+func (f *Folder) Read() (*State, error) {
+	var unusable error
+	for range readAttempts {
+		s, err := f.read()
+		if err == nil {
 			return s, nil
 		}
+		unusable = err
 	}
-	if err := f.putAside(); err != nil {
-		why = &AsideError{f.path(stateName), why, err}
+	if err := f.quarantine(); err != nil {
+		unusable = &QuarantineError{f.path(stateName), unusable, err}
 	}
-	return nil, why
+	return nil, unusable
 }
 
 func (f *Folder) read() (*State, error) {
 	file := f.path(stateName)
-	raw, err := disk.ReadFile(f.fs, file, BytesMost)
+	raw, err := disk.ReadFile(f.fs, file, MaxStateBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -180,23 +183,23 @@
 	return decode(file, raw, f.node)
 }
 
-// putAside keeps a state that can't be used under another name, and the oldest of those no longer.
-func (f *Folder) putAside() error {
-	names, err := f.fs.Names(f.dir, namesMost)
+// quarantine moves a state that can't be used aside and removes the oldest of those.
+func (f *Folder) quarantine() error {
+	names, err := f.fs.Names(f.dir, maxNames)
 	if err != nil {
 		return err
 	}
 	have := map[string]bool{}
 	for _, n := range names {
-		have[n] = strings.HasPrefix(n, asideName)
+		have[n] = strings.HasPrefix(n, quarantineName)
 	}
-	name := func(i int) string { return fmt.Sprint(asideName, i) }
-	if have[name(asideMost)] {
-		if err := f.fs.Remove(f.path(name(asideMost))); err != nil {
+	name := func(i int) string { return fmt.Sprint(quarantineName, i) }
+	if have[name(maxQuarantined)] {
+		if err := f.fs.Remove(f.path(name(maxQuarantined))); err != nil {
 			return err
 		}
 	}
-	for i := asideMost - 1; i >= 1; i-- {
+	for i := maxQuarantined - 1; i >= 1; i-- {
 		if have[name(i)] {
 			if err := f.fs.Rename(f.path(name(i)), f.path(name(i+1))); err != nil {
 				return err
@@ -209,16 +212,16 @@
 	return f.fs.SyncDir(f.dir)
 }
 
-// Write brings a state to the disk: when it returns without an error the state is there, whatever
-// becomes of the machine. After an error, a SizeError or a WriteError, the one before is, or this one.
+// Write makes a state durable: when it returns without an error the state survives a crash of the machine. After an
+// error, a SizeError or a WriteError, the disk holds the state before, or this one.
 func (f *Folder) Write(s *State) (bytes int, err error) {
 	file := f.path(stateName)
 	raw, err := encode(s)
 	if err != nil {
 		return 0, &WriteError{file, err}
 	}
-	if len(raw) > BytesMost {
-		return 0, &SizeError{file, "bytes", len(raw), BytesMost}
+	if len(raw) > MaxStateBytes {
+		return 0, &SizeError{file, "bytes", len(raw), MaxStateBytes}
 	}
 	if err := disk.WriteFile(f.fs, file, raw); err != nil {
 		return 0, &WriteError{file, err}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,7 +18,7 @@
 	"github.com/stretchr/testify/require"
 
 	"sloestile/internal/store/disk"
-	"sloestile/internal/store/disk/lying"
+	"sloestile/internal/store/disk/faulty"
 )
 
 // The same draws in each run, so that the verdict is the same; -rapid.seed gives others.
@@ -26,7 +26,7 @@
 
 func state(gen uint64) *State {
 	return &State{Node: "n1", Generation: gen, Written: int64(gen), Parts: map[string][]byte{"learnt": []byte(fmt.Sprint("what ", gen))},
-		Records: []Record{{Plan: "basic", Customer: fmt.Sprint("c", gen), Spread: 3, Level: float64(gen), At: 5, Full: 9}}}
+		Checkpoints: []Checkpoint{{Plan: "basic", Tenant: fmt.Sprint("c", gen), Nodes: 3, Level: float64(gen), At: 5, FullAt: 9}}}
 }
 
 // outcome plays a run of writes, and looks at every disk that a crash at each point may leave. It
@@ -124,13 +124,13 @@
 // spoilt at most, and can be written to.
 func TestBadFolders(t *testing.T) {
 	dir := t.TempDir()
-	f, err := Open(disk.Machine{}, dir, "n1")
+	f, err := Open(disk.Local{}, dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	_, err = Open(disk.Machine{}, dir, "n1")
-	assert.Equal(t, &UsedError{dir}, err)
+	_, err = Open(disk.Local{}, dir, "n1")
+	assert.Equal(t, &InUseError{dir}, err)
 	for i, spoil := range []func() error{
 		func() error { return os.WriteFile(f.path(stateName), nil, 0o600) },
 		func() error { return os.WriteFile(f.path(stateName), []byte("lfstxxxxxxxxxxxxxxxxxxxxxxxx"), 0o600) },
@@ -156,17 +156,17 @@
 		}
 		s, err := f.Read()
 		assert.Nil(t, s)
-		assert.IsType(t, []error{&SpoiltError{}, &SpoiltError{}, &ReadError{}, &OwnerError{}, &SpoiltError{}}[i], err, "case %d", i)
+		assert.IsType(t, []error{&CorruptError{}, &CorruptError{}, &ReadError{}, &OwnerError{}, &CorruptError{}}[i], err, "case %d", i)
 		if s, err := f.Read(); s != nil || err != nil {
 			t.Errorf("case %d: after it was put aside: %+v, %v", i, s, err)
 		}
 	}
 	names, err := f.fs.Names(dir, 100)
-	if slices.Sort(names); err != nil || !slices.Equal(names, []string{lockName, asideName + "1", asideName + "2"}) {
+	if slices.Sort(names); err != nil || !slices.Equal(names, []string{lockName, quarantineName + "1", quarantineName + "2"}) {
 		t.Errorf("the folder holds %v, %v", names, err)
 	}
 	big := state(1)
-	big.Parts["learnt"] = make([]byte, BytesMost)
+	big.Parts["learnt"] = make([]byte, MaxStateBytes)
 	_, err = f.Write(big)
 	assert.IsType(t, &SizeError{}, err, "a state beyond the most is written")
 	if _, err := f.Write(state(50)); err != nil {
@@ -188,10 +188,10 @@
 		return false
 	}
 	done := make(chan error, 10)
-	k := NewKeeper(&Folder{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
-	rec := Record{Plan: "p", Customer: "c", Level: 1, Full: 1 << 60}
+	k := NewPersister(&Folder{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
+	rec := Checkpoint{Plan: "p", Tenant: "c", Level: 1, FullAt: 1 << 60}
 	taken := 0
-	for taken < 100 && k.Put([]Record{rec}, nil) {
+	for taken < 100 && k.Submit([]Checkpoint{rec}, nil) {
 		taken++
 	}
 	if taken > 2 {
@@ -203,13 +203,13 @@
 			t.Error(err)
 		}
 	}
-	if !k.Put([]Record{rec}, nil) {
+	if !k.Submit([]Checkpoint{rec}, nil) {
 		t.Error("it does not go on")
 	}
 	if err := k.Close(time.Minute); err != nil {
 		t.Error(err)
 	}
-	if s, err := (&Folder{fs: r, dir: "d", node: "n1"}).Read(); err != nil || len(s.Records) != 1 || s.Generation != uint64(taken+1) {
+	if s, err := (&Folder{fs: r, dir: "d", node: "n1"}).Read(); err != nil || len(s.Checkpoints) != 1 || s.Generation != uint64(taken+1) {
 		t.Errorf("read %+v, %v", s, err)
 	}
 }
@@ -223,19 +223,19 @@
 	r, done := newRecorder(), make(chan error)
 	refuses := true
 	r.fail = func(string) bool { return refuses }
-	k := NewKeeper(&Folder{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
+	k := NewPersister(&Folder{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
 	for range 5 {
-		k.Put(nil, nil)
+		k.Submit(nil, nil)
 		require.Error(t, <-done)
 	}
 	refuses = false
 	for range 2 {
-		k.Put(nil, nil)
+		k.Submit(nil, nil)
 		require.NoError(t, <-done)
 	}
 	require.NoError(t, k.Close(time.Minute))
-	require.Equal(t, 1, strings.Count(log.String(), `msg="state: not written"`), log.String())
-	require.Equal(t, 1, strings.Count(log.String(), "written again"), log.String())
+	require.Equal(t, 1, strings.Count(log.String(), `msg="persisting state failed"`), log.String())
+	require.Equal(t, 1, strings.Count(log.String(), "succeeds again"), log.String())
 }
 
 // turning is a disk of whose opened files the first few turn bits on reading.
@@ -246,7 +246,7 @@
 }
 
 func (d *turning) OpenFile(name string, flag int) (disk.File, error) {
-	if err := lying.Set(d.drive, lying.Faults{Turned: float64(min(1, d.left))}); err != nil {
+	if err := faulty.Set(d.drive, faulty.Faults{Turned: float64(min(1, d.left))}); err != nil {
 		return nil, err
 	}
 	d.left = max(0, d.left-1)
@@ -257,7 +257,7 @@
 // is read so twice is put aside.
 func TestTurnedBitIsReadAgain(t *testing.T) {
 	drive := t.TempDir()
-	lies, err := lying.New(disk.Machine{}, drive)
+	lies, err := faulty.New(disk.Local{}, drive)
 	require.NoError(t, err)
 	d := &turning{FS: lies, drive: drive}
 	f, err := Open(d, t.TempDir(), "n1")
@@ -271,7 +271,7 @@
 	require.Equal(t, state(7), got)
 	d.left = 2
 	_, err = f.Read()
-	var spoilt *SpoiltError
+	var spoilt *CorruptError
 	require.ErrorAs(t, err, &spoilt)
 }
 
@@ -293,15 +293,15 @@
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprint(n, " customers"), func(b *testing.B) {
-			f, err := Open(disk.Machine{}, b.TempDir(), "n1")
+			f, err := Open(disk.Local{}, b.TempDir(), "n1")
 			if err != nil {
 				b.Fatal(err)
 			}
 			defer f.Close()
 			s := state(1)
-			s.Records = nil
+			s.Checkpoints = nil
 			for i := range n {
-				s.Records = append(s.Records, Record{Plan: "business", Customer: fmt.Sprintf("%016x", i), Spread: 30, Level: 12.5, At: 1796000000000, Full: 1796000009000})
+				s.Checkpoints = append(s.Checkpoints, Checkpoint{Plan: "business", Tenant: fmt.Sprintf("%016x", i), Nodes: 30, Level: 12.5, At: 1796000000000, FullAt: 1796000009000})
 			}
 			bytes := 0
 			for b.Loop() {
