--- a/fleet/rules/command.go
+++ b/fleet/rules/command.go
@@ -4,24 +4,24 @@
 	"bytes"
 	"errors"
 	"fmt"
-	"slices"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
 const (
-	// CommandMost is the bytes of a command at most.
-	CommandMost = TextMost + 1024
-	// SnapshotMost is the bytes of a registry's snapshot at most: the texts that are kept, those of
-	// the versions in use, and a record for each version.
-	SnapshotMost = (textsKept+awaitedMost+2)*(TextMost+1024) + versionsKept*256
+	// MaxCommandBytes is the size of a command at most.
+	MaxCommandBytes = MaxTextBytes + 1024
+	// MaxSnapshotBytes is the size of a registry's snapshot at most: the texts that are kept, those of the versions in
+	// use, and a record for each version.
+	MaxSnapshotBytes = (maxTexts+maxScheduled+2)*(MaxTextBytes+1024) + maxVersions*256
 )
 
-// Command is an entry of the log of agreement. It holds exactly one of its parts.
+// Command is an entry of the consensus log. It has exactly one of its parts. It is encoded as CBOR by the numbers in its
+// tags, its parts as arrays in the order of their fields.
 type Command struct {
 	Publish  *Publish  `cbor:"1,keyasint,omitempty"`
 	Activate *Activate `cbor:"2,keyasint,omitempty"`
-	Back     *Back     `cbor:"3,keyasint,omitempty"`
+	Rollback *Rollback `cbor:"3,keyasint,omitempty"`
 	Cancel   *Cancel   `cbor:"4,keyasint,omitempty"`
 	Prepare  *Prepare  `cbor:"5,keyasint,omitempty"`
 	Commit   *Commit   `cbor:"6,keyasint,omitempty"`
@@ -31,56 +31,56 @@
 type Publish struct {
 	_      struct{} `cbor:",toarray"`
 	Parent uint64   // the newest version that its author knew
-	By     string
+	Author string
 	Text   []byte
 }
 
-// Activate asks that a version come into force, at a time (Unix ms) or as soon as can be (0).
+// Activate asks that a version come into force, at a time (Unix ms) or as soon as possible (0).
 type Activate struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
-	Kind   Kind
+	Kind   ActivationKind
 	At     uint64
-	By     string
+	Author string
 }
 
-// Back asks that the text of a version that is kept come into force again, under a new number and
-// as soon as can be. All that is awaited is cancelled.
-type Back struct {
+// Rollback asks that the text of an older version come into force again, under a new number and as soon as possible. All
+// scheduled activations are cancelled.
+type Rollback struct {
 	_      struct{} `cbor:",toarray"`
 	Parent uint64
-	Of     uint64
-	Kind   Kind
-	By     string
+	Target uint64
+	Kind   ActivationKind
+	Author string
 }
 
-// Cancel takes an activation back that has not come into force.
+// Cancel takes back an activation that has not come into force.
 type Cancel struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
-	By     string
+	Author string
 }
 
-// Prepare is the leader's: the time of the activation that is first in turn has come.
+// Prepare is the leader's: the time of the first scheduled activation has come.
 type Prepare struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 }
 
-// Commit is the leader's: the leases that stood in the way of the version prepared at a step are gone.
+// Commit is the leader's: the leases that stood in the way of the version that was prepared at a revision are gone.
 type Commit struct {
-	_      struct{} `cbor:",toarray"`
-	Number uint64
-	Step   uint64
+	_        struct{} `cbor:",toarray"`
+	Number   uint64
+	Revision uint64
 }
 
 var (
 	encoder = must(cbor.CanonicalEncOptions().EncMode())
-	// Commands and snapshots are of the registry's own: what it doesn't know it must not pass over.
-	strict = must(cbor.DecOptions{MaxArrayElements: 2 * versionsKept, MaxMapPairs: 16, MaxNestedLevels: 8,
+	// strict reads commands and snapshots: a registry must not skip what it does not know.
+	strict = must(cbor.DecOptions{MaxArrayElements: 2 * maxVersions, MaxMapPairs: 16, MaxNestedLevels: 8,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode())
-	// Messages come of nodes with other programs too.
+	// lenient reads messages, which come from nodes with other programs too.
 	lenient = must(cbor.DecOptions{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
 )
@@ -92,21 +92,21 @@
 	return v
 }
 
-// canonical decodes bytes that must be the one form of what they say.
-func canonical(what string, most int, raw []byte, into any) error {
-	if len(raw) > most {
-		return &SpoiltError{what, &TooLargeError{"bytes of a " + what, len(raw), most}}
+// decodeCanonical decodes bytes that must be the canonical form of their content.
+func decodeCanonical(what string, limit int, raw []byte, into any) error {
+	if len(raw) > limit {
+		return &CorruptError{what, &TooLargeError{"bytes of a " + what, len(raw), limit}}
 	}
 	if err := strict.Unmarshal(raw, into); err != nil {
-		return &SpoiltError{what, err}
+		return &CorruptError{what, err}
 	}
 	if again, err := encoder.Marshal(into); err != nil || !bytes.Equal(again, raw) {
-		return &SpoiltError{what, errors.New("not in canonical form")}
+		return &CorruptError{what, errors.New("not in canonical form")}
 	}
 	return nil
 }
 
-// Encode gives a command's bytes, in canonical form.
+// Encode returns a command's bytes, in canonical form.
 func (c Command) Encode() ([]byte, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -115,93 +115,56 @@
 }
 
 // DecodeCommand reads a command.
-func DecodeCommand(raw []byte) (c Command, err error) {
-	if err := canonical("command", CommandMost, raw, &c); err != nil {
+func DecodeCommand(raw []byte) (Command, error) {
+	var c Command
+	if err := decodeCanonical("command", MaxCommandBytes, raw, &c); err != nil {
 		return Command{}, err
 	}
 	return c, c.check()
 }
 
 func (c Command) check() error {
-	parts, by, kind := 0, "", Overlap
-	if c.Publish != nil {
-		parts, by = parts+1, c.Publish.By
-		if len(c.Publish.Text) > TextMost {
-			return &TooLargeError{"bytes of a rule set", len(c.Publish.Text), TextMost}
+	if c.Publish != nil && len(c.Publish.Text) > MaxTextBytes {
+		return &TooLargeError{"bytes of a rule set", len(c.Publish.Text), MaxTextBytes}
+	}
+	parts := 0
+	for _, set := range []bool{
+		c.Publish != nil, c.Activate != nil, c.Rollback != nil,
+		c.Cancel != nil, c.Prepare != nil, c.Commit != nil,
+	} {
+		if set {
+			parts++
 		}
 	}
-	if c.Activate != nil {
-		parts, by, kind = parts+1, c.Activate.By, c.Activate.Kind
-	}
-	if c.Back != nil {
-		parts, by, kind = parts+1, c.Back.By, c.Back.Kind
-	}
-	if c.Cancel != nil {
-		parts, by = parts+1, c.Cancel.By
-	}
-	if c.Prepare != nil {
-		parts++
-	}
-	if c.Commit != nil {
-		parts++
+	if parts != 1 {
+		return &CorruptError{"command", fmt.Errorf("%d parts where there must be one", parts)}
 	}
 	switch {
-	case parts != 1:
-		return &SpoiltError{"command", fmt.Errorf("%d parts where there must be one", parts)}
-	case len(by) > byMost:
-		return &TooLargeError{"bytes of a name", len(by), byMost}
-	case kind != Overlap && kind != Exclusive:
-		return &SpoiltError{"command", fmt.Errorf("kind %d is neither overlap nor exclusive", kind)}
+	case c.Publish != nil:
+		return checkAuthor(c.Publish.Author)
+	case c.Activate != nil:
+		return checkAuthorAndKind(c.Activate.Author, c.Activate.Kind)
+	case c.Rollback != nil:
+		return checkAuthorAndKind(c.Rollback.Author, c.Rollback.Kind)
+	case c.Cancel != nil:
+		return checkAuthor(c.Cancel.Author)
 	}
 	return nil
 }
 
-// Snapshot gives the registry's bytes, in canonical form.
-func (r *Registry) Snapshot() ([]byte, error) { return encoder.Marshal(r.s) }
-
-// Restore reads a registry's snapshot.
-func Restore(raw []byte) (*Registry, error) {
-	r := &Registry{}
-	if err := canonical("snapshot", SnapshotMost, raw, &r.s); err != nil {
-		return nil, err
-	}
-	if err := r.check(); err != nil {
-		return nil, &SpoiltError{"snapshot", err}
+func checkAuthor(author string) error {
+	if len(author) > maxAuthorBytes {
+		return &TooLargeError{"bytes of a name", len(author), maxAuthorBytes}
 	}
-	return r, nil
+	return nil
 }
 
-// check tells whether a registry is one that commands can lead to.
-func (r *Registry) check() error {
-	s := &r.s
-	if len(s.Versions) > versionsKept+awaitedMost+2 || len(s.Awaited) > awaitedMost || s.Prepared && len(s.Awaited) == 0 {
-		return errors.New("more in it than there can be")
+func checkAuthorAndKind(author string, kind ActivationKind) error {
+	if err := checkAuthor(author); err != nil {
+		return err
 	}
-	last := uint64(0)
-	for i := range s.Versions {
-		v := &s.Versions[i]
-		switch {
-		case v.Number <= last || v.Number > s.Newest:
-			return fmt.Errorf("version %d after %d of %d", v.Number, last, s.Newest)
-		case len(v.Text) > TextMost || len(v.By) > byMost || len(v.ByLast) > byMost || v.Fate > Cancelled || v.Kind > Exclusive:
-			return fmt.Errorf("version %d can't be", v.Number)
-		case v.Text != nil && DigestOf(v.Text) != v.Digest:
-			return fmt.Errorf("version %d: its text is not the one of its digest", v.Number)
-		case (v.Number == s.Active) != (v.Fate == Active),
-			slices.Contains(s.Awaited, v.Number) != (v.Fate == Awaited || v.Fate == Prepared),
-			(s.Prepared && s.Awaited[0] == v.Number) != (v.Fate == Prepared):
-			return fmt.Errorf("version %d is told to be %v and is not", v.Number, v.Fate)
-		}
-		last = v.Number
-	}
-	if last != s.Newest || s.Before != 0 && s.Before >= s.Active {
-		return fmt.Errorf("version %d is not there", s.Newest)
-	}
-	for i, n := range append([]uint64{s.Active}, s.Awaited...) {
-		v := r.find(n)
-		if n != 0 && (v == nil || v.Text == nil) || i > 0 && (n == 0 || n <= s.Active || i > 1 && n <= s.Awaited[i-2]) {
-			return fmt.Errorf("version %d is in use and can't be", n)
-		}
+	if kind != Overlap && kind != Exclusive {
+		return &CorruptError{"command", fmt.Errorf("kind %d is neither overlap nor exclusive", kind)}
 	}
 	return nil
 }
--- a/fleet/rules/errors.go
+++ b/fleet/rules/errors.go
@@ -6,7 +6,7 @@
 	"sloestile/internal/oneline"
 )
 
-// TooLargeError tells of something beyond the bytes or the number that it may have.
+// TooLargeError is something beyond the bytes or the number that it may have.
 type TooLargeError struct {
 	What       string
 	Have, Most int
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("%s: %d, at most %d; make it smaller", e.What, e.Have, e.Most)
 }
 
-// DocumentError tells why a text is no rule set.
+// DocumentError says why a text is not a rule set.
 type DocumentError struct {
 	Line   int // 0 is not known
 	Key    string
@@ -31,17 +31,17 @@
 	return fmt.Sprintf("rule set: %s: %s; mend the text and publish it again", where, e.Reason)
 }
 
-// UnknownError tells that a rule set names what a node's settings don't have.
-type UnknownError struct {
+// UnknownNameError is a name in a rule set that a node's settings do not have.
+type UnknownNameError struct {
 	Kind string // plan, class or zone
 	Name string
 }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownNameError) Error() string {
 	return fmt.Sprintf("rule set: %s %s is not in this node's settings; publish a text without it, or give the node newer settings", e.Kind, e.Name)
 }
 
-// LooserError tells that a rule set allows more than a node's settings do.
+// LooserError is a limit of a rule set that allows more than a node's settings do.
 type LooserError struct {
 	Key        string
 	Have, Most int
@@ -51,14 +51,14 @@
 	return fmt.Sprintf("rule set: %s: %d is looser than the %d of this node's settings; publish a text with %d or less", e.Key, e.Have, e.Most, e.Most)
 }
 
-// AllClosedError tells that a rule set closes each zone that a node knows.
+// AllClosedError is a rule set that closes each zone that a node knows.
 type AllClosedError struct{ Zones []string }
 
 func (e *AllClosedError) Error() string {
 	return fmt.Sprintf("rule set: zones: all of %v are closed; publish a text that leaves one open", e.Zones)
 }
 
-// StaleVersionError tells that a command was made for another state of the registry: a publication
+// StaleVersionError is a command for another state of the registry: a publication
 // whose parent is not the newest version, or an activation of a number that others have passed.
 type StaleVersionError struct {
 	Have uint64 // what the registry has
@@ -69,7 +69,7 @@
 	return fmt.Sprintf("registry: the command goes by version %d, the registry has %d; read the status and decide anew", e.Want, e.Have)
 }
 
-// NoVersionError tells that a number names no version, or one whose text is not kept any more.
+// NoVersionError is a number of no version, or of one whose text is no longer kept.
 type NoVersionError struct {
 	Number uint64
 	Text   bool // the number is known, its text is gone
@@ -82,16 +82,16 @@
 	return fmt.Sprintf("registry: there is no version %d; read the status for those there are", e.Number)
 }
 
-// OrderError tells that an activation would not come in the order of the numbers.
+// OrderError is an activation that would not come in the order of the numbers.
 type OrderError struct {
-	Number, Other uint64 // Other is awaited, and would come on the wrong side
+	Number, Other uint64 // Other is scheduled, and would come on the wrong side
 }
 
 func (e *OrderError) Error() string {
 	return fmt.Sprintf("registry: version %d can't be activated across version %d, which is awaited; cancel that one first", e.Number, e.Other)
 }
 
-// PhaseError tells that a step of an activation came out of its turn.
+// PhaseError is a step of an activation out of its order.
 type PhaseError struct {
 	Step     string
 	Number   uint64
@@ -102,14 +102,14 @@
 	return fmt.Sprintf("registry: %s of version %d while version %d is prepared; nothing has changed, read the status", e.Step, e.Number, e.Prepared)
 }
 
-// SpoiltError tells that bytes are no command, snapshot or message.
-type SpoiltError struct {
+// CorruptError is bytes that are no command, snapshot or message.
+type CorruptError struct {
 	What   string
 	Reason error
 }
 
-func (e *SpoiltError) Error() string {
+func (e *CorruptError) Error() string {
 	return fmt.Sprintf("%s: %s; drop it, and look for a node of another version or a faulty disk if it comes again", e.What, oneline.Of(e.Reason))
 }
 
-func (e *SpoiltError) Unwrap() error { return e.Reason }
+func (e *CorruptError) Unwrap() error { return e.Reason }
--- a/fleet/rules/errors_test.go
+++ b/fleet/rules/errors_test.go
@@ -14,9 +14,9 @@
 		&NoVersionError{Number: 3, Text: true},
 		&OrderError{Number: 3, Other: 2},
 		&PhaseError{Step: "activation", Number: 3, Prepared: 2},
-		&SpoiltError{What: "registry: a command", Reason: oncall.ErrCause},
+		&CorruptError{What: "registry: a command", Reason: oncall.ErrCause},
 		&StaleVersionError{Have: 3, Want: 2},
 		&TooLargeError{What: "rule set: its bytes", Have: 3, Most: 2},
-		&UnknownError{Kind: "plan", Name: "gold"},
+		&UnknownNameError{Kind: "plan", Name: "gold"},
 	)
 }
--- a/fleet/rules/explore_test.go
+++ b/fleet/rules/explore_test.go
@@ -46,7 +46,7 @@
 }
 
 // begin gives a world in which all act by version 1 and version 2 is awaited.
-func begin(t require.TestingT, p plant, kind Kind, parents [3][]int, rate [3]time.Duration) *world {
+func begin(t require.TestingT, p plant, kind ActivationKind, parents [3][]int, rate [3]time.Duration) *world {
 	w := &world{plant: p, rate: rate, parents: parents, tick: -10, last: 6}
 	for i := range w.nodes {
 		w.restart(i, 0)
@@ -58,10 +58,10 @@
 	do(Command{Publish: &Publish{Text: []byte("# 1")}})
 	do(Command{Activate: &Activate{Number: 1, Kind: kind}})
 	do(Command{Prepare: &Prepare{Number: 1}})
-	do(Command{Commit: &Commit{Number: 1, Step: 1}})
+	do(Command{Commit: &Commit{Number: 1, Revision: 1}})
 	w.elect(0)
-	w.nodes[0].g.unknown, w.nodes[0].g.quiet = 0, 0 // it was long ago
-	for ; w.tick <= 0; w.tick++ {                   // until all act by it
+	w.nodes[0].grantor.unknownUntil, w.nodes[0].grantor.previousUntil = 0, 0 // it was long ago
+	for ; w.tick <= 0; w.tick++ {                                            // until all act by it
 		for i := range w.nodes {
 			w.poll(i)
 		}
@@ -103,7 +103,7 @@
 	fast, slow := [3]time.Duration{2, 1, 1}, [3]time.Duration{1, 2, 1}
 	for _, c := range []struct {
 		plant      plant
-		kind       Kind
+		kind       ActivationKind
 		cut        func(from, to int) bool
 		parents    [3][]int
 		rate       [3]time.Duration
@@ -136,7 +136,7 @@
 // Long runs of many versions, of both kinds, with any number of faults: none is wrong.
 func TestDrawnRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kind := rapid.SampledFrom([]Kind{Overlap, Exclusive})
+		kind := rapid.SampledFrom([]ActivationKind{Overlap, Exclusive})
 		rates := rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.IntRange(1, 2).Draw(t, "ms")) })
 		w := begin(t, sound, kind.Draw(t, "kind"), rapid.SampledFrom([][3][]int{flat, tree}).Draw(t, "parents"),
 			[3]time.Duration{rates.Draw(t, "rate"), rates.Draw(t, "rate"), rates.Draw(t, "rate")})
@@ -144,7 +144,7 @@
 		w.doubles, w.elects, w.crashes, w.cancels, w.last = 20, 4, 6, 4, 1000
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for range 400 {
-			if _, _, ok := w.reg.Due(); !ok && !w.reg.s.Prepared {
+			if _, _, ok := w.reg.NextActivation(); !ok && !w.reg.state.Prepared {
 				n := w.reg.Newest()
 				_, _ = w.reg.Do(Command{Publish: &Publish{Parent: n, Text: fmt.Append(nil, "# ", n)}})
 				_, _ = w.reg.Do(Command{Activate: &Activate{Number: n + 1, Kind: kind.Draw(t, "kind")}})
@@ -165,20 +165,20 @@
 // An ask that comes again while the first is being confirmed does not set that back: over links whose
 // round is longer than the time to try again nobody would ever get a lease.
 func TestAskThatComesAgainSetsNothingBack(t *testing.T) {
-	n := NewNode(Config{Self: 0, Life: 1, Terms: Usual}, 0)
-	n.Learn(0, Word{Step: 2, Now: Name{Number: 1}})
+	n := NewNode(Config{Node: 0, Incarnation: 1, Terms: DefaultTerms}, 0)
+	n.Observe(0, VersionState{Revision: 2, Active: VersionID{Number: 1}})
 	n.Lead(0)
 	ask := func(at time.Duration, seq uint32) {
-		n.Hear(at, &Message{From: 1, Life: 2, Ask: &Ask{Seq: seq, Step: 2, Fresh: true}})
+		n.Receive(at, &Message{Sender: 1, Incarnation: 2, Request: &LeaseRequest{Sequence: seq, Revision: 2, Fresh: true}})
 	}
 	ask(time.Millisecond, 1)
-	round, ok := n.Begin()
+	round, ok := n.BeginConfirmation()
 	require.True(t, ok)
 	ask(100*time.Millisecond, 2)
 	n.Confirmed(150*time.Millisecond, round)
 	for _, o := range n.Flush(150 * time.Millisecond) {
 		if o.To == 1 && o.Message.Grant != nil {
-			assert.EqualValues(t, 1, o.Message.Grant.Seq)
+			assert.EqualValues(t, 1, o.Message.Grant.Sequence)
 			return
 		}
 	}
--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -13,12 +13,12 @@
 // Each command has the recorded bytes.
 func TestCommandsAreAsRecorded(t *testing.T) {
 	for name, c := range map[string]Command{
-		"publish":  {Publish: &Publish{Parent: 3, By: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
-		"activate": {Activate: &Activate{Number: 4, Kind: Exclusive, At: 77, By: "ada"}},
-		"back":     {Back: &Back{Parent: 4, Of: 2, Kind: Overlap, By: "bo"}},
-		"cancel":   {Cancel: &Cancel{Number: 4, By: "bo"}},
+		"publish":  {Publish: &Publish{Parent: 3, Author: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
+		"activate": {Activate: &Activate{Number: 4, Kind: Exclusive, At: 77, Author: "ada"}},
+		"back":     {Rollback: &Rollback{Parent: 4, Target: 2, Kind: Overlap, Author: "bo"}},
+		"cancel":   {Cancel: &Cancel{Number: 4, Author: "bo"}},
 		"prepare":  {Prepare: &Prepare{Number: 5}},
-		"commit":   {Commit: &Commit{Number: 5, Step: 6}},
+		"commit":   {Commit: &Commit{Number: 5, Revision: 6}},
 	} {
 		golden.RoundTripOf(t, "command-"+name, &c, func(c *Command) ([]byte, error) { return c.Encode() },
 			func(raw []byte) (*Command, error) {
@@ -32,11 +32,11 @@
 func TestMessagesAreAsRecorded(t *testing.T) {
 	m := &Message{}
 	golden.Fill(m)
-	*m.Tell = Word{}
-	golden.Fill(m.Tell)
-	m.Tell.Kind, m.Grant.Word.Kind = Overlap, Exclusive
-	m.Tell.Next.Number, m.Grant.Word.Next.Number = 400, 500
-	m.Grant.Step = m.Grant.Word.Step
+	*m.State = VersionState{}
+	golden.Fill(m.State)
+	m.State.Kind, m.Grant.State.Kind = Overlap, Exclusive
+	m.State.Prepared.Number, m.Grant.State.Prepared.Number = 400, 500
+	m.Grant.Revision = m.Grant.State.Revision
 	golden.RoundTripOf(t, "message", m, (*Message).Encode, func(raw []byte) (*Message, error) { return Decode(raw, 1000) })
 }
 
@@ -44,15 +44,15 @@
 func TestSnapshotIsAsRecorded(t *testing.T) {
 	r := &Registry{}
 	for _, c := range []Command{
-		{Publish: &Publish{By: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
-		{Activate: &Activate{Number: 1, Kind: Overlap, By: "ada"}},
+		{Publish: &Publish{Author: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
+		{Activate: &Activate{Number: 1, Kind: Overlap, Author: "ada"}},
 		{Prepare: &Prepare{Number: 1}},
-		{Commit: &Commit{Number: 1, Step: 1}},
-		{Publish: &Publish{Parent: 1, By: "bo", Text: []byte("[limits]\nin_flight = 8\n")}},
-		{Publish: &Publish{Parent: 2, By: "bo", Text: []byte("[limits]\nin_flight = 7\n")}},
-		{Activate: &Activate{Number: 2, Kind: Exclusive, At: 50, By: "cy"}},
-		{Activate: &Activate{Number: 3, Kind: Overlap, At: 60, By: "cy"}},
-		{Cancel: &Cancel{Number: 3, By: "cy"}},
+		{Commit: &Commit{Number: 1, Revision: 1}},
+		{Publish: &Publish{Parent: 1, Author: "bo", Text: []byte("[limits]\nin_flight = 8\n")}},
+		{Publish: &Publish{Parent: 2, Author: "bo", Text: []byte("[limits]\nin_flight = 7\n")}},
+		{Activate: &Activate{Number: 2, Kind: Exclusive, At: 50, Author: "cy"}},
+		{Activate: &Activate{Number: 3, Kind: Overlap, At: 60, Author: "cy"}},
+		{Cancel: &Cancel{Number: 3, Author: "cy"}},
 		{Prepare: &Prepare{Number: 2}},
 	} {
 		_, err := r.Do(c)
@@ -69,7 +69,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 1.5, *set.Plans["basic"].Price)
 	require.Equal(t, 2.0, *set.Plans["basic"].Quota)
-	require.Equal(t, 0.5, *set.Customers["basic 00000000000000ff"].Quota)
+	require.Equal(t, 0.5, *set.Tenants["basic 00000000000000ff"].Quota)
 	require.Equal(t, 3, *set.Classes["rate"].Attempts)
 	require.Equal(t, 40, *set.Limits.InFlight)
 	require.Equal(t, 4, *set.Limits.Attempts)
--- a/fleet/rules/grantor.go
+++ b/fleet/rules/grantor.go
@@ -5,163 +5,197 @@
 	"time"
 )
 
-const long = -time.Duration(1 << 62) // ago
-
-const tellsMost = 6 // of one word to one holder, when nobody waits for its answer
-
-// entry is what a grantor knows of one process that has asked.
-type entry struct {
-	node   int
-	life   uint64
-	until  time.Duration // when all leases that it may hold have ended, by this clock
-	seen   time.Duration // it, last
-	step   uint64        // of the newest word that it is known to have
-	acked  uint64        // step of the preparation that it has acknowledged
-	tellAt time.Duration
-	tells  int // of the word so far
-}
-
-// pending is an ask that can't be answered yet.
-type pending struct {
-	node    int
-	life    uint64
-	ask     Ask
-	arrived time.Duration
-	after   uint32 // the head's last ask when it came: a later one's answer is fresh enough
-	round   uint64 // of the confirmation that answers it; 0 is none begun
-}
-
-// Grantor is the other side of the leases, at the leader and at heads. The leader grants by the
-// registry, each ask after a confirmation of its leadership that began after the ask had come. A head
-// passes on what is left of its own lease.
-type Grantor struct {
-	t         Terms
-	word      Word
-	leads     bool
-	unknown   time.Duration // until when leases of leaders before may be held
-	quiet     time.Duration // until when leases on the version before the active one may be held
-	entries   []entry
-	pending   []pending
-	round     uint64 // of confirmation, begun last
-	offered   uint64 // step of the preparation that was offered to be ended, last
-	offeredAt time.Duration
-}
-
-// learn takes a word that is newer than the one here: all holders are to be told.
-func (g *Grantor) learn(now time.Duration, w Word) {
-	if w.Step <= g.word.Step {
+const (
+	// longAgo is before any time.
+	longAgo = -time.Duration(1 << 62)
+	// maxNotifications is how often one state is sent to one holder, when nobody waits for its acknowledgement.
+	maxNotifications = 6
+)
+
+// holderState is what a grantor knows of one process that has requested leases.
+type holderState struct {
+	node          int
+	incarnation   uint64
+	leasesUntil   time.Duration // when all leases that it may hold have expired, by this clock
+	seenAt        time.Duration
+	knownRevision uint64 // the newest that it is known to have
+	acknowledged  uint64 // revision of the preparation that it has acknowledged
+	notifyAt      time.Duration
+	notifications int // of the state so far
+}
+
+// pendingRequest is a request that can't be answered yet.
+type pendingRequest struct {
+	node        int
+	incarnation uint64
+	request     LeaseRequest
+	arrived     time.Duration
+	ownSequence uint32 // of the relay's own last request when it came: the answer to a later one is fresh enough
+	round       uint64 // of the confirmation that answers it; 0 is none begun
+}
+
+// LeaseGrantor is the side of the leases that grants them, at the leader and at relays. The leader grants by the registry,
+// each request after a confirmation of its leadership that began after the request had come. A relay passes on what is
+// left of its own lease.
+type LeaseGrantor struct {
+	terms Terms
+	state VersionState
+	leads bool
+
+	unknownUntil  time.Duration // until when leases of leaders before may be held
+	previousUntil time.Duration // until when leases on the version before the active one may be held
+
+	holders []holderState
+	pending []pendingRequest
+	round   uint64 // of confirmation, begun last
+
+	offeredRevision uint64 // of the preparation whose commit was offered last
+	offeredAt       time.Duration
+}
+
+// observe takes a state that is newer than the one here: all holders are to be notified.
+func (g *LeaseGrantor) observe(now time.Duration, s VersionState) {
+	if s.Revision <= g.state.Revision {
 		return
 	}
-	if w.Now.Number != g.word.Now.Number {
-		g.quiet = now + g.t.Overlap
+	if s.Active.Number != g.state.Active.Number {
+		g.previousUntil = now + g.terms.OverlapTime
 	}
-	g.word = w
-	for i := range g.entries {
-		g.entries[i].tells, g.entries[i].tellAt = 0, now
+	g.state = s
+	for i := range g.holders {
+		g.holders[i].notifications = 0
+		g.holders[i].notifyAt = now
 	}
 }
 
-// lead makes the grantor the leader's. It knows nobody who holds a lease of the leaders before, so it
-// counts each as held until it must have ended.
-func (g *Grantor) lead(now time.Duration) {
-	g.leads, g.unknown = true, now+g.t.counted(g.t.Lease)
-	g.pending, g.offered = nil, 0
+// lead makes the grantor the leader's. It does not know who holds a lease of the leaders before, so it counts each as held
+// until it must have expired.
+func (g *LeaseGrantor) lead(now time.Duration) {
+	g.leads = true
+	g.unknownUntil = now + g.terms.certainlyElapsed(g.terms.LeaseTime)
+	g.pending = nil
+	g.offeredRevision = 0
 }
 
-func (g *Grantor) follow() { g.leads, g.pending = false, nil }
+func (g *LeaseGrantor) follow() {
+	g.leads = false
+	g.pending = nil
+}
 
-// find gives the entry of a process, a new one where there is room.
-func (g *Grantor) find(now time.Duration, node int, life uint64) *entry {
-	for i := range g.entries {
-		if g.entries[i].node == node && g.entries[i].life == life {
-			return &g.entries[i]
+// holder returns what is known of a process, and adds it where there is room; nil is no room.
+func (g *LeaseGrantor) holder(now time.Duration, node int, incarnation uint64) *holderState {
+	for i := range g.holders {
+		if g.holders[i].node == node && g.holders[i].incarnation == incarnation {
+			return &g.holders[i]
 		}
 	}
-	if len(g.entries) >= g.t.Holders {
-		g.entries = slices.DeleteFunc(g.entries, func(e entry) bool { return e.until <= now && now-e.seen > 2*g.t.Renew })
+	if len(g.holders) >= g.terms.MaxHolders {
+		g.holders = slices.DeleteFunc(g.holders, func(h holderState) bool {
+			return h.leasesUntil <= now && now-h.seenAt > 2*g.terms.RenewInterval
+		})
 	}
-	if len(g.entries) >= g.t.Holders {
+	if len(g.holders) >= g.terms.MaxHolders {
 		return nil
 	}
-	g.entries = append(g.entries, entry{node: node, life: life, until: now, seen: now, step: g.word.Step})
-	return &g.entries[len(g.entries)-1]
+	g.holders = append(g.holders, holderState{
+		node:          node,
+		incarnation:   incarnation,
+		leasesUntil:   now,
+		seenAt:        now,
+		knownRevision: g.state.Revision,
+	})
+	return &g.holders[len(g.holders)-1]
 }
 
-// asked takes an ask. It waits where it can't be answered by what is held: by the leader until that
-// is confirmed, by a head until its own lease was renewed since.
-func (g *Grantor) asked(now time.Duration, from int, life uint64, a Ask, rest time.Duration, after uint32) *Grant {
-	e := g.find(now, from, life)
-	if e == nil {
-		return &Grant{Life: life, Seq: a.Seq, Step: g.word.Step, Full: true}
+// request takes a request and returns its grant, or nil where it has to wait: at the leader until the leadership is
+// confirmed, at a relay until its own lease was renewed since.
+func (g *LeaseGrantor) request(now time.Duration, from int, incarnation uint64, r LeaseRequest, remaining time.Duration, ownSequence uint32) *LeaseGrant {
+	h := g.holder(now, from, incarnation)
+	if h == nil {
+		return &LeaseGrant{Incarnation: incarnation, Sequence: r.Sequence, Revision: g.state.Revision, Full: true}
 	}
-	e.seen, e.step = now, max(e.step, a.Step)
-	p := pending{node: from, life: life, ask: a, arrived: now, after: after}
-	if !g.leads && !a.Fresh && a.Step <= g.word.Step && rest > 0 {
-		return g.answer(now, p, rest)
+	h.seenAt = now
+	h.knownRevision = max(h.knownRevision, r.Revision)
+	p := pendingRequest{node: from, incarnation: incarnation, request: r, arrived: now, ownSequence: ownSequence}
+	if !g.leads && !r.Fresh && r.Revision <= g.state.Revision && remaining > 0 {
+		return g.grant(now, p, remaining)
 	}
-	i := slices.IndexFunc(g.pending, func(o pending) bool { return o.node == from })
+	i := slices.IndexFunc(g.pending, func(other pendingRequest) bool { return other.node == from })
 	switch {
 	case i < 0:
 		g.pending = append(g.pending, p)
-	case g.pending[i].life != life || a.Fresh && !g.pending[i].ask.Fresh || now-g.pending[i].arrived >= g.t.Renew:
+	case g.replaces(now, p, g.pending[i]):
 		g.pending[i] = p
 	}
-	return nil // an ask that came again does not set back the one before, whose answer may be under way
+	return nil
 }
 
-// answer grants what is to be had: length at most, by the word.
-func (g *Grantor) answer(now time.Duration, p pending, length time.Duration) *Grant {
-	length = min(length, g.t.most(&g.word)) / time.Microsecond * time.Microsecond
-	e := g.find(now, p.node, p.life)
-	if e == nil {
-		return &Grant{Life: p.life, Seq: p.ask.Seq, Step: g.word.Step, Full: true}
+// replaces reports whether a request takes the place of another one of its node. One that came again does not: the other's
+// answer may be under way.
+func (g *LeaseGrantor) replaces(now time.Duration, p, other pendingRequest) bool {
+	return other.incarnation != p.incarnation || p.request.Fresh && !other.request.Fresh ||
+		now-other.arrived >= g.terms.RenewInterval
+}
+
+// grant answers a request by a lease of at most some length, as the state allows.
+func (g *LeaseGrantor) grant(now time.Duration, p pendingRequest, length time.Duration) *LeaseGrant {
+	length = min(length, g.terms.maxLease(&g.state)).Truncate(time.Microsecond)
+	answer := &LeaseGrant{Incarnation: p.incarnation, Sequence: p.request.Sequence, Revision: g.state.Revision}
+	h := g.holder(now, p.node, p.incarnation)
+	if h == nil {
+		answer.Full = true
+		return answer
 	}
 	if length > 0 {
-		e.until = max(e.until, p.arrived+g.t.counted(length))
+		h.leasesUntil = max(h.leasesUntil, p.arrived+g.terms.certainlyElapsed(length))
 	}
-	a := &Grant{Life: p.life, Seq: p.ask.Seq, Step: g.word.Step, Length: uint32(length / time.Microsecond)}
-	if p.ask.Step != g.word.Step {
-		e.step = g.word.Step
-		w := g.word
-		a.Word = &w
+	answer.Length = uint32(length / time.Microsecond)
+	if p.request.Revision != g.state.Revision {
+		h.knownRevision = g.state.Revision
+		state := g.state
+		answer.State = &state
 	}
-	return a
+	return answer
 }
 
-// renewed gives the answers that a head can give once an ask of its own was answered, and forgets the
-// asks that are too old.
-func (g *Grantor) renewed(now time.Duration, own sentAsk, rest time.Duration) (out []pending) {
-	keep := g.pending[:0]
+// renewed returns the requests that a relay can answer once a request of its own was answered, and drops those that are
+// too old.
+func (g *LeaseGrantor) renewed(now time.Duration, own sentRequest, remaining time.Duration) []pendingRequest {
+	var answerable []pendingRequest
+	kept := g.pending[:0]
 	for _, p := range g.pending {
-		later := int32(own.seq-p.after) > 0
+		later := int32(own.sequence-p.ownSequence) > 0
+		fresh := !p.request.Fresh || later && own.fresh
 		switch {
-		case rest > 0 && (!p.ask.Fresh || later && own.fresh), rest == 0 && later:
-			out = append(out, p)
-		case now-p.arrived < 2*g.t.Renew:
-			keep = append(keep, p)
+		case remaining > 0 && fresh, remaining == 0 && later:
+			answerable = append(answerable, p)
+		case now-p.arrived < 2*g.terms.RenewInterval:
+			kept = append(kept, p)
 		}
 	}
-	g.pending = keep
-	return out
+	g.pending = kept
+	return answerable
 }
 
-// confirmed gives the asks that a confirmation answers.
-func (g *Grantor) confirmed(round uint64) (out []pending) {
-	g.pending = slices.DeleteFunc(g.pending, func(p pending) bool {
-		ok := p.round != 0 && p.round <= round
-		if ok {
-			out = append(out, p)
+// confirmed returns the requests that a confirmation answers.
+func (g *LeaseGrantor) confirmed(round uint64) []pendingRequest {
+	var answerable []pendingRequest
+	g.pending = slices.DeleteFunc(g.pending, func(p pendingRequest) bool {
+		answered := p.round != 0 && p.round <= round
+		if answered {
+			answerable = append(answerable, p)
 		}
-		return ok
+		return answered
 	})
-	return out
+	return answerable
 }
 
-// begin marks the asks that a confirmation which begins now will answer.
-func (g *Grantor) begin() (round uint64, ok bool) {
+// beginConfirmation marks the requests that a confirmation which begins now will answer.
+func (g *LeaseGrantor) beginConfirmation() (round uint64, ok bool) {
 	for i := range g.pending {
 		if g.pending[i].round == 0 {
-			g.pending[i].round, ok = g.round+1, true
+			g.pending[i].round = g.round + 1
+			ok = true
 		}
 	}
 	if ok {
@@ -170,64 +204,71 @@
 	return g.round, ok
 }
 
-// acked takes that a process and all to whom it has granted go by a preparation.
-func (g *Grantor) acked(now time.Duration, from int, life, step uint64) {
-	for i := range g.entries {
-		e := &g.entries[i]
-		if e.node != from || e.life != life {
+// acknowledged takes that a process and all to whom it has granted are trimmed to a preparation.
+func (g *LeaseGrantor) acknowledged(now time.Duration, from int, incarnation, revision uint64) {
+	for i := range g.holders {
+		h := &g.holders[i]
+		if h.node != from || h.incarnation != incarnation {
 			continue
 		}
-		e.seen, e.step = now, max(e.step, step)
-		if g.word.Next.Number != 0 && step == g.word.Step {
-			e.acked = step
-			e.until = min(e.until, now+g.t.counted(g.t.most(&g.word)))
+		h.seenAt = now
+		h.knownRevision = max(h.knownRevision, revision)
+		if g.state.Prepared.Number != 0 && revision == g.state.Revision {
+			h.acknowledged = revision
+			h.leasesUntil = min(h.leasesUntil, now+g.allowance())
 		}
 	}
 }
 
-// allowance is how long leases may last yet when a preparation is done.
-func (g *Grantor) allowance() time.Duration { return g.t.counted(g.t.most(&g.word)) }
+// allowance returns how long leases may last yet when a preparation is acknowledged.
+func (g *LeaseGrantor) allowance() time.Duration {
+	return g.terms.certainlyElapsed(g.terms.maxLease(&g.state))
+}
 
-// settledAt is when all leases granted from here go by the preparation, if nobody acknowledges more.
-func (g *Grantor) settledAt() time.Duration {
-	at := long
-	for _, e := range g.entries {
-		at = max(at, e.until)
+// allTrimmedAt returns when all leases granted from here are trimmed to the preparation, if nobody acknowledges more.
+func (g *LeaseGrantor) allTrimmedAt() time.Duration {
+	at := longAgo
+	for _, h := range g.holders {
+		at = max(at, h.leasesUntil)
 	}
 	return at - g.allowance()
 }
 
-// readyAt is when the prepared version can be made the active one, at the leader.
-func (g *Grantor) readyAt() time.Duration {
-	at := max(g.settledAt(), g.quiet)
-	if g.word.Now.Number != 0 {
-		at = max(at, g.unknown-g.allowance())
+// commitAt returns when the prepared version can be activated, at the leader.
+func (g *LeaseGrantor) commitAt() time.Duration {
+	at := max(g.allTrimmedAt(), g.previousUntil)
+	if g.state.Active.Number != 0 {
+		at = max(at, g.unknownUntil-g.allowance())
 	}
-	if g.offered == g.word.Step {
-		at = max(at, g.offeredAt+g.t.Renew)
+	if g.offeredRevision == g.state.Revision {
+		at = max(at, g.offeredAt+g.terms.RenewInterval)
 	}
 	return at
 }
 
-// tell gives who is to be told the word now.
-func (g *Grantor) tell(now time.Duration) (to []int) {
-	for i := range g.entries {
-		if e := &g.entries[i]; g.tells(now, e) && now >= e.tellAt {
-			e.tellAt = now + min(g.t.Renew, g.t.Retry<<min(e.tells, 8))
-			e.tells++
-			if !slices.Contains(to, e.node) {
-				to = append(to, e.node)
-			}
+// dueNotifications returns the nodes that the state is to be sent to now.
+func (g *LeaseGrantor) dueNotifications(now time.Duration) []int {
+	var nodes []int
+	for i := range g.holders {
+		h := &g.holders[i]
+		if !g.needsNotification(now, h) || now < h.notifyAt {
+			continue
+		}
+		backoff := g.terms.RetryInterval << min(h.notifications, 8)
+		h.notifyAt = now + min(g.terms.RenewInterval, backoff)
+		h.notifications++
+		if !slices.Contains(nodes, h.node) {
+			nodes = append(nodes, h.node)
 		}
 	}
-	return to
+	return nodes
 }
 
-// tells tells whether a holder has to be told the word: until it has it, and where a version is
-// prepared until it has acknowledged or has no lease left.
-func (g *Grantor) tells(now time.Duration, e *entry) bool {
-	if g.word.Next.Number != 0 && e.acked < g.word.Step && e.until > now {
+// needsNotification reports whether a holder has to be sent the state: until it has it, and where a version is prepared
+// until it has acknowledged or has no lease left.
+func (g *LeaseGrantor) needsNotification(now time.Duration, h *holderState) bool {
+	if g.state.Prepared.Number != 0 && h.acknowledged < g.state.Revision && h.leasesUntil > now {
 		return true
 	}
-	return e.step < g.word.Step && e.tells < tellsMost
+	return h.knownRevision < g.state.Revision && h.notifications < maxNotifications
 }
--- a/fleet/rules/holder.go
+++ b/fleet/rules/holder.go
@@ -8,233 +8,250 @@
 )
 
 const (
-	asksKept  = 8 // sent last, whose answers count
-	readyKept = 8 // versions of which is known whether they can be acted by
-	tiresBy   = 3 // asks without an answer after which another is asked
-	homeAfter = 8 // renewals after which the first one is tried again
+	maxSentRequests = 8 // whose grants count
+	maxTextStatuses = 8 // versions of which is known whether they can be used
+	maxUnanswered   = 3 // requests without an answer after which another grantor is tried
+	// returnAfterRenewals is how many renewal intervals later the first grantor is tried again.
+	returnAfterRenewals = 8
 )
 
-// Reason says why a router acts by no version.
+// Reason says why a node acts by no version.
 type Reason uint8
 
 // The reasons, the weightiest first.
 const (
-	Acting    Reason = iota // it does act by one
-	NoVersion               // none is active
-	NoLease                 // none was granted, or it ran out
-	NoText                  // the text of the version is not here yet
-	Refused                 // this node can't act by the version: see Set.Check
-	NoMark                  // the disk has not kept the number yet
-	Older                   // the lease is on an older version than it has acted by
+	Acting       Reason = iota // it does act by one
+	NoVersion                  // none is active
+	NoLease                    // none was granted, or it has expired
+	NoText                     // the text of the version is not here yet
+	Unusable                   // this node can't use the version: see Set.Check
+	NotPersisted               // the disk has not persisted the number yet
+	OlderVersion               // the lease is on an older version than it has acted by
 )
 
+// String returns the reason as operators see it.
 func (r Reason) String() string {
-	return [...]string{"acting", "no version", "no lease", "no text", "refused", "no mark", "older"}[min(r, Older)]
+	names := [...]string{"acting", "no version", "no lease", "no text", "refused", "no mark", "older"}
+	return names[min(r, OlderVersion)]
 }
 
 // lease is one on a version, by this node's clock.
 type lease struct {
-	name Name
-	end  time.Duration
+	version VersionID
+	end     time.Duration
 }
 
-type sentAsk struct {
-	seq   uint32
-	at    time.Duration
-	fresh bool
+// sentRequest is a request that was sent and not answered.
+type sentRequest struct {
+	sequence uint32
+	at       time.Duration
+	fresh    bool
 }
 
-type readiness struct {
-	name   Name
-	usable bool
+// textStatus says whether this node can use a version whose text is here.
+type textStatus struct {
+	version VersionID
+	usable  bool
 }
 
-// Holder is a router's side of the leases: it asks, counts what it got on its own clock from before
-// it asked, and tells by which version it acts. It acts by none that its disk has not kept the number
-// of, nor by one below that number.
-type Holder struct {
-	t       Terms
-	self    int
-	word    Word
-	trimmed uint64        // step of a preparation that the leases here go by
-	leases  []lease       // by number, two at most
-	ready   []readiness   // oldest first
-	mark    uint64        // number that the disk has: none below is acted by
-	proved  bool          // a fresh lease was got in this life
-	asks    []sentAsk     // oldest first
-	seq     uint32        // of the last ask
-	askAt   time.Duration // of the next
-	asked   time.Duration // the last
-	parents []int         // that can be asked, the best first
-	parent  int           // index of the one that is asked
-	since   time.Duration // it is
-	silent  int           // asks without an answer
-	took    time.Duration // by answers of late, the slow ones for longer
+// LeaseHolder is the side of the leases that holds them: it requests leases, counts them on its own clock from before it
+// requested them, and decides by which version the node acts. It acts by none whose number the disk has not persisted, nor
+// by one below that number.
+type LeaseHolder struct {
+	terms           Terms
+	index           int
+	state           VersionState
+	trimmedRevision uint64       // of a preparation to which the leases here are trimmed
+	leases          []lease      // by number, two at most
+	texts           []textStatus // oldest first
+	highWaterMark   uint64       // number that the disk has: none below is acted by
+	hasFreshLease   bool         // since the process began
+
+	requests     []sentRequest // oldest first
+	sequence     uint32        // of the last request
+	requestAt    time.Duration // of the next one
+	requestedAt  time.Duration // of the last one
+	responseTime time.Duration // of recent answers, the slow ones for longer
+
+	grantors     []int         // from which leases can be requested, the best first
+	current      int           // position of the one that is used
+	currentSince time.Duration // it is used
+	unanswered   int           // requests without an answer
 }
 
-// learn takes a word that is newer than the one here.
-func (h *Holder) learn(now time.Duration, w Word) bool {
-	if w.Step <= h.word.Step {
+// observe takes a state that is newer than the one here, and reports whether it was.
+func (h *LeaseHolder) observe(now time.Duration, s VersionState) bool {
+	if s.Revision <= h.state.Revision {
 		return false
 	}
-	h.word = w
-	if w.Next.Number == 0 {
-		h.soon(now) // for a lease on what it speaks of
+	h.state = s
+	if s.Prepared.Number == 0 {
+		h.requestSoon(now) // for a lease on the active version
 	}
-	h.settle(now)
+	h.trimLeases(now)
 	return true
 }
 
-// settle has the leases go by a preparation: once the next text is here, so that the time without
-// rules, or with two, is short.
-func (h *Holder) settle(now time.Duration) {
-	if h.word.Next.Number == 0 || h.trimmed == h.word.Step || !h.known(h.word.Next) {
+// trimLeases shortens the leases to what a preparation allows, once the next text is here, so that the time without a
+// version, or with two, is short.
+func (h *LeaseHolder) trimLeases(now time.Duration) {
+	trimmed := h.trimmedRevision == h.state.Revision
+	if h.state.Prepared.Number == 0 || trimmed || !h.hasText(h.state.Prepared) {
 		return
 	}
-	h.trimmed = h.word.Step
-	most := h.t.most(&h.word)
-	end := now + most
-	if most > 0 {
-		h.askAt = min(h.askAt, now+h.spread(most/3))
+	h.trimmedRevision = h.state.Revision
+	allowed := h.terms.maxLease(&h.state)
+	if allowed > 0 {
+		h.requestAt = min(h.requestAt, now+h.jitter(allowed/3))
 	}
 	for i := range h.leases {
-		h.leases[i].end = min(h.leases[i].end, end)
+		h.leases[i].end = min(h.leases[i].end, now+allowed)
 	}
-	h.drop(now)
+	h.dropExpired(now)
 }
 
-// drop forgets the leases that have run out.
-func (h *Holder) drop(now time.Duration) {
+// dropExpired drops the leases that have expired.
+func (h *LeaseHolder) dropExpired(now time.Duration) {
 	h.leases = slices.DeleteFunc(h.leases, func(l lease) bool { return now >= l.end })
 }
 
-// known tells whether the node knows if it can act by a version.
-func (h *Holder) known(n Name) bool {
-	return slices.ContainsFunc(h.ready, func(r readiness) bool { return r.name == n })
+// hasText reports whether the node knows if it can use a version.
+func (h *LeaseHolder) hasText(version VersionID) bool {
+	return slices.ContainsFunc(h.texts, func(t textStatus) bool { return t.version == version })
 }
 
-func (h *Holder) usable(n Name) bool { return slices.Contains(h.ready, readiness{n, true}) }
+func (h *LeaseHolder) usable(version VersionID) bool {
+	return slices.Contains(h.texts, textStatus{version, true})
+}
 
-// Want gives a version whose text is to be fetched, where there is one.
-func (h *Holder) Want() (Name, bool) {
-	for _, n := range []Name{h.word.Now, h.word.Next} {
-		if n.Number != 0 && !h.known(n) {
-			return n, true
+// MissingText returns a version whose text is to be fetched, if there is one.
+func (h *LeaseHolder) MissingText() (VersionID, bool) {
+	for _, version := range []VersionID{h.state.Active, h.state.Prepared} {
+		if version.Number != 0 && !h.hasText(version) {
+			return version, true
 		}
 	}
-	return Name{}, false
+	return VersionID{}, false
 }
 
-// have takes that a version's text is here and whether this node can act by it.
-func (h *Holder) have(now time.Duration, n Name, usable bool) {
-	h.ready = slices.DeleteFunc(h.ready, func(r readiness) bool { return r.name == n })
-	if len(h.ready) >= readyKept {
-		h.ready = slices.Delete(h.ready, 0, 1)
+// textFetched takes that a version's text is here and whether this node can use it.
+func (h *LeaseHolder) textFetched(now time.Duration, version VersionID, usable bool) {
+	h.texts = slices.DeleteFunc(h.texts, func(t textStatus) bool { return t.version == version })
+	if len(h.texts) >= maxTextStatuses {
+		h.texts = slices.Delete(h.texts, 0, 1)
 	}
-	h.ready = append(h.ready, readiness{n, usable})
-	h.settle(now)
+	h.texts = append(h.texts, textStatus{version, usable})
+	h.trimLeases(now)
 }
 
-// Keep gives the number that the disk has to keep before the router can act by that version. Until
-// Kept it goes on as it is: by the version before as long as the lease on that lasts.
-func (h *Holder) Keep(now time.Duration) (uint64, bool) {
-	if l := h.newest(); l != nil && now < l.end && h.usable(l.name) && l.name.Number > h.mark {
-		return l.name.Number, true
+// PersistDue returns the number that has to be persisted before the node can act by that version. Until then it goes on:
+// by the version before as long as the lease on that lasts.
+func (h *LeaseHolder) PersistDue(now time.Duration) (uint64, bool) {
+	l := h.newest()
+	if l == nil || now >= l.end || !h.usable(l.version) || l.version.Number <= h.highWaterMark {
+		return 0, false
 	}
-	return 0, false
+	return l.version.Number, true
 }
 
-func (h *Holder) newest() *lease {
+func (h *LeaseHolder) newest() *lease {
 	if len(h.leases) == 0 {
 		return nil
 	}
 	return &h.leases[len(h.leases)-1]
 }
 
-// Acting gives the version that a request which begins now goes by, and the end of the lease on it
-// by this node's clock; 0 is the settings alone, and why.
-func (h *Holder) Acting(now time.Duration) (number uint64, until time.Duration, why Reason) {
+// Acting returns the version that a request which begins now goes by, and the end of the lease on it by this node's
+// clock; 0 is the settings alone, and why.
+func (h *LeaseHolder) Acting(now time.Duration) (number uint64, until time.Duration, why Reason) {
 	why = NoLease
-	if h.word.Now.Number == 0 {
+	if h.state.Active.Number == 0 {
 		why = NoVersion
 	}
 	for _, l := range h.leases {
 		switch {
 		case now >= l.end:
-		case l.name.Number < h.mark:
-			why = Older
-		case !h.known(l.name):
+		case l.version.Number < h.highWaterMark:
+			why = OlderVersion
+		case !h.hasText(l.version):
 			why = NoText
-		case !h.usable(l.name):
-			why = Refused
-		case l.name.Number > h.mark:
-			why = NoMark
+		case !h.usable(l.version):
+			why = Unusable
+		case l.version.Number > h.highWaterMark:
+			why = NotPersisted
 		default:
-			return l.name.Number, l.end, Acting
+			return l.version.Number, l.end, Acting
 		}
 	}
 	return 0, 0, why
 }
 
-// rest is what is left of the lease on the version of the word: what can be granted on.
-func (h *Holder) rest(now time.Duration) time.Duration {
-	if l := h.newest(); l != nil && l.name == h.word.Now {
-		return max(0, min(l.end-now, h.t.most(&h.word)))
+// remaining returns what is left of the lease on the active version: what can be granted on.
+func (h *LeaseHolder) remaining(now time.Duration) time.Duration {
+	l := h.newest()
+	if l == nil || l.version != h.state.Active {
+		return 0
 	}
-	return 0
+	return max(0, min(l.end-now, h.terms.maxLease(&h.state)))
 }
 
-// granted takes an answer. It tells which ask it answers; 0 is none that counts.
-func (h *Holder) granted(now time.Duration, g *Grant) (a sentAsk) {
-	i := slices.IndexFunc(h.asks, func(a sentAsk) bool { return a.seq == g.Seq })
+// receiveGrant takes a grant and returns the request that it answers; sequence 0 is none that counts.
+func (h *LeaseHolder) receiveGrant(now time.Duration, g *LeaseGrant) sentRequest {
+	i := slices.IndexFunc(h.requests, func(r sentRequest) bool { return r.sequence == g.Sequence })
 	if i < 0 {
-		return sentAsk{}
+		return sentRequest{}
 	}
-	a = h.asks[i]
-	h.asks = slices.Delete(h.asks, i, i+1)
-	h.took = max(now-a.at, h.took*7/8)
-	if h.silent = 0; g.Full {
-		h.silent = tiresBy
-		return sentAsk{}
+	request := h.requests[i]
+	h.requests = slices.Delete(h.requests, i, i+1)
+	h.responseTime = max(now-request.at, h.responseTime*7/8)
+	h.unanswered = 0
+	if g.Full {
+		h.unanswered = maxUnanswered
+		return sentRequest{}
 	}
-	if g.Word != nil {
-		h.learn(now, *g.Word)
+	if g.State != nil {
+		h.observe(now, *g.State)
 	}
-	length := min(time.Duration(g.Length)*time.Microsecond, h.t.most(&h.word))
-	switch {
-	case g.Step != h.word.Step || !h.proved && !a.fresh: // it speaks of what is no more, or may
-		h.soon(now)
-		return sentAsk{}
-	case length == 0:
-		h.askAt = max(now, a.at+h.idle())
-		return a
+	if g.Revision != h.state.Revision || !h.hasFreshLease && !request.fresh {
+		h.requestSoon(now) // the grant is of a state that has passed, or may have
+		return sentRequest{}
+	}
+	length := min(time.Duration(g.Length)*time.Microsecond, h.terms.maxLease(&h.state))
+	if length == 0 {
+		h.requestAt = max(now, request.at+h.idlePause())
+		return request
 	}
-	h.proved = true
-	h.askAt = max(now, a.at+h.spread(min(h.t.Renew, length/3)))
-	h.drop(now)
-	l, end := h.newest(), a.at+length
+	h.hasFreshLease = true
+	h.requestAt = max(now, request.at+h.jitter(min(h.terms.RenewInterval, length/3)))
+	h.extendLease(now, request.at+length)
+	return request
+}
+
+// extendLease takes a lease on the active version up to an end.
+func (h *LeaseHolder) extendLease(now, end time.Duration) {
+	h.dropExpired(now)
+	l := h.newest()
 	switch {
 	case now >= end:
-	case l != nil && l.name == h.word.Now:
+	case l != nil && l.version == h.state.Active:
 		l.end = max(l.end, end)
 	default:
-		h.leases = append(h.leases[max(0, len(h.leases)-1):], lease{h.word.Now, end})
+		newest := h.leases[max(0, len(h.leases)-1):]
+		h.leases = append(newest, lease{h.state.Active, end})
 	}
-	return a
 }
 
-// idle is the pause between asks while there is nothing to be had.
-func (h *Holder) idle() time.Duration {
-	if h.word.Step == 0 {
-		return h.spread(h.t.Renew)
+// idlePause returns the pause between requests while there is nothing to be had.
+func (h *LeaseHolder) idlePause() time.Duration {
+	if h.state.Revision == 0 {
+		return h.jitter(h.terms.RenewInterval)
 	}
-	return h.spread(h.t.Renew / 4)
+	return h.jitter(h.terms.RenewInterval / 4)
 }
 
-// spread makes a pause shorter by up to a quarter, so that nodes that were told together don't go on
-// asking together.
-func (h *Holder) spread(pause time.Duration) time.Duration {
-	x := xxhash.Sum64(encodeUint(uint64(h.self)<<32 | uint64(h.seq)))
+// jitter shortens a pause by up to a quarter, so that nodes that were notified together don't go on together.
+func (h *LeaseHolder) jitter(pause time.Duration) time.Duration {
+	x := xxhash.Sum64(encodeUint(uint64(h.index)<<32 | uint64(h.sequence)))
 	return pause - time.Duration(x%1024)*pause/4096
 }
 
@@ -242,40 +259,52 @@
 	return []byte{byte(v), byte(v >> 8), byte(v >> 16), byte(v >> 24), byte(v >> 32), byte(v >> 40), byte(v >> 48), byte(v >> 56)}
 }
 
-// ask gives the next ask, where it is due.
-func (h *Holder) ask(now time.Duration, fresh bool) (*Ask, bool) {
-	if now < h.askAt {
+// nextRequest returns the next request, if it is due.
+func (h *LeaseHolder) nextRequest(now time.Duration, fresh bool) (*LeaseRequest, bool) {
+	if now < h.requestAt {
 		return nil, false
 	}
-	h.seq++
-	if len(h.asks) >= asksKept {
-		h.asks = slices.Delete(h.asks, 0, 1)
+	h.sequence++
+	if len(h.requests) >= maxSentRequests {
+		h.requests = slices.Delete(h.requests, 0, 1)
 	}
-	fresh = fresh || !h.proved
-	h.asks = append(h.asks, sentAsk{h.seq, now, fresh})
-	h.asked, h.askAt = now, now+min(h.t.Renew, max(h.t.Retry, 2*h.took)<<h.silent)
-	h.silent = min(h.silent+1, tiresBy)
-	return &Ask{Seq: h.seq, Step: h.word.Step, Fresh: fresh}, true
+	fresh = fresh || !h.hasFreshLease
+	h.requests = append(h.requests, sentRequest{h.sequence, now, fresh})
+	h.requestedAt = now
+	backoff := max(h.terms.RetryInterval, 2*h.responseTime) << h.unanswered
+	h.requestAt = now + min(h.terms.RenewInterval, backoff)
+	h.unanswered = min(h.unanswered+1, maxUnanswered)
+	return &LeaseRequest{Sequence: h.sequence, Revision: h.state.Revision, Fresh: fresh}, true
 }
 
-// whom gives the one to ask: the next where one is silent, and the first again after a while.
-func (h *Holder) whom(now time.Duration) int {
+// chooseGrantor returns the grantor to use: the next one where one does not answer, and the first again after a while.
+func (h *LeaseHolder) chooseGrantor(now time.Duration) int {
 	switch {
-	case h.parent > 0 && now-h.since >= homeAfter*h.t.Renew:
-		h.parent, h.since, h.silent = 0, now, tiresBy-1
-	case h.silent >= tiresBy:
-		h.parent, h.since, h.silent = (h.parent+1)%len(h.parents), now, 0
+	case h.current > 0 && now-h.currentSince >= returnAfterRenewals*h.terms.RenewInterval:
+		h.current = 0
+		h.currentSince = now
+		h.unanswered = maxUnanswered - 1
+	case h.unanswered >= maxUnanswered:
+		h.current = (h.current + 1) % len(h.grantors)
+		h.currentSince = now
+		h.unanswered = 0
 	}
-	return h.parents[h.parent]
+	return h.grantors[h.current]
 }
 
-// soon has the next ask sent as soon as may be.
-func (h *Holder) soon(now time.Duration) { h.askAt = min(h.askAt, max(now, h.asked+h.t.Retry/4)) }
+// requestSoon has the next request sent as soon as may be.
+func (h *LeaseHolder) requestSoon(now time.Duration) {
+	h.requestAt = min(h.requestAt, max(now, h.requestedAt+h.terms.RetryInterval/4))
+}
 
-// from takes whom the node may ask.
-func (h *Holder) from(now time.Duration, parents []int) {
-	if !slices.Equal(h.parents, parents) {
-		h.parents, h.parent, h.since, h.silent = slices.Clone(parents), 0, now, 0
-		h.soon(now)
+// setGrantors takes the grantors that may be used.
+func (h *LeaseHolder) setGrantors(now time.Duration, grantors []int) {
+	if slices.Equal(h.grantors, grantors) {
+		return
 	}
+	h.grantors = slices.Clone(grantors)
+	h.current = 0
+	h.currentSince = now
+	h.unanswered = 0
+	h.requestSoon(now)
 }
--- a/fleet/rules/node.go
+++ b/fleet/rules/node.go
@@ -5,184 +5,213 @@
 	"time"
 )
 
-// Out is a message to be sent. One that is lost is made up for; it needs no retry below.
-type Out struct {
+// Outgoing is a message to be sent. One that is lost is made up for; it needs no retry below.
+type Outgoing struct {
 	To      int
 	Message *Message
 }
 
 // Config is what a node's part of the leases is started with.
 type Config struct {
-	Self  int    // index in the group
-	Life  uint64 // of the process; no two of one node are the same, and none is 0
-	Mark  uint64 // number that the disk has kept last; 0 is none
-	Terms Terms
+	Node          int    // index in the fleet
+	Incarnation   uint64 // of the process; no two of one node are the same, and none is 0
+	HighWaterMark uint64 // version number that the disk has persisted last; 0 is none
+	Terms         Terms
 }
 
-// Node is one node's part of the leases: a holder, and a grantor for those who ask it. The caller
-// carries messages, agrees on the registry and fetches texts. Its clock only moves forward, from 0 or
-// more, and goes on while the machine is suspended (CLOCK_BOOTTIME). All calls are one goroutine's.
+// Node is one node's part of the leases: a holder, and a grantor for those who request leases from it. The caller
+// carries messages, agrees on the registry and fetches texts. Its clock only moves forward, from 0 or more, and goes
+// on while the machine is suspended (CLOCK_BOOTTIME). All calls are one goroutine's.
 //
-//	word of the registry, from anywhere   Learn
-//	a message came                        Hear
-//	Wake is due, or after any other call  Flush, and send what it gives; then look at the next four
-//	while it leads, Begin gives a round   confirm the leadership by a quorum, then Confirmed
-//	Ready gives a command                 propose it
-//	Want gives a version                  fetch its text, Parse, Check, then Have
-//	Keep gives a number                   have it on the disk, then Kept
-//	this node was elected                 Lead, once all of the terms before is applied and learnt
+//	state of the registry, from anywhere  Observe
+//	a message came                        Receive
+//	NextWake is due, or after other calls Flush, and send what it returns; then the next four
+//	while it leads: BeginConfirmation     confirm the leadership by a quorum, then Confirmed
+//	CommitReady returns a command         propose it
+//	MissingText returns a version         fetch its text, Parse, Check, then TextFetched
+//	PersistDue returns a number           persist it, then Persisted
+//	this node was elected                 Lead, once all of the terms before is applied and observed
 //	it leads no more                      Follow
 //	a request begins                      Acting
 type Node struct {
-	self int
-	life uint64
-	h    Holder
-	g    Grantor
-	owe  []int // acknowledgements of the step of the word
-	outs []Out
+	index       int
+	incarnation uint64
+	holder      LeaseHolder
+	grantor     LeaseGrantor
+	ackOwed     []int // nodes that are owed an acknowledgement of the state's revision
+	outgoing    []Outgoing
 }
 
-// NewNode begins a node's part. It holds nothing, whatever it held before.
+// NewNode begins a node's part. It holds no lease, whatever it held before.
 func NewNode(c Config, now time.Duration) *Node {
-	return &Node{self: c.Self, life: c.Life, h: Holder{t: c.Terms, self: c.Self, mark: c.Mark, askAt: now, asked: now - c.Terms.Renew}, g: Grantor{t: c.Terms}}
+	return &Node{
+		index:       c.Node,
+		incarnation: c.Incarnation,
+		holder: LeaseHolder{
+			terms:         c.Terms,
+			index:         c.Node,
+			highWaterMark: c.HighWaterMark,
+			requestAt:     now,
+			requestedAt:   now - c.Terms.RenewInterval,
+		},
+		grantor: LeaseGrantor{terms: c.Terms},
+	}
 }
 
-// Parents takes whom this node can ask for leases, the best first: the leader for voters and heads,
-// for others the head of their group, then other heads. While it leads it asks itself.
-func (n *Node) Parents(now time.Duration, parents []int) { n.h.from(now, parents) }
+// SetGrantors takes the nodes from which this one can request leases, the best first: for voters and relays the leader,
+// for others the relay of their group, then other relays. While it leads it requests from itself.
+func (n *Node) SetGrantors(now time.Duration, grantors []int) { n.holder.setGrantors(now, grantors) }
 
-// Learn takes a word of the registry, from this node's own or from any other's: it only ever tells
-// what was agreed.
-func (n *Node) Learn(now time.Duration, w Word) {
-	if w.can() && n.h.learn(now, w) {
-		n.g.learn(now, w)
-		n.owe = n.owe[:0]
+// Observe takes a state of the registry, from this node's own or from any other's: it is only ever what was agreed.
+func (n *Node) Observe(now time.Duration, s VersionState) {
+	if s.valid() && n.holder.observe(now, s) {
+		n.grantor.observe(now, s)
+		n.ackOwed = n.ackOwed[:0]
 	}
 }
 
-// Word gives the newest word that this node has.
-func (n *Node) Word() Word { return n.h.word }
+// State returns the newest state that this node has observed.
+func (n *Node) State() VersionState { return n.holder.state }
 
-// Want gives a version whose text this node needs.
-func (n *Node) Want() (Name, bool) { return n.h.Want() }
+// MissingText returns a version whose text this node needs.
+func (n *Node) MissingText() (VersionID, bool) { return n.holder.MissingText() }
 
-// Have takes that a version's text is here, checked against its digest, and whether this node can act
-// by it. It may be told of any version ahead.
-func (n *Node) Have(now time.Duration, name Name, usable bool) { n.h.have(now, name, usable) }
+// TextFetched takes that a version's text is here, checked against its digest, and whether this node can use it. It may be
+// called for any version ahead.
+func (n *Node) TextFetched(now time.Duration, version VersionID, usable bool) {
+	n.holder.textFetched(now, version, usable)
+}
 
-// Keep gives a number that has to be on the disk before this node can act by that version.
-func (n *Node) Keep(now time.Duration) (uint64, bool) { return n.h.Keep(now) }
+// PersistDue returns a number that has to be persisted before this node can act by that version.
+func (n *Node) PersistDue(now time.Duration) (uint64, bool) { return n.holder.PersistDue(now) }
 
-// Kept takes that the disk has kept a number. Where it can't the node goes by its settings alone.
-func (n *Node) Kept(number uint64) { n.h.mark = max(n.h.mark, number) }
+// Persisted takes that a number is durable. Where the disk fails the node goes by its settings alone.
+func (n *Node) Persisted(number uint64) {
+	n.holder.highWaterMark = max(n.holder.highWaterMark, number)
+}
 
-// Acting gives the version that a request which begins now goes by, and until when that holds by this
-// node's clock if nothing is heard; 0 is the settings alone, and why.
+// Acting returns the version that a request which begins now goes by, and until when that holds by this node's clock if
+// nothing is received; 0 is the settings alone, and why.
 func (n *Node) Acting(now time.Duration) (number uint64, until time.Duration, why Reason) {
-	return n.h.Acting(now)
+	return n.holder.Acting(now)
 }
 
-// Lead tells that this node was elected. The registry's word by all that was agreed before its term
-// must have been learnt: with raft, after a barrier in its term.
-func (n *Node) Lead(now time.Duration) { n.g.lead(now) }
+// Lead says that this node was elected. The registry's state by all that was agreed before its term must have been
+// observed: with raft, after a barrier in its term.
+func (n *Node) Lead(now time.Duration) { n.grantor.lead(now) }
 
-// Follow tells that this node leads no more, or may not.
-func (n *Node) Follow() { n.g.follow() }
+// Follow says that this node leads no more, or may not.
+func (n *Node) Follow() { n.grantor.follow() }
 
-// Begin tells whether asks wait for a confirmation, and gives the number of the round that answers
-// all that have come so far. The caller begins it after this call, by a quorum.
-func (n *Node) Begin() (round uint64, ok bool) {
-	if !n.g.leads {
+// BeginConfirmation reports whether requests wait for a confirmation of the leadership, and returns the number of the
+// round that answers all that have come so far. The caller begins it after this call, by a quorum.
+func (n *Node) BeginConfirmation() (round uint64, ok bool) {
+	if !n.grantor.leads {
 		return 0, false
 	}
-	return n.g.begin()
+	return n.grantor.beginConfirmation()
 }
 
-// Confirmed tells that a quorum has confirmed this node's leadership in a round that began after the
-// call of Begin that gave the number.
+// Confirmed says that a quorum has confirmed this node's leadership in a round that began after the call of
+// BeginConfirmation that returned the number.
 func (n *Node) Confirmed(now time.Duration, round uint64) {
-	if !n.g.leads {
+	if !n.grantor.leads {
 		return
 	}
-	for _, p := range n.g.confirmed(round) {
-		n.give(p.node, n.g.answer(now, p, n.h.t.Lease))
+	for _, p := range n.grantor.confirmed(round) {
+		n.sendGrant(p.node, n.grantor.grant(now, p, n.holder.terms.LeaseTime))
 	}
 }
 
-// Ready gives the command that makes the prepared version the active one, once no lease stands in its
-// way, and again after a while where nothing came of it. Proposed twice it counts once.
-func (n *Node) Ready(now time.Duration) (Commit, bool) {
-	if !n.g.leads || n.g.word.Next.Number == 0 || now < n.g.readyAt() {
+// CommitReady returns the command that activates the prepared version, once no lease stands in its way, and again after a
+// while where nothing came of it. Proposed twice it counts once.
+func (n *Node) CommitReady(now time.Duration) (Commit, bool) {
+	g := &n.grantor
+	if !g.leads || g.state.Prepared.Number == 0 || now < g.commitAt() {
 		return Commit{}, false
 	}
-	n.g.offered, n.g.offeredAt = n.g.word.Step, now
-	return Commit{Number: n.g.word.Next.Number, Step: n.g.word.Step}, true
+	g.offeredRevision = g.state.Revision
+	g.offeredAt = now
+	return Commit{Number: g.state.Prepared.Number, Revision: g.state.Revision}, true
 }
 
-// Hear takes a message.
-func (n *Node) Hear(now time.Duration, m *Message) {
-	if m.Tell != nil {
-		n.Learn(now, *m.Tell)
-		switch {
-		case m.Tell.Step < n.h.word.Step:
-			w := n.h.word
-			n.out(m.From).Tell = &w
-		case n.h.word.Next.Number != 0 && !slices.Contains(n.owe, m.From) && len(n.owe) < n.h.t.Holders:
-			n.owe = append(n.owe, m.From)
-		}
+// Receive takes a message.
+func (n *Node) Receive(now time.Duration, m *Message) {
+	if m.State != nil {
+		n.receiveState(now, m.Sender, *m.State)
 	}
 	if m.Ack != 0 {
-		n.g.acked(now, m.From, m.Life, m.Ack)
+		n.grantor.acknowledged(now, m.Sender, m.Incarnation, m.Ack)
 	}
-	if m.Grant != nil && m.Grant.Life == n.life {
-		n.heard(now, m.Grant)
+	if m.Grant != nil && m.Grant.Incarnation == n.incarnation {
+		n.receiveGrant(now, m.Grant)
 	}
-	if m.Ask != nil {
-		if a := n.g.asked(now, m.From, m.Life, *m.Ask, n.h.rest(now), n.h.seq); a != nil {
-			n.give(m.From, a)
-		} else if !n.g.leads {
-			n.h.soon(now)
-		}
+	if m.Request != nil {
+		n.receiveRequest(now, m)
+	}
+}
+
+// receiveState observes a state. Its sender gets a newer one back, or is owed an acknowledgement of a preparation.
+func (n *Node) receiveState(now time.Duration, from int, s VersionState) {
+	n.Observe(now, s)
+	switch {
+	case s.Revision < n.holder.state.Revision:
+		newer := n.holder.state
+		n.messageTo(from).State = &newer
+	case n.holder.state.Prepared.Number == 0 || slices.Contains(n.ackOwed, from):
+	case len(n.ackOwed) < n.holder.terms.MaxHolders:
+		n.ackOwed = append(n.ackOwed, from)
+	}
+}
+
+func (n *Node) receiveRequest(now time.Duration, m *Message) {
+	remaining := n.holder.remaining(now)
+	grant := n.grantor.request(now, m.Sender, m.Incarnation, *m.Request, remaining, n.holder.sequence)
+	if grant != nil {
+		n.sendGrant(m.Sender, grant)
+	} else if !n.grantor.leads {
+		n.holder.requestSoon(now)
 	}
 }
 
-func (n *Node) heard(now time.Duration, g *Grant) {
-	if g.Word != nil {
-		n.Learn(now, *g.Word)
+func (n *Node) receiveGrant(now time.Duration, g *LeaseGrant) {
+	if g.State != nil {
+		n.Observe(now, *g.State)
 	}
-	own := n.h.granted(now, g)
-	if own.seq == 0 || n.g.leads {
+	own := n.holder.receiveGrant(now, g)
+	if own.sequence == 0 || n.grantor.leads {
 		return
 	}
-	for _, p := range n.g.renewed(now, own, n.h.rest(now)) {
-		n.give(p.node, n.g.answer(now, p, n.h.rest(now)))
+	for _, p := range n.grantor.renewed(now, own, n.holder.remaining(now)) {
+		n.sendGrant(p.node, n.grantor.grant(now, p, n.holder.remaining(now)))
 	}
 }
 
-func (n *Node) give(to int, g *Grant) { n.out(to).Grant = g }
+func (n *Node) sendGrant(to int, g *LeaseGrant) { n.messageTo(to).Grant = g }
 
-// out gives the message to a node that is not sent yet.
-func (n *Node) out(to int) *Message {
-	for _, o := range n.outs {
+// messageTo returns the message to a node that is not sent yet.
+func (n *Node) messageTo(to int) *Message {
+	for _, o := range n.outgoing {
 		if o.To == to {
 			return o.Message
 		}
 	}
-	m := &Message{From: n.self, Life: n.life}
-	n.outs = append(n.outs, Out{to, m})
+	m := &Message{Sender: n.index, Incarnation: n.incarnation}
+	n.outgoing = append(n.outgoing, Outgoing{to, m})
 	return m
 }
 
-// Flush gives the messages that are due.
-func (n *Node) Flush(now time.Duration) []Out {
-	var out []Out
+// Flush returns the messages that are due. Those to this node itself are received at once.
+func (n *Node) Flush(now time.Duration) []Outgoing {
+	var out []Outgoing
 	for again := true; again; {
-		n.due(now)
-		outs := n.outs
-		n.outs, again = nil, false
-		for _, o := range outs {
-			if o.To == n.self {
-				n.Hear(now, o.Message)
+		n.prepareMessages(now)
+		prepared := n.outgoing
+		n.outgoing = nil
+		again = false
+		for _, o := range prepared {
+			if o.To == n.index {
+				n.Receive(now, o.Message)
 				again = true
 				continue
 			}
@@ -192,67 +221,67 @@
 	return out
 }
 
-func (n *Node) due(now time.Duration) {
-	fresh := slices.ContainsFunc(n.g.pending, func(p pending) bool { return p.ask.Fresh })
-	h := &n.h
-	if to, ok := n.asks(now); ok {
-		if a, ok := h.ask(now, fresh); ok {
-			n.out(to).Ask = a
+func (n *Node) prepareMessages(now time.Duration) {
+	fresh := slices.ContainsFunc(n.grantor.pending, func(p pendingRequest) bool { return p.request.Fresh })
+	if to, ok := n.nextGrantor(now); ok {
+		if request, ok := n.holder.nextRequest(now, fresh); ok {
+			n.messageTo(to).Request = request
 		}
 	}
-	for _, to := range n.g.tell(now) {
-		w := n.g.word
-		n.out(to).Tell = &w
+	for _, to := range n.grantor.dueNotifications(now) {
+		state := n.grantor.state
+		n.messageTo(to).State = &state
 	}
-	n.owe = slices.DeleteFunc(n.owe, func(to int) bool {
-		ok := n.settled(now, to)
-		if ok {
-			n.out(to).Ack = h.word.Step
+	n.ackOwed = slices.DeleteFunc(n.ackOwed, func(to int) bool {
+		if !n.mayAcknowledge(now, to) {
+			return false
 		}
-		return ok
+		n.messageTo(to).Ack = n.holder.state.Revision
+		return true
 	})
 }
 
-// asks gives whom this node asks.
-func (n *Node) asks(now time.Duration) (to int, ok bool) {
+// nextGrantor returns the node from which this one requests a lease now.
+func (n *Node) nextGrantor(now time.Duration) (to int, ok bool) {
 	switch {
-	case n.g.leads:
-		return n.self, true
-	case len(n.h.parents) > 0 && n.h.askAt <= now:
-		return n.h.whom(now), true
+	case n.grantor.leads:
+		return n.index, true
+	case len(n.holder.grantors) > 0 && n.holder.requestAt <= now:
+		return n.holder.chooseGrantor(now), true
 	}
 	return 0, false
 }
 
-// settled tells whether the preparation can be acknowledged to a node: the leases here go by it, and
-// so do all that were granted from here.
-func (n *Node) settled(now time.Duration, to int) bool {
-	return n.h.trimmed == n.h.word.Step && (to == n.self || now >= n.g.settledAt())
+// mayAcknowledge reports whether the preparation can be acknowledged to a node: the leases here are trimmed to it, and so
+// are all that were granted from here.
+func (n *Node) mayAcknowledge(now time.Duration, to int) bool {
+	trimmed := n.holder.trimmedRevision == n.holder.state.Revision
+	return trimmed && (to == n.index || now >= n.grantor.allTrimmedAt())
 }
 
-// Wake tells when Flush has something next, or Ready.
-func (n *Node) Wake(now time.Duration) (at time.Duration, ok bool) {
-	sooner := func(t time.Duration) {
+// NextWake returns when Flush or CommitReady has something next.
+func (n *Node) NextWake(now time.Duration) (at time.Duration, ok bool) {
+	by := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
-	if len(n.outs) > 0 {
-		sooner(now)
+	if len(n.outgoing) > 0 {
+		by(now)
 	}
-	if len(n.h.parents) > 0 || n.g.leads {
-		sooner(n.h.askAt)
+	if len(n.holder.grantors) > 0 || n.grantor.leads {
+		by(n.holder.requestAt)
 	}
-	for i := range n.g.entries {
-		if e := &n.g.entries[i]; n.g.tells(now, e) {
-			sooner(e.tellAt)
+	for i := range n.grantor.holders {
+		if h := &n.grantor.holders[i]; n.grantor.needsNotification(now, h) {
+			by(h.notifyAt)
 		}
 	}
-	if n.h.trimmed == n.h.word.Step && len(n.owe) > 0 {
-		sooner(n.g.settledAt())
+	if n.holder.trimmedRevision == n.holder.state.Revision && len(n.ackOwed) > 0 {
+		by(n.grantor.allTrimmedAt())
 	}
-	if n.g.leads && n.g.word.Next.Number != 0 {
-		sooner(n.g.readyAt())
+	if n.grantor.leads && n.grantor.state.Prepared.Number != 0 {
+		by(n.grantor.commitAt())
 	}
 	return at, ok
 }
--- a/fleet/rules/registry_test.go
+++ b/fleet/rules/registry_test.go
@@ -15,25 +15,25 @@
 
 // drawCommand draws a command that more often than not fits the registry's state.
 func drawCommand(t *rapid.T, r *Registry) Command {
-	number := rapid.Uint64Range(0, r.s.Newest+1).Draw(t, "number")
-	if len(r.s.Awaited) > 0 && rapid.Bool().Draw(t, "first") {
-		number = r.s.Awaited[0]
+	number := rapid.Uint64Range(0, r.state.Newest+1).Draw(t, "number")
+	if len(r.state.Scheduled) > 0 && rapid.Bool().Draw(t, "first") {
+		number = r.state.Scheduled[0]
 	}
 	off := rapid.SampledFrom([]uint64{0, 0, 0, 1}).Draw(t, "off")
-	kind := rapid.SampledFrom([]Kind{Overlap, Exclusive}).Draw(t, "kind")
+	kind := rapid.SampledFrom([]ActivationKind{Overlap, Exclusive}).Draw(t, "kind")
 	switch rapid.IntRange(0, 5).Draw(t, "part") {
 	case 0:
-		return Command{Publish: &Publish{Parent: r.s.Newest + off, By: "a", Text: fmt.Append(nil, "# ", rapid.IntRange(0, 9).Draw(t, "text"))}}
+		return Command{Publish: &Publish{Parent: r.state.Newest + off, Author: "a", Text: fmt.Append(nil, "# ", rapid.IntRange(0, 9).Draw(t, "text"))}}
 	case 1:
-		return Command{Activate: &Activate{Number: number, Kind: kind, At: rapid.Uint64Range(0, 3).Draw(t, "at"), By: "b"}}
+		return Command{Activate: &Activate{Number: number, Kind: kind, At: rapid.Uint64Range(0, 3).Draw(t, "at"), Author: "b"}}
 	case 2:
-		return Command{Back: &Back{Parent: r.s.Newest + off, Of: number, Kind: kind, By: "c"}}
+		return Command{Rollback: &Rollback{Parent: r.state.Newest + off, Target: number, Kind: kind, Author: "c"}}
 	case 3:
-		return Command{Cancel: &Cancel{Number: number, By: "d"}}
+		return Command{Cancel: &Cancel{Number: number, Author: "d"}}
 	case 4:
 		return Command{Prepare: &Prepare{Number: number}}
 	}
-	return Command{Commit: &Commit{Number: number, Step: r.s.Step - min(off, r.s.Step)}}
+	return Command{Commit: &Commit{Number: number, Revision: r.state.Revision - min(off, r.state.Revision)}}
 }
 
 // Numbers only grow, what was published stays what it is, the active version is never an older one,
@@ -46,7 +46,7 @@
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
 			before, err := r.Snapshot()
 			require.NoError(t, err)
-			was := r.s
+			was := r.state
 			raw, err := drawCommand(t, r).Encode()
 			require.NoError(t, err)
 			if rapid.IntRange(0, 9).Draw(t, "spoil") == 0 {
@@ -64,9 +64,9 @@
 			require.NoError(t, err)
 			other = restored
 
-			require.GreaterOrEqual(t, r.s.Newest, was.Newest)
-			require.GreaterOrEqual(t, r.s.Active, was.Active)
-			require.Equal(t, res.Word, r.s.Step != was.Step)
+			require.GreaterOrEqual(t, r.state.Newest, was.Newest)
+			require.GreaterOrEqual(t, r.state.Active, was.Active)
+			require.Equal(t, res.StateChanged, r.state.Revision != was.Revision)
 			for _, v := range r.Versions() {
 				old, ok := agreed[v.Number]
 				if !ok {
@@ -74,9 +74,9 @@
 					agreed[v.Number] = v
 					continue
 				}
-				require.Equal(t, [4]any{old.Digest, old.Parent, old.Of, old.By}, [4]any{v.Digest, v.Parent, v.Of, v.By})
+				require.Equal(t, [4]any{old.Digest, old.Parent, old.RestoredFrom, old.Author}, [4]any{v.Digest, v.Parent, v.RestoredFrom, v.Author})
 			}
-			for _, n := range append([]uint64{r.s.Active}, r.s.Awaited...) {
+			for _, n := range append([]uint64{r.state.Active}, r.state.Scheduled...) {
 				if n != 0 {
 					v, err := r.Version(n)
 					require.NoError(t, err)
@@ -93,43 +93,43 @@
 		_, err := r.Do(c)
 		return err
 	}
-	for n := range uint64(versionsKept + 40) {
+	for n := range uint64(maxVersions + 40) {
 		require.NoError(t, do(Command{Publish: &Publish{Parent: n, Text: fmt.Append(nil, "# ", n)}}))
 	}
 	newest := r.Newest()
-	assert.LessOrEqual(t, len(r.s.Versions), versionsKept+1)
+	assert.LessOrEqual(t, len(r.state.Versions), maxVersions+1)
 	assert.Equal(t, &StaleVersionError{Have: newest, Want: 3}, do(Command{Publish: &Publish{Parent: 3}}))
 	assert.Equal(t, &NoVersionError{Number: 2}, do(Command{Activate: &Activate{Number: 2, Kind: Overlap}}))
-	assert.Equal(t, &NoVersionError{Number: newest - textsKept, Text: true}, do(Command{Back: &Back{Parent: newest, Of: newest - textsKept, Kind: Overlap}}))
+	assert.Equal(t, &NoVersionError{Number: newest - maxTexts, Text: true}, do(Command{Rollback: &Rollback{Parent: newest, Target: newest - maxTexts, Kind: Overlap}}))
 	require.NoError(t, do(Command{Activate: &Activate{Number: newest - 1, Kind: Exclusive, At: 70}}))
 	assert.Equal(t, &OrderError{Number: newest, Other: newest - 1}, do(Command{Activate: &Activate{Number: newest, Kind: Overlap, At: 60}}))
 	assert.Equal(t, &OrderError{Number: newest - 2, Other: newest - 1}, do(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap, At: 80}}))
 	require.NoError(t, do(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap}}))
-	number, at, ok := r.Due()
+	number, at, ok := r.NextActivation()
 	assert.Equal(t, [3]any{newest - 2, uint64(0), true}, [3]any{number, at, ok})
 	assert.Equal(t, &PhaseError{Step: "preparing", Number: newest - 1}, do(Command{Prepare: &Prepare{Number: newest - 1}}))
 	require.NoError(t, do(Command{Prepare: &Prepare{Number: newest - 2}}))
 
 	// A commit by the step of a preparation that was cancelled counts for nothing.
-	step := r.Word().Step
+	step := r.State().Revision
 	require.NoError(t, do(Command{Cancel: &Cancel{Number: newest - 2}}))
 	require.NoError(t, do(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap}}))
 	require.NoError(t, do(Command{Prepare: &Prepare{Number: newest - 2}}))
-	assert.Equal(t, &PhaseError{Step: "activating", Number: newest - 2, Prepared: newest - 2}, do(Command{Commit: &Commit{Number: newest - 2, Step: step}}))
-	require.NoError(t, do(Command{Commit: &Commit{Number: newest - 2, Step: r.Word().Step}}))
+	assert.Equal(t, &PhaseError{Step: "activating", Number: newest - 2, Prepared: newest - 2}, do(Command{Commit: &Commit{Number: newest - 2, Revision: step}}))
+	require.NoError(t, do(Command{Commit: &Commit{Number: newest - 2, Revision: r.State().Revision}}))
 	assert.Equal(t, &StaleVersionError{Have: newest - 2, Want: newest - 3}, do(Command{Activate: &Activate{Number: newest - 3, Kind: Overlap}}))
 
 	// A way back is the older text under a new number, and what was awaited is off.
-	require.NoError(t, do(Command{Back: &Back{Parent: newest, Of: newest - 5, Kind: Exclusive, By: "ops"}}))
+	require.NoError(t, do(Command{Rollback: &Rollback{Parent: newest, Target: newest - 5, Kind: Exclusive, Author: "ops"}}))
 	back, err := r.Version(newest + 1)
 	require.NoError(t, err)
 	assert.Equal(t, fmt.Append(nil, "# ", newest-6), back.Text)
 	off, _ := r.Version(newest - 1)
-	assert.Equal(t, Cancelled, off.Fate)
+	assert.Equal(t, Cancelled, off.Status)
 }
 
 func FuzzCommand(f *testing.F) {
-	for _, c := range []Command{{Publish: &Publish{Text: []byte("#")}}, {Commit: &Commit{Number: 1, Step: 2}}, {Back: &Back{Of: 1, Kind: Overlap}}} {
+	for _, c := range []Command{{Publish: &Publish{Text: []byte("#")}}, {Commit: &Commit{Number: 1, Revision: 2}}, {Rollback: &Rollback{Target: 1, Kind: Overlap}}} {
 		raw, err := c.Encode()
 		if err != nil {
 			f.Fatal(err)
@@ -162,19 +162,19 @@
 		if err != nil {
 			return
 		}
-		r.Word()
+		r.State()
 		for _, v := range r.Versions() {
-			_, _ = r.Do(Command{Back: &Back{Parent: r.Newest(), Of: v.Number, Kind: Overlap}})
+			_, _ = r.Do(Command{Rollback: &Rollback{Parent: r.Newest(), Target: v.Number, Kind: Overlap}})
 			_, _ = r.Do(Command{Prepare: &Prepare{Number: r.Newest()}})
-			_, _ = r.Do(Command{Commit: &Commit{Number: r.Newest(), Step: r.Word().Step}})
+			_, _ = r.Do(Command{Commit: &Commit{Number: r.Newest(), Revision: r.State().Revision}})
 		}
 	})
 }
 
 func FuzzMessage(f *testing.F) {
-	word := Word{Step: 3, Now: Name{Number: 1}, Next: Name{Number: 2}, Kind: Exclusive}
-	for _, m := range []Message{{From: 1, Life: 5, Tell: &word}, {From: 1, Life: 5, Ack: 3, Ask: &Ask{Seq: 1, Fresh: true}},
-		{From: 1, Life: 5, Grant: &Grant{Life: 9, Seq: 1, Step: 3, Length: 1e6, Word: &word}}} {
+	word := VersionState{Revision: 3, Active: VersionID{Number: 1}, Prepared: VersionID{Number: 2}, Kind: Exclusive}
+	for _, m := range []Message{{Sender: 1, Incarnation: 5, State: &word}, {Sender: 1, Incarnation: 5, Ack: 3, Request: &LeaseRequest{Sequence: 1, Fresh: true}},
+		{Sender: 1, Incarnation: 5, Grant: &LeaseGrant{Incarnation: 9, Sequence: 1, Revision: 3, Length: 1e6, State: &word}}} {
 		raw, err := m.Encode()
 		if err != nil {
 			f.Fatal(err)
@@ -187,14 +187,14 @@
 			return
 		}
 		for _, leads := range []bool{false, true} {
-			n := NewNode(Config{Self: 0, Life: 9, Terms: Usual}, 0)
-			n.Parents(0, []int{1})
+			n := NewNode(Config{Node: 0, Incarnation: 9, Terms: DefaultTerms}, 0)
+			n.SetGrantors(0, []int{1})
 			if leads {
 				n.Lead(0)
 			}
 			n.Flush(0)
-			n.Hear(1, m)
-			if _, until, _ := n.Acting(1); until > Usual.Lease {
+			n.Receive(1, m)
+			if _, until, _ := n.Acting(1); until > DefaultTerms.LeaseTime {
 				t.Fatalf("a lease until %v", until)
 			}
 			for _, o := range n.Flush(1) {
--- a/fleet/rules/set_test.go
+++ b/fleet/rules/set_test.go
@@ -30,17 +30,17 @@
 every = "95m"
 `
 
-var here = Settings{Plans: []string{"free", "gold"}, Classes: []string{"charge", "lookup"}, Zones: []string{"hall-a", "hall-b"}, Attempts: 5, InFlight: 400}
+var here = Settings{Plans: []string{"free", "gold"}, Classes: []string{"charge", "lookup"}, Zones: []string{"hall-a", "hall-b"}, MaxAttempts: 5, MaxInFlight: 400}
 
 func TestSetIsReadAndCompiled(t *testing.T) {
 	s, err := Parse([]byte(whole))
 	require.NoError(t, err)
 	c, err := s.Compile(here)
 	require.NoError(t, err)
-	assert.True(t, math.IsNaN(c.Price[0]))
-	c.Price[0] = 0
-	assert.Equal(t, &Compiled{Price: []float64{0, 2.5}, Quota: []float64{1, 0.5}, Customers: map[string]float64{"gold 00000000b4d65521": 1.5},
-		Attempts: []int{3, 2}, InFlight: 300, Closed: []string{"hall-a"}, Cost: map[string]float64{"hall-b": 0.2}}, c)
+	assert.True(t, math.IsNaN(c.PriceFactor[0]))
+	c.PriceFactor[0] = 0
+	assert.Equal(t, &Compiled{PriceFactor: []float64{0, 2.5}, QuotaFactor: []float64{1, 0.5}, TenantQuotaFactor: map[string]float64{"gold 00000000b4d65521": 1.5},
+		MaxAttempts: []int{3, 2}, MaxInFlight: 300, ClosedZones: []string{"hall-a"}, CrossZoneCost: map[string]float64{"hall-b": 0.2}}, c)
 	text, err := Section(s.Work)
 	require.NoError(t, err)
 	assert.Contains(t, string(text), "needs = '20m'")
@@ -49,8 +49,8 @@
 	require.NoError(t, err)
 	c, err = none.Compile(here)
 	require.NoError(t, err)
-	assert.Equal(t, []int{5, 5}, c.Attempts)
-	assert.Equal(t, 400, c.InFlight)
+	assert.Equal(t, []int{5, 5}, c.MaxAttempts)
+	assert.Equal(t, 400, c.MaxInFlight)
 }
 
 func TestSetIsRefused(t *testing.T) {
@@ -60,15 +60,15 @@
 		"[plans.gold]\nprice = nan":            &DocumentError{0, "plans.gold.price", "NaN is not within 0 to 1000"},
 		"[customers.gold]\nquota = 1":          &DocumentError{0, "customers.gold", "no plan and customer: a plan's name, a space, 16 hex digits"},
 		"[limits]\nattempts = 0":               &DocumentError{0, "limits.attempts", "0 is not within 1 to 1048576"},
-		"[plans.brass]":                        &UnknownError{"plan", "brass"},
-		"[customers.\"tin 00000000b4d65521\"]": &UnknownError{"plan", "tin"},
-		"[classes.bulk]":                       &UnknownError{"class", "bulk"},
-		"[zones.hall-c]":                       &UnknownError{"zone", "hall-c"},
+		"[plans.brass]":                        &UnknownNameError{"plan", "brass"},
+		"[customers.\"tin 00000000b4d65521\"]": &UnknownNameError{"plan", "tin"},
+		"[classes.bulk]":                       &UnknownNameError{"class", "bulk"},
+		"[zones.hall-c]":                       &UnknownNameError{"zone", "hall-c"},
 		"[limits]\nattempts = 6":               &LooserError{"limits.attempts", 6, 5},
 		"[limits]\nin_flight = 401":            &LooserError{"limits.in_flight", 401, 400},
 		"[classes.lookup]\nattempts = 6":       &LooserError{"classes.lookup.attempts", 6, 5},
 		"[zones.hall-a]\nclosed = true\n[zones.hall-b]\nclosed=true": &AllClosedError{here.Zones},
-		"#" + string(make([]byte, TextMost)):                         &TooLargeError{"bytes of a rule set", TextMost + 1, TextMost},
+		"#" + string(make([]byte, MaxTextBytes)):                     &TooLargeError{"bytes of a rule set", MaxTextBytes + 1, MaxTextBytes},
 	} {
 		s, err := Parse([]byte(text))
 		if err == nil {
@@ -93,8 +93,8 @@
 			return
 		}
 		if c, err := s.Compile(here); err == nil {
-			for i := range c.Attempts {
-				if c.Attempts[i] > here.Attempts || c.InFlight > here.InFlight || c.Attempts[i] < 1 || !(c.Quota[0] <= quotaMost) {
+			for i := range c.MaxAttempts {
+				if c.MaxAttempts[i] > here.MaxAttempts || c.MaxInFlight > here.MaxInFlight || c.MaxAttempts[i] < 1 || !(c.QuotaFactor[0] <= maxQuotaFactor) {
 					t.Fatalf("looser than the settings: %+v", c)
 				}
 			}
--- a/fleet/rules/world_test.go
+++ b/fleet/rules/world_test.go
@@ -10,8 +10,8 @@
 
 // The terms of a world: a tick is 2 ms of a fast clock and 1 ms of a slow one. A lease has ended after
 // two ticks by any clock, and what may overlap after one.
-var small = Terms{Lease: 2 * time.Millisecond, Overlap: 2 * time.Millisecond, Renew: time.Millisecond,
-	Retry: time.Millisecond, Drift: 1, Holders: 4}
+var small = Terms{LeaseTime: 2 * time.Millisecond, OverlapTime: 2 * time.Millisecond, RenewInterval: time.Millisecond,
+	RetryInterval: time.Millisecond, MaxClockDrift: 1, MaxHolders: 4}
 
 const airMost = 5 // messages on their way; what comes beyond is lost
 
@@ -65,11 +65,11 @@
 	c := *w
 	for i, n := range w.nodes {
 		m := *n
-		m.h.leases, m.h.ready, m.h.asks = slices.Clone(n.h.leases), slices.Clone(n.h.ready), slices.Clone(n.h.asks)
-		m.g.entries, m.g.pending, m.owe = slices.Clone(n.g.entries), slices.Clone(n.g.pending), slices.Clone(n.owe)
+		m.holder.leases, m.holder.texts, m.holder.requests = slices.Clone(n.holder.leases), slices.Clone(n.holder.texts), slices.Clone(n.holder.requests)
+		m.grantor.holders, m.grantor.pending, m.ackOwed = slices.Clone(n.grantor.holders), slices.Clone(n.grantor.pending), slices.Clone(n.ackOwed)
 		c.nodes[i] = &m
 	}
-	c.reg.s.Versions, c.reg.s.Awaited = slices.Clone(w.reg.s.Versions), slices.Clone(w.reg.s.Awaited)
+	c.reg.state.Versions, c.reg.state.Scheduled = slices.Clone(w.reg.state.Versions), slices.Clone(w.reg.state.Scheduled)
 	c.air = slices.Clone(w.air)
 	return &c
 }
@@ -87,21 +87,21 @@
 	var h maphash.Hash
 	h.SetSeed(seed)
 	for _, n := range w.nodes {
-		mix(&h, n.h.leases)
-		mix(&h, n.h.ready)
-		mix(&h, n.h.asks)
-		mix(&h, n.g.entries)
-		mix(&h, n.g.pending)
-		mix(&h, n.owe)
+		mix(&h, n.holder.leases)
+		mix(&h, n.holder.texts)
+		mix(&h, n.holder.requests)
+		mix(&h, n.grantor.holders)
+		mix(&h, n.grantor.pending)
+		mix(&h, n.ackOwed)
 		maphash.WriteComparable(&h, struct {
-			w              Word
+			w              VersionState
 			proved, led    bool
 			seq            uint32
 			n              [6]uint64
 			at             [6]time.Duration
 			parent, silent int
-		}{n.h.word, n.h.proved, n.g.leads, n.h.seq, [6]uint64{n.life, n.h.trimmed, n.h.mark, n.g.round, n.g.offered},
-			[6]time.Duration{n.h.askAt, n.h.asked, n.g.unknown, n.g.quiet, n.g.offeredAt, n.h.took}, n.h.parent, n.h.silent})
+		}{n.holder.state, n.holder.hasFreshLease, n.grantor.leads, n.holder.sequence, [6]uint64{n.incarnation, n.holder.trimmedRevision, n.holder.highWaterMark, n.grantor.round, n.grantor.offeredRevision},
+			[6]time.Duration{n.holder.requestAt, n.holder.requestedAt, n.grantor.unknownUntil, n.grantor.previousUntil, n.grantor.offeredAt, n.holder.responseTime}, n.holder.current, n.holder.unanswered})
 	}
 	mix(&h, w.air)
 	maphash.WriteComparable(&h, struct {
@@ -111,7 +111,7 @@
 		tick, commit                      time.Duration
 		leader                            int
 		doubles, elects, crashes, cancels int
-	}{w.reg.s.Prepared, [3]uint64{w.reg.s.Active, w.reg.s.Step, w.life}, [5][3]uint64{w.disk, w.before, w.acted, w.begun, w.quorum},
+	}{w.reg.state.Prepared, [3]uint64{w.reg.state.Active, w.reg.state.Revision, w.life}, [5][3]uint64{w.disk, w.before, w.acted, w.begun, w.quorum},
 		w.tick, w.commit, w.leader, w.doubles, w.elects, w.crashes, w.cancels})
 	return h.Sum64()
 }
@@ -129,16 +129,16 @@
 				w.air = append(w.air, f)
 			}
 		}
-		if name, ok := n.Want(); ok {
-			n.Have(now, name, true)
-		} else if number, ok := n.Keep(now); ok {
+		if name, ok := n.MissingText(); ok {
+			n.TextFetched(now, name, true)
+		} else if number, ok := n.PersistDue(now); ok {
 			w.before[i], w.disk[i] = w.disk[i], number
-			n.Kept(number)
+			n.Persisted(number)
 		} else {
 			break
 		}
 	}
-	if round, ok := n.Begin(); ok {
+	if round, ok := n.BeginConfirmation(); ok {
 		w.begun[i] = round
 	}
 	slices.SortFunc(w.air, func(a, b flight) int { return cmp.Or(a.to-b.to, a.from-b.from, cmp.Compare(a.raw, b.raw)) })
@@ -151,14 +151,14 @@
 	}
 	n := w.nodes[f.to]
 	if w.plant == answered {
-		for i := range n.h.asks {
-			n.h.asks[i].at = w.at(f.to)
+		for i := range n.holder.requests {
+			n.holder.requests[i].at = w.at(f.to)
 		}
 	}
-	if i := slices.IndexFunc(n.g.entries, func(e entry) bool { return e.node == m.From }); w.plant == otherLife && i >= 0 {
-		m.Life = n.g.entries[i].life
+	if i := slices.IndexFunc(n.grantor.holders, func(e holderState) bool { return e.node == m.Sender }); w.plant == otherLife && i >= 0 {
+		m.Incarnation = n.grantor.holders[i].incarnation
 	}
-	n.Hear(w.at(f.to), m)
+	n.Receive(w.at(f.to), m)
 	w.poll(f.to)
 }
 
@@ -166,16 +166,16 @@
 	if _, err := w.reg.Do(c); err != nil {
 		panic(err)
 	}
-	w.nodes[w.leader].Learn(w.at(w.leader), w.reg.Word())
+	w.nodes[w.leader].Observe(w.at(w.leader), w.reg.State())
 	w.poll(w.leader)
 }
 
 func (w *world) elect(i int) {
 	w.leader = i
-	w.nodes[i].Learn(w.at(i), w.reg.Word())
+	w.nodes[i].Observe(w.at(i), w.reg.State())
 	w.nodes[i].Lead(w.at(i))
 	if w.begun[i], w.quorum[i] = 0, 0; w.plant == unheard {
-		w.nodes[i].g.unknown = 0
+		w.nodes[i].grantor.unknownUntil = 0
 	}
 	w.poll(i)
 }
@@ -183,16 +183,16 @@
 func (w *world) restart(i int, mark uint64) {
 	w.life++
 	w.disk[i], w.begun[i], w.quorum[i] = mark, 0, 0
-	w.nodes[i] = NewNode(Config{Self: i, Life: w.life, Mark: mark, Terms: w.terms()}, w.at(i))
-	w.nodes[i].Parents(w.at(i), w.parents[i])
-	w.nodes[i].h.proved = w.plant == goneBack
+	w.nodes[i] = NewNode(Config{Node: i, Incarnation: w.life, HighWaterMark: mark, Terms: w.terms()}, w.at(i))
+	w.nodes[i].SetGrantors(w.at(i), w.parents[i])
+	w.nodes[i].holder.hasFreshLease = w.plant == goneBack
 	w.poll(i)
 }
 
 func (w *world) terms() Terms {
 	t := small
 	if w.plant == drifting {
-		t.Drift = 0
+		t.MaxClockDrift = 0
 	}
 	return t
 }
@@ -212,41 +212,41 @@
 			add(false, func(w *world) { w.doubles--; w.hear(f) })
 		}
 	}
-	if number, _, ok := w.reg.Due(); ok && w.tick >= 2 {
+	if number, _, ok := w.reg.NextActivation(); ok && w.tick >= 2 {
 		add(true, func(w *world) { w.do(Command{Prepare: &Prepare{Number: number}}) })
 	}
-	if w.reg.s.Prepared {
-		number := w.reg.s.Awaited[0]
-		if w.at(w.leader) >= w.nodes[w.leader].g.readyAt() || w.plant == early {
+	if w.reg.state.Prepared {
+		number := w.reg.state.Scheduled[0]
+		if w.at(w.leader) >= w.nodes[w.leader].grantor.commitAt() || w.plant == early {
 			add(true, func(w *world) {
 				w.commit = w.tick
-				w.do(Command{Commit: &Commit{Number: number, Step: w.reg.s.Step}})
+				w.do(Command{Commit: &Commit{Number: number, Revision: w.reg.state.Revision}})
 			})
 		}
 		if w.cancels > 0 {
 			add(false, func(w *world) {
 				w.cancels--
 				w.do(Command{Cancel: &Cancel{Number: number}})
-				w.do(Command{Activate: &Activate{Number: number, Kind: w.reg.s.Versions[number-1].Kind}})
+				w.do(Command{Activate: &Activate{Number: number, Kind: w.reg.state.Versions[number-1].Kind}})
 			})
 		}
 	}
 	for i, n := range w.nodes {
 		now := w.at(i)
-		if when, ok := n.Wake(now); ok && when <= now { // while it does not wake it stands still
+		if when, ok := n.NextWake(now); ok && when <= now { // while it does not wake it stands still
 			add(true, func(w *world) { w.poll(i) })
 		}
 		if w.begun[i] > w.quorum[i] && (w.leader == i || w.plant == deposed) {
 			add(true, func(w *world) { w.quorum[i] = w.begun[i] })
 		}
-		if n.g.leads && slices.ContainsFunc(n.g.pending, func(p pending) bool { return p.round != 0 && p.round <= w.quorum[i] }) {
+		if n.grantor.leads && slices.ContainsFunc(n.grantor.pending, func(p pendingRequest) bool { return p.round != 0 && p.round <= w.quorum[i] }) {
 			add(true, func(w *world) { w.nodes[i].Confirmed(w.at(i), w.quorum[i]); w.poll(i) })
 		}
 		if w.elects > 0 && i < 2 && i != w.leader { // the old one goes on as if it led
 			add(false, func(w *world) { w.elects--; w.elect(i) })
 		}
-		if n.g.leads && i != w.leader {
-			add(false, func(w *world) { w.nodes[i].Follow(); w.nodes[i].Parents(w.at(i), []int{w.leader}); w.poll(i) })
+		if n.grantor.leads && i != w.leader {
+			add(false, func(w *world) { w.nodes[i].Follow(); w.nodes[i].SetGrantors(w.at(i), []int{w.leader}); w.poll(i) })
 		}
 		if w.crashes > 0 && i != w.leader {
 			add(false, func(w *world) { w.crashes--; w.restart(i, w.disk[i]) })
@@ -277,7 +277,7 @@
 	}
 	switch {
 	case most <= least:
-	case w.reg.s.Versions[most-1].Kind == Exclusive:
+	case w.reg.state.Versions[most-1].Kind == Exclusive:
 		return fmt.Sprintf("%d and %d at once", least, most)
 	case w.tick > w.commit:
 		return fmt.Sprintf("%d and %d side by side for long", least, most)
--- a/internal/council/learn/fetch.go
+++ b/internal/council/learn/fetch.go
@@ -15,7 +15,7 @@
 const (
 	partBytes  = 1024 // of a text, in a message
 	partsAtOne = 8    // that are asked for at once
-	partsMost  = rules.TextMost / partBytes
+	partsMost  = rules.MaxTextBytes / partBytes
 	textsMost  = 4 // that are held
 
 	fetchAgain = 60 * time.Millisecond // until parts that have not come are asked for again
@@ -67,7 +67,7 @@
 
 // text is a rule set's that is here.
 type text struct {
-	name  rules.Name
+	name  rules.VersionID
 	raw   []byte
 	rules *rules.Compiled // nil is that this node can't act by it
 	why   error           // of that
@@ -75,7 +75,7 @@
 
 // fetching is a text on its way.
 type fetching struct {
-	name    rules.Name
+	name    rules.VersionID
 	parts   [][]byte // nil until the size is known
 	size    int
 	sources []int
@@ -108,7 +108,7 @@
 // text sees that the text which the leases ask for comes.
 func (l *Learner) text(context.Context) {
 	for {
-		name, ok := l.node.Want()
+		name, ok := l.node.MissingText()
 		if !ok {
 			l.fetch = nil
 			return
@@ -128,7 +128,7 @@
 }
 
 // take takes a text that is as its digest says.
-func (l *Learner) take(name rules.Name, raw []byte) {
+func (l *Learner) take(name rules.VersionID, raw []byte) {
 	t := text{name: name, raw: raw}
 	set, err := rules.Parse(raw)
 	if err == nil {
@@ -143,7 +143,7 @@
 		l.texts = slices.Delete(l.texts, 0, 1)
 	}
 	l.texts = append(l.texts, t)
-	l.node.Have(Clock(), name, err == nil)
+	l.node.TextFetched(Clock(), name, err == nil)
 	l.fetch = nil
 }
 
@@ -202,7 +202,7 @@
 		return
 	}
 	n := max(1, (p.Size+partBytes-1)/partBytes)
-	if p.Size < 0 || p.Size > rules.TextMost || p.At < 0 || p.At >= n || len(p.Bytes) != min(partBytes, p.Size-p.At*partBytes) {
+	if p.Size < 0 || p.Size > rules.MaxTextBytes || p.At < 0 || p.At >= n || len(p.Bytes) != min(partBytes, p.Size-p.At*partBytes) {
 		l.Counts.Spoilt.Add(1)
 		return
 	}
--- a/internal/council/learn/lead.go
+++ b/internal/council/learn/lead.go
@@ -13,7 +13,7 @@
 	if !l.leads || l.verifying {
 		return
 	}
-	round, ok := l.node.Begin()
+	round, ok := l.node.BeginConfirmation()
 	if !ok {
 		return
 	}
@@ -37,7 +37,7 @@
 		return
 	}
 	var c rules.Command
-	if commit, ok := l.node.Ready(Clock()); ok {
+	if commit, ok := l.node.CommitReady(Clock()); ok {
 		c.Commit = &commit
 	} else if number, at, ok := l.cfg.Registry.Due(); ok && int64(at) <= time.Now().UnixMilli() {
 		c.Prepare = &rules.Prepare{Number: number}
--- a/internal/council/learn/learn.go
+++ b/internal/council/learn/learn.go
@@ -109,7 +109,7 @@
 
 	acting  atomic.Pointer[Acting]
 	refusal atomic.Pointer[error] // of the version that the lease is on, or of the next; nil is none
-	word    atomic.Pointer[rules.Word]
+	word    atomic.Pointer[rules.VersionState]
 	sum     atomic.Pointer[State]
 }
 
@@ -133,10 +133,10 @@
 	var id [8]byte
 	rand.Read(id[:])
 	l := &Learner{cfg: cfg, life: binary.BigEndian.Uint64(id[:]) | 1, in: make(chan func(), inboxMost), ended: make(chan struct{})}
-	l.node = rules.NewNode(rules.Config{Self: cfg.Self, Life: l.life, Mark: mark, Terms: cfg.Terms}, Clock())
+	l.node = rules.NewNode(rules.Config{Node: cfg.Self, Incarnation: l.life, HighWaterMark: mark, Terms: cfg.Terms}, Clock())
 	l.states.of, l.heard, l.pause = make(map[int]heardState), Clock(), meetAfter
 	l.acting.Store(&Acting{Why: rules.NoLease})
-	l.word.Store(&rules.Word{})
+	l.word.Store(&rules.VersionState{})
 	l.sum.Store(&State{})
 	return l
 }
@@ -151,7 +151,7 @@
 }
 
 // Word is the newest that this node has heard of the registry.
-func (l *Learner) Word() rules.Word { return *l.word.Load() }
+func (l *Learner) Word() rules.VersionState { return *l.word.Load() }
 
 // Refusal is why this node can't act by the version in force, or the next; nil is that it can.
 func (l *Learner) Refusal() error {
@@ -211,7 +211,7 @@
 		}
 		return func() {
 			l.heard, l.pause = Clock(), meetAfter
-			l.node.Hear(l.heard, m)
+			l.node.Receive(l.heard, m)
 		}
 	case kindWant:
 		if q := decode[want](raw[1:]); q != nil && q.From >= 0 && q.From < l.cfg.Group {
@@ -238,7 +238,7 @@
 func (l *Learner) Changed() { l.tell(func() {}) }
 
 // Learn takes the registry's word after a command was applied here.
-func (l *Learner) Learn(w rules.Word) { l.tell(func() { l.node.Learn(Clock(), w) }) }
+func (l *Learner) Learn(w rules.VersionState) { l.tell(func() { l.node.Observe(Clock(), w) }) }
 
 // Lead takes that this voter leads, once all that was agreed before its term is applied, or no more.
 func (l *Learner) Lead(on bool) {
@@ -247,7 +247,7 @@
 			l.node.Follow()
 			return
 		}
-		l.node.Learn(Clock(), l.cfg.Registry.Word())
+		l.node.Observe(Clock(), l.cfg.Registry.Word())
 		l.node.Lead(Clock())
 	})
 }
@@ -275,7 +275,7 @@
 
 // look does what is due.
 func (l *Learner) look(ctx context.Context) {
-	l.node.Parents(Clock(), l.parents())
+	l.node.SetGrantors(Clock(), l.parents())
 	for _, o := range l.node.Flush(Clock()) {
 		if raw, err := o.Message.Encode(); err == nil {
 			l.send(o.To, kindRules, raw)
@@ -319,7 +319,7 @@
 
 // show puts out by what requests go.
 func (l *Learner) show() {
-	w := l.node.Word()
+	w := l.node.State()
 	l.word.Store(&w)
 	now, before := Clock(), l.acting.Load()
 	number, until, why := l.node.Acting(now)
@@ -334,7 +334,7 @@
 	l.acting.Store(a)
 	var refused *error
 	for i := range l.texts {
-		if t := &l.texts[i]; t.why != nil && (t.name == w.Now || t.name == w.Next) {
+		if t := &l.texts[i]; t.why != nil && (t.name == w.Active || t.name == w.Prepared) {
 			refused = &t.why
 		}
 	}
@@ -358,7 +358,7 @@
 	now := Clock()
 	at := now + stepMost
 	sooner := func(t time.Duration) { at = min(at, t) }
-	if t, ok := l.node.Wake(now); ok {
+	if t, ok := l.node.NextWake(now); ok {
 		sooner(t)
 	}
 	if a := l.acting.Load(); a.Number != 0 {
--- a/internal/council/learn/mark.go
+++ b/internal/council/learn/mark.go
@@ -57,7 +57,7 @@
 
 // keep has the disk keep the number that is to be acted by.
 func (l *Learner) keep(ctx context.Context) {
-	number, ok := l.node.Keep(Clock())
+	number, ok := l.node.PersistDue(Clock())
 	if !ok || l.keeping {
 		return
 	}
@@ -74,7 +74,7 @@
 		l.post(ctx, func() {
 			if l.keeping = false; err == nil {
 				l.Counts.Marks.Add(1)
-				l.node.Kept(number)
+				l.node.Persisted(number)
 			}
 		})
 	})
--- a/internal/council/learn/registry.go
+++ b/internal/council/learn/registry.go
@@ -11,14 +11,14 @@
 
 // Registry is the registry of versions as a state machine of the council's.
 type Registry struct {
-	changed func(rules.Word) // is told of another word, and does not wait
+	changed func(rules.VersionState) // is told of another word, and does not wait
 
 	mu  sync.Mutex
 	reg *rules.Registry
 }
 
 // NewRegistry makes an empty one. Changed is told of each word that differs from the one before.
-func NewRegistry(changed func(rules.Word)) *Registry {
+func NewRegistry(changed func(rules.VersionState)) *Registry {
 	return &Registry{changed: changed, reg: &rules.Registry{}}
 }
 
@@ -32,9 +32,9 @@
 func (r *Registry) Apply(_ uint64, command []byte) any {
 	r.mu.Lock()
 	res, err := r.reg.Apply(command)
-	w := r.reg.Word()
+	w := r.reg.State()
 	r.mu.Unlock()
-	if res.Word && r.changed != nil {
+	if res.StateChanged && r.changed != nil {
 		r.changed(w)
 	}
 	return Outcome{res, err}
@@ -58,26 +58,26 @@
 	}
 	r.mu.Lock()
 	r.reg = reg
-	w := reg.Word()
+	w := reg.State()
 	r.mu.Unlock()
-	if r.changed != nil && w.Step > 0 {
+	if r.changed != nil && w.Revision > 0 {
 		r.changed(w)
 	}
 	return nil
 }
 
 // Word is what goes round.
-func (r *Registry) Word() rules.Word {
+func (r *Registry) Word() rules.VersionState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.Word()
+	return r.reg.State()
 }
 
 // Due is the activation that comes next; see rules.Registry.
 func (r *Registry) Due() (number, at uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.Due()
+	return r.reg.NextActivation()
 }
 
 // Newest is the number that was given last.
@@ -88,10 +88,10 @@
 }
 
 // View gives the word, the number given last and all versions that are kept, as of one moment.
-func (r *Registry) View() (w rules.Word, newest uint64, versions []rules.Version) {
+func (r *Registry) View() (w rules.VersionState, newest uint64, versions []rules.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.Word(), r.reg.Newest(), r.reg.Versions()
+	return r.reg.State(), r.reg.Newest(), r.reg.Versions()
 }
 
 // text gives the text of a digest, where one of the versions has it.
--- a/internal/lab/scale/exchange/documents.go
+++ b/internal/lab/scale/exchange/documents.go
@@ -33,7 +33,7 @@
 func documents() scale.Sweep {
 	const name = "documents/"
 	costs := []scale.Cost{
-		{Name: name + "text", Unit: scale.Bytes, Budget: rules.TextMost, Exponent: 1},
+		{Name: name + "text", Unit: scale.Bytes, Budget: rules.MaxTextBytes, Exponent: 1},
 		// What of the text is within the limit: beyond it, growth ends here, and so does the product.
 		{Name: name + "rules-that-fit", Unit: scale.Count, Exponent: 1},
 		{Name: name + "compile-cpu", Unit: scale.Milliseconds, Exponent: 2, Timed: true},
@@ -67,7 +67,7 @@
 func measureDocument(ctx context.Context, size int, seed uint64) (d document, err error) {
 	text := ruleText(size, seed)
 	d.bytes, d.fit = float64(len(text)), float64(size)
-	if refused := (*rules.TooLargeError)(nil); len(text) > rules.TextMost {
+	if refused := (*rules.TooLargeError)(nil); len(text) > rules.MaxTextBytes {
 		if _, err := rules.Parse(text); !errors.As(err, &refused) {
 			return d, fmt.Errorf("a text of %d bytes is not refused: %w", len(text), err)
 		}
@@ -95,7 +95,7 @@
 
 // compile reads a text as rules.Parse does, but for the limit of its bytes, and compiles it.
 func compile(text []byte) (*rules.Compiled, error) {
-	if len(text) <= rules.TextMost {
+	if len(text) <= rules.MaxTextBytes {
 		s, err := rules.Parse(text)
 		if err != nil {
 			return nil, err
--- a/internal/lab/scale/exchange/learners.go
+++ b/internal/lab/scale/exchange/learners.go
@@ -101,7 +101,7 @@
 func newLearnerFleet(dir string, size int) *learnerFleet {
 	f := &learnerFleet{learners: make(map[int]*learn.Learner), sent: make(map[int]*learnerCounts), acting: make(chan struct{}, 1)}
 	// The leader is the only voter: others, which take no part here, would be asked in vain.
-	cfg := learn.Config{Group: size, Voters: []string{memberName(0)}, Terms: rules.Usual, Disk: disk.Local{}, Settings: ruleSettings()}
+	cfg := learn.Config{Group: size, Voters: []string{memberName(0)}, Terms: rules.DefaultTerms, Disk: disk.Local{}, Settings: ruleSettings()}
 	cfg.Settings.Zones = nil
 	for z := range memberZones {
 		cfg.Settings.Zones = append(cfg.Settings.Zones, memberZone(z))
@@ -109,7 +109,7 @@
 	for i := range size {
 		f.members = append(f.members, learn.Member{Index: i, Name: memberName(i), Zone: memberZone(i)})
 	}
-	f.registry = learn.NewRegistry(func(w rules.Word) { f.learners[0].Learn(w) })
+	f.registry = learn.NewRegistry(func(w rules.VersionState) { f.learners[0].Learn(w) })
 	group := int(math.Ceil(math.Sqrt(float64(size)))) * memberZones
 	for i := range size {
 		if i == 0 || size <= learnersSmall || i%memberZones == learnersZone && i < group {
--- a/internal/lab/scale/outage/changeburst.go
+++ b/internal/lab/scale/outage/changeburst.go
@@ -118,8 +118,8 @@
 
 // endEarly ends the simulation once the newest version is in force at all nodes and nothing is awaited.
 func (b *burstRun) endEarly() {
-	waits := b.registry.Word().Next.Number != 0
-	if _, _, due := b.registry.Due(); waits || due || b.newest < b.last && b.coalesce || b.trailing() {
+	waits := b.registry.State().Prepared.Number != 0
+	if _, _, due := b.registry.NextActivation(); waits || due || b.newest < b.last && b.coalesce || b.trailing() {
 		b.after(time.Second, b.endEarly)
 		return
 	}
--- a/internal/lab/scale/outage/outage_test.go
+++ b/internal/lab/scale/outage/outage_test.go
@@ -99,7 +99,7 @@
 	limit := bound(t, relayLoss(), "relay-in-force-max")
 	assert.LessOrEqual(t, run(nil), limit)
 	assert.Greater(t, run(func(_, to int, m *rules.Message) bool {
-		news := m.Tell != nil && m.Tell.Now.Number > 1 || m.Grant != nil && m.Grant.Word != nil && m.Grant.Word.Now.Number > 1
+		news := m.State != nil && m.State.Active.Number > 1 || m.Grant != nil && m.Grant.State != nil && m.Grant.State.Active.Number > 1
 		return to == victim && news
 	}), limit)
 }
@@ -113,7 +113,7 @@
 	assert.Zero(t, s.wrong.staleRequests())
 	n := &s.nodes[60]
 	n.acting, n.changed = r.of[0], s.Now
-	s.Now += 2 * rules.Usual.Overlap
+	s.Now += 2 * rules.DefaultTerms.OverlapTime
 	s.acts(60, r.of[1])
 	assert.Greater(t, s.wrong.staleRequests(), none)
 }
--- a/internal/lab/scale/outage/rulefleet.go
+++ b/internal/lab/scale/outage/rulefleet.go
@@ -67,7 +67,7 @@
 	rate     float64
 	armed    time.Duration // its next wake; 0 is none
 	keeping  uint64        // mark on its way to the disk
-	fetching rules.Name
+	fetching rules.VersionID
 	text     uint64 // fetched last
 	parents  []int
 	dead     bool
@@ -81,12 +81,12 @@
 func newRuleFleet(ctx context.Context, f fleetSize, l links, end time.Duration, seed uint64) *ruleFleet {
 	s := &ruleFleet{size: f, links: l, rng: rand.New(rand.NewPCG(seed, 6)), end: end, nodes: make([]ruleNode, f.nodes),
 		leader: -1, versions: map[uint64]*version{}, relays: map[int]bool{}, waiting: map[int][]*textWait{}, meter: newMeter(f.nodes),
-		textSize: rules.TextMost, cancel: ctx}
+		textSize: rules.MaxTextBytes, cancel: ctx}
 	for i := range s.nodes {
 		n := &s.nodes[i]
 		n.skew = time.Duration(s.rng.Int64N(int64(time.Hour)))
-		n.rate = 1 + rules.Usual.Drift/2*(2*s.rng.Float64()-1)
-		n.Node = rules.NewNode(rules.Config{Self: i, Life: uint64(i) + 1, Terms: rules.Usual}, s.clock(i))
+		n.rate = 1 + rules.DefaultTerms.MaxClockDrift/2*(2*s.rng.Float64()-1)
+		n.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i) + 1, Terms: rules.DefaultTerms}, s.clock(i))
 	}
 	s.elect(0)
 	return s
@@ -132,7 +132,7 @@
 func (s *ruleFleet) elect(i int) {
 	s.leader, s.busy = i, false
 	s.term++
-	s.nodes[i].Learn(s.clock(i), s.registry.Word())
+	s.nodes[i].Observe(s.clock(i), s.registry.State())
 	s.nodes[i].Lead(s.clock(i))
 	live := s.members(i)
 	s.relays = map[int]bool{}
@@ -165,13 +165,13 @@
 	for v := range min(voters, s.size.nodes) {
 		among = append(among, v)
 	}
-	parents := rules.Parents(i, s.leader, among, live)
+	parents := rules.ChooseGrantors(i, s.leader, among, live)
 	if i >= voters && len(parents) == 1 { // it asks the leader only
 		s.relays[i] = true
 	}
 	parents = slices.DeleteFunc(parents, func(p int) bool { return !contains(live, p) })
 	n.parents = parents
-	n.Parents(s.clock(i), parents)
+	n.SetGrantors(s.clock(i), parents)
 	s.step(i)
 }
 
@@ -208,14 +208,14 @@
 	if i == s.leader {
 		s.lead(i)
 	}
-	if name, ok := n.Want(); ok && name != n.fetching {
+	if name, ok := n.MissingText(); ok && name != n.fetching {
 		n.fetching = name
 		s.fetch(i, name, 0)
 	}
-	if number, ok := n.Keep(now); ok && number > n.keeping {
+	if number, ok := n.PersistDue(now); ok && number > n.keeping {
 		n.keeping = number
 		s.after(s.write(), func() {
-			n.Kept(number)
+			n.Persisted(number)
 			s.step(i)
 		})
 	}
@@ -226,7 +226,7 @@
 // arm has the event loop turn when something is due.
 func (s *ruleFleet) arm(i int) {
 	n, now := &s.nodes[i], s.clock(i)
-	when, ok := n.Wake(now)
+	when, ok := n.NextWake(now)
 	if !ok {
 		return
 	}
--- a/internal/lab/scale/outage/ruleobserve.go
+++ b/internal/lab/scale/outage/ruleobserve.go
@@ -69,7 +69,7 @@
 	if v == nil || v.passed == 0 {
 		return
 	}
-	if limit := max(n.changed, v.passed+rules.Usual.Overlap+time.Millisecond); s.Now > limit {
+	if limit := max(n.changed, v.passed+rules.DefaultTerms.OverlapTime+time.Millisecond); s.Now > limit {
 		s.wrong.staleTime += s.Now - limit
 	}
 }
--- a/internal/lab/scale/outage/rulepublish.go
+++ b/internal/lab/scale/outage/rulepublish.go
@@ -57,9 +57,9 @@
 			return
 		}
 		result, err := s.registry.Do(c)
-		if result.Word {
+		if result.StateChanged {
 			s.activated()
-			s.nodes[s.leader].Learn(s.clock(s.leader), s.registry.Word())
+			s.nodes[s.leader].Observe(s.clock(s.leader), s.registry.State())
 		}
 		then(result, err)
 		s.step(s.leader)
@@ -68,7 +68,7 @@
 
 // activated notes when a version became the active one.
 func (s *ruleFleet) activated() {
-	number := s.registry.Word().Now.Number
+	number := s.registry.State().Active.Number
 	if number == s.newest {
 		return
 	}
@@ -82,7 +82,7 @@
 // lead does a leader's own steps, as internal/council/learn does.
 func (s *ruleFleet) lead(i int) {
 	n, term := &s.nodes[i], s.term
-	if round, ok := n.Begin(); ok {
+	if round, ok := n.BeginConfirmation(); ok {
 		if took, ok := s.round(false); ok {
 			s.after(took, func() {
 				if s.term == term && s.leader == i {
@@ -96,9 +96,9 @@
 		return
 	}
 	var c rules.Command
-	if commit, ok := n.Ready(s.clock(i)); ok {
+	if commit, ok := n.CommitReady(s.clock(i)); ok {
 		c.Commit = &commit
-	} else if number, _, ok := s.registry.Due(); ok {
+	} else if number, _, ok := s.registry.NextActivation(); ok {
 		c.Prepare = &rules.Prepare{Number: number}
 	} else {
 		return
--- a/internal/lab/scale/outage/rulewire.go
+++ b/internal/lab/scale/outage/rulewire.go
@@ -23,7 +23,7 @@
 	sourceTries   = 6                     // at one source
 )
 
-func (s *ruleFleet) encode(outs []rules.Out) [][]byte {
+func (s *ruleFleet) encode(outs []rules.Outgoing) [][]byte {
 	raws := make([][]byte, len(outs))
 	for k, o := range outs {
 		raw, err := o.Message.Encode()
@@ -36,7 +36,7 @@
 }
 
 // send carries a message over the link, unless it is lost.
-func (s *ruleFleet) send(from int, o rules.Out, raw []byte) {
+func (s *ruleFleet) send(from int, o rules.Outgoing, raw []byte) {
 	bytes := float64(packetHeader + len(raw))
 	if g := o.Message.Grant; g != nil && g.Full {
 		s.full++
@@ -60,13 +60,13 @@
 		s.err = err
 		return
 	}
-	n.Hear(s.clock(to), m)
+	n.Receive(s.clock(to), m)
 	s.meter.spent(s.Now, s.roleOf(to), time.Since(began))
 	s.step(to)
 }
 
 // fetch has a node ask for a text where it asks for leases, then at others, until it is there.
-func (s *ruleFleet) fetch(i int, name rules.Name, tries int) {
+func (s *ruleFleet) fetch(i int, name rules.VersionID, tries int) {
 	n := &s.nodes[i]
 	if n.dead || n.fetching != name {
 		return
@@ -89,7 +89,7 @@
 }
 
 // serve answers a request for a text with its parts, or with none where the text is not here.
-func (s *ruleFleet) serve(from, to int, name rules.Name, tries int) {
+func (s *ruleFleet) serve(from, to int, name rules.VersionID, tries int) {
 	s.meter.message(s.Now, from, requestBytes)
 	if s.nodes[from].text < name.Number {
 		w := &textWait{to: to, name: name, tries: tries}
@@ -122,7 +122,7 @@
 // requests and their answers cost is counted for pollBatch at a time.
 type textWait struct {
 	to    int
-	name  rules.Name
+	name  rules.VersionID
 	tries int
 	done  bool
 }
@@ -167,10 +167,10 @@
 	})
 }
 
-func (s *ruleFleet) have(i int, name rules.Name) {
+func (s *ruleFleet) have(i int, name rules.VersionID) {
 	n := &s.nodes[i]
 	n.text = max(n.text, name.Number)
 	s.textCame(i)
-	n.Have(s.clock(i), name, true)
+	n.TextFetched(s.clock(i), name, true)
 	s.step(i)
 }
--- a/internal/lab/virtual/rules.go
+++ b/internal/lab/virtual/rules.go
@@ -49,7 +49,7 @@
 	rng     *rand.Rand
 	sent    float64 // messages
 	bytes   float64
-	kind    rules.Kind
+	kind    rules.ActivationKind
 	nodes   []router
 	peers   []rules.Peer
 	agreed  rules.Registry
@@ -71,7 +71,7 @@
 	rate     float64
 	armed    time.Duration // its next wake; 0 is none
 	keeping  uint64        // mark that is on its way to the disk
-	fetching rules.Name
+	fetching rules.VersionID
 	has      uint64 // text fetched last
 	acting   uint64
 	looks    bool // when its lease ends
@@ -83,7 +83,7 @@
 }
 
 // RunRules plays activations of a kind over a day's fleet.
-func RunRules(d *scenario.Day, kind rules.Kind, loss float64) judge.Figures {
+func RunRules(d *scenario.Day, kind rules.ActivationKind, loss float64) judge.Figures {
 	p := &rulesPlay{d: d, loss: loss, rng: rand.New(rand.NewPCG(d.Seed, 6)), kind: kind, nodes: make([]router, len(d.Nodes)),
 		leader: -1, cut: -1, by: map[uint64]int{}}
 	for i := range p.nodes {
@@ -92,8 +92,8 @@
 	for i := range p.nodes {
 		r := &p.nodes[i]
 		r.skew = time.Duration(p.rng.Int64N(int64(time.Hour)))
-		r.rate = 1 + rules.Usual.Drift/2*(2*p.rng.Float64()-1)
-		r.Node = rules.NewNode(rules.Config{Self: i, Life: uint64(i) + 1, Terms: rules.Usual}, p.at(i))
+		r.rate = 1 + rules.DefaultTerms.MaxClockDrift/2*(2*p.rng.Float64()-1)
+		r.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i) + 1, Terms: rules.DefaultTerms}, p.at(i))
 	}
 	p.elect(0)
 	figures := p.course()
@@ -223,10 +223,10 @@
 		}
 		if res, err := p.agreed.Do(c); err != nil {
 			panic(fmt.Sprint("a command of the play's own: ", err))
-		} else if res.Word && c.Commit != nil {
+		} else if res.StateChanged && c.Commit != nil {
 			p.active = p.Now
 		}
-		p.nodes[p.leader].Learn(p.at(p.leader), p.agreed.Word())
+		p.nodes[p.leader].Observe(p.at(p.leader), p.agreed.State())
 		p.turn(p.leader)
 		then()
 	})
@@ -248,7 +248,7 @@
 
 func (p *rulesPlay) elect(i int) {
 	p.leader, p.term = i, p.term+1
-	p.nodes[i].Learn(p.at(i), p.agreed.Word())
+	p.nodes[i].Observe(p.at(i), p.agreed.State())
 	p.nodes[i].Lead(p.at(i))
 	p.turn(i)
 	var v []int
@@ -257,7 +257,7 @@
 	}
 	for j := range p.nodes {
 		p.after(p.part(newsTake), func() {
-			p.nodes[j].Parents(p.at(j), rules.Parents(j, i, v, p.peers))
+			p.nodes[j].SetGrantors(p.at(j), rules.ChooseGrantors(j, i, v, p.peers))
 			p.turn(j)
 		})
 	}
@@ -271,7 +271,7 @@
 	}
 	if i == p.leader {
 		term := p.term
-		if round, ok := r.Begin(); ok {
+		if round, ok := r.BeginConfirmation(); ok {
 			p.after(p.round(false), func() {
 				if p.term == term && p.leader == i {
 					r.Confirmed(p.at(i), round)
@@ -279,23 +279,23 @@
 				}
 			})
 		}
-		if c, ok := r.Ready(now); ok {
+		if c, ok := r.CommitReady(now); ok {
 			p.do(rules.Command{Commit: &c}, func() {})
 		}
 	}
-	if name, ok := r.Want(); ok && name != r.fetching {
+	if name, ok := r.MissingText(); ok && name != r.fetching {
 		r.fetching = name
 		p.fetch(i, name, 0)
 	}
-	if number, ok := r.Keep(now); ok && number > r.keeping {
+	if number, ok := r.PersistDue(now); ok && number > r.keeping {
 		r.keeping = number
 		p.after(p.write(), func() {
-			r.Kept(number)
+			r.Persisted(number)
 			p.turn(i)
 		})
 	}
 	p.look(i)
-	if when, ok := r.Wake(now); ok {
+	if when, ok := r.NextWake(now); ok {
 		due := p.Now + max(0, time.Duration(float64(when-now)/r.rate)) + time.Microsecond
 		if r.armed > p.Now && r.armed <= due {
 			return
@@ -311,8 +311,8 @@
 }
 
 // fetch has a node ask for a text where it asks for leases, one after the other, until it is there.
-func (p *rulesPlay) fetch(i int, name rules.Name, tries int) {
-	from := rules.Parents(i, max(p.leader, 0), nil, p.peers)
+func (p *rulesPlay) fetch(i int, name rules.VersionID, tries int) {
+	from := rules.ChooseGrantors(i, max(p.leader, 0), nil, p.peers)
 	of := from[tries%len(from)]
 	p.after(p.wire(i, of)+p.wire(of, i)+textTake, func() {
 		if i != p.leader && (of != p.leader && p.nodes[of].has < name.Number || of == p.cut || i == p.cut) {
@@ -320,12 +320,12 @@
 			return
 		}
 		p.nodes[i].has = max(p.nodes[i].has, name.Number)
-		p.nodes[i].Have(p.at(i), name, true)
+		p.nodes[i].TextFetched(p.at(i), name, true)
 		p.turn(i)
 	})
 }
 
-func (p *rulesPlay) carry(from int, o rules.Out) {
+func (p *rulesPlay) carry(from int, o rules.Outgoing) {
 	raw, err := o.Message.Encode()
 	if err != nil {
 		panic(err) // the message is the node's own
@@ -341,7 +341,7 @@
 		if err != nil {
 			panic(err)
 		}
-		p.nodes[o.To].Hear(p.at(o.To), m)
+		p.nodes[o.To].Receive(p.at(o.To), m)
 		p.turn(o.To)
 	})
 }
@@ -375,7 +375,7 @@
 		r.inForce = min(r.inForce, p.Now)
 	}
 	for other, n := range p.by {
-		if n > 0 && other != 0 && other != number && (p.kind == rules.Exclusive || p.Now > p.active+rules.Usual.Overlap+time.Millisecond) {
+		if n > 0 && other != 0 && other != number && (p.kind == rules.Exclusive || p.Now > p.active+rules.DefaultTerms.OverlapTime+time.Millisecond) {
 			p.wrong++
 		}
 	}
--- a/internal/lab/virtual/rules_test.go
+++ b/internal/lab/virtual/rules_test.go
@@ -13,7 +13,7 @@
 func TestRulesComeIntoForce(t *testing.T) {
 	for seed := range uint64(3) {
 		d := day(t, 21+seed)
-		for _, kind := range []rules.Kind{rules.Overlap, rules.Exclusive} {
+		for _, kind := range []rules.ActivationKind{rules.Overlap, rules.Exclusive} {
 			for _, loss := range []float64{0, 0.01} {
 				f := RunRules(d, kind, loss)
 				assert.Zero(t, f.Get("wrong"), "%v, seed %d", kind, d.Seed)
--- a/internal/node/council.go
+++ b/internal/node/council.go
@@ -49,7 +49,7 @@
 	c := &council{cfg: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
 	lc := learn.Config{Self: cfg.Settings.NodeIndex, Group: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
-		Settings: c.settings, Terms: rules.Usual, Dir: f.Dir, Disk: fs, Send: c.send, Meet: c.meet, Act: c.act}
+		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Meet: c.meet, Act: c.act}
 	var voters []agreement.Peer
 	for _, v := range f.Voters {
 		lc.Voters = append(lc.Voters, v.Name)
@@ -57,7 +57,7 @@
 	}
 	if i := slices.Index(lc.Voters, cfg.Name); i >= 0 {
 		c.self = voters[i]
-		c.registry = learn.NewRegistry(func(w rules.Word) { c.learner.Learn(w) })
+		c.registry = learn.NewRegistry(func(w rules.VersionState) { c.learner.Learn(w) })
 		var err error
 		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Self: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
 			Via: cfg.Fleet.Peers.Via, Machines: map[byte]agreement.Machine{learn.Machine: c.registry},
@@ -82,7 +82,7 @@
 // fleet file's regions, and the node's own.
 func ruleSettings(cfg Config) rules.Settings {
 	s := &cfg.Settings
-	out := rules.Settings{Zones: []string{s.Zone}, Attempts: s.MaxAttempts, InFlight: s.MaxInFlight}
+	out := rules.Settings{Zones: []string{s.Zone}, MaxAttempts: s.MaxAttempts, MaxInFlight: s.MaxInFlight}
 	for _, zones := range cfg.Fleet.Regions {
 		out.Zones = append(out.Zones, zones...)
 	}
@@ -167,8 +167,8 @@
 		c.ruled = a.Number
 		e := control.Rules{Version: a.Number}
 		if r := a.Rules; r != nil {
-			e.PriceFactor, e.QuotaFactor, e.TenantQuotaFactor, e.MaxAttempts = r.Price, r.Quota, r.Customers, r.Attempts
-			e.MaxInFlight, e.ClosedZones, e.CrossZoneCost = r.InFlight, r.Closed, r.Cost
+			e.PriceFactor, e.QuotaFactor, e.TenantQuotaFactor, e.MaxAttempts = r.PriceFactor, r.QuotaFactor, r.TenantQuotaFactor, r.MaxAttempts
+			e.MaxInFlight, e.ClosedZones, e.CrossZoneCost = r.MaxInFlight, r.ClosedZones, r.CrossZoneCost
 		}
 		c.loop.handle(e)
 	}
@@ -199,7 +199,7 @@
 			func() float64 { return float64(of.Load()) }))
 	}
 	gauge("node_rules_version", "Version that requests go by; 0 is the settings alone.", func() float64 { return float64(c.learner.Acting().Number) })
-	gauge("node_rules_known_version", "Version in force, as this node has heard.", func() float64 { return float64(c.learner.Word().Now.Number) })
+	gauge("node_rules_known_version", "Version in force, as this node has heard.", func() float64 { return float64(c.learner.Word().Active.Number) })
 	gauge("node_rules_lease_seconds", "What is left of the lease on it; 0 is none.", func() float64 {
 		if a := c.learner.Acting(); a.Number != 0 {
 			return (a.Until - learn.Clock()).Seconds()
--- a/internal/node/councilcalls.go
+++ b/internal/node/councilcalls.go
@@ -65,7 +65,7 @@
 			o.Parent = int64(n)
 		}
 		var err error
-		if o.Text, err = io.ReadAll(io.LimitReader(r.Body, rules.TextMost+1)); err != nil {
+		if o.Text, err = io.ReadAll(io.LimitReader(r.Body, rules.MaxTextBytes+1)); err != nil {
 			return &CouncilCallError{"publish", "body", err.Error(), "the rule set's text"}
 		}
 		set, err := rules.Parse(o.Text)
@@ -117,7 +117,7 @@
 }
 
 func kind(r *http.Request, call string, o *order) error {
-	for _, k := range []rules.Kind{rules.Overlap, rules.Exclusive} {
+	for _, k := range []rules.ActivationKind{rules.Overlap, rules.Exclusive} {
 		if r.FormValue("kind") == k.String() {
 			o.Kind = uint8(k)
 			return nil
@@ -292,13 +292,13 @@
 		if err != nil {
 			return cmd, err
 		}
-		cmd.Publish = &rules.Publish{Parent: newest(), By: o.By, Text: o.Text}
+		cmd.Publish = &rules.Publish{Parent: newest(), Author: o.By, Text: o.Text}
 	case "activate":
-		cmd.Activate = &rules.Activate{Number: o.Number, Kind: rules.Kind(o.Kind), At: o.At, By: o.By}
+		cmd.Activate = &rules.Activate{Number: o.Number, Kind: rules.ActivationKind(o.Kind), At: o.At, Author: o.By}
 	case "back":
-		cmd.Back = &rules.Back{Parent: newest(), Of: o.Number, Kind: rules.Kind(o.Kind), By: o.By}
+		cmd.Rollback = &rules.Rollback{Parent: newest(), Target: o.Number, Kind: rules.ActivationKind(o.Kind), Author: o.By}
 	case "cancel":
-		cmd.Cancel = &rules.Cancel{Number: o.Number, By: o.By}
+		cmd.Cancel = &rules.Cancel{Number: o.Number, Author: o.By}
 	default:
 		return cmd, &CouncilCallError{o.Op, "call", o.Op, "publish, activate, back, cancel or status"}
 	}
--- a/internal/node/councilstatus.go
+++ b/internal/node/councilstatus.go
@@ -78,17 +78,17 @@
 func (c *council) agreed() agreedShown {
 	s := c.voter.Status()
 	w, newest, all := c.registry.View()
-	out := agreedShown{Leader: c.name, Term: s.Term, Step: w.Step, Newest: newest, Active: w.Now.Number, Next: w.Next.Number, Voters: s.Voters}
-	if w.Next.Number != 0 {
+	out := agreedShown{Leader: c.name, Term: s.Term, Step: w.Revision, Newest: newest, Active: w.Active.Number, Next: w.Prepared.Number, Voters: s.Voters}
+	if w.Prepared.Number != 0 {
 		out.NextKind = w.Kind.String()
 	}
 	for _, v := range all[max(0, len(all)-versionsShown):] {
-		x := versionShown{Number: v.Number, Digest: v.Digest.String(), Parent: v.Parent, Of: v.Of, By: v.By, ByLast: v.ByLast, Fate: v.Fate.String(), Bytes: len(v.Text)}
+		x := versionShown{Number: v.Number, Digest: v.Digest.String(), Parent: v.Parent, Of: v.RestoredFrom, By: v.Author, ByLast: v.LastAuthor, Fate: v.Status.String(), Bytes: len(v.Text)}
 		if v.Kind != 0 {
 			x.Kind = v.Kind.String()
 		}
-		if v.At != 0 {
-			x.At = time.UnixMilli(int64(v.At)).UTC().Format(time.RFC3339)
+		if v.ActivateAt != 0 {
+			x.At = time.UnixMilli(int64(v.ActivateAt)).UTC().Format(time.RFC3339)
 		}
 		out.Versions = append(out.Versions, x)
 	}
@@ -110,7 +110,7 @@
 // status is what this node and the leader know.
 func (c *council) status(ctx context.Context) []byte {
 	a := c.learner.Acting()
-	out := hereShown{Node: c.name, Version: a.Number, Known: c.learner.Word().Now.Number}
+	out := hereShown{Node: c.name, Version: a.Number, Known: c.learner.Word().Active.Number}
 	if a.Number != 0 {
 		out.LeaseMS = (a.Until - learn.Clock()).Milliseconds()
 	} else {
