--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sloestile/control"
-	"sloestile/internal/wire"
+	"sloestile/internal/simwire"
 )
 
 func main() {
@@ -22,7 +22,7 @@
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
+	dec := simwire.NewDecoder(in)
 	w := bufio.NewWriterSize(out, 1<<16)
 	hosted := make(map[int]*control.Controller)
 	var buf []byte
@@ -38,7 +38,7 @@
 		for _, in := range batch.Inputs {
 			buf = step(buf, hosted, batch.Now, in)
 		}
-		if _, err := w.Write(wire.AppendEnd(buf)); err != nil {
+		if _, err := w.Write(simwire.AppendEnd(buf)); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 		if err := w.Flush(); err != nil {
@@ -49,11 +49,11 @@
 
 // step hands one input to its instance and appends what the instance wants.
 // A panic of the module becomes a bail_out of that instance.
-func step(buf []byte, hosted map[int]*control.Controller, now time.Duration, in wire.Input) (res []byte) {
+func step(buf []byte, hosted map[int]*control.Controller, now time.Duration, in simwire.Input) (res []byte) {
 	res = buf
 	defer func() {
 		if p := recover(); p != nil {
-			res = wire.AppendBailOut(buf, in.Who, fmt.Sprint("panic: ", p))
+			res = simwire.AppendBailOut(buf, in.Who, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch {
@@ -61,7 +61,7 @@
 		delete(hosted, in.Who)
 		c, err := control.New(in.Open.Settings, in.Open.Seed)
 		if err != nil {
-			return wire.AppendBailOut(res, in.Who, err.Error())
+			return simwire.AppendBailOut(res, in.Who, err.Error())
 		}
 		hosted[in.Who] = c
 	case in.PowerOff:
@@ -72,7 +72,7 @@
 			return res
 		}
 		for _, a := range c.Handle(now, in.Event) {
-			res = wire.AppendAction(res, in.Who, a)
+			res = simwire.AppendAction(res, in.Who, a)
 		}
 	}
 	return res
--- a/fleet/turns/hard_test.go
+++ b/fleet/maintenance/hard_test.go
@@ -1,4 +1,4 @@
-package turns
+package maintenance
 
 import (
 	"testing"
--- a/fleet/turns/plan.go
+++ b/fleet/maintenance/plan.go
@@ -2,7 +2,7 @@
 // a work plan, and the state machine that gives turns by it. The machine lives in a replicated log:
 // commands go in, the same at each replica, and states come out. It has no clock, no socket and no
 // goroutine, and reckons in whole numbers, so that all replicas come to the same.
-package turns
+package maintenance
 
 import (
 	"bytes"
--- a/fleet/provision/demand.go
+++ b/fleet/prefetch/demand.go
@@ -1,4 +1,4 @@
-package provision
+package prefetch
 
 import (
 	"math"
--- a/fleet/provision/doc.go
+++ b/fleet/prefetch/doc.go
@@ -10,4 +10,4 @@
 // It has no clock, no socket and no goroutine. A time.Duration named now is on the caller's own
 // monotonic clock; one named at is fleet time, which is Unix time as the council's clock has it, and
 // a Clock turns one into the other.
-package provision
+package prefetch
--- a/fleet/watch/watch_test.go
+++ b/fleet/straggler/watch_test.go
@@ -1,4 +1,4 @@
-package watch
+package straggler
 
 import (
 	"testing"
--- a/internal/council/admit.go
+++ b/internal/consensus/admit.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
-	"sloestile/internal/council/link"
+	"sloestile/internal/consensus/transport"
 )
 
 // enter has a fresh voter taken in, or the council founded.
@@ -72,7 +72,7 @@
 			}
 			x = raft.ServerID(a.Identity)
 		}
-		c.Servers = append(c.Servers, raft.Server{Suffrage: raft.Voter, ID: x, Address: link.Address(string(x), p.Address)})
+		c.Servers = append(c.Servers, raft.Server{Suffrage: raft.Voter, ID: x, Address: transport.Address(string(x), p.Address)})
 	}
 	return c, true
 }
@@ -104,7 +104,7 @@
 			old = append(old, s.ID)
 		}
 	}
-	at := link.Address(string(id), p.Address)
+	at := transport.Address(string(id), p.Address)
 	if !named(c.Servers, id) {
 		slog.Info("council: a voter begins anew", "identity", id)
 		return stepped(r.AddNonvoter(id, at, 0, stepMost).Error(), "it hears the log")
--- a/internal/council/council.go
+++ b/internal/consensus/council.go
@@ -1,7 +1,7 @@
 // Package council is what the voters of a fleet decide together: one log that a majority of them has
 // on its disks, and state machines that all of them lead through it. A voter whose disk has lost or
 // spoilt what it agreed to takes no part until it was admitted anew; see join.go.
-package council
+package consensus
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"sloestile/internal/council/link"
-	"sloestile/internal/council/raftlog"
+	"sloestile/internal/consensus/raftlog"
+	"sloestile/internal/consensus/transport"
 	"sloestile/internal/store/disk"
 )
 
@@ -96,7 +96,7 @@
 	ready atomic.Uint64 // term that it leads in with all before it applied; 0 is none
 
 	mu       sync.Mutex
-	link     *link.Link
+	link     *transport.Link
 	phase    string
 	log      *raftlog.Log // nil between two lives
 	raft     *raft.Raft   // nil until it takes part
@@ -217,7 +217,7 @@
 	if v.link != nil {
 		return nil
 	}
-	l, err := link.Open(link.Config{Label: v.cfg.Label, Self: v.cfg.Self, Bind: v.peers[v.cfg.Self].Address, Via: v.cfg.Via, Answer: v.answer})
+	l, err := transport.Open(transport.Config{Label: v.cfg.Label, Self: v.cfg.Self, Bind: v.peers[v.cfg.Self].Address, Via: v.cfg.Via, Answer: v.answer})
 	if err == nil {
 		v.link = l
 	}
@@ -230,7 +230,7 @@
 	logger := raftlog.Logger("council: ")
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: layer, MaxPool: streamPool,
 		MaxRPCsInFlight: 1, Timeout: rpcWithin, Logger: logger})
-	trans := newTransport(network, v.seen, log, bar)
+	trans := newGuardedTransport(network, v.seen, log, bar)
 	defer trans.Close()
 	defer layer.Close()
 	c := raft.DefaultConfig()
--- a/internal/council/transport.go
+++ b/internal/consensus/guard.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"sloestile/internal/council/raftlog"
+	"sloestile/internal/consensus/raftlog"
 )
 
 // mark is a place in the log; a later term's is further, whatever the index.
@@ -69,10 +69,10 @@
 	}
 }
 
-// transport notes what the others acknowledge, and keeps a voter from electing, or standing itself,
+// guardedTransport notes what the others acknowledge, and keeps a voter from electing, or standing itself,
 // that has less than its bar: what the others had when it began, as its disk may have forgotten that
 // it had agreed to that.
-type transport struct {
+type guardedTransport struct {
 	*raft.NetworkTransport
 	seen *witness
 	log  *raftlog.Log
@@ -84,14 +84,14 @@
 }
 
 var (
-	_ raft.Transport   = (*transport)(nil)
-	_ raft.WithPreVote = (*transport)(nil)
+	_ raft.Transport   = (*guardedTransport)(nil)
+	_ raft.WithPreVote = (*guardedTransport)(nil)
 )
 
 var errBarred = errors.New("this voter has less than others had when it began")
 
-func newTransport(n *raft.NetworkTransport, seen *witness, log *raftlog.Log, bar mark) *transport {
-	t := &transport{NetworkTransport: n, seen: seen, log: log, bar: bar, over: make(chan struct{})}
+func newGuardedTransport(n *raft.NetworkTransport, seen *witness, log *raftlog.Log, bar mark) *guardedTransport {
+	t := &guardedTransport{NetworkTransport: n, seen: seen, log: log, bar: bar, over: make(chan struct{})}
 	if bar != (mark{}) {
 		t.in = make(chan raft.RPC)
 		t.done.Go(t.filter)
@@ -100,7 +100,7 @@
 }
 
 // Close ends it; the library does so too.
-func (t *transport) Close() error {
+func (t *guardedTransport) Close() error {
 	t.once.Do(func() { close(t.over) })
 	err := t.NetworkTransport.Close()
 	t.done.Wait()
@@ -108,7 +108,7 @@
 }
 
 // Consumer gives what comes.
-func (t *transport) Consumer() <-chan raft.RPC {
+func (t *guardedTransport) Consumer() <-chan raft.RPC {
 	if t.in != nil {
 		return t.in
 	}
@@ -116,7 +116,7 @@
 }
 
 // barred tells whether this voter has less than its bar.
-func (t *transport) barred() bool {
+func (t *guardedTransport) barred() bool {
 	if t.in == nil {
 		return false
 	}
@@ -125,7 +125,7 @@
 }
 
 // filter refuses votes to candidates below the bar.
-func (t *transport) filter() {
+func (t *guardedTransport) filter() {
 	for {
 		var rpc raft.RPC
 		select {
@@ -155,7 +155,7 @@
 }
 
 // AppendEntries sends records or a heartbeat.
-func (t *transport) AppendEntries(id raft.ServerID, to raft.ServerAddress, q *raft.AppendEntriesRequest, a *raft.AppendEntriesResponse) error {
+func (t *guardedTransport) AppendEntries(id raft.ServerID, to raft.ServerAddress, q *raft.AppendEntriesRequest, a *raft.AppendEntriesResponse) error {
 	err := t.NetworkTransport.AppendEntries(id, to, q, a)
 	if err == nil {
 		var last mark
@@ -171,7 +171,7 @@
 }
 
 // RequestVote asks for a vote.
-func (t *transport) RequestVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
+func (t *guardedTransport) RequestVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestVoteRequest, a *raft.RequestVoteResponse) error {
 	if t.barred() {
 		return errBarred
 	}
@@ -187,7 +187,7 @@
 }
 
 // RequestPreVote asks whether a vote would be given.
-func (t *transport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
+func (t *guardedTransport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, q *raft.RequestPreVoteRequest, a *raft.RequestPreVoteResponse) error {
 	if t.barred() {
 		return errBarred
 	}
--- a/internal/council/join.go
+++ b/internal/consensus/join.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
-	"sloestile/internal/council/link"
-	"sloestile/internal/council/raftlog"
+	"sloestile/internal/consensus/raftlog"
+	"sloestile/internal/consensus/transport"
 )
 
 // How a voter comes to take part.
@@ -168,7 +168,7 @@
 	l := v.link
 	v.mu.Unlock()
 	if l == nil {
-		return nil, &link.UnreachedError{Peer: p.Name, Why: errors.New("this voter does not listen yet")}
+		return nil, &transport.UnreachedError{Peer: p.Name, Why: errors.New("this voter does not listen yet")}
 	}
 	return l.Call(ctx, p.Name, p.Address, append([]byte{kind}, body...))
 }
--- a/internal/council/learn/learn.go
+++ b/internal/consensus/learner/learn.go
@@ -1,7 +1,7 @@
 // Package learn has a node learn the rule sets that the voters have agreed on, and act by them under
 // leases: it carries the messages of fleet/rules between nodes, fetches texts from neighbours, keeps the
 // number of the version acted by on the disk, and at the leader has the voters confirm and agree.
-package learn
+package learner
 
 import (
 	"context"
--- a/internal/council/learn/mark.go
+++ b/internal/consensus/learner/mark.go
@@ -1,4 +1,4 @@
-package learn
+package learner
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"sloestile/internal/council/raftlog"
+	"sloestile/internal/consensus/raftlog"
 	"sloestile/internal/store/disk"
 )
 
--- a/internal/council/learn/state.go
+++ b/internal/consensus/learner/state.go
@@ -1,4 +1,4 @@
-package learn
+package learner
 
 import (
 	"maps"
--- a/internal/council/machines.go
+++ b/internal/consensus/machines.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/raft"
 
-	"sloestile/internal/council/raftlog"
+	"sloestile/internal/consensus/raftlog"
 )
 
 // machines leads the state machines through the log.
--- a/internal/council/propose.go
+++ b/internal/consensus/propose.go
@@ -1,4 +1,4 @@
-package council
+package consensus
 
 import (
 	"errors"
--- a/internal/council/link/link.go
+++ b/internal/consensus/transport/link.go
@@ -1,7 +1,7 @@
 // Package link carries what the council's voters say to each other: one listener on the node's
 // address, on which a stream of the agreement's library or one call comes after a head that names the
 // fleet and the voter that is meant. A stream without such a head is closed within three seconds.
-package link
+package transport
 
 import (
 	"bufio"
--- a/internal/council/link/stream.go
+++ b/internal/consensus/transport/stream.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
--- a/internal/lab/scale/exchange/churn.go
+++ b/internal/lab/scale/exchange/churn.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloestile/internal/lab/scale"
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
 // The library has no clock that could be set, so these fleets run in real time with intervals that are a
@@ -81,7 +81,7 @@
 // liveFleet is members in real time.
 type liveFleet struct {
 	mesh    *mesh
-	peers   *peer.Peers // for what members say of themselves
+	peers   *membership.Peers // for what members say of themselves
 	pace    paces
 	members []*hollowMember
 }
--- a/internal/lab/scale/exchange/exchange.go
+++ b/internal/lab/scale/exchange/exchange.go
@@ -1,6 +1,6 @@
 // Package exchange holds the scale sweeps of what edge nodes tell each other: shared limits, membership,
-// rule distribution, and how both grow with zones. Hollow nodes run the project's own code (fleet/share,
-// fleet/rules, internal/council/learn, internal/peer and the memberlist library); only the transport
+// rule distribution, and how both grow with zones. Hollow nodes run the project's own code (fleet/ratelimit,
+// fleet/rules, internal/consensus/learner, internal/membership and the memberlist library); only the transport
 // between them is replaced, and it counts what it carries.
 //
 // Bytes are those of datagrams with their IPv4 and UDP headers and the membership library's framing.
@@ -48,7 +48,7 @@
 }
 
 func sweeps(p plant) []scale.Sweep {
-	return []scale.Sweep{shareNodes(p), shareRate(p), shareTenants(p), membership(), churn(), ruleNodes(), documents(), learners(), zones()}
+	return []scale.Sweep{shareNodes(p), shareRate(p), shareTenants(p), membershipSweep(), churn(), ruleNodes(), documents(), learners(), zones()}
 }
 
 // readings puts values to costs, which are in the same order. The runner finds one that is missing.
--- a/internal/lab/scale/exchange/learners.go
+++ b/internal/lab/scale/exchange/learners.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"sloestile/fleet/rules"
-	"sloestile/internal/council/learn"
+	"sloestile/internal/consensus/learner"
 	"sloestile/internal/lab/scale"
 	"sloestile/internal/store/disk"
 )
@@ -56,10 +56,10 @@
 
 // learnerFleet is a leader and a relay group.
 type learnerFleet struct {
-	members  []learn.Member
-	learners map[int]*learn.Learner
+	members  []learner.Member
+	learners map[int]*learner.Learner
 	sent     map[int]*learnerCounts
-	registry *learn.Registry
+	registry *learner.Registry
 	applied  uint64
 	mu       sync.Mutex
 	acting   chan struct{} // gets a token where a learner acts by another version
@@ -99,17 +99,17 @@
 
 // newLearnerFleet makes the learners, which do nothing yet.
 func newLearnerFleet(dir string, size int) *learnerFleet {
-	f := &learnerFleet{learners: make(map[int]*learn.Learner), sent: make(map[int]*learnerCounts), acting: make(chan struct{}, 1)}
+	f := &learnerFleet{learners: make(map[int]*learner.Learner), sent: make(map[int]*learnerCounts), acting: make(chan struct{}, 1)}
 	// The leader is the only voter: others, which take no part here, would be asked in vain.
-	cfg := learn.Config{Group: size, Voters: []string{memberName(0)}, Terms: rules.DefaultTerms, Disk: disk.Local{}, Settings: ruleSettings()}
+	cfg := learner.Config{Group: size, Voters: []string{memberName(0)}, Terms: rules.DefaultTerms, Disk: disk.Local{}, Settings: ruleSettings()}
 	cfg.Settings.Zones = nil
 	for z := range memberZones {
 		cfg.Settings.Zones = append(cfg.Settings.Zones, memberZone(z))
 	}
 	for i := range size {
-		f.members = append(f.members, learn.Member{Index: i, Name: memberName(i), Zone: memberZone(i)})
+		f.members = append(f.members, learner.Member{Index: i, Name: memberName(i), Zone: memberZone(i)})
 	}
-	f.registry = learn.NewRegistry(func(w rules.VersionState) { f.learners[0].Learn(w) })
+	f.registry = learner.NewRegistry(func(w rules.VersionState) { f.learners[0].Learn(w) })
 	group := int(math.Ceil(math.Sqrt(float64(size)))) * memberZones
 	for i := range size {
 		if i == 0 || size <= learnersSmall || i%memberZones == learnersZone && i < group {
@@ -119,7 +119,7 @@
 	return f
 }
 
-func (f *learnerFleet) learner(cfg learn.Config, dir string, index int) *learn.Learner {
+func (f *learnerFleet) learner(cfg learner.Config, dir string, index int) *learner.Learner {
 	counts := &learnerCounts{}
 	f.sent[index] = counts
 	cfg.Self, cfg.Name, cfg.Zone, cfg.Dir = index, memberName(index), memberZone(index), filepath.Join(dir, memberName(index))
@@ -142,13 +142,13 @@
 	if index == 0 {
 		cfg.Council, cfg.Registry = f, f.registry
 	}
-	return learn.New(cfg)
+	return learner.New(cfg)
 }
 
 func (f *learnerFleet) start(ctx context.Context) {
 	for i, l := range f.learners {
 		f.work.Go(func() { l.Run(ctx) })
-		var others []learn.Member
+		var others []learner.Member
 		for _, m := range f.members {
 			if m.Index != i {
 				others = append(others, m)
@@ -171,7 +171,7 @@
 	defer f.mu.Unlock()
 	f.applied++
 	out := f.registry.Apply(f.applied, command)
-	if o, ok := out.(learn.Outcome); ok && o.Err != nil {
+	if o, ok := out.(learner.Outcome); ok && o.Err != nil {
 		return out, o.Err
 	}
 	return out, nil
@@ -184,7 +184,7 @@
 		{Activate: &rules.Activate{Number: number, Kind: rules.Overlap}}, {Prepare: &rules.Prepare{Number: number}}} {
 		raw, err := c.Encode()
 		if err == nil {
-			_, err = f.Propose(learn.Machine, raw, 0)
+			_, err = f.Propose(learner.Machine, raw, 0)
 		}
 		if err != nil && !errors.As(err, new(*rules.NoVersionError)) {
 			return 0, fmt.Errorf("version %d: %w", number, err)
--- a/internal/lab/scale/exchange/member.go
+++ b/internal/lab/scale/exchange/member.go
@@ -12,10 +12,10 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/memberlist"
 
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
-// What internal/peer sets in the library's configuration beside its defaults for one site.
+// What internal/membership sets in the library's configuration beside its defaults for one site.
 const (
 	streamWithin = 3 * time.Second
 	reclaimAfter = 5 * time.Second
@@ -102,8 +102,8 @@
 
 // startPeers begins the program's own membership state, with sockets that nobody uses: what members
 // are told of is handed to it by a hollow member.
-func startPeers() (*peer.Peers, error) {
-	return peer.Start(peer.Config{Label: netLabel, Name: memberName(0), Zone: memberZone(0), Region: memberRegion(0), Program: memberProgram,
+func startPeers() (*membership.Peers, error) {
+	return membership.Start(membership.Config{Label: netLabel, Name: memberName(0), Zone: memberZone(0), Region: memberRegion(0), Program: memberProgram,
 		Bind: "127.0.0.1:0", Receive: func([]byte) {}, Kinds: func([]byte) {}}, slog.New(slog.DiscardHandler))
 }
 
@@ -115,7 +115,7 @@
 
 // metaOf gives what the member of an index says of itself: what the program's own membership says, with
 // another index.
-func metaOf(p *peer.Peers, index int) ([]byte, error) {
+func metaOf(p *membership.Peers, index int) ([]byte, error) {
 	said := make(map[int]any)
 	if err := cbor.Unmarshal(p.NodeMeta(memberlist.MetaMaxSize), &said); err != nil {
 		return nil, fmt.Errorf("what a member says: %w", err)
@@ -126,7 +126,7 @@
 
 // gather has a member know n members, itself among them, by exchanges with others that know a part each.
 // The others are gone after it, but nobody looks whether they are.
-func gather(ctx context.Context, m *mesh, root *hollowMember, p *peer.Peers, n int) error {
+func gather(ctx context.Context, m *mesh, root *hollowMember, p *membership.Peers, n int) error {
 	width := int(math.Ceil(math.Sqrt(float64(n))))
 	for first := 1; first < n; first += width {
 		if err := gatherGroup(ctx, m, root, p, first, min(n, first+width)); err != nil {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-func gatherGroup(ctx context.Context, m *mesh, root *hollowMember, p *peer.Peers, first, end int) error {
+func gatherGroup(ctx context.Context, m *mesh, root *hollowMember, p *membership.Peers, first, end int) error {
 	var head *hollowMember
 	for i := first; i < end; i++ {
 		meta, err := metaOf(p, i)
--- a/internal/lab/scale/exchange/membership.go
+++ b/internal/lab/scale/exchange/membership.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/memberlist"
 
 	"sloestile/internal/lab/scale"
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
 const (
@@ -21,9 +21,9 @@
 )
 
 // membership measures the state of the members at a node and the periodic exchange of all of it, by the
-// number of members. The most that internal/peer takes in is 1,024; the state is measured beyond as well,
+// number of members. The most that internal/membership takes in is 1,024; the state is measured beyond as well,
 // as if that limit were lifted.
-func membership() scale.Sweep {
+func membershipSweep() scale.Sweep {
 	const name = "membership/"
 	costs := []scale.Cost{
 		// The library's goroutines decide what they still hold, so it is not the same each time, as times are not.
@@ -47,10 +47,10 @@
 
 // membershipState is what was measured at one size.
 type membershipState struct {
-	heap      float64       // bytes that the other members add to the library's and internal/peer's state, with news not yet passed on
+	heap      float64       // bytes that the other members add to the library's and internal/membership's state, with news not yet passed on
 	fullState float64       // bytes of all members' states in one direction
 	merge     time.Duration // CPU in which the two sides of an exchange give and take all states
-	known     float64       // members that internal/peer takes in
+	known     float64       // members that internal/membership takes in
 }
 
 func measureMembership(ctx context.Context, size int) (s membershipState, err error) {
@@ -98,7 +98,7 @@
 }
 
 // exchangeStates has a new member join the root, and then exchange all states with it again.
-func exchangeStates(m *mesh, root *hollowMember, p *peer.Peers, size int) (bytes float64, merge time.Duration, err error) {
+func exchangeStates(m *mesh, root *hollowMember, p *membership.Peers, size int) (bytes float64, merge time.Duration, err error) {
 	meta, err := metaOf(p, size)
 	if err != nil {
 		return 0, 0, err
@@ -116,7 +116,7 @@
 	return float64(h.end.counts.streamBytes.Load() - sent), merge, err
 }
 
-// knownMembers is how many of the members internal/peer takes in, at a node that begins anew.
+// knownMembers is how many of the members internal/membership takes in, at a node that begins anew.
 func knownMembers(root *hollowMember) (float64, error) {
 	p, err := startPeers()
 	if err != nil {
@@ -143,6 +143,6 @@
 }
 
 var (
-	_ memberlist.Delegate      = (*peer.Peers)(nil)
-	_ memberlist.EventDelegate = (*peer.Peers)(nil)
+	_ memberlist.Delegate      = (*membership.Peers)(nil)
+	_ memberlist.EventDelegate = (*membership.Peers)(nil)
 )
--- a/internal/lab/scale/outage/rulefleet.go
+++ b/internal/lab/scale/outage/rulefleet.go
@@ -20,7 +20,7 @@
 	newsTake  = 500 * time.Millisecond
 	// A node's membership drops a dead node in detectFrom to detectMost: memberlist's suspicion takes
 	// 4 log10(5,800) probe intervals of 1 s. After a cut has healed a node rejoins within rejoinMost:
-	// internal/peer looks for lost seeds each 11 s and a third more at most.
+	// internal/membership looks for lost seeds each 11 s and a third more at most.
 	detectFrom = 15 * time.Second
 	detectMost = 20 * time.Second
 	rejoinMost = 11 * time.Second * 4 / 3
--- a/internal/lab/scale/outage/rulepublish.go
+++ b/internal/lab/scale/outage/rulepublish.go
@@ -79,7 +79,7 @@
 	s.versions[number].active = s.Now
 }
 
-// lead does a leader's own steps, as internal/council/learn does.
+// lead does a leader's own steps, as internal/consensus/learner does.
 func (s *ruleFleet) lead(i int) {
 	n, term := &s.nodes[i], s.term
 	if round, ok := n.BeginConfirmation(); ok {
--- a/internal/lab/scale/outage/rulewire.go
+++ b/internal/lab/scale/outage/rulewire.go
@@ -11,7 +11,7 @@
 	// packetHeader is the bytes of a datagram's IP and UDP headers, of the membership's and the kind.
 	packetHeader = 28 + 1 + 1
 	// A rule set's text comes in parts of 1 KiB, each with a header, eight to a request: see
-	// internal/council/learn.
+	// internal/consensus/learner.
 	partBytes     = 1024
 	partHeader    = packetHeader + 45
 	partsAtOnce   = 8
--- a/internal/lab/scale/process/hollow.go
+++ b/internal/lab/scale/process/hollow.go
@@ -6,11 +6,11 @@
 	"sync"
 	"syscall"
 
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
 const (
-	membersMost   = 1024 // that internal/peer remembers beside itself
+	membersMost   = 1024 // that internal/membership remembers beside itself
 	descriptorsOf = 3    // of a hollow member: a datagram socket, a listener, a stream at times
 	descriptorsUs = 400  // of all else in this process
 	placesMost    = 8    // members that something is done with at once
@@ -21,13 +21,13 @@
 
 // hollow is the members of the real node's fleet that run in this process: the project's own
 // membership on loopback sockets, without the rest of a node.
-type hollow struct{ members []*peer.Peers }
+type hollow struct{ members []*membership.Peers }
 
 // checkMembers tells whether this process can hold so many hollow members. Its error is a
 // CapacityError.
 func checkMembers(size int) error {
 	if size > membersMost {
-		return &CapacityError{What: "members, as internal/peer remembers", Want: size, Have: membersMost}
+		return &CapacityError{What: "members, as internal/membership remembers", Want: size, Have: membersMost}
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -47,7 +47,7 @@
 	h := &hollow{}
 	b.atEnd(h.close)
 	for i := range size {
-		p, err := peer.Start(peer.Config{Label: peerLabel, Name: fmt.Sprintf("hollow-%d", i+1), Index: i + 1,
+		p, err := membership.Start(membership.Config{Label: peerLabel, Name: fmt.Sprintf("hollow-%d", i+1), Index: i + 1,
 			Zone: zoneNames[i%len(zoneNames)], Region: fmt.Sprintf("region-%d", i%len(zoneNames)), Program: hollowProgram, Bind: b.address(hostsMembers, i, portPeer),
 			Seeds: []string{b.hollowSeed()}, Seed: seed + uint64(i), Receive: func([]byte) {}}, slog.New(slog.DiscardHandler))
 		if err != nil {
@@ -62,17 +62,17 @@
 func (b *bench) hollowSeed() string { return b.address(hostsMembers, 0, portPeer) }
 
 func (h *hollow) close() {
-	each(h.members, (*peer.Peers).Close)
+	each(h.members, (*membership.Peers).Close)
 }
 
 // meetFirst has each member exchange all states with the first, which knows all: the gossip of so many
 // joins alone takes long.
 func (h *hollow) meetFirst() error {
-	return each(h.members[1:], func(p *peer.Peers) error { return p.Meet(1) })
+	return each(h.members[1:], func(p *membership.Peers) error { return p.Meet(1) })
 }
 
 // each does something with all members, a few at a time, and gives one of the errors.
-func each(members []*peer.Peers, do func(*peer.Peers) error) error {
+func each(members []*membership.Peers, do func(*membership.Peers) error) error {
 	var failed error
 	var mu sync.Mutex
 	var working sync.WaitGroup
--- a/internal/lab/scale/process/members_test.go
+++ b/internal/lab/scale/process/members_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// A fleet beyond what internal/peer remembers is refused before anything starts.
+// A fleet beyond what internal/membership remembers is refused before anything starts.
 func TestMembersBeyondTheMostAreRefused(t *testing.T) {
 	b, err := newBench(nil, shortSpans)
 	require.NoError(t, err)
--- a/internal/lab/virtual/window.go
+++ b/internal/lab/virtual/window.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sloestile/fleet/provision"
+	"sloestile/fleet/prefetch"
 	"sloestile/fleet/ratelimit"
 	"sloestile/internal/lab/judge"
 	"sloestile/internal/lab/ledger"
@@ -24,9 +24,9 @@
 	zone    int
 	gone    bool
 	resting bool // the hall's nodes own nothing
-	demand  *provision.Demand
-	ledgers map[int]*provision.Ledger
-	purses  map[int]*provision.Purse
+	demand  *prefetch.Demand
+	ledgers map[int]*prefetch.Ledger
+	purses  map[int]*prefetch.Purse
 	loans   int
 	lent    float64
 	unspent float64
@@ -48,8 +48,8 @@
 func newWindow(d *scenario.Day) *window {
 	for _, e := range d.Faults {
 		if e.Kind == "split" && len(e.Targets) > 0 {
-			return &window{span: e, zone: e.Targets[0], demand: provision.NewDemand(0, 20000, 0),
-				ledgers: make(map[int]*provision.Ledger), purses: make(map[int]*provision.Purse)}
+			return &window{span: e, zone: e.Targets[0], demand: prefetch.NewDemand(0, 20000, 0),
+				ledgers: make(map[int]*prefetch.Ledger), purses: make(map[int]*prefetch.Purse)}
 		}
 	}
 	return nil
@@ -89,8 +89,8 @@
 func (p *play) plan(all []ratelimit.Peer) {
 	w := p.win
 	if p.way == Provided {
-		p.after(w.span.At-provision.Margin-handAhead, func() { p.handOut(all) })
-		p.after(w.span.At-provision.Margin, p.lend)
+		p.after(w.span.At-prefetch.Margin-handAhead, func() { p.handOut(all) })
+		p.after(w.span.At-prefetch.Margin, p.lend)
 	}
 	if p.way != Uncut {
 		p.after(w.span.At, func() { w.gone = true; p.members(all) })
@@ -132,28 +132,28 @@
 // lend has each customer's owner lend the hall what it is expected to ask in the window.
 func (p *play) lend() {
 	w := p.win
-	length := w.span.For + provision.Margin + provision.Late
+	length := w.span.For + prefetch.Margin + prefetch.Late
 	for i := range p.d.Customers {
-		expect, spare := w.demand.Expect(p.now, uint64(i), provision.Margin, w.span.For)
+		expect, spare := w.demand.Expect(p.now, uint64(i), prefetch.Margin, w.span.For)
 		q, owner := p.quota(i), p.owners[i]
 		if expect == 0 || owner < 0 { // all of its set is in the hall
 			continue
 		}
-		l := provision.NewLedger(uint64(i), p.now)
-		whole := provision.Part{Depth: q.Burst, Rate: q.Rate}
+		l := prefetch.NewLedger(uint64(i), p.now)
+		whole := prefetch.Part{Depth: q.Burst, Rate: q.Rate}
 		c, now := &p.d.Customers[i], p.now+p.nodes[owner].skew
 		if k, ok := p.nodes[owner].Level(now, uint64(i)+1, uint32(c.Plan), ratelimit.NodeRange{First: c.First, Count: c.Spread}); ok {
 			whole.Units = k.Tokens
 		}
-		want := provision.Size(expect, spare, whole, w.span.For)
-		loan, take, err := l.Lend(p.now, provision.ID{Edge: w.zone, Life: 1, Seq: uint32(i) + 1}, want, length, whole)
+		want := prefetch.Size(expect, spare, whole, w.span.For)
+		loan, take, err := l.Lend(p.now, prefetch.ID{Edge: w.zone, Life: 1, Seq: uint32(i) + 1}, want, length, whole)
 		if err != nil {
 			continue
 		}
 		w.loans++
 		w.lent += take
 		w.ledgers[i] = l
-		w.purses[i] = provision.Open(loan, p.now, p.now, 1e9) // marks on a disk are not played here
+		w.purses[i] = prefetch.Open(loan, p.now, p.now, 1e9) // marks on a disk are not played here
 		p.told(owner, i, take, false)
 	}
 	p.accrue()
@@ -197,7 +197,7 @@
 }
 
 // purse gives what the hall was lent of a customer's store, while it is for a node to use.
-func (p *play) purse(n, customer int) *provision.Purse {
+func (p *play) purse(n, customer int) *prefetch.Purse {
 	if p.win == nil || !p.win.gone || !p.inside(n) {
 		return nil
 	}
--- a/internal/lab/workday/best.go
+++ b/internal/lab/workday/best.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"sloestile/fleet/turns"
+	"sloestile/fleet/maintenance"
 )
 
 // item is one host's work to a search that knows all beforehand: what each turn truly takes.
@@ -54,7 +54,7 @@
 	for _, n := range sizes {
 		b.most = append(b.most, max(1, n*int(d.Plan.Bounds.Zone)/1000))
 	}
-	b.warm = [2]uint64{d.warm(turns.Node), d.warm(turns.Server)}
+	b.warm = [2]uint64{d.warm(maintenance.Node), d.warm(maintenance.Server)}
 	for _, j := range d.Plan.Jobs {
 		for _, h := range j.Hosts {
 			m := of[h]
@@ -86,7 +86,7 @@
 func (b *best) shift(it *item, n int) {
 	b.away[it.place] += n
 	b.lost[it.Kind] += uint64(n) * uint64(it.Capacity)
-	if it.Kind == turns.Node {
+	if it.Kind == maintenance.Node {
 		b.ring[it.Index] += n
 	}
 	if it.Voter {
@@ -110,7 +110,7 @@
 	if at < it.window[1] && at+it.need > it.window[0] {
 		return false
 	}
-	if it.Kind == turns.Server {
+	if it.Kind == maintenance.Server {
 		return true
 	}
 	n := len(b.ring)
@@ -267,7 +267,7 @@
 	for _, size := range b.sets {
 		for first := range b.ring {
 			per(func(it *item) float64 {
-				return one(it.Kind == turns.Node && (it.Index-first+len(b.ring))%len(b.ring) < size)
+				return one(it.Kind == maintenance.Node && (it.Index-first+len(b.ring))%len(b.ring) < size)
 			}, float64(max(1, size*int(d.Plan.Bounds.Set)/1000)))
 		}
 	}
--- a/internal/lab/workday/day.go
+++ b/internal/lab/workday/day.go
@@ -1,4 +1,4 @@
-// Package workday plays the work of a fleet in virtual time: the state machine of fleet/turns and
+// Package workday plays the work of a fleet in virtual time: the state machine of fleet/maintenance and
 // its agents, against machines, links and zones that are drawn. A judge of its own looks at each
 // moment whether a bound is broken, and a search looks for the best order that there would have been.
 package workday
@@ -9,12 +9,12 @@
 	"slices"
 	"time"
 
-	"sloestile/fleet/turns"
+	"sloestile/fleet/maintenance"
 )
 
 // Machine is one machine as drawn: what is seen of it, and what its turn truly takes.
 type Machine struct {
-	turns.Machine
+	maintenance.Machine
 	Work               bool // it is in the plan
 	Drain, Out, Warmup time.Duration
 	DiesAt             time.Duration // after its first grant; 0 is never
@@ -25,16 +25,16 @@
 	Seed     uint64
 	Machines []Machine
 	Nodes    int
-	Plan     *turns.Plan
-	Followed *turns.Plan // by the state machine, where another than it is judged by
-	Uplinks  []turns.Uplink
+	Plan     *maintenance.Plan
+	Followed *maintenance.Plan // by the state machine, where another than it is judged by
+	Uplinks  []maintenance.Uplink
 	Lost     string // a zone that is lost, from At for For; "" is none
 	At, For  time.Duration
 	Loss     float64 // part of the messages of agents
 }
 
 // begin is the wall time at which a day begins, in Unix milliseconds.
-const begin = turns.Moment(1_790_000_000_000)
+const begin = maintenance.Moment(1_790_000_000_000)
 
 // Draw makes a day of a fleet of some machines, three in five of them edge nodes, a third of either
 // in the plan.
@@ -47,10 +47,10 @@
 	}
 	voters := map[int]bool{}
 	for i := range machines {
-		m := Machine{Machine: turns.Machine{Kind: turns.Server, Zone: fmt.Sprint("hall-", pick(rng, share)), Capacity: 50 * uint32(2+rng.IntN(4)), Phase: turns.Warm}}
+		m := Machine{Machine: maintenance.Machine{Kind: maintenance.Server, Zone: fmt.Sprint("hall-", pick(rng, share)), Capacity: 50 * uint32(2+rng.IntN(4)), Phase: maintenance.Warm}}
 		m.Host = fmt.Sprintf("rate-%05d", i-d.Nodes)
 		if i < d.Nodes {
-			m.Kind, m.Host, m.Index, m.Capacity = turns.Node, fmt.Sprintf("edge-%05d", i), i, 100
+			m.Kind, m.Host, m.Index, m.Capacity = maintenance.Node, fmt.Sprintf("edge-%05d", i), i, 100
 			if zone := pick(rng, share); len(voters) < 5 && !voters[zone] {
 				voters[zone], m.Voter = true, true
 				m.Zone = fmt.Sprint("hall-", zone)
@@ -75,7 +75,7 @@
 }
 
 // warm is what of a kind may be away after the worst zone's loss, in requests a second.
-func (d *Day) warm(k turns.Kind) uint64 {
+func (d *Day) warm(k maintenance.Kind) uint64 {
 	zones, sum, worst := map[string]uint64{}, uint64(0), uint64(0)
 	for _, m := range d.Machines {
 		if m.Kind == k {
@@ -105,12 +105,12 @@
 	span := func(least, most time.Duration) time.Duration {
 		return (least + time.Duration(rng.Int64N(int64(most-least)))).Round(time.Second)
 	}
-	p := &turns.Plan{Grant: turns.Span(20 * time.Second), Drain: turns.Span(6 * time.Second), Warm: turns.Span(45 * time.Second),
-		Bounds: turns.Bounds{Zone: turns.Part(100 + rng.IntN(150)), Set: turns.Part(340 + rng.IntN(160)), Sets: []int{3, 5, 8},
-			Warm: turns.Part(100 + rng.IntN(150)), One: true, Uplink: turns.Span(5 * time.Minute)},
-		Trouble: turns.Trouble{Served: 50, Lost: turns.Span(time.Second), Resume: turns.ByRule, Calm: turns.Span(30 * time.Second)},
-		Jobs: []turns.Job{{Name: "kernel", Length: turns.Span(span(8*time.Minute, 15*time.Minute))},
-			{Name: "power", Length: turns.Span(span(15*time.Minute, 30*time.Minute))}, {Name: "disks", Length: turns.Span(span(3*time.Minute, 8*time.Minute))}}}
+	p := &maintenance.Plan{Grant: maintenance.Span(20 * time.Second), Drain: maintenance.Span(6 * time.Second), Warm: maintenance.Span(45 * time.Second),
+		Bounds: maintenance.Bounds{Zone: maintenance.Part(100 + rng.IntN(150)), Set: maintenance.Part(340 + rng.IntN(160)), Sets: []int{3, 5, 8},
+			Warm: maintenance.Part(100 + rng.IntN(150)), One: true, Uplink: maintenance.Span(5 * time.Minute)},
+		Trouble: maintenance.Trouble{Served: 50, Lost: maintenance.Span(time.Second), Resume: maintenance.ByRule, Calm: maintenance.Span(30 * time.Second)},
+		Jobs: []maintenance.Job{{Name: "kernel", Length: maintenance.Span(span(8*time.Minute, 15*time.Minute))},
+			{Name: "power", Length: maintenance.Span(span(15*time.Minute, 30*time.Minute))}, {Name: "disks", Length: maintenance.Span(span(3*time.Minute, 8*time.Minute))}}}
 	var nodes, servers []string
 	beside := map[string]int{}
 	for _, m := range d.Machines {
@@ -122,10 +122,10 @@
 			continue // the only one of its kind there never goes
 		}
 		group := &servers
-		if m.Kind == turns.Node {
+		if m.Kind == maintenance.Node {
 			group = &nodes
 		}
-		if all := d.Nodes; len(*group)*3 >= all && m.Kind == turns.Node || len(*group)*3 >= len(d.Machines)-all && m.Kind == turns.Server {
+		if all := d.Nodes; len(*group)*3 >= all && m.Kind == maintenance.Node || len(*group)*3 >= len(d.Machines)-all && m.Kind == maintenance.Server {
 			continue
 		}
 		*group = append(*group, m.Host)
@@ -135,15 +135,15 @@
 		if rng.IntN(50) == 0 {
 			m.Out *= 2 // it runs over
 		}
-		if m.Drain, m.Warmup = span(2*time.Second, 8*time.Second), span(20*time.Second, time.Minute); rng.IntN(60) == 0 && m.Kind == turns.Node {
+		if m.Drain, m.Warmup = span(2*time.Second, 8*time.Second), span(20*time.Second, time.Minute); rng.IntN(60) == 0 && m.Kind == maintenance.Node {
 			m.DiesAt = span(time.Second, 10*time.Second)
 		}
 	}
 	for i := 0; i+1 < min(len(nodes), len(servers)) && i < 8; i += 2 {
-		p.Apart = append(p.Apart, turns.Apart{Name: fmt.Sprint("sources-", i), Hosts: nodes[i : i+2], Most: 1},
-			turns.Apart{Name: fmt.Sprint("spread-", i), Hosts: servers[i : i+2], Most: 1})
+		p.Apart = append(p.Apart, maintenance.Apart{Name: fmt.Sprint("sources-", i), Hosts: nodes[i : i+2], Most: 1},
+			maintenance.Apart{Name: fmt.Sprint("spread-", i), Hosts: servers[i : i+2], Most: 1})
 	}
-	p.Jobs = slices.DeleteFunc(p.Jobs, func(j turns.Job) bool { return len(j.Hosts) == 0 })
+	p.Jobs = slices.DeleteFunc(p.Jobs, func(j maintenance.Job) bool { return len(j.Hosts) == 0 })
 	d.Plan = p
-	d.Uplinks = []turns.Uplink{{Zone: fmt.Sprint("hall-", rng.IntN(zones)), From: begin + 40*60_000, To: begin + 50*60_000}}
+	d.Uplinks = []maintenance.Uplink{{Zone: fmt.Sprint("hall-", rng.IntN(zones)), From: begin + 40*60_000, To: begin + 50*60_000}}
 }
--- a/internal/lab/workday/judge.go
+++ b/internal/lab/workday/judge.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"sloestile/fleet/turns"
+	"sloestile/fleet/maintenance"
 	"sloestile/internal/lab/judge"
 )
 
@@ -54,7 +54,7 @@
 		if g && m.Voter {
 			voters++
 		}
-		if g && m.Kind == turns.Node {
+		if g && m.Kind == maintenance.Node {
 			ring[m.Index] = true
 		}
 		if m.Kind != a.Kind {
@@ -70,7 +70,7 @@
 		}
 	}
 	p.Most = max(p.Most, away)
-	part := func(p turns.Part, n int) int { return max(1, n*int(p)/1000) }
+	part := func(p maintenance.Part, n int) int { return max(1, n*int(p)/1000) }
 	broken("its zone", inZone, part(b.Zone, ofZone))
 	sum, worst := uint64(0), uint64(0)
 	for _, c := range zones {
@@ -81,7 +81,7 @@
 		broken("voters", voters, 1)
 	}
 	for _, size := range b.Sets {
-		for first := 0; a.Kind == turns.Node && first < len(ring); first++ {
+		for first := 0; a.Kind == maintenance.Node && first < len(ring); first++ {
 			n, has := 0, false
 			for i := range size {
 				at := (first + i) % len(ring)
--- a/internal/lab/workday/play.go
+++ b/internal/lab/workday/play.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"time"
 
-	"sloestile/fleet/turns"
+	"sloestile/fleet/maintenance"
 )
 
 const (
@@ -31,11 +31,11 @@
 type actor struct {
 	*Machine
 	truth   truth
-	until   time.Duration // of what it does, where that ends by itself
-	agent   *turns.Agent  // nil has no turn to ask for
-	next    time.Duration // when it speaks
-	granted time.Duration // when its turn began that it came out of; zero is none
-	ended   time.Duration // when it had returned
+	until   time.Duration      // of what it does, where that ends by itself
+	agent   *maintenance.Agent // nil has no turn to ask for
+	next    time.Duration      // when it speaks
+	granted time.Duration      // when its turn began that it came out of; zero is none
+	ended   time.Duration      // when it had returned
 	dies    time.Duration
 	down    time.Duration // since when it was, last
 }
@@ -45,7 +45,7 @@
 	d     *Day
 	rng   *rand.Rand
 	now   time.Duration
-	state *turns.State
+	state *maintenance.State
 	all   []*actor
 	of    map[string]*actor
 	procs uint64
@@ -54,7 +54,7 @@
 	Makespan  time.Duration
 	Broken    []string                 // bounds that were broken by a step out
 	Occupied  map[string]time.Duration // by host, from its grant to its return
-	Forecast  *turns.Forecast          // at the plan's acceptance
+	Forecast  *maintenance.Forecast    // at the plan's acceptance
 	Halts     int
 	Recalled  int // drains that were called back
 	Looks     int
@@ -64,7 +64,7 @@
 
 // Run plays a day to the return of the last machine.
 func Run(d *Day) (*Play, error) {
-	p := &Play{d: d, rng: rand.New(rand.NewPCG(d.Seed, 77)), state: turns.New(), of: map[string]*actor{}, Occupied: map[string]time.Duration{}}
+	p := &Play{d: d, rng: rand.New(rand.NewPCG(d.Seed, 77)), state: maintenance.New(), of: map[string]*actor{}, Occupied: map[string]time.Duration{}}
 	for i := range d.Machines {
 		a := &actor{Machine: &d.Machines[i]}
 		if a.Work {
@@ -78,8 +78,8 @@
 	if err := p.look(); err != nil {
 		return p, err
 	}
-	p.apply(&turns.Command{Uplinks: &turns.Uplinks{Windows: d.Uplinks}})
-	r := p.apply(&turns.Command{Load: &turns.Load{Version: 1, Plan: cmp.Or(d.Followed, d.Plan)}})
+	p.apply(&maintenance.Command{Uplinks: &maintenance.Uplinks{Windows: d.Uplinks}})
+	r := p.apply(&maintenance.Command{Load: &maintenance.Load{Version: 1, Plan: cmp.Or(d.Followed, d.Plan)}})
 	if p.Forecast = r.Forecast; r.Err != nil {
 		return p, r.Err
 	}
@@ -105,7 +105,7 @@
 // process has a new process on a machine, or a new hand at a rating server's turn.
 func (p *Play) process(a *actor) {
 	p.procs++
-	a.agent = turns.NewAgent(a.Host, a.Name, p.procs, a.Kind == turns.Server)
+	a.agent = maintenance.NewAgent(a.Host, a.Name, p.procs, a.Kind == maintenance.Server)
 	a.next = p.now
 }
 
@@ -126,7 +126,7 @@
 			}
 		case a.truth == isOut && p.now >= a.until, a.truth == isDown && p.now >= a.until:
 			a.truth, a.until = isCold, p.now+max(a.Warmup, 20*time.Second)
-			if a.agent != nil && a.Kind == turns.Node {
+			if a.agent != nil && a.Kind == maintenance.Node {
 				p.process(a)
 			}
 		case a.truth == isCold && p.now >= a.until:
@@ -138,7 +138,7 @@
 // speak lets the agents that are due say a word, and carry out what they hear.
 func (p *Play) speak() {
 	for _, a := range p.all {
-		if a.agent == nil || a.truth == isDown && a.Kind == turns.Node || a.truth == isOut && a.Kind == turns.Node {
+		if a.agent == nil || a.truth == isDown && a.Kind == maintenance.Node || a.truth == isOut && a.Kind == maintenance.Node {
 			continue
 		}
 		p.act(a, a.agent.Look(p.now))
@@ -149,56 +149,56 @@
 		if a.next = p.now + step; p.rng.Float64() < p.d.Loss {
 			continue
 		}
-		if w.Verb != turns.Poll {
-			answer = p.apply(&turns.Command{Word: &w}).Answer
+		if w.Verb != maintenance.Poll {
+			answer = p.apply(&maintenance.Command{Word: &w}).Answer
 		}
 		if p.rng.Float64() < p.d.Loss {
 			continue
 		}
 		p.act(a, a.agent.Hear(p.now, p.now, answer))
 		switch answer.Stage {
-		case turns.Asked, turns.Waiting, turns.Out, turns.Arrived, turns.Warming:
+		case maintenance.Asked, maintenance.Waiting, maintenance.Out, maintenance.Arrived, maintenance.Warming:
 			a.next = p.now + idleStep
-		case turns.Done:
+		case maintenance.Done:
 			a.agent = nil
 		}
 	}
 }
 
-func (p *Play) act(a *actor, act turns.Act) {
+func (p *Play) act(a *actor, act maintenance.Act) {
 	switch act {
-	case turns.Drain:
+	case maintenance.Drain:
 		a.truth, a.until = drains, p.now+a.Drain
 		p.judge(a)
-	case turns.Undrain:
+	case maintenance.Undrain:
 		if a.truth == drains {
 			a.truth = serves
 		}
 		p.Recalled++
-	case turns.Leave:
+	case maintenance.Leave:
 		a.truth, a.until = isOut, p.now+a.Out
 	}
 }
 
-func (p *Play) apply(c *turns.Command) turns.Result {
-	c.At, c.Wall = p.now, begin+turns.Moment(p.now.Milliseconds())
+func (p *Play) apply(c *maintenance.Command) maintenance.Result {
+	c.At, c.Wall = p.now, begin+maintenance.Moment(p.now.Milliseconds())
 	return p.state.Apply(c)
 }
 
 // look is the leader's: what it sees of all machines goes into the log.
 func (p *Play) look() error {
-	seen := make([]turns.Machine, len(p.all))
+	seen := make([]maintenance.Machine, len(p.all))
 	for i, a := range p.all {
 		seen[i] = a.Machine.Machine
 		switch a.truth {
 		case drains:
-			if seen[i].Phase = turns.Leaving; p.now >= a.until {
-				seen[i].Phase = turns.Idle
+			if seen[i].Phase = maintenance.Leaving; p.now >= a.until {
+				seen[i].Phase = maintenance.Idle
 			}
 		case isOut, isDown:
-			seen[i].Phase = turns.Gone
+			seen[i].Phase = maintenance.Gone
 		case isCold:
-			seen[i].Phase = turns.Cold
+			seen[i].Phase = maintenance.Cold
 		}
 	}
 	for {
@@ -207,11 +207,11 @@
 		switch since := p.now - p.d.At; {
 		case p.d.Lost == "" || since < 0 || since > p.d.For+30*time.Second:
 		case since < p.d.For:
-			l.Zones = []turns.Zone{{Name: p.d.Lost, State: turns.Left}}
+			l.Zones = []maintenance.Zone{{Name: p.d.Lost, State: maintenance.Left}}
 		default:
-			l.Zones = []turns.Zone{{Name: p.d.Lost, State: turns.Returning}}
+			l.Zones = []maintenance.Zone{{Name: p.d.Lost, State: maintenance.Returning}}
 		}
-		c := &turns.Command{Look: l, At: p.now}
+		c := &maintenance.Command{Look: l, At: p.now}
 		raw, err := c.Encode()
 		if err != nil {
 			return err
@@ -237,7 +237,7 @@
 // returns notes who has returned.
 func (p *Play) returns() error {
 	for _, a := range p.all {
-		if a.Work && a.ended == 0 && a.granted > 0 && p.state.Answer(a.Host).Stage == turns.Done {
+		if a.Work && a.ended == 0 && a.granted > 0 && p.state.Answer(a.Host).Stage == maintenance.Done {
 			if a.ended = p.now; a.truth != serves {
 				p.Broken = append(p.Broken, fmt.Sprintf("%s has returned and does not serve", a.Host))
 			}
--- a/internal/lab/workday/play_test.go
+++ b/internal/lab/workday/play_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/fleet/turns"
+	"sloestile/fleet/maintenance"
 )
 
 // A third of a fleet is worked on with a zone lost in the middle: no bound is broken, and all is done
@@ -35,10 +35,10 @@
 
 // The judge finds a play that goes by wider bounds than it judges by.
 func TestJudgeFindsWideBounds(t *testing.T) {
-	for what, widen := range map[string]func(*turns.Bounds){
-		"its zone":         func(b *turns.Bounds) { b.Zone = 1000 },
-		"warm capacity":    func(b *turns.Bounds) { b.Warm = 1000 },
-		"a customer's set": func(b *turns.Bounds) { b.Set = 1000 },
+	for what, widen := range map[string]func(*maintenance.Bounds){
+		"its zone":         func(b *maintenance.Bounds) { b.Zone = 1000 },
+		"warm capacity":    func(b *maintenance.Bounds) { b.Warm = 1000 },
+		"a customer's set": func(b *maintenance.Bounds) { b.Set = 1000 },
 	} {
 		d := Draw(21, 60)
 		wide := *d.Plan
--- a/internal/peer/errors.go
+++ b/internal/membership/errors.go
@@ -1,4 +1,4 @@
-package peer
+package membership
 
 import (
 	"fmt"
--- a/internal/peer/peer.go
+++ b/internal/membership/peer.go
@@ -1,6 +1,6 @@
 // Package peer is the membership of a fleet's edge nodes: who is there, told by SWIM. It keeps a
 // list of the live members and tells when it changes; what is done with it is decided elsewhere.
-package peer
+package membership
 
 import (
 	"context"
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,8 +15,8 @@
 
 	"sloestile/control"
 	"sloestile/internal/discovery"
+	"sloestile/internal/simwire"
 	"sloestile/internal/store/disk"
-	"sloestile/internal/wire"
 )
 
 // Config is what an edge node is started with.
@@ -86,7 +86,7 @@
 	if err != nil {
 		return c, "settings", err
 	}
-	if c.Settings, err = wire.Settings(paths); err != nil {
+	if c.Settings, err = simwire.Settings(paths); err != nil {
 		return c, "settings", err
 	}
 	// Here and not only by the module at a start: SIGHUP takes no file with which none could start.
--- a/internal/node/council.go
+++ b/internal/node/council.go
@@ -13,10 +13,10 @@
 
 	"sloestile/control"
 	"sloestile/fleet/rules"
-	agreement "sloestile/internal/council"
-	"sloestile/internal/council/learn"
-	"sloestile/internal/council/link"
-	"sloestile/internal/peer"
+	agreement "sloestile/internal/consensus"
+	"sloestile/internal/consensus/learner"
+	"sloestile/internal/consensus/transport"
+	"sloestile/internal/membership"
 	"sloestile/internal/store/disk"
 )
 
@@ -33,14 +33,14 @@
 	cfg      *CouncilConfig
 	name     string
 	loop     *loop
-	voter    *agreement.Voter // nil is that this node has no vote
-	registry *learn.Registry  // with voter
-	learner  *learn.Learner
-	link     *link.Link // by which it calls voters, where it is none
+	voter    *agreement.Voter  // nil is that this node has no vote
+	registry *learner.Registry // with voter
+	learner  *learner.Learner
+	link     *transport.Link // by which it calls voters, where it is none
 	self     agreement.Peer
 	settings rules.Settings
-	peers    atomic.Pointer[peer.Peers] // nil until the membership has begun
-	ruled    uint64                     // version that the module was told of last; the loop's
+	peers    atomic.Pointer[membership.Peers] // nil until the membership has begun
+	ruled    uint64                           // version that the module was told of last; the loop's
 }
 
 // newCouncil makes the node's part, which does nothing before run.
@@ -48,7 +48,7 @@
 	f := cfg.Fleet.Council
 	c := &council{cfg: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
-	lc := learn.Config{Self: cfg.Settings.NodeIndex, Group: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
+	lc := learner.Config{Self: cfg.Settings.NodeIndex, Group: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
 		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Meet: c.meet, Act: c.act}
 	var voters []agreement.Peer
 	for _, v := range f.Voters {
@@ -57,10 +57,10 @@
 	}
 	if i := slices.Index(lc.Voters, cfg.Name); i >= 0 {
 		c.self = voters[i]
-		c.registry = learn.NewRegistry(func(w rules.VersionState) { c.learner.Learn(w) })
+		c.registry = learner.NewRegistry(func(w rules.VersionState) { c.learner.Learn(w) })
 		var err error
 		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Self: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
-			Via: cfg.Fleet.Peers.Via, Machines: map[byte]agreement.Machine{learn.Machine: c.registry},
+			Via: cfg.Fleet.Peers.Via, Machines: map[byte]agreement.Machine{learner.Machine: c.registry},
 			Calls:   map[byte]func(string, []byte) []byte{callOffice: c.answer},
 			Leading: func(term uint64) { c.learner.Lead(term != 0) }, Changed: func() { c.learner.Changed() }})
 		if err != nil {
@@ -69,11 +69,11 @@
 		lc.Council, lc.Registry = c.voter, c.registry
 	} else {
 		var err error
-		if c.link, err = link.Open(link.Config{Label: cfg.Fleet.Peers.Label, Self: cfg.Name, Via: cfg.Fleet.Peers.Via}); err != nil {
+		if c.link, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Self: cfg.Name, Via: cfg.Fleet.Peers.Via}); err != nil {
 			return nil, err
 		}
 	}
-	c.learner = learn.New(lc)
+	c.learner = learner.New(lc)
 	c.describe()
 	return c, nil
 }
@@ -121,7 +121,7 @@
 }
 
 // start has it talk, once the membership has begun.
-func (c *council) start(p *peer.Peers) {
+func (c *council) start(p *membership.Peers) {
 	c.peers.Store(p)
 	c.members()
 }
@@ -132,11 +132,11 @@
 	if p == nil {
 		return
 	}
-	var out []learn.Member
+	var out []learner.Member
 	live, _ := p.Live()
 	for _, m := range live {
 		if m.Kinds {
-			out = append(out, learn.Member{Index: m.Index, Name: m.Name, Zone: m.Zone})
+			out = append(out, learner.Member{Index: m.Index, Name: m.Name, Zone: m.Zone})
 		}
 	}
 	c.learner.Members(out)
@@ -146,14 +146,14 @@
 	if p := c.peers.Load(); p != nil {
 		return p.Send(to, raw)
 	}
-	return &peer.MemberError{Index: to}
+	return &membership.MemberError{Index: to}
 }
 
 func (c *council) meet(to int) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Meet(to)
 	}
-	return &peer.MemberError{Index: to}
+	return &membership.MemberError{Index: to}
 }
 
 // act has the loop look by which version requests go, also where none begins.
@@ -202,7 +202,7 @@
 	gauge("node_rules_known_version", "Version in force, as this node has heard.", func() float64 { return float64(c.learner.Word().Active.Number) })
 	gauge("node_rules_lease_seconds", "What is left of the lease on it; 0 is none.", func() float64 {
 		if a := c.learner.Acting(); a.Number != 0 {
-			return (a.Until - learn.Clock()).Seconds()
+			return (a.Until - learner.Clock()).Seconds()
 		}
 		return 0
 	})
--- a/internal/node/councilcalls.go
+++ b/internal/node/councilcalls.go
@@ -15,8 +15,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"sloestile/fleet/rules"
-	agreement "sloestile/internal/council"
-	"sloestile/internal/council/learn"
+	agreement "sloestile/internal/consensus"
+	"sloestile/internal/consensus/learner"
 	"sloestile/internal/oneline"
 )
 
@@ -257,11 +257,11 @@
 	if err != nil {
 		return refusal(err)
 	}
-	done, err := c.voter.Propose(learn.Machine, raw, officeWithin)
+	done, err := c.voter.Propose(learner.Machine, raw, officeWithin)
 	if err != nil {
 		return refusal(err)
 	}
-	out, ok := done.(learn.Outcome)
+	out, ok := done.(learner.Outcome)
 	if !ok {
 		return refusal(fmt.Errorf("council: the registry answered %T", done))
 	}
--- a/internal/node/councilstatus.go
+++ b/internal/node/councilstatus.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"sloestile/internal/council/learn"
+	"sloestile/internal/consensus/learner"
 )
 
 // versionShown is one version in a status.
@@ -112,7 +112,7 @@
 	a := c.learner.Acting()
 	out := hereShown{Node: c.name, Version: a.Number, Known: c.learner.Word().Active.Number}
 	if a.Number != 0 {
-		out.LeaseMS = (a.Until - learn.Clock()).Milliseconds()
+		out.LeaseMS = (a.Until - learner.Clock()).Milliseconds()
 	} else {
 		out.Why = a.Why.String()
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -16,7 +16,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
 // Fleet is what a fleet file switches on. Without one everything here is off.
@@ -143,7 +143,7 @@
 
 // peering gives what lets the node talk with others, where the fleet file has it and the settings
 // allow it; nil is nothing.
-func peering(cfg Config, l *loop) (func() (*peer.Peers, error), error) {
+func peering(cfg Config, l *loop) (func() (*membership.Peers, error), error) {
 	if cfg.Fleet == nil || cfg.Fleet.Peers == nil {
 		return nil, nil
 	}
@@ -165,12 +165,12 @@
 			w.late = append(w.late, l.sharing.charge)
 		}
 	}
-	return func() (*peer.Peers, error) {
+	return func() (*membership.Peers, error) {
 		host, _, err := net.SplitHostPort(cfg.Listen)
 		if err != nil {
 			return nil, err
 		}
-		pc := peer.Config{Label: f.Label, Name: cfg.Name, Index: s.NodeIndex, Zone: s.Zone, Region: cfg.Fleet.region(s.Zone),
+		pc := membership.Config{Label: f.Label, Name: cfg.Name, Index: s.NodeIndex, Zone: s.Zone, Region: cfg.Fleet.region(s.Zone),
 			Program: program(), Bind: net.JoinHostPort(host, strconv.Itoa(f.Port)), Seeds: f.Seeds, Via: f.Via, Seed: cfg.Seed}
 		var changed []func()
 		if l.sharing != nil {
@@ -186,7 +186,7 @@
 				}
 			}
 		}
-		p, err := peer.Start(pc, slog.Default())
+		p, err := membership.Start(pc, slog.Default())
 		if err != nil {
 			return nil, err
 		}
@@ -215,7 +215,7 @@
 }
 
 // writePeers gives the figures of the membership.
-func writePeers(w io.Writer, c *peer.Counts) {
+func writePeers(w io.Writer, c *membership.Counts) {
 	for _, m := range []struct {
 		name, kind, help string
 		value            *atomic.Int64
--- a/internal/node/fleetcouncil.go
+++ b/internal/node/fleetcouncil.go
@@ -8,7 +8,7 @@
 	"regexp"
 )
 
-// CouncilConfig switches on that the nodes decide together; see internal/council.
+// CouncilConfig switches on that the nodes decide together; see internal/consensus.
 type CouncilConfig struct {
 	Dir    string        // the node's own, on a disk that outlives the process
 	Header string        // of attempts, which tells by which version they go; "" is none
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -10,7 +10,7 @@
 
 	"sloestile/control"
 	"sloestile/internal/golden"
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
 func decodeJSON[T any](raw []byte) (*T, error) {
@@ -54,7 +54,7 @@
 	s.answered("b", 500)
 	var out strings.Builder
 	s.write(&out)
-	writePeers(&out, &peer.Counts{})
+	writePeers(&out, &membership.Counts{})
 	golden.CheckText(t, "figures", out.String())
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,7 +12,7 @@
 
 	"sloestile/control"
 	"sloestile/internal/discovery"
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
 const (
@@ -45,8 +45,8 @@
 	console   *console      // nil is none
 	stats     *stats
 	drainer   *drainer
-	peers     atomic.Pointer[peer.Peers]  // nil is that nodes don't talk, or not yet
-	peering   func() (*peer.Peers, error) // begins it; nil is that nodes don't talk
+	peers     atomic.Pointer[membership.Peers]  // nil is that nodes don't talk, or not yet
+	peering   func() (*membership.Peers, error) // begins it; nil is that nodes don't talk
 
 	dir         string // that a process which takes this one's place shares; "" is none
 	discoveryAt string
@@ -240,7 +240,7 @@
 const joinAgain = time.Second
 
 // join gives the talk with other nodes, once it could begin; nil is that ctx ended before.
-func (n *Node) join(ctx context.Context) *peer.Peers {
+func (n *Node) join(ctx context.Context) *membership.Peers {
 	for n.peers.Load() == nil {
 		select {
 		case <-time.After(joinAgain):
--- a/internal/node/sharing.go
+++ b/internal/node/sharing.go
@@ -12,7 +12,7 @@
 	"sloestile/control"
 	"sloestile/fleet/ratelimit"
 	"sloestile/internal/discovery"
-	"sloestile/internal/peer"
+	"sloestile/internal/membership"
 )
 
 const (
@@ -30,7 +30,7 @@
 	on    PeersConfig                 // what is shared
 	uids  map[uint32]ratelimit.Server // of the listed rating servers
 	ids   map[ratelimit.Server]uint32
-	peers atomic.Pointer[peer.Peers] // nil until the membership has begun
+	peers atomic.Pointer[membership.Peers] // nil until the membership has begun
 	out   chan ratelimit.Outgoing
 	done  sync.WaitGroup
 	timer *time.Timer
@@ -91,7 +91,7 @@
 }
 
 // start begins to take part, once the membership has begun.
-func (s *sharing) start(p *peer.Peers) {
+func (s *sharing) start(p *membership.Peers) {
 	quotas := make(map[uint32]ratelimit.Quota)
 	for _, plan := range s.set.Plans {
 		quotas[planKey(plan.Name)] = ratelimit.Quota{Rate: plan.Rate, Burst: plan.Burst}
@@ -181,7 +181,7 @@
 	var nodes []ratelimit.Peer
 	live, _ := s.peers.Load().Live()
 	for _, m := range live {
-		if m.State >= peer.StateVersion {
+		if m.State >= membership.StateVersion {
 			nodes = append(nodes, ratelimit.Peer{Index: m.Index, Incarnation: m.Incarnation})
 		}
 	}
--- a/internal/node/watching.go
+++ b/internal/node/watching.go
@@ -4,13 +4,13 @@
 	"time"
 
 	"sloestile/control"
-	"sloestile/fleet/watch"
+	"sloestile/fleet/straggler"
 )
 
 // watching tells those who ask of attempts that take far longer than is usual. It belongs to the loop.
 type watching struct {
 	loop  *loop
-	w     *watch.Watch[uint32]
+	w     *straggler.Watch[uint32]
 	last  uint64        // number of an attempt
 	armed time.Duration // when the timer rings; zero is not
 	late  []func(server uint32)
@@ -21,7 +21,7 @@
 // watch gives the loop's watch, which is made when it is first asked for.
 func (l *loop) watch() *watching {
 	if l.watching == nil {
-		l.watching = &watching{loop: l, w: watch.New[uint32]()}
+		l.watching = &watching{loop: l, w: straggler.New[uint32]()}
 	}
 	return l.watching
 }
--- a/internal/wire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/hex"
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,6 @@
 // Package wire turns the operators' wire text into the types of package
 // control and back. It decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
