--- a/cmd/edgenode/councilfleet_test.go
+++ b/cmd/edgenode/councilfleet_test.go
@@ -19,8 +19,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/link"
 	"sloestile/internal/store/disk/faulty"
+	"sloestile/internal/testbed/faultlink"
 )
 
 // councilBin builds the program for the lab, whose disk can fail, once for all tests.
@@ -55,7 +55,7 @@
 	bin   string
 	block string // of addresses
 	nodes []*citizen
-	paths [][]*link.Path // from a node to another
+	paths [][]*faultlink.Path // from a node to another
 	seen  *attempts
 }
 
@@ -141,12 +141,12 @@
 // ways puts forwarders between a node and the others, and gives the lines of its fleet file.
 func (f *councilFleet) ways(i, voters, nodes int) string {
 	var lines strings.Builder
-	row := make([]*link.Path, nodes)
+	row := make([]*faultlink.Path, nodes)
 	for j := range nodes {
 		if i == j {
 			continue
 		}
-		row[j] = link.NewPath(i, j, 0)
+		row[j] = faultlink.NewPath(i, j, 0)
 		forward := func(from, to string) {
 			way, err := row[j].Forward(from, to, nil)
 			require.NoError(f.t, err)
@@ -163,7 +163,7 @@
 }
 
 // cut puts a trouble on all ways between a node and the others, until it is ended.
-func (f *councilFleet) cut(i int, x link.Trouble) (end func()) {
+func (f *councilFleet) cut(i int, x faultlink.Trouble) (end func()) {
 	var ends []func()
 	for j := range f.nodes {
 		if i != j {
--- a/cmd/edgenode/councilplays_test.go
+++ b/cmd/edgenode/councilplays_test.go
@@ -19,8 +19,8 @@
 	"github.com/stretchr/testify/require"
 
 	"sloestile/fleet/rules"
-	"sloestile/internal/lab/link"
 	"sloestile/internal/store/disk/faulty"
+	"sloestile/internal/testbed/faultlink"
 )
 
 var (
@@ -132,7 +132,7 @@
 		time.Sleep(2 * pause)
 		f.signal(i, syscall.SIGCONT)
 	case 2:
-		end := f.cut(i, []link.Trouble{{Drop: true}, {Drop: true, Up: true}, {Reset: true}, {Stall: true}, {Delay: pause / 4}}[rng.IntN(5)])
+		end := f.cut(i, []faultlink.Trouble{{Drop: true}, {Drop: true, Up: true}, {Reset: true}, {Stall: true}, {Delay: pause / 4}}[rng.IntN(5)])
 		time.Sleep(2 * pause)
 		end()
 	case 3: // the folder is gone
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -17,12 +17,12 @@
 
 	"github.com/alecthomas/kong"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/proc"
-	"sloestile/internal/lab/report"
-	"sloestile/internal/lab/scenario"
-	"sloestile/internal/lab/virtual"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/proc"
+	"sloestile/internal/testbed/report"
+	"sloestile/internal/testbed/scenario"
+	"sloestile/internal/testbed/virtual"
 )
 
 // Exit codes: a play may pass, fail, or not be possible.
@@ -106,12 +106,12 @@
 
 // deploy reads a checkout's deploy file and builds it, unless that is not wanted; for disks that fail,
 // the program that is made for the lab.
-func (c *common) deploy(ctx context.Context, root string, disks bool) (*lab.Deploy, error) {
+func (c *common) deploy(ctx context.Context, root string, disks bool) (*testbed.Deploy, error) {
 	root, err := filepath.Abs(root)
 	if err != nil {
 		return nil, err
 	}
-	d, err := lab.ReadDeploy(root)
+	d, err := testbed.ReadDeploy(root)
 	if err != nil {
 		return nil, err
 	}
@@ -131,14 +131,14 @@
 }
 
 // play plays one seed, telling on standard error how long it still takes.
-func (c *common) play(ctx context.Context, f *scenario.File, seed uint64, d *lab.Deploy) (report.Play, error) {
+func (c *common) play(ctx context.Context, f *scenario.File, seed uint64, d *testbed.Deploy) (report.Play, error) {
 	day, err := f.Draw(seed)
 	if err != nil {
 		return report.Play{}, err
 	}
 	for again := 0; ; again++ {
 		end := time.Now().Add(day.Length)
-		v, err := lab.Play(ctx, day, lab.Options{Deploy: d, Logs: c.Logs, Progress: func(what string) {
+		v, err := testbed.Play(ctx, day, testbed.Options{Deploy: d, Logs: c.Logs, Progress: func(what string) {
 			say(fmt.Sprintf("%s, seed %d: %s, about %v left", f.Name, seed, what, time.Until(end).Round(time.Second)))
 		}})
 		if err != nil || v.Void == "" || again >= c.Again {
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	files, programs := [2]*scenario.File{}, [2]*lab.Deploy{}
+	files, programs := [2]*scenario.File{}, [2]*testbed.Deploy{}
 	for i, set := range [][]string{r.With, r.Against} {
 		if files[i], err = scenario.Read(r.File, set...); err != nil {
 			return err
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"sloestile/internal/lab/proc"
+	"sloestile/internal/testbed/proc"
 )
 
 // The test's own program stands for fleetlab where this is set.
--- a/cmd/fleetlab/scale.go
+++ b/cmd/fleetlab/scale.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"sloestile/internal/lab/scale"
-	"sloestile/internal/lab/scale/exchange"
-	"sloestile/internal/lab/scale/outage"
-	"sloestile/internal/lab/scale/process"
-	"sloestile/internal/lab/scale/request"
+	"sloestile/internal/testbed/scale"
+	"sloestile/internal/testbed/scale/exchange"
+	"sloestile/internal/testbed/scale/outage"
+	"sloestile/internal/testbed/scale/process"
+	"sloestile/internal/testbed/scale/request"
 )
 
 // quickMost is the run time of the quick form at most.
--- a/cmd/fleetlab/work.go
+++ b/cmd/fleetlab/work.go
@@ -5,9 +5,9 @@
 	"os"
 	"strings"
 
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/report"
-	"sloestile/internal/lab/workday"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/maintenanceday"
+	"sloestile/internal/testbed/report"
 )
 
 type workCmd struct {
@@ -27,11 +27,11 @@
 	for _, n := range w.Machines {
 		var plays []judge.Figures
 		for seed := from; seed <= to; seed++ {
-			d := workday.Draw(seed, n)
-			if d.At = workday.Bound(d) / 2; w.Whole {
+			d := maintenanceday.Draw(seed, n)
+			if d.At = maintenanceday.Bound(d) / 2; w.Whole {
 				d.Lost = ""
 			}
-			p, err := workday.Run(d)
+			p, err := maintenanceday.Run(d)
 			if err != nil {
 				return err
 			}
--- a/control/coldgroup_test.go
+++ b/control/coldgroup_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/agenda"
+	"sloestile/internal/testbed/eventqueue"
 )
 
 // coldRow is a fleet in virtual time before which servers start cold.
@@ -35,7 +35,7 @@
 // coldFleet is a row in play: whole controllers, servers that work through what comes in order, and
 // requests whose work is exponential with mean 1, asked in units that guess at it.
 type coldFleet struct {
-	agenda.Agenda
+	eventqueue.Agenda
 	coldRow
 	t       *testing.T
 	set     Settings
--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -35,7 +35,7 @@
 			if err != nil {
 				return err
 			}
-			if d.IsDir() && (d.Name() == "lab" || d.Name() == "testbed" || d.Name() == "golden") {
+			if d.IsDir() && (d.Name() == "testbed" || d.Name() == "golden") {
 				return filepath.SkipDir
 			}
 			if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/link"
+	"sloestile/internal/testbed/faultlink"
 )
 
 const patience = 60 * time.Second
@@ -121,7 +121,7 @@
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
 	ports := [2]string{free(t), free(t)}
-	path := [2]*link.Path{link.NewPath(0, 1, 0), link.NewPath(1, 0, 0)}
+	path := [2]*faultlink.Path{faultlink.NewPath(0, 1, 0), faultlink.NewPath(1, 0, 0)}
 	var all [2]*Peers
 	for i := range all {
 		f, err := path[i].Forward("127.0.0.1:0", ports[1-i], nil)
@@ -136,7 +136,7 @@
 	both := func(n int) func() bool { return func() bool { return sees(all[0], n)() && sees(all[1], n)() } }
 	until(t, "both to see each other", both(1))
 	for _, p := range path {
-		p.Begin(link.Trouble{Drop: true})
+		p.Begin(faultlink.Trouble{Drop: true})
 	}
 	until(t, "both to be alone", both(0))
 	for _, p := range path {
--- a/internal/oncall/oncall_test.go
+++ b/internal/oncall/oncall_test.go
@@ -22,7 +22,7 @@
 			if err != nil || !d.IsDir() {
 				return err
 			}
-			if d.Name() == "lab" {
+			if d.Name() == "testbed" {
 				return filepath.SkipDir
 			}
 			types, err := declared(dir)
--- a/internal/lab/build.go
+++ b/internal/testbed/build.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"path/filepath"
 	"time"
 
-	"sloestile/internal/lab/client"
-	"sloestile/internal/lab/counter"
-	"sloestile/internal/lab/discovery"
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/origin"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/client"
+	"sloestile/internal/testbed/counter"
+	"sloestile/internal/testbed/discovery"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/ratingserver"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 // errBusy is what a machine that can't hold the play gives.
@@ -50,17 +50,17 @@
 // build makes all parties but the nodes' processes.
 func (p *play) build(ctx context.Context) error {
 	d := p.day
-	var quotas []ledger.Quota
+	var quotas []refbucket.Quota
 	for _, c := range d.Customers {
-		quotas = append(quotas, ledger.Quota{Rate: d.Plans[c.Plan].Rate, Burst: d.Plans[c.Plan].Depth})
+		quotas = append(quotas, refbucket.Quota{Rate: d.Plans[c.Plan].Rate, Burst: d.Plans[c.Plan].Depth})
 	}
-	p.ledger = ledger.New(quotas, time.Duration(d.File.Rules.MeterS*float64(time.Second)), d.MeterLate)
-	p.fleet = origin.NewFleet(d, p.book, p.ledger, p.clock)
+	p.ledger = refbucket.New(quotas, time.Duration(d.File.Rules.MeterS*float64(time.Second)), d.MeterLate)
+	p.fleet = ratingserver.NewFleet(d, p.book, p.ledger, p.clock)
 	p.fleet.Block = p.block
 	for i := range d.Servers {
-		paths := make([]*link.Path, len(d.Nodes))
+		paths := make([]*faultlink.Path, len(d.Nodes))
 		for n := range d.Nodes {
-			paths[n] = link.NewPath(n, partyServers+i, p.delay(d.Nodes[n].Zone, d.Servers[i].Zone))
+			paths[n] = faultlink.NewPath(n, partyServers+i, p.delay(d.Nodes[n].Zone, d.Servers[i].Zone))
 		}
 		p.paths = append(p.paths, paths)
 		p.servers = append(p.servers, p.fleet.NewServer(i))
@@ -103,12 +103,12 @@
 // the front's view of it.
 func (p *play) buildNode(i int, n scenario.Node) error {
 	a := discovery.NewAgent(p.notes(i))
-	tell := link.NewPath(i, partyDiscovery, 0)
+	tell := faultlink.NewPath(i, partyDiscovery, 0)
 	if err := a.Serve(tell, p.address(i, portDiscovery)); err != nil {
 		return err
 	}
 	p.agents, p.tells = append(p.agents, a), append(p.tells, tell)
-	count := link.NewPath(i, partyCounter, p.delay(n.Zone, 0))
+	count := faultlink.NewPath(i, partyCounter, p.delay(n.Zone, 0))
 	p.counts = append(p.counts, count)
 	if p.counter != nil {
 		if err := p.counter.Serve(count, p.address(i, portCounter)); err != nil {
@@ -121,7 +121,7 @@
 		}
 	}
 	p.fronts = append(p.fronts, &client.Node{Index: i, Address: p.address(i, portListen),
-		Path: link.NewPath(partyFront, i, p.day.Link.Client), Notice: n.Notice,
+		Path: faultlink.NewPath(partyFront, i, p.day.Link.Client), Notice: n.Notice,
 		Ready: func(asked time.Time) {
 			now := p.clock()
 			p.book.SaysReady(i, now-time.Since(asked), now)
--- a/internal/lab/change.go
+++ b/internal/testbed/change.go
@@ -1,11 +1,11 @@
-package lab
+package testbed
 
 import (
 	"context"
 	"time"
 
-	"sloestile/internal/lab/discovery"
-	"sloestile/internal/lab/record"
+	"sloestile/internal/testbed/discovery"
+	"sloestile/internal/testbed/record"
 )
 
 // target is a server's entry in the list of one node.
--- a/internal/lab/client/client.go
+++ b/internal/testbed/client/client.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/origin"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/ratingserver"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 const (
@@ -26,7 +26,7 @@
 type Clients struct {
 	Day    *scenario.Day
 	Book   *record.Book
-	Ledger *ledger.Ledger
+	Ledger *refbucket.Ledger
 	Nodes  []*Node
 	Clock  func() time.Duration
 	Killed func(node int, from, to time.Duration) bool // whether it was killed meanwhile
@@ -187,7 +187,7 @@
 
 func (c *Clients) message(t *record.Try) []byte {
 	class, cust := &c.Day.Classes[t.Class], &c.Day.Customers[t.Customer]
-	body, method, key := origin.Body(class.Effect, t.ID), "POST", ""
+	body, method, key := ratingserver.Body(class.Effect, t.ID), "POST", ""
 	if class.Effect == "free" {
 		method = "GET"
 	} else {
@@ -206,7 +206,7 @@
 	genuine := false
 	c.Book.With(func() {
 		for _, a := range t.Attempts {
-			genuine = genuine || string(body) == origin.Answer(t.ID, a.Server)
+			genuine = genuine || string(body) == ratingserver.Answer(t.ID, a.Server)
 		}
 		t.Genuine = genuine
 		t.Advice = refused && resp.Header.Get("Retry-After") != ""
--- a/internal/lab/client/front.go
+++ b/internal/testbed/client/front.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"sloestile/internal/lab/link"
+	"sloestile/internal/testbed/faultlink"
 )
 
 const (
@@ -29,7 +29,7 @@
 type Node struct {
 	Index   int
 	Address string
-	Path    *link.Path
+	Path    *faultlink.Path
 	Notice  time.Duration         // by which the front is late to see a death
 	Ready   func(asked time.Time) // hears each yes, and when it was asked for
 	up      atomic.Bool
@@ -106,7 +106,7 @@
 
 // conn is a connection that carries one request at a time.
 type conn struct {
-	*link.Conn
+	*faultlink.Conn
 	in     *bufio.Reader
 	reused bool
 }
--- a/internal/lab/client/front_test.go
+++ b/internal/testbed/client/front_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/link"
+	"sloestile/internal/testbed/faultlink"
 )
 
 // A close over a request that the node has read is told from one that the request crosses, whichever
@@ -46,7 +46,7 @@
 					x.node(c, wrote, closed)
 				}
 			}()
-			n := &Node{Address: l.Addr().String(), Path: link.NewPath(0, 0, 0)}
+			n := &Node{Address: l.Addr().String(), Path: faultlink.NewPath(0, 0, 0)}
 			c, err := n.dial(t.Context())
 			require.NoError(t, err)
 			defer c.Close()
--- a/internal/lab/counter/counter.go
+++ b/internal/testbed/counter/counter.go
@@ -11,7 +11,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"sloestile/internal/lab/link"
+	"sloestile/internal/testbed/faultlink"
 )
 
 const (
@@ -59,7 +59,7 @@
 }
 
 // Serve answers one node at an address across its path.
-func (c *Counter) Serve(p *link.Path, address string) error {
+func (c *Counter) Serve(p *faultlink.Path, address string) error {
 	l, err := p.Listen(address)
 	if err != nil {
 		return err
@@ -152,10 +152,10 @@
 }
 
 // Away silences the paths of a counter that is gone, until it is back, empty.
-func (c *Counter) Away(ctx context.Context, paths []*link.Path, back time.Duration) {
+func (c *Counter) Away(ctx context.Context, paths []*faultlink.Path, back time.Duration) {
 	var ends []func()
 	for _, p := range paths {
-		ends = append(ends, p.Begin(link.Trouble{Drop: true}))
+		ends = append(ends, p.Begin(faultlink.Trouble{Drop: true}))
 	}
 	select {
 	case <-time.After(back):
--- a/internal/lab/late/late.go
+++ b/internal/testbed/delayedref/late.go
@@ -2,7 +2,7 @@
 // reference by which the gate says what each class and plan is owed. One place decides for all nodes;
 // it knows each customer's store, and what it has sent itself. Servers, clients, links and faults are
 // those of the day; there are no processes and no sockets, and a day takes as long as its arithmetic.
-package late
+package delayedref
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 	"slices"
 	"time"
 
-	"sloestile/internal/lab/agenda"
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/machine"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/eventqueue"
+	"sloestile/internal/testbed/machine"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 const (
@@ -33,9 +33,9 @@
 
 // world is a day in progress.
 type world struct {
-	agenda.Agenda
+	eventqueue.Agenda
 	d       *scenario.Day
-	ledger  *ledger.Ledger
+	ledger  *refbucket.Ledger
 	servers []*server
 	nodes   [][]gone // by node
 	rng     *rand.Rand
@@ -66,11 +66,11 @@
 		}
 	}
 	w := &world{d: d, rng: rand.New(rand.NewPCG(d.Seed, 9)), served: make([]bool, len(d.Arrivals)), nodes: make([][]gone, len(d.Nodes))}
-	var quotas []ledger.Quota
+	var quotas []refbucket.Quota
 	for _, c := range d.Customers {
-		quotas = append(quotas, ledger.Quota{Rate: d.Plans[c.Plan].Rate, Burst: d.Plans[c.Plan].Depth})
+		quotas = append(quotas, refbucket.Quota{Rate: d.Plans[c.Plan].Rate, Burst: d.Plans[c.Plan].Depth})
 	}
-	w.ledger = ledger.New(quotas, 0, 0)
+	w.ledger = refbucket.New(quotas, 0, 0)
 	for i, m := range d.Servers {
 		s := &server{Machine: machine.New(d, i), up: m.From < 0}
 		s.Bears = machine.Bears // those of the platform: what is owed goes by what can be served there
--- a/internal/lab/late/late_test.go
+++ b/internal/testbed/delayedref/late_test.go
@@ -1,4 +1,4 @@
-package late
+package delayedref
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/scenario"
 )
 
 // A day comes out the same each time; half of the servers lost at once cost more until the policy
--- a/internal/lab/late/policy.go
+++ b/internal/testbed/delayedref/policy.go
@@ -1,12 +1,12 @@
-package late
+package delayedref
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // state is a server's as it was at a time; the policy sees it later.
--- a/internal/lab/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"sloestile/internal/lab/link"
+	"sloestile/internal/testbed/faultlink"
 )
 
 // Target is one entry of a list.
@@ -87,7 +87,7 @@
 
 // Serve answers at an address across a path, in place of where it answered before: the old address
 // takes no new connections and closes its open ones a little later.
-func (a *Agent) Serve(p *link.Path, address string) error {
+func (a *Agent) Serve(p *faultlink.Path, address string) error {
 	l, err := p.Listen(address)
 	if err != nil {
 		return err
--- a/internal/lab/discovery/discovery_test.go
+++ b/internal/testbed/discovery/discovery_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/link"
+	"sloestile/internal/testbed/faultlink"
 )
 
 // caller opens watches and gives their lines.
@@ -49,7 +49,7 @@
 	has, told := make(chan string, 100), make(chan string, 100)
 	a := NewAgent(Notes{Has: func(_ int, state string) { has <- state }, Told: func(_ int, state string) { told <- state }, Answered: func() {}})
 	c := caller{t, "127.0.0.1:18500"}
-	require.NoError(t, a.Serve(link.NewPath(0, 0, 0), c.addr))
+	require.NoError(t, a.Serve(faultlink.NewPath(0, 0, 0), c.addr))
 	defer a.Close()
 	a.Put(0, Target{UID: "s-1", State: "up"})
 	require.Equal(t, "up", <-has)
--- a/internal/lab/disks.go
+++ b/internal/testbed/disks.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"slices"
 
-	"sloestile/internal/lab/scenario"
 	"sloestile/internal/store/disk/faulty"
+	"sloestile/internal/testbed/scenario"
 )
 
 // diskOf is the folder by which a node's disk is driven; its process is told of it where the
--- a/internal/lab/agenda/agenda.go
+++ b/internal/testbed/eventqueue/agenda.go
@@ -1,5 +1,5 @@
 // Package agenda is virtual time: what is to happen, in order.
-package agenda
+package eventqueue
 
 import (
 	"container/heap"
--- a/internal/lab/fake_test.go
+++ b/internal/testbed/fake_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"sloestile/internal/lab/discovery"
-	"sloestile/internal/lab/proc"
+	"sloestile/internal/testbed/discovery"
+	"sloestile/internal/testbed/proc"
 )
 
 // A fake is a node that breaks one rule on purpose. It is this test's own program, started as a
--- a/internal/lab/link/forward.go
+++ b/internal/testbed/faultlink/forward.go
@@ -1,4 +1,4 @@
-package link
+package faultlink
 
 import (
 	"context"
--- a/internal/lab/faults.go
+++ b/internal/testbed/faults.go
@@ -1,13 +1,13 @@
-package lab
+package testbed
 
 import (
 	"context"
 	"syscall"
 	"time"
 
-	"sloestile/internal/lab/discovery"
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/discovery"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/scenario"
 )
 
 const (
@@ -212,11 +212,11 @@
 			lost = append(lost, s)
 		}
 	}
-	var paths []*link.Path
+	var paths []*faultlink.Path
 	for _, s := range lost {
 		paths = append(paths, p.paths[s]...)
 	}
-	found := p.impose(paths, link.Trouble{Drop: true})
+	found := p.impose(paths, faultlink.Trouble{Drop: true})
 	if zone == 0 && p.counter != nil {
 		p.wg.Go(func() { p.counter.Away(ctx, p.counts, p.day.Counter.Back) })
 	}
--- a/internal/lab/judge/closes_test.go
+++ b/internal/testbed/judge/closes_test.go
@@ -5,8 +5,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // What was never sent on and failed counts as refused, also where its new connection was closed with
--- a/internal/lab/judge/cold.go
+++ b/internal/testbed/judge/cold.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sloestile/internal/lab/record"
+	"sloestile/internal/testbed/record"
 )
 
 // fallPart is the part of what pushed a cold server over that has to come from nodes that had been
--- a/internal/lab/judge/cold_test.go
+++ b/internal/testbed/judge/cold_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Only a fall of which over two thirds came from nodes that had been told of the start breaks the
--- a/internal/lab/judge/duplicates_test.go
+++ b/internal/testbed/judge/duplicates_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // What may not be repeated is sent again only where all before surely never ran, and never while one
--- a/internal/lab/judge/gone.go
+++ b/internal/testbed/judge/gone.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"sloestile/internal/lab/record"
+	"sloestile/internal/testbed/record"
 )
 
 // What is still sent for a client that has closed its connection.
--- a/internal/lab/judge/gone_test.go
+++ b/internal/testbed/judge/gone_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // An attempt that begins over 0.1 s after its client went breaks the rule from the third case on; of
--- a/internal/lab/judge/judge.go
+++ b/internal/testbed/judge/judge.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // The figures of the platform's pages that no scenario changes.
--- a/internal/lab/judge/price.go
+++ b/internal/testbed/judge/price.go
@@ -10,9 +10,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/gonum/stat"
 
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Figure is one measured figure with its unit.
@@ -53,11 +53,11 @@
 
 // offered is the worth of each first try that one gateway that saw all of them would let in.
 func (j *judge) offered() []float64 {
-	var quotas []ledger.Quota
+	var quotas []refbucket.Quota
 	for _, c := range j.day.Customers {
-		quotas = append(quotas, ledger.Quota{Rate: j.day.Plans[c.Plan].Rate, Burst: j.day.Plans[c.Plan].Depth})
+		quotas = append(quotas, refbucket.Quota{Rate: j.day.Plans[c.Plan].Rate, Burst: j.day.Plans[c.Plan].Depth})
 	}
-	l := ledger.New(quotas, 0, 0)
+	l := refbucket.New(quotas, 0, 0)
 	out := make([]float64, len(j.day.Arrivals))
 	for i, a := range j.day.Arrivals {
 		if l.Take(a.Customer, float64(a.Units), a.At) {
--- a/internal/lab/judge/quota_test.go
+++ b/internal/testbed/judge/quota_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // On a calm day, a burst is one, what goes beyond quotas may cost a tenth of the worth offered.
--- a/internal/lab/judge/ready.go
+++ b/internal/testbed/judge/ready.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sloestile/internal/lab/record"
+	"sloestile/internal/testbed/record"
 )
 
 // When a process that was started again has to be ready.
--- a/internal/lab/judge/ready_test.go
+++ b/internal/testbed/judge/ready_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Nine in ten of the processes that are started again are ready within 10 s, and each within 30 s.
--- a/internal/lab/judge/shares.go
+++ b/internal/testbed/judge/shares.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"sloestile/internal/lab/late"
+	"sloestile/internal/testbed/delayedref"
 )
 
 // The part of what the late-seeing policy serves that is owed, and to whom, as the gate's page has it.
@@ -85,7 +85,7 @@
 // reference adds what the late-seeing policy serves of the same day, by class, plan and third, and what
 // is owed by it; or why there is none.
 func (j *judge) reference(offered []float64) {
-	inTime, err := late.Served(j.day)
+	inTime, err := delayedref.Served(j.day)
 	if err != nil {
 		j.v.NoReference = err.Error()
 		return
--- a/internal/lab/judge/told.go
+++ b/internal/testbed/judge/told.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"sloestile/internal/lab/record"
+	"sloestile/internal/testbed/record"
 )
 
 // The clock of the list.
--- a/internal/lab/judge/told_test.go
+++ b/internal/testbed/judge/told_test.go
@@ -6,8 +6,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // A node that sends to a drained server until its grace ends, counted by the clock of the list, breaks
--- a/internal/lab/lab.go
+++ b/internal/testbed/lab.go
@@ -1,7 +1,7 @@
 // Package lab is the stand-in platform: it plays a scenario's day against real processes of the
 // edge node, with links between all parties that fail as the timetable says, and has the judge say
 // what came of it. The node never imports it.
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 	"sync"
 	"time"
 
-	"sloestile/internal/lab/client"
-	"sloestile/internal/lab/counter"
-	"sloestile/internal/lab/discovery"
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/origin"
-	"sloestile/internal/lab/proc"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/client"
+	"sloestile/internal/testbed/counter"
+	"sloestile/internal/testbed/discovery"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/proc"
+	"sloestile/internal/testbed/ratingserver"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 const (
@@ -57,22 +57,22 @@
 	zero    time.Time // the play's clock is 0 then
 	mu      sync.Mutex
 	book    *record.Book
-	ledger  *ledger.Ledger
-	fleet   *origin.Fleet
-	servers []*origin.Server
+	ledger  *refbucket.Ledger
+	fleet   *ratingserver.Fleet
+	servers []*ratingserver.Server
 	agents  []*discovery.Agent
 	counter *counter.Counter
 	nodes   []*node
 	clients *client.Clients
 	fronts  []*client.Node
-	paths   [][]*link.Path // by server, then node
-	counts  []*link.Path   // to the counter, by node
-	tells   []*link.Path   // to discovery, by node
+	paths   [][]*faultlink.Path // by server, then node
+	counts  []*faultlink.Path   // to the counter, by node
+	tells   []*faultlink.Path   // to discovery, by node
 	wg      sync.WaitGroup
 	revs    map[int]int
 
-	between    [][]*link.Path // nodes that talk, from and to
-	forwarders []*link.Forwarder
+	between    [][]*faultlink.Path // nodes that talk, from and to
+	forwarders []*faultlink.Forwarder
 	datagrams  *net.UDPConn // that the nodes' datagrams go on from; nil where they don't talk
 }
 
--- a/internal/lab/lab_test.go
+++ b/internal/testbed/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"os"
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/scenario"
 )
 
 // small is a day of a few seconds for fakes, none of which knows of quotas: all ask little.
--- a/internal/lab/links.go
+++ b/internal/testbed/links.go
@@ -1,16 +1,16 @@
-package lab
+package testbed
 
 import (
 	"context"
 	"time"
 
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // impose puts a trouble on paths, until what it gives is called.
-func (p *play) impose(paths []*link.Path, t link.Trouble) (over func()) {
+func (p *play) impose(paths []*faultlink.Path, t faultlink.Trouble) (over func()) {
 	var ends []func()
 	for _, path := range paths {
 		ends = append(ends, path.Begin(t))
@@ -27,7 +27,7 @@
 }
 
 // pairOf gives whom a path joins, where the judge has to know that what crossed it came late, or not.
-func pairOf(path *link.Path) (record.Pair, bool) {
+func pairOf(path *faultlink.Path) (record.Pair, bool) {
 	if path.From == partyFront {
 		return record.Pair{Node: path.To, Server: record.Front}, true
 	}
@@ -36,7 +36,7 @@
 
 // around changes what lies between a zone and the others for a while.
 func (p *play) around(ctx context.Context, e scenario.Event) {
-	zone, t := e.Targets[0], link.Trouble{}
+	zone, t := e.Targets[0], faultlink.Trouble{}
 	switch e.Kind {
 	case "split":
 		t.Drop = true
@@ -47,7 +47,7 @@
 	case "loss":
 		t.Loss = e.Size
 	}
-	var paths []*link.Path
+	var paths []*faultlink.Path
 	for s, all := range p.paths {
 		for n, path := range all {
 			if (p.day.Nodes[n].Zone == zone) != (p.day.Servers[s].Zone == zone) {
@@ -71,7 +71,7 @@
 
 // links lets drawn links fail for a while.
 func (p *play) links(ctx context.Context, e scenario.Event) {
-	t := link.Trouble{}
+	t := faultlink.Trouble{}
 	switch e.Kind {
 	case "drop":
 		t.Drop, t.Reset, t.Part = !e.Reset, e.Reset, e.Size
@@ -87,11 +87,11 @@
 		t.Up, t.Down = l.Out, l.In
 		out, in := p.pathsOf(l)
 		if out != nil {
-			overs = append(overs, p.impose([]*link.Path{out}, t))
+			overs = append(overs, p.impose([]*faultlink.Path{out}, t))
 		}
 		if in != nil {
 			t.Up, t.Down = l.In, l.Out
-			overs = append(overs, p.impose([]*link.Path{in}, t))
+			overs = append(overs, p.impose([]*faultlink.Path{in}, t))
 		}
 	}
 	p.wait(ctx, e.For)
@@ -102,7 +102,7 @@
 
 // pathsOf gives the path of a link on which the node dials, and the one on which the other does;
 // nil is none.
-func (p *play) pathsOf(l scenario.Link) (out, in *link.Path) {
+func (p *play) pathsOf(l scenario.Link) (out, in *faultlink.Path) {
 	switch l.Kind {
 	case "peers":
 		if p.between != nil {
--- a/internal/lab/machine/cold.go
+++ b/internal/testbed/machine/cold.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Bears is how many requests of mean work a cold server of the platform bears within the rule's
--- a/internal/lab/machine/machine.go
+++ b/internal/testbed/machine/machine.go
@@ -6,8 +6,8 @@
 	"math"
 	"time"
 
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Machine is one rating server. It is not safe for concurrent use.
--- a/internal/lab/workday/judge.go
+++ b/internal/testbed/maintenanceday/judge.go
@@ -1,4 +1,4 @@
-package workday
+package maintenanceday
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloestile/fleet/maintenance"
-	"sloestile/internal/lab/judge"
+	"sloestile/internal/testbed/judge"
 )
 
 // Figures gives what was measured, against the best order that some steps of search find.
--- a/internal/lab/workday/play.go
+++ b/internal/testbed/maintenanceday/play.go
@@ -1,4 +1,4 @@
-package workday
+package maintenanceday
 
 import (
 	"cmp"
--- a/internal/lab/node.go
+++ b/internal/testbed/node.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -12,10 +12,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloestile/internal/lab/proc"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
 	"sloestile/internal/store/disk/faulty"
+	"sloestile/internal/testbed/proc"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Deploy is what the deploy file says of the program.
--- a/internal/lab/peers.go
+++ b/internal/testbed/peers.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/record"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/record"
 )
 
 // Ports by which nodes talk: each node's own, and on its machine one for each other node, where a
@@ -35,15 +35,15 @@
 		return err
 	}
 	p.datagrams = out
-	p.between = make([][]*link.Path, len(p.nodes))
+	p.between = make([][]*faultlink.Path, len(p.nodes))
 	for i, n := range p.nodes {
 		via := map[string]string{}
-		p.between[i] = make([]*link.Path, len(p.nodes))
+		p.between[i] = make([]*faultlink.Path, len(p.nodes))
 		for j, m := range p.nodes {
 			if i == j {
 				continue
 			}
-			path := link.NewPath(i, j, p.delay(n.Zone, m.Zone))
+			path := faultlink.NewPath(i, j, p.delay(n.Zone, m.Zone))
 			f, err := path.Forward(p.address(i, portPeersAt+j), p.address(j, portPeer), out)
 			if err != nil {
 				return err
--- a/internal/lab/origin/http.go
+++ b/internal/testbed/ratingserver/http.go
@@ -1,4 +1,4 @@
-package origin
+package ratingserver
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/record"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/record"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // served is what a server knows of one connection.
 type served struct {
-	*link.Conn
+	*faultlink.Conn
 	first  atomic.Int64 // ns of the play at which the first byte of the request came
 	warmed bool         // its handshake is paid
 	over   bool         // beyond the connections that the server holds
@@ -60,18 +60,18 @@
 }
 
 // accepting hands the connections of one path to the server.
-type accepting struct{ *link.Listener }
+type accepting struct{ *faultlink.Listener }
 
 func (a accepting) Accept() (net.Conn, error) {
 	c, err := a.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &served{Conn: c.(*link.Conn)}, nil
+	return &served{Conn: c.(*faultlink.Conn)}, nil
 }
 
 // Listen serves at the address of each path: index i is what node i reaches the server by.
-func (s *Server) Listen(paths []*link.Path) error {
+func (s *Server) Listen(paths []*faultlink.Path) error {
 	s.paths = paths
 	for _, p := range paths {
 		l, err := p.Listen(s.Address(p.From))
--- a/internal/lab/origin/server.go
+++ b/internal/testbed/ratingserver/server.go
@@ -1,6 +1,6 @@
 // Package origin is the rating servers of a play: machines that share their cores among the
 // requests in work, start cold, fall over when pushed, slow down, fail and turn away.
-package origin
+package ratingserver
 
 import (
 	"math/rand/v2"
@@ -9,18 +9,18 @@
 	"sync"
 	"time"
 
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/machine"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/machine"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Fleet is what the servers of a play share.
 type Fleet struct {
 	Day    *scenario.Day
 	Book   *record.Book
-	Ledger *ledger.Ledger
+	Ledger *refbucket.Ledger
 	Clock  func() time.Duration // of the play
 	Block  int                  // the play's addresses are 127.Block.0.0/16
 	halls  map[string]*hall     // by scope: the keys that a group of servers has seen
@@ -28,7 +28,7 @@
 }
 
 // NewFleet makes what the servers share.
-func NewFleet(d *scenario.Day, b *record.Book, l *ledger.Ledger, clock func() time.Duration) *Fleet {
+func NewFleet(d *scenario.Day, b *record.Book, l *refbucket.Ledger, clock func() time.Duration) *Fleet {
 	return &Fleet{Day: d, Book: b, Ledger: l, Clock: clock, halls: make(map[string]*hall)}
 }
 
@@ -87,8 +87,8 @@
 	mu        sync.Mutex
 	timer     *time.Timer
 	dead      bool
-	listeners []*link.Listener
-	paths     []*link.Path
+	listeners []*faultlink.Listener
+	paths     []*faultlink.Path
 	http      *http.Server
 }
 
--- a/internal/lab/origin/server_test.go
+++ b/internal/testbed/ratingserver/server_test.go
@@ -1,4 +1,4 @@
-package origin
+package ratingserver
 
 import (
 	"math"
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 // alone is one server, in the bubble's time.
@@ -20,7 +20,7 @@
 	d := &scenario.Day{Servers: []scenario.Machine{m}, Classes: []scenario.Class{{Share: scenario.Range{Lo: 1, Hi: 1}, WorkMS: scenario.Range{Lo: 40, Hi: 40}}},
 		File: &scenario.File{Rules: scenario.Rules{FallMultiple: 2, FallMS: 1500}, Server: scenario.Server{WarmBy: "time"}}}
 	b := record.NewBook()
-	return NewFleet(d, b, ledger.New(nil, 0, 0), clock).NewServer(0), b, clock
+	return NewFleet(d, b, refbucket.New(nil, 0, 0), clock).NewServer(0), b, clock
 }
 
 var warm = scenario.Machine{Cores: 2, Speed: 1, Slots: 4, Queue: 2, ThrashAt: 100, ColdFrom: 0.25, Cold: 10 * time.Second, From: -time.Hour}
--- a/internal/lab/ledger/ledger.go
+++ b/internal/testbed/refbucket/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger keeps the true stores of the customers' quotas and the meter that reads them: the
 // platform's own account, of which nodes hear only what the meter tells.
-package ledger
+package refbucket
 
 import (
 	"math"
--- a/internal/lab/ledger/ledger_test.go
+++ b/internal/testbed/refbucket/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package refbucket
 
 import (
 	"flag"
--- a/internal/lab/report/gate_test.go
+++ b/internal/testbed/report/gate_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/record"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/record"
+	"sloestile/internal/testbed/scenario"
 )
 
 // served is the book of a play in which the first try of each arrival that ok holds for is served at
--- a/internal/lab/report/growth.go
+++ b/internal/testbed/report/growth.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"sloestile/internal/lab/judge"
+	"sloestile/internal/testbed/judge"
 )
 
 // Growth draws, for each figure, how it grows with the size of a fleet: the median of the plays at
--- a/internal/lab/report/report.go
+++ b/internal/testbed/report/report.go
@@ -16,8 +16,8 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Gate holds a verdict against a scenario's gate. It gives the line that failed, with what was
--- a/internal/lab/run.go
+++ b/internal/testbed/run.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
--- a/internal/lab/scale/exchange/churn.go
+++ b/internal/testbed/scale/exchange/churn.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"sloestile/internal/lab/scale"
 	"sloestile/internal/membership"
+	"sloestile/internal/testbed/scale"
 )
 
 // The library has no clock that could be set, so these fleets run in real time with intervals that are a
--- a/internal/lab/scale/exchange/documents.go
+++ b/internal/testbed/scale/exchange/documents.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"sloestile/fleet/rules"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // Changes of the configuration that the target states.
--- a/internal/lab/scale/exchange/exchange.go
+++ b/internal/testbed/scale/exchange/exchange.go
@@ -9,7 +9,7 @@
 package exchange
 
 import (
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // The budget of one edge node for control. It is shared by all that the node tells and hears, and by
--- a/internal/lab/scale/exchange/fleet.go
+++ b/internal/testbed/scale/exchange/fleet.go
@@ -9,8 +9,8 @@
 
 	"sloestile/control"
 	"sloestile/fleet/ratelimit"
-	"sloestile/internal/lab/agenda"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/eventqueue"
+	"sloestile/internal/testbed/scale"
 )
 
 const (
@@ -22,7 +22,7 @@
 	remembered = 20 * time.Second
 	// contextEach is how many events there are between two looks at the context.
 	contextEach = 4096
-	// tenantsLeast is for how many tenants a hollow node has room at least, as in internal/lab/virtual.
+	// tenantsLeast is for how many tenants a hollow node has room at least, as in internal/testbed/virtual.
 	tenantsLeast = 20_000
 	liveSample   = 16 // nodes whose cost of a change of members is timed
 )
@@ -58,7 +58,7 @@
 
 // hollowFleet runs requests over hollow nodes in virtual time.
 type hollowFleet struct {
-	agenda.Agenda
+	eventqueue.Agenda
 	fleetConfig
 	ctx      context.Context
 	rng      *rand.Rand
--- a/internal/lab/scale/exchange/learners.go
+++ b/internal/testbed/scale/exchange/learners.go
@@ -14,8 +14,8 @@
 
 	"sloestile/fleet/rules"
 	"sloestile/internal/consensus/learner"
-	"sloestile/internal/lab/scale"
 	"sloestile/internal/store/disk"
+	"sloestile/internal/testbed/scale"
 )
 
 const (
--- a/internal/lab/scale/exchange/membership.go
+++ b/internal/testbed/scale/exchange/membership.go
@@ -8,8 +8,8 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"sloestile/internal/lab/scale"
 	"sloestile/internal/membership"
+	"sloestile/internal/testbed/scale"
 )
 
 const (
--- a/internal/lab/scale/exchange/rules.go
+++ b/internal/testbed/scale/exchange/rules.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"sloestile/fleet/rules"
-	"sloestile/internal/lab/scale"
-	"sloestile/internal/lab/scenario"
-	"sloestile/internal/lab/virtual"
+	"sloestile/internal/testbed/scale"
+	"sloestile/internal/testbed/scenario"
+	"sloestile/internal/testbed/virtual"
 )
 
 const (
-	// virtualOverhead is what internal/lab/virtual adds to each message.
+	// virtualOverhead is what internal/testbed/virtual adds to each message.
 	virtualOverhead = 28 + 1
 	// ruleOverhead is what is missing in it: the library's label and checksum, and the kind of the message.
 	ruleOverhead = float64(datagramOverhead + 1 - virtualOverhead)
--- a/internal/lab/scale/exchange/share.go
+++ b/internal/testbed/scale/exchange/share.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"time"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 const (
--- a/internal/lab/scale/exchange/sweeps_test.go
+++ b/internal/testbed/scale/exchange/sweeps_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // heapSpread is by how much two readings of a heap may differ: maps of one content differ by how they grew.
--- a/internal/lab/scale/exchange/zones.go
+++ b/internal/testbed/scale/exchange/zones.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // zoneNodes is the fleet over which zones are swept.
--- a/internal/lab/scale/outage/gateway.go
+++ b/internal/testbed/scale/outage/gateway.go
@@ -9,7 +9,7 @@
 
 	"sloestile/control"
 	"sloestile/fleet/subset"
-	"sloestile/internal/lab/agenda"
+	"sloestile/internal/testbed/eventqueue"
 )
 
 const (
@@ -28,7 +28,7 @@
 // not depend on their load. A lost one answers nothing: a request over a connection that a node still holds
 // to it waits until its client gives up, and a new connection fails after connectMost.
 type gatewayWorld struct {
-	agenda.Agenda
+	eventqueue.Agenda
 	ctx      context.Context
 	rng      *rand.Rand
 	end      time.Duration
--- a/internal/lab/scale/outage/outage.go
+++ b/internal/testbed/scale/outage/outage.go
@@ -8,7 +8,7 @@
 	"context"
 	"fmt"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // Events returns the events, those that cost most first.
--- a/internal/lab/scale/outage/outage_test.go
+++ b/internal/testbed/scale/outage/outage_test.go
@@ -11,7 +11,7 @@
 
 	"sloestile/fleet/rules"
 	"sloestile/fleet/subset"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // Each event in quick form gives a finite reading for each of its costs, once and in their order, and
--- a/internal/lab/scale/outage/rackloss.go
+++ b/internal/testbed/scale/outage/rackloss.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloestile/fleet/subset"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 const rackLossName = "rack-loss"
--- a/internal/lab/scale/outage/reconnect.go
+++ b/internal/testbed/scale/outage/reconnect.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloestile/internal/discovery"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 const reconnectName = "reconnect"
--- a/internal/lab/scale/outage/relayloss.go
+++ b/internal/testbed/scale/outage/relayloss.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 const relayLossName = "relay-loss"
--- a/internal/lab/scale/outage/restart.go
+++ b/internal/testbed/scale/outage/restart.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloestile/fleet/subset"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 const rollingRestartName = "rolling-restart"
--- a/internal/lab/scale/outage/rulefleet.go
+++ b/internal/testbed/scale/outage/rulefleet.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sloestile/fleet/rules"
-	"sloestile/internal/lab/agenda"
+	"sloestile/internal/testbed/eventqueue"
 )
 
 const (
@@ -29,7 +29,7 @@
 // ruleFleet runs the rules code of a whole fleet in virtual time: rules.Node at each node and the
 // registry at the voters. Links, disks, the voters' rounds and membership are simulated.
 type ruleFleet struct {
-	agenda.Agenda
+	eventqueue.Agenda
 	size     fleetSize
 	links    links
 	rng      *rand.Rand
--- a/internal/lab/scale/outage/servers.go
+++ b/internal/testbed/scale/outage/servers.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sloestile/fleet/subset"
-	"sloestile/internal/lab/discovery"
+	"sloestile/internal/testbed/discovery"
 )
 
 const (
--- a/internal/lab/scale/outage/sharefleet.go
+++ b/internal/testbed/scale/outage/sharefleet.go
@@ -8,8 +8,8 @@
 
 	"sloestile/control"
 	"sloestile/fleet/ratelimit"
-	"sloestile/internal/lab/agenda"
-	"sloestile/internal/lab/ledger"
+	"sloestile/internal/testbed/eventqueue"
+	"sloestile/internal/testbed/refbucket"
 )
 
 // The tenants of the simulated shared limits. Each asks for half as much again as its limit, so that its
@@ -26,7 +26,7 @@
 // shareFleet runs the exchange of shared limits of a whole fleet in virtual time: ratelimit.Exchange at each
 // node. Links and membership are simulated. All tenants have the same owner.
 type shareFleet struct {
-	agenda.Agenda
+	eventqueue.Agenda
 	ctx     context.Context
 	size    fleetSize
 	links   links
@@ -34,7 +34,7 @@
 	end     time.Duration
 	nodes   []shareNode
 	tenants []shareTenant
-	truth   *ledger.Ledger
+	truth   *refbucket.Ledger
 	meter   *meter
 	counts  shareCounts
 	err     error
@@ -85,16 +85,16 @@
 // drawTenants draws tenants that the same node owns.
 func (s *shareFleet) drawTenants(quota ratelimit.Quota) (owner int) {
 	owner = s.rng.IntN(s.size.nodes)
-	var quotas []ledger.Quota
+	var quotas []refbucket.Quota
 	for len(s.tenants) < shareTenants {
 		first := (owner - s.rng.IntN(shareSpread) + s.size.nodes) % s.size.nodes
 		t := shareTenant{key: s.rng.Uint64(), set: ratelimit.NodeRange{First: first, Count: shareSpread}}
 		if of, _ := ratelimit.Owner(t.key, t.set, s.size.nodes, func(int) bool { return true }); of == owner {
 			s.tenants = append(s.tenants, t)
-			quotas = append(quotas, ledger.Quota(quota))
+			quotas = append(quotas, refbucket.Quota(quota))
 		}
 	}
-	s.truth = ledger.New(quotas, 0, 0)
+	s.truth = refbucket.New(quotas, 0, 0)
 	return owner
 }
 
--- a/internal/lab/scale/outage/zonemembers.go
+++ b/internal/testbed/scale/outage/zonemembers.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"sloestile/fleet/rules"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 const zoneMembersName = "zone-members"
--- a/internal/lab/scale/process/bench.go
+++ b/internal/testbed/scale/process/bench.go
@@ -5,8 +5,8 @@
 	"net"
 	"time"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/proc"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/proc"
 )
 
 // The blocks of loopback addresses that the stand-in platform uses. Who listens at the lock's
@@ -38,7 +38,7 @@
 // bench is the surroundings of the real processes of one point: a block of addresses, a folder, a
 // reaper, and what listens in this process.
 type bench struct {
-	deploy *lab.Deploy
+	deploy *testbed.Deploy
 	spans  spans
 	guard  *proc.Guard
 	block  int
@@ -48,7 +48,7 @@
 }
 
 // newBench makes the surroundings of a point. Its error is an AddressError or the reaper's.
-func newBench(deploy *lab.Deploy, s spans) (*bench, error) {
+func newBench(deploy *testbed.Deploy, s spans) (*bench, error) {
 	b := &bench{deploy: deploy, spans: s}
 	for block := firstBlock; block <= lastBlock; block++ {
 		l, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", block, lockPort))
--- a/internal/lab/scale/process/compare_test.go
+++ b/internal/testbed/scale/process/compare_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab"
+	"sloestile/internal/testbed"
 )
 
 func TestRatios(t *testing.T) {
@@ -27,7 +27,7 @@
 // Each comparison names a cost that some sweep of this package has, and no cost has two names.
 func TestComparisonsNameCosts(t *testing.T) {
 	costs := map[string]bool{}
-	for _, s := range Sweeps(&lab.Deploy{}) {
+	for _, s := range Sweeps(&testbed.Deploy{}) {
 		for _, c := range s.Costs {
 			assert.False(t, costs[c.Name], c.Name)
 			costs[c.Name] = true
--- a/internal/lab/scale/process/edgenode.go
+++ b/internal/testbed/scale/process/edgenode.go
@@ -18,9 +18,9 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloestile/internal/lab/discovery"
-	"sloestile/internal/lab/link"
-	"sloestile/internal/lab/proc"
+	"sloestile/internal/testbed/discovery"
+	"sloestile/internal/testbed/faultlink"
+	"sloestile/internal/testbed/proc"
 )
 
 // Ports of an edge node's machine.
@@ -134,7 +134,7 @@
 	for i, t := range spec.targets {
 		n.agent.Put(i, t)
 	}
-	if err := n.agent.Serve(link.NewPath(spec.index, discoveryEnd, 0), b.address(hostsNodes, spec.index, portDiscovery)); err != nil {
+	if err := n.agent.Serve(faultlink.NewPath(spec.index, discoveryEnd, 0), b.address(hostsNodes, spec.index, portDiscovery)); err != nil {
 		return err
 	}
 	b.atEnd(n.agent.Close)
--- a/internal/lab/scale/process/faults_test.go
+++ b/internal/testbed/scale/process/faults_test.go
@@ -6,9 +6,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/scenario"
 )
 
 const (
@@ -31,7 +31,7 @@
 	for run := range faultRuns {
 		day, err := file.Draw(uint64(run + 1))
 		require.NoError(t, err)
-		v, err = lab.Play(t.Context(), day, lab.Options{Deploy: deploy})
+		v, err = testbed.Play(t.Context(), day, testbed.Options{Deploy: deploy})
 		require.NoError(t, err)
 		t.Logf("seed %d: served %.3f, %.2f attempts a try, void: %q", run+1, v.Figures.Get("served"), v.Figures.Get("attempts"), v.Void)
 		if v.Void == "" || len(v.Count) == 0 {
--- a/internal/lab/scale/process/fleet.go
+++ b/internal/testbed/scale/process/fleet.go
@@ -5,7 +5,7 @@
 	"context"
 	"time"
 
-	"sloestile/internal/lab/discovery"
+	"sloestile/internal/testbed/discovery"
 )
 
 const (
--- a/internal/lab/scale/process/limits.go
+++ b/internal/testbed/scale/process/limits.go
@@ -7,11 +7,11 @@
 	"math/rand/v2"
 	"time"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/scale"
 )
 
-// The load of shared limits. It is that of internal/lab/scale/exchange, so that real and hollow
+// The load of shared limits. It is that of internal/testbed/scale/exchange, so that real and hollow
 // figures can be compared size by size.
 const (
 	limitRate      = 9  // requests a second and node
@@ -100,7 +100,7 @@
 
 // limitSweep measures shared limits among real nodes. Each point starts two groups, one with shared
 // limits and one with the membership alone: the difference is what shared limits cost.
-func limitSweep(deploy *lab.Deploy) scale.Sweep {
+func limitSweep(deploy *testbed.Deploy) scale.Sweep {
 	const name = "process/limits"
 	return scale.Sweep{Name: name, Dimension: "real nodes that share limits, each with 9 requests a second", Target: targetNodes,
 		Sizes: []int{4, 12, 40}, Costs: []scale.Cost{
@@ -156,7 +156,7 @@
 }
 
 // measureGroup starts a group and measures it under load and idle.
-func measureGroup(ctx context.Context, deploy *lab.Deploy, s spans, size int, seed uint64, limits bool) (*groupFigures, error) {
+func measureGroup(ctx context.Context, deploy *testbed.Deploy, s spans, size int, seed uint64, limits bool) (*groupFigures, error) {
 	b, err := newBench(deploy, s)
 	if err != nil {
 		return nil, err
--- a/internal/lab/scale/process/load.go
+++ b/internal/testbed/scale/process/load.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 const (
--- a/internal/lab/scale/process/load_test.go
+++ b/internal/testbed/scale/process/load_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // One late send of a thousand is borne, two are not, over all loads of a point.
--- a/internal/lab/scale/process/members.go
+++ b/internal/testbed/scale/process/members.go
@@ -5,8 +5,8 @@
 	"math"
 	"time"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/scale"
 )
 
 const (
@@ -26,7 +26,7 @@
 )
 
 // memberSweep measures a real node among more and more hollow members.
-func memberSweep(deploy *lab.Deploy) scale.Sweep {
+func memberSweep(deploy *testbed.Deploy) scale.Sweep {
 	const name = "process/members"
 	return scale.Sweep{Name: name, Dimension: "members known to a real node", Target: targetNodes,
 		Sizes: []int{3, 10, 30, 100, 300}, Costs: []scale.Cost{
--- a/internal/lab/scale/process/process.go
+++ b/internal/testbed/scale/process/process.go
@@ -10,8 +10,8 @@
 	"context"
 	"time"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/scale"
 )
 
 // pointMost bounds the real time of one point.
@@ -20,12 +20,12 @@
 // Sweeps are the sweeps over real processes of the program that a deploy file runs. The program is
 // built before the first point. They take too long for the quick form and have no quick sizes. Where
 // the generator was late, Measure gives a scale.LateError beside the readings: the point is void.
-func Sweeps(deploy *lab.Deploy) []scale.Sweep {
+func Sweeps(deploy *testbed.Deploy) []scale.Sweep {
 	return []scale.Sweep{serverSweep(deploy), subsetSweep(deploy), rateSweep(deploy), limitSweep(deploy), memberSweep(deploy)}
 }
 
 // measured bounds a point's real time and gives it surroundings of its own.
-func measured(deploy *lab.Deploy, point func(ctx context.Context, b *bench, size int, seed uint64) ([]scale.Reading, error)) func(context.Context, int, uint64) ([]scale.Reading, error) {
+func measured(deploy *testbed.Deploy, point func(ctx context.Context, b *bench, size int, seed uint64) ([]scale.Reading, error)) func(context.Context, int, uint64) ([]scale.Reading, error) {
 	return func(ctx context.Context, size int, seed uint64) ([]scale.Reading, error) {
 		ctx, cancel := context.WithTimeout(ctx, pointMost)
 		defer cancel()
--- a/internal/lab/scale/process/process_test.go
+++ b/internal/testbed/scale/process/process_test.go
@@ -14,9 +14,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/proc"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/proc"
+	"sloestile/internal/testbed/scale"
 )
 
 var folder string
@@ -33,13 +33,13 @@
 }
 
 // built builds the program once, beside what was built to be deployed.
-var built = sync.OnceValues(func() (*lab.Deploy, error) {
+var built = sync.OnceValues(func() (*testbed.Deploy, error) {
 	bin := filepath.Join(folder, "edgenode")
 	out, err := exec.Command("go", "build", "-o", bin, "sloestile/cmd/edgenode").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
 	}
-	return &lab.Deploy{Root: folder, Run: "exec " + bin}, err
+	return &testbed.Deploy{Root: folder, Run: "exec " + bin}, err
 })
 
 // shortSpans are for tests, in which no figure counts.
@@ -129,7 +129,7 @@
 // A node that can't start is told with the last line of its log.
 func TestStartErrorNamesTheLog(t *testing.T) {
 	b := short(t)
-	b.deploy = &lab.Deploy{Root: folder, Run: "echo no such program; exit 3"}
+	b.deploy = &testbed.Deploy{Root: folder, Run: "echo no such program; exit 3"}
 	_, err := b.onePoint(t.Context(), 4, 1)
 	var start *StartError
 	require.ErrorAs(t, err, &start)
--- a/internal/lab/scale/process/request.go
+++ b/internal/testbed/scale/process/request.go
@@ -6,9 +6,9 @@
 	"fmt"
 	"time"
 
-	"sloestile/internal/lab"
-	"sloestile/internal/lab/discovery"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed"
+	"sloestile/internal/testbed/discovery"
+	"sloestile/internal/testbed/scale"
 )
 
 // openedSlack is the factor that the quick form allows on the connections opened for a request: few
@@ -33,7 +33,7 @@
 )
 
 // serverSweep measures one node that is told of more and more servers and uses all of them.
-func serverSweep(deploy *lab.Deploy) scale.Sweep {
+func serverSweep(deploy *testbed.Deploy) scale.Sweep {
 	const name = "process/servers"
 	costs := append(requestCosts(name, 1),
 		scale.Cost{Name: name + "/start", Unit: scale.Milliseconds, Exponent: 1, Timed: true},
@@ -44,7 +44,7 @@
 
 // subsetSweep measures one node that uses some of the servers it is told of. Lists of over 4 MB are
 // taken with a subset alone.
-func subsetSweep(deploy *lab.Deploy) scale.Sweep {
+func subsetSweep(deploy *testbed.Deploy) scale.Sweep {
 	const name = "process/subset"
 	costs := append(requestCosts(name, 0),
 		scale.Cost{Name: name + "/start", Unit: scale.Milliseconds, Exponent: 1, Timed: true},
@@ -55,7 +55,7 @@
 }
 
 // measureServers measures one node at one size of its list.
-func measureServers(deploy *lab.Deploy, sweep string, fleet *fleetFile) func(context.Context, int, uint64) ([]scale.Reading, error) {
+func measureServers(deploy *testbed.Deploy, sweep string, fleet *fleetFile) func(context.Context, int, uint64) ([]scale.Reading, error) {
 	return measured(deploy, func(ctx context.Context, b *bench, size int, seed uint64) ([]scale.Reading, error) {
 		b.fleet = fleet
 		p, err := b.onePoint(ctx, size, seed)
@@ -76,7 +76,7 @@
 }
 
 // rateSweep measures one node under more and more requests.
-func rateSweep(deploy *lab.Deploy) scale.Sweep {
+func rateSweep(deploy *testbed.Deploy) scale.Sweep {
 	return scale.Sweep{Name: "process/rate", Dimension: "requests a second at a real node", Target: 534,
 		Sizes: []int{10, 60, 250, 1_000}, Costs: requestCosts("process/rate", 0),
 		Measure: measured(deploy, func(ctx context.Context, b *bench, size int, seed uint64) ([]scale.Reading, error) {
--- a/internal/lab/scale/request/changes.go
+++ b/internal/testbed/scale/request/changes.go
@@ -8,7 +8,7 @@
 	"sloestile/control"
 	"sloestile/fleet/subset"
 	"sloestile/internal/discovery"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // Machine events of the target: 14,430 a day, and 100 times as many in one minute.
--- a/internal/lab/scale/request/group.go
+++ b/internal/testbed/scale/request/group.go
@@ -5,7 +5,7 @@
 	"math"
 
 	"sloestile/control"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // groupWarm is how many requests a node sends, for each factor of ten of the group, until its bound on
--- a/internal/lab/scale/request/planted_test.go
+++ b/internal/testbed/scale/request/planted_test.go
@@ -10,7 +10,7 @@
 
 	"sloestile/fleet/subset"
 	"sloestile/internal/discovery"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // Regressions are planted here and nowhere else: the quick form has to fail for them.
--- a/internal/lab/scale/request/rate.go
+++ b/internal/testbed/scale/request/rate.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // serversHeld is how many servers a node knows where another dimension is swept.
--- a/internal/lab/scale/request/recording.go
+++ b/internal/testbed/scale/request/recording.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloestile/control"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // Recording is all that a controller was told in a run. As the controller decides by its settings,
--- a/internal/lab/scale/request/restart.go
+++ b/internal/testbed/scale/request/restart.go
@@ -9,7 +9,7 @@
 	"sloestile/control"
 	"sloestile/fleet/subset"
 	"sloestile/internal/discovery"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // restarts measures what a node that starts with nothing fetches, and the CPU time until its first send.
--- a/internal/lab/scale/request/rules.go
+++ b/internal/testbed/scale/request/rules.go
@@ -5,7 +5,7 @@
 	"strconv"
 
 	"sloestile/control"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // ruleSets measures rule sets that give many tenants a quota of their own.
--- a/internal/lab/scale/request/serverset.go
+++ b/internal/testbed/scale/request/serverset.go
@@ -7,7 +7,7 @@
 
 	"sloestile/control"
 	"sloestile/fleet/subset"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // Budgets of the target for control at an edge node.
--- a/internal/lab/scale/request/sweeps.go
+++ b/internal/testbed/scale/request/sweeps.go
@@ -1,6 +1,6 @@
 package request
 
-import "sloestile/internal/lab/scale"
+import "sloestile/internal/testbed/scale"
 
 // Sweeps are the sweeps of the request path.
 func Sweeps() []scale.Sweep {
--- a/internal/lab/scale/request/tenants.go
+++ b/internal/testbed/scale/request/tenants.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 
 	"sloestile/control"
-	"sloestile/internal/lab/scale"
+	"sloestile/internal/testbed/scale"
 )
 
 // fewServers keeps a request cheap where there are very many of them.
--- a/internal/lab/virtual/figures.go
+++ b/internal/testbed/virtual/figures.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"math"
 
-	"sloestile/internal/lab/judge"
+	"sloestile/internal/testbed/judge"
 )
 
 func (p *play) figures() judge.Figures {
--- a/internal/lab/virtual/rules.go
+++ b/internal/testbed/virtual/rules.go
@@ -9,9 +9,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"sloestile/fleet/rules"
-	"sloestile/internal/lab/agenda"
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/eventqueue"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/scenario"
 )
 
 // The ways to activate a rule set.
@@ -43,7 +43,7 @@
 
 // rulesPlay is one play in progress.
 type rulesPlay struct {
-	agenda.Agenda
+	eventqueue.Agenda
 	d       *scenario.Day
 	loss    float64
 	rng     *rand.Rand
--- a/internal/lab/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -15,10 +15,10 @@
 	"sloestile/control"
 	"sloestile/fleet/ratelimit"
 	"sloestile/fleet/rules"
-	"sloestile/internal/lab/agenda"
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/eventqueue"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 // Way is how nodes share a customer's quota.
@@ -47,8 +47,8 @@
 	loss    float64
 	rng     *rand.Rand
 	now     time.Duration
-	agenda  agenda.Agenda
-	truth   *ledger.Ledger
+	agenda  eventqueue.Agenda
+	truth   *refbucket.Ledger
 	nodes   []node
 	owners  []int // by customer
 	stores  []*ratelimit.Bucket
@@ -93,7 +93,7 @@
 	}
 	p := &play{d: d, way: way, loss: loss, rng: rand.New(rand.NewPCG(d.Seed, 5)), nodes: make([]node, len(d.Nodes)),
 		age: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
-	quotas, held := map[uint32]ratelimit.Quota{}, []ledger.Quota{}
+	quotas, held := map[uint32]ratelimit.Quota{}, []refbucket.Quota{}
 	for i, plan := range d.Plans {
 		quotas[uint32(i)] = ratelimit.Quota{Rate: plan.Rate, Burst: plan.Depth}
 	}
@@ -112,12 +112,12 @@
 	}
 	for i, c := range d.Customers {
 		q := quotas[uint32(c.Plan)]
-		held = append(held, ledger.Quota(q))
+		held = append(held, refbucket.Quota(q))
 		owner, _ := ratelimit.Owner(uint64(i)+1, ratelimit.NodeRange{First: c.First, Count: c.Spread}, len(d.Nodes), func(int) bool { return true })
 		p.owners = append(p.owners, owner)
 		p.stores = append(p.stores, ratelimit.NewBucket(q, q.Burst, 0))
 	}
-	p.truth = ledger.New(held, 0, 0)
+	p.truth = refbucket.New(held, 0, 0)
 	if way == Uncut || way == Cut || way == Provided {
 		if p.win = newWindow(d); p.win != nil {
 			p.plan(all)
--- a/internal/lab/virtual/virtual_test.go
+++ b/internal/testbed/virtual/virtual_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/scenario"
 )
 
 func day(t *testing.T, seed uint64) *scenario.Day {
--- a/internal/lab/virtual/window.go
+++ b/internal/testbed/virtual/window.go
@@ -5,9 +5,9 @@
 
 	"sloestile/fleet/prefetch"
 	"sloestile/fleet/ratelimit"
-	"sloestile/internal/lab/judge"
-	"sloestile/internal/lab/ledger"
-	"sloestile/internal/lab/scenario"
+	"sloestile/internal/testbed/judge"
+	"sloestile/internal/testbed/refbucket"
+	"sloestile/internal/testbed/scenario"
 )
 
 // The ways through a time in which a hall has no link to the others: the first split of the scenario.
@@ -205,7 +205,7 @@
 }
 
 // saw takes a try's part in the counts.
-func (c *counts) saw(truth *ledger.Ledger, customer int, now time.Duration, units float64, passes, within bool) {
+func (c *counts) saw(truth *refbucket.Ledger, customer int, now time.Duration, units float64, passes, within bool) {
 	c.tries++
 	switch {
 	case !passes:
