--- /dev/null
+++ b/internal/consensus/admission.go
@@ -0,0 +1,152 @@
+package consensus
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"strings"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/hashicorp/raft"
+
+	"sloestile/internal/consensus/transport"
+)
+
+// A voter with nothing on its disk makes an identity that nobody knows. Where all voters report the same, the first by name
+// founds the group. Else the leader takes it in: it hears the log without a vote, then the identity that had its name is
+// removed, and it votes.
+
+const (
+	aliveAfterContact    = 2 * time.Second // in which nobody takes a voter's place after it was heard
+	admissionStepTimeout = time.Second     // for the leader to begin a step
+)
+
+// enter has a voter without a log taken in, or the group founded.
+func (v *Voter) enter(ctx context.Context, r *raft.Raft, identity raft.ServerID) {
+	body, err := cbor.Marshal(reportRequest{Admit: true, Name: v.config.Name, Identity: string(identity)})
+	if err != nil {
+		return
+	}
+	for {
+		heard := v.reportsOfOthers(ctx, identity)
+		if isVoter(r.GetConfiguration().Configuration(), identity) {
+			v.mu.Lock()
+			v.phase = PhaseVoting
+			v.mu.Unlock()
+			slog.Info("consensus: voter votes", "identity", identity)
+			return
+		}
+		if c, ok := v.initialConfiguration(heard, identity); ok && r.LastIndex() == 0 {
+			slog.Info("consensus: group founded", "voters", len(c.Servers))
+			if err := r.BootstrapCluster(c).Error(); err != nil {
+				slog.Error("consensus: founding the group failed", "error", err)
+			}
+			continue
+		}
+		v.requestAdmission(ctx, heard, body)
+		select {
+		case <-time.After(reportInterval):
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// requestAdmission asks a leader that one of the others knows to be taken in.
+func (v *Voter) requestAdmission(ctx context.Context, heard map[string]*voterReport, body []byte) {
+	for _, report := range heard {
+		leader, ok := v.peers[nameOf(raft.ServerID(report.Leader))]
+		if !ok || leader.Name == v.config.Name {
+			continue
+		}
+		answer := v.requestReport(ctx, leader, body)
+		if answer != nil && answer.Rejected != "" {
+			slog.Info("consensus: voter not admitted yet", "leader", leader.Name, "why", answer.Rejected)
+		}
+		return
+	}
+}
+
+// initialConfiguration returns the group's first voters where all are heard and have agreed to nothing, and this one is the
+// first of them.
+func (v *Voter) initialConfiguration(heard map[string]*voterReport, identity raft.ServerID) (c raft.Configuration, ok bool) {
+	if len(heard) != len(v.peers)-1 {
+		return c, false
+	}
+	for _, peer := range v.config.Voters {
+		id := identity
+		if peer.Name != v.config.Name {
+			report := heard[peer.Name]
+			if !report.Empty || strings.Compare(peer.Name, v.config.Name) < 0 {
+				return c, false
+			}
+			id = raft.ServerID(report.Identity)
+		}
+		address := transport.Address(string(id), peer.Address)
+		c.Servers = append(c.Servers, raft.Server{Suffrage: raft.Voter, ID: id, Address: address})
+	}
+	return c, true
+}
+
+// admit does the next step of taking a voter in; nil is that none is left.
+func (v *Voter) admit(name string, identity raft.ServerID) error {
+	r, err := v.leadingRaft()
+	if err != nil {
+		return err
+	}
+	peer, ok := v.peers[name]
+	if !ok || nameOf(identity) != name || name == v.config.Name {
+		return fmt.Errorf("council: %s is none of the fleet file's other voters", identity)
+	}
+	if !v.admitting.TryLock() {
+		return errors.New("council: another voter is being taken in")
+	}
+	defer v.admitting.Unlock()
+	configuration := r.GetConfiguration().Configuration()
+	if isVoter(configuration, identity) {
+		return nil
+	}
+	replaced, err := v.replacedBy(configuration, name, identity)
+	if err != nil {
+		return err
+	}
+	address := transport.Address(string(identity), peer.Address)
+	if !isListed(configuration.Servers, identity) {
+		slog.Info("consensus: admitting a voter", "identity", identity)
+		return nextStep(r.AddNonvoter(identity, address, 0, admissionStepTimeout).Error(), "it hears the log")
+	}
+	if has := v.records.of(identity).Last.Index; has < r.CommitIndex() {
+		return fmt.Errorf("council: it has %d of %d records", has, r.CommitIndex())
+	}
+	for _, old := range replaced {
+		if err := r.RemoveServer(old, 0, admissionStepTimeout).Error(); err != nil {
+			return err
+		}
+	}
+	return nextStep(r.AddVoter(identity, address, 0, admissionStepTimeout).Error(), "it votes from now on")
+}
+
+// replacedBy returns the other identities of a name. It is an error if one of them was heard lately.
+func (v *Voter) replacedBy(c raft.Configuration, name string, identity raft.ServerID) ([]raft.ServerID, error) {
+	var replaced []raft.ServerID
+	for _, server := range c.Servers {
+		if nameOf(server.ID) != name || server.ID == identity {
+			continue
+		}
+		if time.Since(v.records.of(server.ID).heardAt) < aliveAfterContact {
+			return nil, fmt.Errorf("council: %s is there; end one of the two processes that use its name", server.ID)
+		}
+		replaced = append(replaced, server.ID)
+	}
+	return replaced, nil
+}
+
+// nextStep returns err, or that there is a step left.
+func nextStep(err error, next string) error {
+	if err != nil {
+		return err
+	}
+	return errors.New("council: " + next)
+}
--- a/internal/consensus/errors_test.go
+++ b/internal/consensus/errors_test.go
@@ -8,9 +8,9 @@
 
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
-		&NoMajorityError{Phase: "waiting"},
+		&NoMajorityError{Reason: "waiting"},
 		&NotLeaderError{Leader: Peer{Name: "n-1", Address: "127.0.0.1:7947"}},
-		&StrangeError{Machine: 'x'},
-		&UnknownError{Why: oncall.ErrCause},
+		&UnknownMachineError{Machine: 'x'},
+		&OutcomeUnknownError{Err: oncall.ErrCause},
 	)
 }
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -19,8 +19,8 @@
 
 // What voters say to each other has the recorded bytes.
 func TestCallsAreAsRecorded(t *testing.T) {
-	golden.RoundTrip(t, "ask", func(q *ask) ([]byte, error) { return cbor.Marshal(*q) }, decodeAs[ask])
-	golden.RoundTrip(t, "report", func(a *report) ([]byte, error) { return cbor.Marshal(*a) }, decodeAs[report])
+	golden.RoundTrip(t, "ask", func(q *reportRequest) ([]byte, error) { return cbor.Marshal(*q) }, decodeAs[reportRequest])
+	golden.RoundTrip(t, "report", func(a *voterReport) ([]byte, error) { return cbor.Marshal(*a) }, decodeAs[voterReport])
 }
 
 // sinkBuffer is a snapshot's destination in memory.
@@ -41,13 +41,13 @@
 
 // The snapshot of all state machines has the recorded bytes and is restored from them.
 func TestSnapshotIsAsRecorded(t *testing.T) {
-	m := &machines{of: map[byte]Machine{'r': &keptMachine{[]byte("rules")}}}
+	m := &stateMachines{byKind: map[byte]StateMachine{'r': &keptMachine{[]byte("rules")}}}
 	s, err := m.Snapshot()
 	require.NoError(t, err)
 	var out sinkBuffer
 	require.NoError(t, s.Persist(&out))
 	golden.Check(t, "snapshot", out.Bytes())
 	back := &keptMachine{}
-	require.NoError(t, (&machines{of: map[byte]Machine{'r': back}}).Restore(io.NopCloser(&out)))
+	require.NoError(t, (&stateMachines{byKind: map[byte]StateMachine{'r': back}}).Restore(io.NopCloser(&out)))
 	require.Equal(t, "rules", string(back.state))
 }
--- a/internal/consensus/learner/fetch.go
+++ b/internal/consensus/learner/fetch.go
@@ -1,229 +1,211 @@
 package learner
 
 import (
-	"context"
 	"fmt"
 	"log/slog"
 	"slices"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"sloestile/fleet/rules"
 )
 
 const (
-	partBytes  = 1024 // of a text, in a message
-	partsAtOne = 8    // that are asked for at once
-	partsMost  = rules.MaxTextBytes / partBytes
-	textsMost  = 4 // that are held
-
-	fetchAgain = 60 * time.Millisecond // until parts that have not come are asked for again
-	fetchLater = 25 * time.Millisecond // until one that has not got it itself is asked again
-	fetchTries = 6                     // at one node
-	messageMax = 1300
-)
-
-// want asks a neighbour for parts of a text.
-type want struct {
-	_      struct{} `cbor:",toarray"`
-	From   int
-	Digest rules.Digest
-	First  int
-	Count  int
-}
-
-// part is one of a text.
-type part struct {
-	_      struct{} `cbor:",toarray"`
-	Digest rules.Digest
-	Have   bool // else the neighbour has not got the text
-	Size   int  // of the text
-	At     int  // which part
-	Bytes  []byte
-}
-
-var (
-	encoding = must(cbor.CanonicalEncOptions().EncMode())
-	decoding = must(cbor.DecOptions{MaxArrayElements: 64, MaxMapPairs: 16, MaxNestedLevels: 4,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	partBytes       = 1024 // of a text, in a message
+	partsPerRequest = 8
+	maxParts        = rules.MaxTextBytes / partBytes
+	maxTexts        = 4 // that are held
+
+	fetchRetryInterval = 60 * time.Millisecond // until missing parts are requested again
+	fetchUnknownDelay  = 25 * time.Millisecond // until a source that does not have the text is asked again
+	fetchNoSourceDelay = time.Second           // until it is looked for a source again
+	maxFetchAttempts   = 6                     // at one source
 )
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options of the program's own
-	}
-	return v
-}
-
-// decode reads a message; nil is that it can't be.
-func decode[T any](raw []byte) *T {
-	v := new(T)
-	if len(raw) > messageMax || decoding.Unmarshal(raw, v) != nil {
-		return nil
-	}
-	return v
-}
-
-// text is a rule set's that is here.
-type text struct {
-	name  rules.VersionID
-	raw   []byte
-	rules *rules.Compiled // nil is that this node can't act by it
-	why   error           // of that
+// fetchedText is a rule set's text that is here.
+type fetchedText struct {
+	version rules.VersionID
+	raw     []byte
+	rules   *rules.Compiled // nil is that this node can't use it
+	err     error           // why it can't
 }
 
-// fetching is a text on its way.
-type fetching struct {
-	name    rules.VersionID
-	parts   [][]byte // nil until the size is known
-	size    int
-	sources []int
-	source  int
-	tries   int
-	at      time.Duration // when to ask again
+// textFetch is a text on its way.
+type textFetch struct {
+	version  rules.VersionID
+	parts    [][]byte // nil until the size is known
+	size     int
+	sources  []int
+	source   int // position of the one that is used
+	attempts int // at it
+	retryAt  time.Duration
 }
 
-func (l *Learner) numbered(n uint64) *text {
+func (l *Learner) textOf(number uint64) *fetchedText {
 	for i := range l.texts {
-		if l.texts[i].name.Number == n {
+		if l.texts[i].version.Number == number {
 			return &l.texts[i]
 		}
 	}
 	return nil
 }
 
-func (l *Learner) has(d rules.Digest) ([]byte, bool) {
+// findText returns the text of a digest, if it is here.
+func (l *Learner) findText(d rules.Digest) ([]byte, bool) {
 	for _, t := range l.texts {
-		if t.name.Digest == d {
+		if t.version.Digest == d {
 			return t.raw, true
 		}
 	}
-	if l.cfg.Registry != nil {
-		return l.cfg.Registry.text(d)
+	if l.config.Registry != nil {
+		return l.config.Registry.text(d)
 	}
 	return nil, false
 }
 
-// text sees that the text which the leases ask for comes.
-func (l *Learner) text(context.Context) {
+// fetchMissing has the texts come that the leases need.
+func (l *Learner) fetchMissing() {
 	for {
-		name, ok := l.node.MissingText()
+		version, ok := l.node.MissingText()
 		if !ok {
 			l.fetch = nil
 			return
 		}
-		if raw, ok := l.has(name.Digest); ok {
-			l.take(name, raw)
+		if raw, ok := l.findText(version.Digest); ok {
+			l.takeText(version, raw)
 			continue
 		}
-		if l.fetch == nil || l.fetch.name != name {
-			l.fetch = &fetching{name: name}
+		if l.fetch == nil || l.fetch.version != version {
+			l.fetch = &textFetch{version: version}
 		}
-		if Clock() >= l.fetch.at {
-			l.ask(l.fetch)
+		if Clock() >= l.fetch.retryAt {
+			l.requestParts(l.fetch)
 		}
 		return
 	}
 }
 
-// take takes a text that is as its digest says.
-func (l *Learner) take(name rules.VersionID, raw []byte) {
-	t := text{name: name, raw: raw}
+// takeText takes a text that matches its digest.
+func (l *Learner) takeText(version rules.VersionID, raw []byte) {
+	t := fetchedText{version: version, raw: raw}
 	set, err := rules.Parse(raw)
 	if err == nil {
-		t.rules, err = set.Compile(l.cfg.Settings)
+		t.rules, err = set.Compile(l.config.Settings)
 	}
 	if err != nil {
-		l.Counts.Refused.Add(1)
-		t.why = fmt.Errorf("version %d: %w", name.Number, err)
-		slog.Error("rules: this node can't act by a version", "version", name.Number, "err", err)
+		l.Counts.Unusable.Add(1)
+		t.err = fmt.Errorf("version %d: %w", version.Number, err)
+		slog.Error("rules: this node can't use a version", "version", version.Number, "error", err)
 	}
-	if len(l.texts) >= textsMost {
+	if len(l.texts) >= maxTexts {
 		l.texts = slices.Delete(l.texts, 0, 1)
 	}
 	l.texts = append(l.texts, t)
-	l.node.TextFetched(Clock(), name, err == nil)
+	l.node.TextFetched(Clock(), version, err == nil)
 	l.fetch = nil
 }
 
-// ask asks for the parts that are not here, the next source where one has been asked enough.
-func (l *Learner) ask(f *fetching) {
-	if f.tries >= fetchTries || len(f.sources) == 0 {
-		f.source, f.tries = f.source+1, 0
-		if f.sources = l.sources(); len(f.sources) == 0 {
-			f.at = Clock() + time.Second
+// requestParts requests the parts that are missing, from the next source where one was asked often enough.
+func (l *Learner) requestParts(f *textFetch) {
+	if f.attempts >= maxFetchAttempts || len(f.sources) == 0 {
+		f.source++
+		f.attempts = 0
+		f.sources = l.sources()
+		if len(f.sources) == 0 {
+			f.retryAt = Clock() + fetchNoSourceDelay
 			return
 		}
 	}
-	f.tries++
-	f.at = Clock() + fetchAgain
-	first := max(0, slices.IndexFunc(f.parts, func(p []byte) bool { return p == nil }))
-	raw, err := encoding.Marshal(want{From: l.cfg.Self, Digest: f.name.Digest, First: first, Count: partsAtOne})
-	if err == nil {
-		l.send(f.sources[f.source%len(f.sources)], kindWant, raw)
+	f.attempts++
+	f.retryAt = Clock() + fetchRetryInterval
+	request := partRequest{Sender: l.config.Node, Digest: f.version.Digest, First: max(0, f.missing()), Count: partsPerRequest}
+	if raw, err := encoder.Marshal(request); err == nil {
+		l.send(f.sources[f.source%len(f.sources)], kindPartRequest, raw)
 	}
 }
 
-// serve gives parts of a text that is here.
-func (l *Learner) serve(q *want) {
-	raw, ok := l.has(q.Digest)
-	if q.First < 0 || q.First >= partsMost {
+// missing returns the first part that is not here; -1 is none.
+func (f *textFetch) missing() int {
+	return slices.IndexFunc(f.parts, func(part []byte) bool { return part == nil })
+}
+
+// sendParts sends parts of a text that is here, or that it is not.
+func (l *Learner) sendParts(request *partRequest) {
+	raw, known := l.findText(request.Digest)
+	if request.First < 0 || request.First >= maxParts {
 		return
 	}
-	p := part{Digest: q.Digest, Have: ok, Size: len(raw)}
-	for i := q.First; i < q.First+min(q.Count, partsAtOne); i++ {
-		if p.At, p.Bytes = i, nil; ok {
+	end := request.First + min(request.Count, partsPerRequest)
+	for i := request.First; i < end; i++ {
+		part := textPart{Digest: request.Digest, Known: known, Size: len(raw), Index: i}
+		if known {
 			if i > 0 && i*partBytes >= len(raw) {
 				return
 			}
-			p.Bytes = raw[i*partBytes : min(len(raw), (i+1)*partBytes)]
+			part.Bytes = raw[i*partBytes : min(len(raw), (i+1)*partBytes)]
 		}
-		b, err := encoding.Marshal(p)
+		encoded, err := encoder.Marshal(part)
 		if err != nil {
 			return
 		}
 		l.Counts.Served.Add(1)
-		l.send(q.From, kindPart, b)
-		if !ok {
+		l.send(request.Sender, kindPart, encoded)
+		if !known {
 			return
 		}
 	}
 }
 
-// part takes one that was asked for.
-func (l *Learner) part(p *part) {
+// receivePart takes a part that was requested.
+func (l *Learner) receivePart(part *textPart) {
 	f := l.fetch
-	if f == nil || p.Digest != f.name.Digest {
+	if f == nil || part.Digest != f.version.Digest {
 		return
 	}
-	if !p.Have {
-		f.at = Clock() + fetchLater
+	if !part.Known {
+		f.retryAt = Clock() + fetchUnknownDelay
 		return
 	}
-	n := max(1, (p.Size+partBytes-1)/partBytes)
-	if p.Size < 0 || p.Size > rules.MaxTextBytes || p.At < 0 || p.At >= n || len(p.Bytes) != min(partBytes, p.Size-p.At*partBytes) {
-		l.Counts.Spoilt.Add(1)
+	if !part.valid() {
+		l.Counts.Corrupt.Add(1)
 		return
 	}
-	if f.parts == nil || f.size != p.Size {
-		f.parts, f.size = make([][]byte, n), p.Size
+	if f.parts == nil || f.size != part.Size {
+		f.parts = make([][]byte, partCount(part.Size))
+		f.size = part.Size
 	}
-	f.parts[p.At] = append([]byte{}, p.Bytes...)
-	missing := slices.IndexFunc(f.parts, func(b []byte) bool { return b == nil })
+	f.parts[part.Index] = append([]byte{}, part.Bytes...)
+	missing := f.missing()
 	switch {
 	case missing < 0:
-		raw := slices.Concat(f.parts...)
-		if rules.DigestOf(raw) != f.name.Digest {
-			// One of the parts was another's; from the next source.
-			l.Counts.Spoilt.Add(1)
-			f.parts, f.tries, f.at = nil, fetchTries, Clock()
-			return
-		}
-		l.Counts.Fetched.Add(1)
-		l.Counts.FetchedBytes.Add(int64(len(raw)))
-		l.take(f.name, raw)
-	case p.At%partsAtOne == partsAtOne-1 && missing > p.At: // what was asked for is here
-		f.tries, f.at = 0, Clock()
+		l.assemble(f)
+	case part.Index%partsPerRequest == partsPerRequest-1 && missing > part.Index: // what was requested is here
+		f.attempts = 0
+		f.retryAt = Clock()
+	}
+}
+
+// assemble takes the text of all parts. Where it does not match its digest, a part was another text's: it is fetched anew
+// from the next source.
+func (l *Learner) assemble(f *textFetch) {
+	raw := slices.Concat(f.parts...)
+	if rules.DigestOf(raw) != f.version.Digest {
+		l.Counts.Corrupt.Add(1)
+		f.parts = nil
+		f.attempts = maxFetchAttempts
+		f.retryAt = Clock()
+		return
+	}
+	l.Counts.Fetched.Add(1)
+	l.Counts.FetchedBytes.Add(int64(len(raw)))
+	l.takeText(f.version, raw)
+}
+
+// partCount returns the number of parts of a text; an empty one has one.
+func partCount(size int) int { return max(1, (size+partBytes-1)/partBytes) }
+
+func (p *textPart) valid() bool {
+	if p.Size < 0 || p.Size > rules.MaxTextBytes || p.Index < 0 || p.Index >= partCount(p.Size) {
+		return false
 	}
+	return len(p.Bytes) == min(partBytes, p.Size-p.Index*partBytes)
 }
--- a/internal/consensus/learner/lead.go
+++ b/internal/consensus/learner/lead.go
@@ -8,6 +8,11 @@
 	"sloestile/fleet/rules"
 )
 
+const (
+	proposeTimeout       = time.Second
+	proposeRetryInterval = 200 * time.Millisecond // after a proposal that failed
+)
+
 // confirm has a majority confirm the leadership, one round at a time.
 func (l *Learner) confirm(ctx context.Context) {
 	if !l.leads || l.verifying {
@@ -18,10 +23,11 @@
 		return
 	}
 	l.verifying = true
-	l.work.Go(func() {
-		err := l.cfg.Council.Verify()
+	l.running.Go(func() {
+		err := l.config.Consensus.Verify()
 		l.post(ctx, func() {
-			if l.verifying = false; err != nil {
+			l.verifying = false
+			if err != nil {
 				l.Counts.Unverified.Add(1)
 				return
 			}
@@ -33,31 +39,40 @@
 
 // propose has the voters agree to the leader's own steps of an activation, one at a time.
 func (l *Learner) propose(ctx context.Context) {
-	if !l.leads || l.proposing || Clock() < l.notBefore {
+	if !l.leads || l.proposing || Clock() < l.proposeAfter {
 		return
 	}
-	var c rules.Command
-	if commit, ok := l.node.CommitReady(Clock()); ok {
-		c.Commit = &commit
-	} else if number, at, ok := l.cfg.Registry.Due(); ok && int64(at) <= time.Now().UnixMilli() {
-		c.Prepare = &rules.Prepare{Number: number}
-	} else {
+	command, ok := l.nextCommand()
+	if !ok {
 		return
 	}
-	raw, err := c.Encode()
+	raw, err := command.Encode()
 	if err != nil {
-		slog.Error("rules: a step of an activation", "err", err)
+		slog.Error("rules: encoding a step of an activation failed", "error", err)
 		return
 	}
 	l.proposing = true
-	l.work.Go(func() {
-		_, err := l.cfg.Council.Propose(Machine, raw, proposeWithin)
+	l.running.Go(func() {
+		_, err := l.config.Consensus.Propose(StateMachineKind, raw, proposeTimeout)
 		l.post(ctx, func() {
-			if l.proposing = false; err != nil {
-				l.notBefore = Clock() + proposeAgain
+			l.proposing = false
+			if err != nil {
+				l.proposeAfter = Clock() + proposeRetryInterval
 				return
 			}
 			l.Counts.Proposed.Add(1)
 		})
 	})
 }
+
+// nextCommand returns the leader's next step of an activation, if one is due.
+func (l *Learner) nextCommand() (rules.Command, bool) {
+	if commit, ok := l.node.CommitReady(Clock()); ok {
+		return rules.Command{Commit: &commit}, true
+	}
+	number, at, ok := l.config.Registry.NextActivation()
+	if !ok || int64(at) > time.Now().UnixMilli() {
+		return rules.Command{}, false
+	}
+	return rules.Command{Prepare: &rules.Prepare{Number: number}}, true
+}
--- a/internal/consensus/learner/registry.go
+++ b/internal/consensus/learner/registry.go
@@ -6,48 +6,48 @@
 	"sloestile/fleet/rules"
 )
 
-// Machine is the first byte of the registry's commands in the council's log.
-const Machine = 'r'
+// StateMachineKind is the first byte of the registry's commands in the consensus log.
+const StateMachineKind = 'r'
 
-// Registry is the registry of versions as a state machine of the council's.
+// Registry is the registry of versions as a state machine of the consensus group. It is safe for concurrent use.
 type Registry struct {
-	changed func(rules.VersionState) // is told of another word, and does not wait
+	onChange func(rules.VersionState) // nil is nobody
 
-	mu  sync.Mutex
-	reg *rules.Registry
+	mu       sync.Mutex
+	registry *rules.Registry
 }
 
-// NewRegistry makes an empty one. Changed is told of each word that differs from the one before.
-func NewRegistry(changed func(rules.VersionState)) *Registry {
-	return &Registry{changed: changed, reg: &rules.Registry{}}
+// NewRegistry returns an empty registry. onChange is called with each state that differs from the one before; it must not wait.
+func NewRegistry(onChange func(rules.VersionState)) *Registry {
+	return &Registry{onChange: onChange, registry: &rules.Registry{}}
 }
 
-// Outcome is what a command has come to.
+// Outcome is the result of a command.
 type Outcome struct {
 	Result rules.Result
 	Err    error
 }
 
-// Apply takes a command that is agreed.
+// Apply applies an agreed command.
 func (r *Registry) Apply(_ uint64, command []byte) any {
 	r.mu.Lock()
-	res, err := r.reg.Apply(command)
-	w := r.reg.State()
+	result, err := r.registry.Apply(command)
+	state := r.registry.State()
 	r.mu.Unlock()
-	if res.StateChanged && r.changed != nil {
-		r.changed(w)
+	if result.StateChanged && r.onChange != nil {
+		r.onChange(state)
 	}
-	return Outcome{res, err}
+	return Outcome{result, err}
 }
 
-// Snapshot gives the state.
+// Snapshot returns the state.
 func (r *Registry) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.Snapshot()
+	return r.registry.Snapshot()
 }
 
-// Restore takes a state; nil is the begin.
+// Restore restores a state; nil is the initial one.
 func (r *Registry) Restore(state []byte) error {
 	reg := &rules.Registry{}
 	if state != nil {
@@ -57,48 +57,48 @@
 		}
 	}
 	r.mu.Lock()
-	r.reg = reg
+	r.registry = reg
 	w := reg.State()
 	r.mu.Unlock()
-	if r.changed != nil && w.Revision > 0 {
-		r.changed(w)
+	if r.onChange != nil && w.Revision > 0 {
+		r.onChange(w)
 	}
 	return nil
 }
 
-// Word is what goes round.
-func (r *Registry) Word() rules.VersionState {
+// State returns the state that the nodes are notified of.
+func (r *Registry) State() rules.VersionState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.State()
+	return r.registry.State()
 }
 
-// Due is the activation that comes next; see rules.Registry.
-func (r *Registry) Due() (number, at uint64, ok bool) {
+// NextActivation returns the activation that comes next; see rules.Registry.
+func (r *Registry) NextActivation() (number, at uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.NextActivation()
+	return r.registry.NextActivation()
 }
 
-// Newest is the number that was given last.
+// Newest returns the number that was given last.
 func (r *Registry) Newest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.Newest()
+	return r.registry.Newest()
 }
 
-// View gives the word, the number given last and all versions that are kept, as of one moment.
+// View returns the state, the number given last and all versions that are kept, as of one moment.
 func (r *Registry) View() (w rules.VersionState, newest uint64, versions []rules.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.reg.State(), r.reg.Newest(), r.reg.Versions()
+	return r.registry.State(), r.registry.Newest(), r.registry.Versions()
 }
 
-// text gives the text of a digest, where one of the versions has it.
+// text returns the text of a digest, where one of the versions has it.
 func (r *Registry) text(d rules.Digest) ([]byte, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, v := range r.reg.Versions() {
+	for _, v := range r.registry.Versions() {
 		if v.Digest == d && v.Text != nil {
 			return v.Text, true
 		}
--- a/internal/consensus/raftlog/errors_test.go
+++ b/internal/consensus/raftlog/errors_test.go
@@ -8,7 +8,7 @@
 
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
-		&SpoiltError{File: "d/log", Why: oncall.ErrCause},
-		&UsedError{Dir: "d"},
+		&CorruptError{File: "d/log", Err: oncall.ErrCause},
+		&InUseError{Dir: "d"},
 	)
 }
--- a/internal/consensus/raftlog/golden_test.go
+++ b/internal/consensus/raftlog/golden_test.go
@@ -26,10 +26,10 @@
 // A record of the log has the recorded bytes behind the file's head.
 func TestRecordIsAsRecorded(t *testing.T) {
 	r := raft.Log{Index: 7, Term: 3, Type: raft.LogCommand, Data: []byte("data"), Extensions: []byte("more")}
-	raw := put([]byte(logHead), &r)
+	raw := appendRecord([]byte(logHead), &r)
 	golden.Check(t, "log", raw)
-	back, n, ok := parse(raw[len(logHead):])
+	back, n, ok := parseRecord(raw[len(logHead):])
 	require.True(t, ok)
 	require.Equal(t, len(raw)-len(logHead), n)
-	require.True(t, bytes.Equal(raw, put([]byte(logHead), &back)))
+	require.True(t, bytes.Equal(raw, appendRecord([]byte(logHead), &back)))
 }
--- a/internal/consensus/raftlog/meta.go
+++ b/internal/consensus/raftlog/meta.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	metaName  = "meta"
-	metaMost  = 64 << 10
-	sumBytes  = 4
-	headBytes = 4 + sumBytes // magic of the file's kind, sum of all but itself
+	metaName     = "meta"
+	maxMetaBytes = 64 << 10
+	sumBytes     = 4
+	headBytes    = 4 + sumBytes // magic of the file's kind, sum of all but itself
 )
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	encoding   = must(cbor.CanonicalEncOptions().EncMode())
-	decoding   = must(cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 6,
+	encoder    = must(cbor.CanonicalEncOptions().EncMode())
+	decoder    = must(cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 6,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
 )
 
@@ -38,9 +38,9 @@
 	return v
 }
 
-// Seal gives a value's bytes with magic and sum before them.
+// Seal returns a value's bytes behind a magic and a checksum.
 func Seal(magic string, v any) ([]byte, error) {
-	raw, err := encoding.Marshal(v)
+	raw, err := encoder.Marshal(v)
 	if err != nil {
 		return nil, err
 	}
@@ -48,22 +48,23 @@
 	return append(binary.BigEndian.AppendUint32([]byte(magic), sum), raw...), nil
 }
 
-// Unseal reads what Seal has made.
+// Unseal reads what Seal has returned, of a file that errors name.
 func Unseal(magic, file string, raw []byte, v any) error {
 	if len(raw) < headBytes || string(raw[:4]) != magic {
-		return &SpoiltError{File: file, Why: errors.New("no head")}
+		return &CorruptError{File: file, Err: errors.New("no header")}
 	}
 	sum := crc32.Update(crc32.Checksum(raw[:4], castagnoli), castagnoli, raw[headBytes:])
 	if sum != binary.BigEndian.Uint32(raw[4:]) {
-		return &SpoiltError{File: file, Why: errors.New("its sum differs")}
+		return &CorruptError{File: file, Err: errors.New("checksum mismatch")}
 	}
-	if err := decoding.Unmarshal(raw[headBytes:], v); err != nil {
-		return &SpoiltError{File: file, Why: err}
+	if err := decoder.Unmarshal(raw[headBytes:], v); err != nil {
+		return &CorruptError{File: file, Err: err}
 	}
 	return nil
 }
 
-// meta is what a voter keeps beside its log: who it is, its term and vote. It is one small file, written anew for each change, with a sum over all of it.
+// meta is what a voter stores beside its log: its identity, its term and vote. It is one small file, written anew for each
+// change, with a checksum.
 type meta struct {
 	Node     string            `cbor:"1,keyasint"`
 	Identity string            `cbor:"2,keyasint"`
@@ -76,32 +77,25 @@
 
 const metaMagic = "lfcm"
 
-// readMeta reads a folder's meta. A folder with nothing in it gets a log and a meta with an identity
-// of its own.
-func readMeta(d disk.FS, dir, node string) (m *meta, made bool, err error) {
-	m = &meta{disk: d, dir: dir}
-	raw, err := disk.ReadFile(d, filepath.Join(dir, metaName), metaMost)
+// errMissing is the reason of a file that should be there.
+var errMissing = errors.New("it is missing")
+
+// readMeta reads a folder's meta. A folder with nothing in it gets a log and a meta with an identity of its own.
+func readMeta(d disk.FS, dir, node string) (m *meta, isNew bool, err error) {
+	raw, err := disk.ReadFile(d, filepath.Join(dir, metaName), maxMetaBytes)
 	if errors.Is(err, fs.ErrNotExist) {
-		if _, err := disk.ReadFile(d, filepath.Join(dir, snapName), 0); !errors.Is(err, fs.ErrNotExist) {
-			return nil, false, &SpoiltError{File: metaName, Why: errors.New("it is gone")}
-		}
-		// Last, so that a meta says that the log was there.
-		if err := newRecords(d, dir); err != nil {
-			return nil, false, err
-		}
-		var id [8]byte
-		rand.Read(id[:])
-		m.Node, m.Identity, m.Stable = node, hex.EncodeToString(id[:]), make(map[string][]byte)
-		return m, true, m.write()
+		m, err = newMeta(d, dir, node)
+		return m, err == nil, err
 	}
 	if err != nil {
 		return nil, false, err
 	}
+	m = &meta{disk: d, dir: dir}
 	if err := Unseal(metaMagic, metaName, raw, m); err != nil {
 		return nil, false, err
 	}
 	if m.Node != node || m.Identity == "" {
-		return nil, false, &SpoiltError{File: metaName, Why: fmt.Errorf("it is %q's", m.Node)}
+		return nil, false, &CorruptError{File: metaName, Err: fmt.Errorf("it belongs to node %q", m.Node)}
 	}
 	if m.Stable == nil {
 		m.Stable = make(map[string][]byte)
@@ -109,26 +103,40 @@
 	return m, false, nil
 }
 
-// write brings it to the disk.
+// newMeta makes the files of a folder with nothing in it. The meta is last, so that it says that the log was there.
+func newMeta(d disk.FS, dir, node string) (*meta, error) {
+	if _, err := disk.ReadFile(d, filepath.Join(dir, snapName), 0); !errors.Is(err, fs.ErrNotExist) {
+		return nil, &CorruptError{File: metaName, Err: errMissing}
+	}
+	if err := newRecords(d, dir); err != nil {
+		return nil, err
+	}
+	var id [8]byte
+	rand.Read(id[:])
+	m := &meta{disk: d, dir: dir, Node: node, Identity: hex.EncodeToString(id[:]), Stable: make(map[string][]byte)}
+	return m, m.write()
+}
+
+// write makes the meta durable.
 func (m *meta) write() error {
 	raw, err := Seal(metaMagic, m)
 	if err != nil {
 		return err
 	}
-	if len(raw) > metaMost {
-		return fmt.Errorf("%s of %d bytes, %d are the most", metaName, len(raw), metaMost)
+	if len(raw) > maxMetaBytes {
+		return fmt.Errorf("%s of %d bytes, over %d", metaName, len(raw), maxMetaBytes)
 	}
 	return disk.WriteFile(m.disk, filepath.Join(m.dir, metaName), raw)
 }
 
-// get gives a value; nil is none.
+// get returns a value; nil is none.
 func (m *meta) get(key []byte) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return bytes.Clone(m.Stable[string(key)])
 }
 
-// set puts a value, unless it is there.
+// set stores a value, unless it is stored already.
 func (m *meta) set(key, value []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/consensus/raftlog/raftlog_test.go
+++ b/internal/consensus/raftlog/raftlog_test.go
@@ -25,7 +25,7 @@
 	l, why, err := Open(disk.Local{}, dir, "n1")
 	require.NoError(t, err)
 	require.NoError(t, why)
-	require.True(t, l.Fresh)
+	require.True(t, l.Empty)
 	require.NoError(t, l.SetUint64([]byte(KeyTerm), 3))
 	require.NoError(t, l.SetUint64([]byte(KeyVoteTerm), 3))
 	require.NoError(t, l.Set([]byte(KeyVoteFor), []byte("n2")))
@@ -50,7 +50,7 @@
 	require.NoError(t, why)
 	require.Equal(t, identity, l.Identity)
 	_, _, err = Open(disk.Local{}, dir, "n1")
-	require.ErrorAs(t, err, new(*UsedError))
+	require.ErrorAs(t, err, new(*InUseError))
 	var r raft.Log
 	require.NoError(t, l.GetLog(20, &r))
 	require.Equal(t, bytes.Repeat([]byte{19}, 40), r.Data)
@@ -58,7 +58,7 @@
 	term, voted, err := l.Term()
 	require.NoError(t, err)
 	require.EqualValues(t, []uint64{3, 3}, []uint64{term, voted})
-	require.NoError(t, l.Bar(7))
+	require.NoError(t, l.BarVotes(7))
 	term, voted, _ = l.Term()
 	require.EqualValues(t, []uint64{7, 7}, []uint64{term, voted})
 	for_, _ := l.Get([]byte(KeyVoteFor))
@@ -99,9 +99,9 @@
 			require.NoError(t, err, "%s at %d", rel, at)
 			tried++
 			if why != nil {
-				require.ErrorAs(t, why, new(*SpoiltError))
+				require.ErrorAs(t, why, new(*CorruptError))
 				require.NotEqual(t, identity, l.Identity)
-				require.True(t, l.Fresh)
+				require.True(t, l.Empty)
 				found++
 			} else if _, index, err := l.Last(); index != 20 {
 				require.NoError(t, err)
@@ -118,7 +118,7 @@
 		require.NoError(t, os.Remove(filepath.Join(dir, rel)))
 		l, why, err := Open(disk.Local{}, dir, "n1")
 		require.NoError(t, err)
-		require.ErrorAs(t, why, new(*SpoiltError), rel)
+		require.ErrorAs(t, why, new(*CorruptError), rel)
 		require.NotEqual(t, identity, l.Identity)
 		require.NoError(t, l.Close())
 	}
--- a/internal/consensus/raftlog/snapshot.go
+++ b/internal/consensus/raftlog/snapshot.go
@@ -18,11 +18,11 @@
 	snapName  = "snapshot"
 	snapMagic = "lfcs"
 
-	// SnapshotMost bounds a snapshot; a state machine that grows beyond it is not written.
-	SnapshotMost = 4 << 20
+	// MaxSnapshotBytes is the size of a snapshot at most; a larger state is not written.
+	MaxSnapshotBytes = 4 << 20
 )
 
-// snapshot is the form on the disk: one file, with a sum over all of it.
+// snapshot is the form on the disk: one file, with a checksum.
 type snapshot struct {
 	Index              uint64 `cbor:"1,keyasint"`
 	Term               uint64 `cbor:"2,keyasint"`
@@ -31,8 +31,8 @@
 	State              []byte `cbor:"5,keyasint"`
 }
 
-// snapshots keeps one snapshot, the last: it is put in the place of the one before whole.
-type snapshots struct {
+// snapshotStore stores one snapshot, the last: it replaces the one before whole.
+type snapshotStore struct {
 	log  *Log
 	disk disk.FS
 	path string
@@ -40,10 +40,10 @@
 	last *raft.SnapshotMeta // nil is none
 }
 
-var _ raft.SnapshotStore = (*snapshots)(nil)
+var _ raft.SnapshotStore = (*snapshotStore)(nil)
 
-func openSnapshots(d disk.FS, dir string, l *Log) (*snapshots, error) {
-	s := &snapshots{log: l, disk: d, path: filepath.Join(dir, snapName)}
+func openSnapshots(d disk.FS, dir string, l *Log) (*snapshotStore, error) {
+	s := &snapshotStore{log: l, disk: d, path: filepath.Join(dir, snapName)}
 	x, err := s.read()
 	if errors.Is(err, fs.ErrNotExist) {
 		return s, nil
@@ -55,11 +55,11 @@
 	return s, nil
 }
 
-// Snapshots is the library's access to the last snapshot.
-func (l *Log) Snapshots() raft.SnapshotStore { return l.snaps }
+// Snapshots returns the library's access to the last snapshot.
+func (l *Log) Snapshots() raft.SnapshotStore { return l.snapshots }
 
-func (s *snapshots) read() (*snapshot, error) {
-	raw, err := disk.ReadFile(s.disk, s.path, SnapshotMost+headBytes)
+func (s *snapshotStore) read() (*snapshot, error) {
+	raw, err := disk.ReadFile(s.disk, s.path, MaxSnapshotBytes+headBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -72,8 +72,8 @@
 		Configuration: raft.DecodeConfiguration(x.Configuration), ConfigurationIndex: x.ConfigurationIndex, Size: int64(len(x.State))}
 }
 
-// List gives the last snapshot, if there is one.
-func (s *snapshots) List() ([]*raft.SnapshotMeta, error) {
+// List returns the last snapshot, if there is one.
+func (s *snapshotStore) List() ([]*raft.SnapshotMeta, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.last == nil {
@@ -82,63 +82,65 @@
 	return []*raft.SnapshotMeta{s.last}, nil
 }
 
-// Open reads it.
-func (s *snapshots) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
+// Open reads the snapshot.
+func (s *snapshotStore) Open(id string) (*raft.SnapshotMeta, io.ReadCloser, error) {
 	x, err := s.read()
 	if err != nil {
 		return nil, nil, s.log.fail(err)
 	}
 	m := x.meta()
 	if m.ID != id {
-		return nil, nil, fmt.Errorf("snapshot %s is there no more, %s is", id, m.ID)
+		return nil, nil, fmt.Errorf("snapshot %s is gone, %s is there", id, m.ID)
 	}
 	return m, io.NopCloser(bytes.NewReader(x.State)), nil
 }
 
-// Create begins one.
-func (s *snapshots) Create(_ raft.SnapshotVersion, index, term uint64, c raft.Configuration, at uint64, _ raft.Transport) (raft.SnapshotSink, error) {
-	return &sink{of: s, x: snapshot{Index: index, Term: term, Configuration: raft.EncodeConfiguration(c), ConfigurationIndex: at}}, nil
+// Create begins a snapshot.
+func (s *snapshotStore) Create(_ raft.SnapshotVersion, index, term uint64, c raft.Configuration, at uint64, _ raft.Transport) (raft.SnapshotSink, error) {
+	return &snapshotSink{store: s, snapshot: snapshot{Index: index, Term: term, Configuration: raft.EncodeConfiguration(c), ConfigurationIndex: at}}, nil
 }
 
-// sink takes a snapshot's state.
-type sink struct {
-	of    *snapshots
-	x     snapshot
-	ended bool
+// snapshotSink takes a snapshot's state.
+type snapshotSink struct {
+	store    *snapshotStore
+	snapshot snapshot
+	closed   bool
 }
 
-func (k *sink) ID() string { return k.x.meta().ID }
+// ID returns the name of the snapshot.
+func (k *snapshotSink) ID() string { return k.snapshot.meta().ID }
 
-func (k *sink) Write(b []byte) (int, error) {
-	if len(k.x.State)+len(b) > SnapshotMost {
-		return 0, fmt.Errorf("council's log: a snapshot of over %d bytes", SnapshotMost)
+// Write takes a part of the state.
+func (k *snapshotSink) Write(b []byte) (int, error) {
+	if len(k.snapshot.State)+len(b) > MaxSnapshotBytes {
+		return 0, fmt.Errorf("council's log: snapshot of over %d bytes", MaxSnapshotBytes)
 	}
-	k.x.State = append(k.x.State, b...)
+	k.snapshot.State = append(k.snapshot.State, b...)
 	return len(b), nil
 }
 
-// Close brings the snapshot to the disk.
-func (k *sink) Close() error {
-	if k.ended {
+// Close makes the snapshot durable.
+func (k *snapshotSink) Close() error {
+	if k.closed {
 		return nil
 	}
-	k.ended = true
-	raw, err := Seal(snapMagic, &k.x)
+	k.closed = true
+	raw, err := Seal(snapMagic, &k.snapshot)
 	if err != nil {
 		return err
 	}
-	s := k.of
+	s := k.store
 	if err := s.log.write(func() error { return disk.WriteFile(s.disk, s.path, raw) }); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = k.x.meta()
+	s.last = k.snapshot.meta()
 	return nil
 }
 
-// Cancel leaves the one before in place.
-func (k *sink) Cancel() error {
-	k.ended = true
+// Cancel leaves the snapshot before in place.
+func (k *snapshotSink) Cancel() error {
+	k.closed = true
 	return nil
 }
--- /dev/null
+++ b/internal/consensus/rejoin.go
@@ -0,0 +1,173 @@
+package consensus
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"slices"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"sloestile/internal/consensus/raftlog"
+)
+
+// A voter with an identity on its disk asks the others before it takes part, each time, as a faulty disk may bring back any
+// mark of a clean end. It needs reports of a majority of all (itself not counted; one that has lost its disk counts once,
+// as one disk is taken to be faulty). If it has acknowledged more to one of them than its disk has, or another one has its
+// place, it begins with another identity. Else it bars itself from the terms that the others know of, and from electing
+// anybody who has less than the others had.
+
+const (
+	reportInterval = 300 * time.Millisecond // between two rounds of report requests
+	reportTimeout  = time.Second
+	quorumGrace    = time.Second // for those that have not answered yet, once a quorum has
+)
+
+// diskState is what a voter has on its disk.
+type diskState struct {
+	last               logPosition
+	term, votedTerm    uint64
+	configuration      raft.Configuration
+	configurationIndex uint64
+	empty              bool
+	identity           raft.ServerID
+}
+
+func (v *Voter) readDiskState(log *raftlog.Log) (d diskState, err error) {
+	d.empty = log.Empty
+	d.identity = raft.ServerID(v.config.Name + "#" + log.Identity)
+	if d.last.Term, d.last.Index, err = log.Last(); err != nil {
+		return d, err
+	}
+	if d.term, d.votedTerm, err = log.Term(); err != nil {
+		return d, err
+	}
+	d.configuration, d.configurationIndex, err = log.Configuration()
+	return d, err
+}
+
+// rejoin asks the others until enough have answered. renew is why this voter can't go by its disk; minimum is what the
+// others have, where that is more than this voter has.
+func (v *Voter) rejoin(ctx context.Context, log *raftlog.Log) (renew error, minimum logPosition, err error) {
+	have, err := v.readDiskState(log)
+	if err != nil {
+		return nil, minimum, err
+	}
+	heard := make(map[string]*voterReport)
+	var quorumAt time.Time
+	for {
+		for name, report := range v.reportsOfOthers(ctx, have.identity) {
+			heard[name] = report
+		}
+		if ctx.Err() != nil {
+			return nil, minimum, ctx.Err()
+		}
+		if renew := have.contradiction(heard); renew != nil {
+			return renew, minimum, nil
+		}
+		all := len(heard) == len(v.peers)-1
+		if have.empty && (all || anyLeaderKnown(heard)) {
+			return nil, minimum, nil
+		}
+		if quorumAt.IsZero() && v.hasQuorum(heard, have.configuration) {
+			quorumAt = time.Now()
+		}
+		waited := !quorumAt.IsZero() && (all || time.Since(quorumAt) > quorumGrace)
+		if v.isDiskTrusted() || waited && leadersHeard(heard) {
+			break
+		}
+		select {
+		case <-time.After(reportInterval):
+		case <-ctx.Done():
+			return nil, minimum, ctx.Err()
+		}
+	}
+	term := have.term
+	for _, report := range heard {
+		term = max(term, report.Term)
+		if report.Last.isAfter(minimum) {
+			minimum = report.Last
+		}
+	}
+	if !minimum.isAfter(have.last) {
+		minimum = logPosition{}
+	}
+	slog.Info("consensus: voter goes by its disk", "index", have.last.Index, "term", term, "heard", len(heard), "behind", minimum.Index)
+	return nil, minimum, log.BarVotes(term)
+}
+
+func (v *Voter) isDiskTrusted() bool {
+	select {
+	case <-v.diskTrusted:
+		return true
+	default:
+		return false
+	}
+}
+
+// contradiction returns what the others know that the disk does not have; nil is nothing.
+func (d *diskState) contradiction(heard map[string]*voterReport) error {
+	for name, report := range heard {
+		if less := report.Witnessed.contradicts(d.last, d.term, d.votedTerm); less != "" {
+			return fmt.Errorf("%s has heard %s", name, less)
+		}
+		listed := slices.Contains(report.Voters, string(d.identity))
+		if report.ConfigurationIndex > d.configurationIndex && listed == d.empty {
+			return fmt.Errorf("%s knows it as a voter: %v, and it has %d records", name, listed, d.last.Index)
+		}
+	}
+	return nil
+}
+
+// contradicts returns what a voter has sent that its disk does not have; "" is nothing.
+func (r *peerRecord) contradicts(has logPosition, term, voted uint64) string {
+	switch {
+	case r.Last.isAfter(has):
+		return fmt.Sprintf("that it has record %d of term %d, it has %d of %d", r.Last.Index, r.Last.Term, has.Index, has.Term)
+	case r.Term > term:
+		return fmt.Sprintf("of term %d from it, it has %d", r.Term, term)
+	case r.Voted > voted:
+		return fmt.Sprintf("its vote in term %d, its last is in %d", r.Voted, voted)
+	}
+	return ""
+}
+
+// hasQuorum reports whether those heard are a majority. One that has agreed to nothing counts if its identity is known; of
+// those that have lost what they had, one.
+func (v *Voter) hasQuorum(heard map[string]*voterReport, known raft.Configuration) bool {
+	count := 0
+	lost := 0
+	for _, report := range heard {
+		if report.Empty && !isListed(known.Servers, raft.ServerID(report.Identity)) {
+			lost = 1
+			continue
+		}
+		count++
+	}
+	return count+lost >= v.quorum
+}
+
+// leadersHeard reports whether each leader that one of them knows was heard itself: what this voter had acknowledged to it
+// counts there.
+func leadersHeard(heard map[string]*voterReport) bool {
+	for _, report := range heard {
+		if report.Leader == "" {
+			continue
+		}
+		leader := heard[nameOf(raft.ServerID(report.Leader))]
+		if leader == nil || leader.Identity != report.Leader {
+			return false
+		}
+	}
+	return true
+}
+
+func anyLeaderKnown(heard map[string]*voterReport) bool {
+	for _, report := range heard {
+		if report.Leader != "" {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/consensus/transport/errors_test.go
+++ b/internal/consensus/transport/errors_test.go
@@ -8,6 +8,6 @@
 
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
-		&UnreachedError{Peer: "n-2", Why: oncall.ErrCause},
+		&UnreachableError{Peer: "n-2", Err: oncall.ErrCause},
 	)
 }
--- a/internal/consensus/transport/golden_test.go
+++ b/internal/consensus/transport/golden_test.go
@@ -12,12 +12,12 @@
 // The head of a stream and a call's body have the recorded bytes.
 func TestHeadIsAsRecorded(t *testing.T) {
 	var out bytes.Buffer
-	h := head{}
+	h := header{}
 	golden.Fill(&h)
-	require.NoError(t, writeHead(&out, kindCall, h))
+	require.NoError(t, writeHeader(&out, kindCall, h))
 	require.NoError(t, writeBody(&out, []byte("body")))
 	golden.Check(t, "call", out.Bytes())
-	kind, back, err := readHead(&out)
+	kind, back, err := readHeader(&out)
 	require.NoError(t, err)
 	require.Equal(t, byte(kindCall), kind)
 	require.Equal(t, h, back)
--- a/internal/consensus/transport/link_test.go
+++ b/internal/consensus/transport/transport_test.go
@@ -14,11 +14,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func open(t *testing.T, self string, via map[string]string) *Link {
-	l, err := Open(Config{Label: "f", Self: self, Bind: "127.0.0.1:0", Via: via,
+func open(t *testing.T, self string, via map[string]string) *Transport {
+	l, err := Open(Config{Label: "f", Name: self, Bind: "127.0.0.1:0", Via: via,
 		Answer: func(from string, body []byte) []byte { return append([]byte(from+" "), body...) }})
 	require.NoError(t, err)
-	l.cfg.Bind = l.listener.Addr().String()
+	l.config.Bind = l.listener.Addr().String()
 	t.Cleanup(func() { l.Close() })
 	return l
 }
@@ -28,8 +28,8 @@
 func TestStrangersAreClosed(t *testing.T) {
 	a := open(t, "a", nil)
 	var conns []net.Conn
-	for i := range 3 * strangers {
-		c, err := net.Dial("tcp", a.cfg.Bind)
+	for i := range 3 * maxUnidentified {
+		c, err := net.Dial("tcp", a.config.Bind)
 		require.NoError(t, err)
 		defer c.Close()
 		if i%3 == 1 {
@@ -38,19 +38,19 @@
 		conns = append(conns, c)
 	}
 	b := open(t, "b", nil)
-	body := bytes.Repeat([]byte{1}, BodyMost-2)
-	out, err := b.Call(context.Background(), "a", a.cfg.Bind, body)
+	body := bytes.Repeat([]byte{1}, MaxBodyBytes-2)
+	out, err := b.Call(context.Background(), "a", a.config.Bind, body)
 	require.NoError(t, err)
 	require.Equal(t, append([]byte("b "), body...), out)
-	_, err = b.Call(context.Background(), "other", a.cfg.Bind, nil)
-	require.ErrorAs(t, err, new(*UnreachedError))
+	_, err = b.Call(context.Background(), "other", a.config.Bind, nil)
+	require.ErrorAs(t, err, new(*UnreachableError))
 	for _, c := range conns {
-		c.SetDeadline(time.Now().Add(headWithin + time.Second))
+		c.SetDeadline(time.Now().Add(headerTimeout + time.Second))
 		_, err := c.Read(make([]byte, 1))
 		var late net.Error
 		require.False(t, err == nil || errorsAs(err, &late) && late.Timeout(), "%v", err)
 	}
-	require.GreaterOrEqual(t, a.Refused(), uint64(len(conns)))
+	require.GreaterOrEqual(t, a.Rejected(), uint64(len(conns)))
 }
 
 func errorsAs(err error, to *net.Error) bool {
@@ -62,7 +62,7 @@
 // A stream for an identity goes there and nowhere else, by the address that this node has.
 func TestStreamsAreForAnIdentity(t *testing.T) {
 	a := open(t, "a", nil)
-	b := open(t, "b", map[string]string{"192.0.2.1:1": a.cfg.Bind})
+	b := open(t, "b", map[string]string{"192.0.2.1:1": a.config.Bind})
 	to, from := a.Layer("a#1"), b.Layer("b#1")
 	defer to.Close()
 	c, err := from.Dial(Address("a#1", "192.0.2.1:1"), time.Second)
@@ -79,9 +79,9 @@
 	_, err = other.Read(one)
 	require.NotErrorIs(t, err, net.ErrClosed)
 	require.Error(t, err)
-	a.Still(true)
-	_, err = to.Dial(Address("b#1", b.cfg.Bind), time.Second)
-	require.ErrorIs(t, err, errStill)
+	a.SetStalled(true)
+	_, err = to.Dial(Address("b#1", b.config.Bind), time.Second)
+	require.ErrorIs(t, err, errStalled)
 	c.SetDeadline(time.Now().Add(time.Second))
 	_, err = c.Read(one)
 	require.Error(t, err)
--- a/internal/consensus/council_test.go
+++ b/internal/consensus/voter_test.go
@@ -94,8 +94,8 @@
 	o := g.all[i]
 	o.sum = &adder{}
 	var err error
-	o.Voter, err = New(Config{Label: "test", Self: g.peers[i].Name, Voters: g.peers, Dir: o.dir, Disk: disk.Local{},
-		Machines: map[byte]Machine{'a': o.sum}})
+	o.Voter, err = New(Config{Label: "test", Name: g.peers[i].Name, Voters: g.peers, Dir: o.dir, Disk: disk.Local{},
+		StateMachines: map[byte]StateMachine{'a': o.sum}})
 	require.NoError(g.t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	o.stop, o.done = stop, make(chan struct{})
--- a/internal/node/council.go
+++ b/internal/node/council.go
@@ -36,7 +36,7 @@
 	voter    *agreement.Voter  // nil is that this node has no vote
 	registry *learner.Registry // with voter
 	learner  *learner.Learner
-	link     *transport.Link // by which it calls voters, where it is none
+	link     *transport.Transport // by which it calls voters, where it is none
 	self     agreement.Peer
 	settings rules.Settings
 	peers    atomic.Pointer[membership.Peers] // nil until the membership has begun
@@ -48,8 +48,8 @@
 	f := cfg.Fleet.Council
 	c := &council{cfg: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
-	lc := learner.Config{Self: cfg.Settings.NodeIndex, Group: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
-		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Meet: c.meet, Act: c.act}
+	lc := learner.Config{Node: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
+		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.meet, OnActing: c.act}
 	var voters []agreement.Peer
 	for _, v := range f.Voters {
 		lc.Voters = append(lc.Voters, v.Name)
@@ -57,19 +57,19 @@
 	}
 	if i := slices.Index(lc.Voters, cfg.Name); i >= 0 {
 		c.self = voters[i]
-		c.registry = learner.NewRegistry(func(w rules.VersionState) { c.learner.Learn(w) })
+		c.registry = learner.NewRegistry(func(w rules.VersionState) { c.learner.Observe(w) })
 		var err error
-		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Self: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
-			Via: cfg.Fleet.Peers.Via, Machines: map[byte]agreement.Machine{learner.Machine: c.registry},
-			Calls:   map[byte]func(string, []byte) []byte{callOffice: c.answer},
-			Leading: func(term uint64) { c.learner.Lead(term != 0) }, Changed: func() { c.learner.Changed() }})
+		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
+			Via: cfg.Fleet.Peers.Via, StateMachines: map[byte]agreement.StateMachine{learner.StateMachineKind: c.registry},
+			CallHandlers: map[byte]func(string, []byte) []byte{callOffice: c.answer},
+			OnLeading:    func(term uint64) { c.learner.SetLeading(term != 0) }, OnLeaderChange: func() { c.learner.LeaderChanged() }})
 		if err != nil {
 			return nil, err
 		}
-		lc.Council, lc.Registry = c.voter, c.registry
+		lc.Consensus, lc.Registry = c.voter, c.registry
 	} else {
 		var err error
-		if c.link, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Self: cfg.Name, Via: cfg.Fleet.Peers.Via}); err != nil {
+		if c.link, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Via: cfg.Fleet.Peers.Via}); err != nil {
 			return nil, err
 		}
 	}
@@ -139,7 +139,7 @@
 			out = append(out, learner.Member{Index: m.Index, Name: m.Name, Zone: m.Zone})
 		}
 	}
-	c.learner.Members(out)
+	c.learner.SetMembers(out)
 }
 
 func (c *council) send(to int, raw []byte) error {
@@ -190,16 +190,16 @@
 	}
 	n := &c.learner.Counts
 	for name, of := range map[string]*atomic.Int64{
-		"node_rules_sent_total": &n.Sent, "node_rules_unsent_total": &n.Unsent, "node_rules_spoilt_total": &n.Spoilt,
+		"node_rules_sent_total": &n.Sent, "node_rules_unsent_total": &n.Unsent, "node_rules_spoilt_total": &n.Corrupt,
 		"node_rules_dropped_total": &n.Dropped, "node_rules_fetched_total": &n.Fetched, "node_rules_fetched_bytes_total": &n.FetchedBytes,
-		"node_rules_served_total": &n.Served, "node_rules_refused_total": &n.Refused, "node_rules_marks_total": &n.Marks,
+		"node_rules_served_total": &n.Served, "node_rules_refused_total": &n.Unusable, "node_rules_marks_total": &n.Persisted,
 		"node_rules_activations_total": &n.Activations, "node_rules_gaps_total": &n.Gaps,
 	} {
 		figures.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
 			func() float64 { return float64(of.Load()) }))
 	}
 	gauge("node_rules_version", "Version that requests go by; 0 is the settings alone.", func() float64 { return float64(c.learner.Acting().Number) })
-	gauge("node_rules_known_version", "Version in force, as this node has heard.", func() float64 { return float64(c.learner.Word().Active.Number) })
+	gauge("node_rules_known_version", "Version in force, as this node has heard.", func() float64 { return float64(c.learner.State().Active.Number) })
 	gauge("node_rules_lease_seconds", "What is left of the lease on it; 0 is none.", func() float64 {
 		if a := c.learner.Acting(); a.Number != 0 {
 			return (a.Until - learner.Clock()).Seconds()
@@ -217,8 +217,8 @@
 	gauge("node_council_leading", "1 where this voter leads.", status(func(s agreement.Status) float64 { return one(s.Leader == c.name) }))
 	gauge("node_council_leader_known", "1 where it knows who leads.", status(func(s agreement.Status) float64 { return one(s.Leader != "") }))
 	gauge("node_council_voting", "1 where it votes.", status(func(s agreement.Status) float64 { return one(s.Phase == agreement.PhaseVoting) }))
-	gauge("node_council_renewed", "Times that it began with another identity in this process.", status(func(s agreement.Status) float64 { return float64(s.Renewed) }))
-	gauge("node_council_strangers", "Streams closed for want of a head of this fleet.", status(func(s agreement.Status) float64 { return float64(s.Refused) }))
+	gauge("node_council_renewed", "Times that it began with another identity in this process.", status(func(s agreement.Status) float64 { return float64(s.IdentityRenewals) }))
+	gauge("node_council_strangers", "Streams closed for want of a head of this fleet.", status(func(s agreement.Status) float64 { return float64(s.RejectedStreams) }))
 }
 
 func one(yes bool) float64 {
--- a/internal/node/councilcalls.go
+++ b/internal/node/councilcalls.go
@@ -101,7 +101,7 @@
 	if c.voter != nil {
 		calls["/council/trust"] = map[string]http.HandlerFunc{http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
 			slog.Warn("council: an operator trusts this voter's disk", "node", c.name)
-			c.voter.Trust()
+			c.voter.TrustDisk()
 			fmt.Fprintln(w, "trusted")
 		}}
 	}
@@ -161,14 +161,14 @@
 	}
 	a, err := c.ask(ctx, leader, o)
 	if err != nil {
-		return nil, &agreement.UnknownError{Why: err}
+		return nil, &agreement.OutcomeUnknownError{Err: err}
 	}
 	return a, nil
 }
 
 // locate finds the voter that leads and is confirmed in it: this node, or one that others name.
 func (c *council) locate(ctx context.Context) (leader agreement.Peer, err error) {
-	var last error = &agreement.NoMajorityError{Phase: "none of the voters is reached"}
+	var last error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
 	tried, next := map[string]bool{}, c.name
 	for range len(c.cfg.Voters) + 1 {
 		var at *VoterConfig
@@ -197,7 +197,7 @@
 	if e, ok := errors.AsType[*agreement.NoMajorityError](last); ok {
 		return leader, e
 	}
-	return leader, &agreement.NoMajorityError{Phase: oneline.Of(last)}
+	return leader, &agreement.NoMajorityError{Reason: oneline.Of(last)}
 }
 
 // ask has a voter carry an order out.
@@ -257,7 +257,7 @@
 	if err != nil {
 		return refusal(err)
 	}
-	done, err := c.voter.Propose(learner.Machine, raw, officeWithin)
+	done, err := c.voter.Propose(learner.StateMachineKind, raw, officeWithin)
 	if err != nil {
 		return refusal(err)
 	}
@@ -320,7 +320,7 @@
 		none                = new(rules.NoVersionError)
 		large               = new(rules.TooLargeError)
 		down, elsewhere     = new(agreement.NoMajorityError), new(agreement.NotLeaderError)
-		unknown             = new(agreement.UnknownError)
+		unknown             = new(agreement.OutcomeUnknownError)
 	)
 	switch {
 	case errors.As(err, &stale), errors.As(err, &order), errors.As(err, &phase):
--- a/internal/node/councilstatus.go
+++ b/internal/node/councilstatus.go
@@ -92,17 +92,17 @@
 		}
 		out.Versions = append(out.Versions, x)
 	}
-	fleet := c.learner.Fleet()
-	out.Refusing = fleet.Refusing
-	for _, b := range fleet.By {
+	fleet := c.learner.FleetStatus()
+	out.Refusing = fleet.Unusable
+	for _, b := range fleet.Versions {
 		x := nodesShown{Version: b.Number, Nodes: b.Nodes}
 		if b.Number == 0 {
-			x.Why = b.Why.String()
+			x.Why = b.Reason.String()
 		}
 		out.Nodes = append(out.Nodes, x)
 	}
-	for _, t := range fleet.Troubles {
-		out.Troubles = append(out.Troubles, troubleShown{t.Node, t.Why})
+	for _, t := range fleet.Errors {
+		out.Troubles = append(out.Troubles, troubleShown{t.Node, t.Text})
 	}
 	return out
 }
@@ -110,18 +110,18 @@
 // status is what this node and the leader know.
 func (c *council) status(ctx context.Context) []byte {
 	a := c.learner.Acting()
-	out := hereShown{Node: c.name, Version: a.Number, Known: c.learner.Word().Active.Number}
+	out := hereShown{Node: c.name, Version: a.Number, Known: c.learner.State().Active.Number}
 	if a.Number != 0 {
 		out.LeaseMS = (a.Until - learner.Clock()).Milliseconds()
 	} else {
 		out.Why = a.Why.String()
 	}
-	if err := c.learner.Refusal(); err != nil {
+	if err := c.learner.Unusable(); err != nil {
 		out.Refusal = err.Error()
 	}
 	if c.voter != nil {
 		s := c.voter.Status()
-		out.Voter = &voterShown{Phase: s.Phase, Identity: s.Identity, Leader: s.Leader, Term: s.Term, Commit: s.Commit, Applied: s.Applied, Renewed: s.Renewed, Why: s.Why}
+		out.Voter = &voterShown{Phase: s.Phase, Identity: s.Identity, Leader: s.Leader, Term: s.Term, Commit: s.Commit, Applied: s.Applied, Renewed: s.IdentityRenewals, Why: s.LastError}
 	}
 	if r, err := c.office(ctx, order{Op: "status"}); err != nil {
 		out.NoLeader = err.Error()
--- a/internal/testbed/scale/exchange/learners.go
+++ b/internal/testbed/scale/exchange/learners.go
@@ -101,7 +101,7 @@
 func newLearnerFleet(dir string, size int) *learnerFleet {
 	f := &learnerFleet{learners: make(map[int]*learner.Learner), sent: make(map[int]*learnerCounts), acting: make(chan struct{}, 1)}
 	// The leader is the only voter: others, which take no part here, would be asked in vain.
-	cfg := learner.Config{Group: size, Voters: []string{memberName(0)}, Terms: rules.DefaultTerms, Disk: disk.Local{}, Settings: ruleSettings()}
+	cfg := learner.Config{FleetSize: size, Voters: []string{memberName(0)}, Terms: rules.DefaultTerms, Disk: disk.Local{}, Settings: ruleSettings()}
 	cfg.Settings.Zones = nil
 	for z := range memberZones {
 		cfg.Settings.Zones = append(cfg.Settings.Zones, memberZone(z))
@@ -109,7 +109,7 @@
 	for i := range size {
 		f.members = append(f.members, learner.Member{Index: i, Name: memberName(i), Zone: memberZone(i)})
 	}
-	f.registry = learner.NewRegistry(func(w rules.VersionState) { f.learners[0].Learn(w) })
+	f.registry = learner.NewRegistry(func(w rules.VersionState) { f.learners[0].Observe(w) })
 	group := int(math.Ceil(math.Sqrt(float64(size)))) * memberZones
 	for i := range size {
 		if i == 0 || size <= learnersSmall || i%memberZones == learnersZone && i < group {
@@ -122,9 +122,9 @@
 func (f *learnerFleet) learner(cfg learner.Config, dir string, index int) *learner.Learner {
 	counts := &learnerCounts{}
 	f.sent[index] = counts
-	cfg.Self, cfg.Name, cfg.Zone, cfg.Dir = index, memberName(index), memberZone(index), filepath.Join(dir, memberName(index))
-	cfg.Meet = func(int) error { return nil }
-	cfg.Act = func() {
+	cfg.Node, cfg.Name, cfg.Zone, cfg.Dir = index, memberName(index), memberZone(index), filepath.Join(dir, memberName(index))
+	cfg.Introduce = func(int) error { return nil }
+	cfg.OnActing = func() {
 		select {
 		case f.acting <- struct{}{}:
 		default:
@@ -140,7 +140,7 @@
 		return nil
 	}
 	if index == 0 {
-		cfg.Council, cfg.Registry = f, f.registry
+		cfg.Consensus, cfg.Registry = f, f.registry
 	}
 	return learner.New(cfg)
 }
@@ -154,9 +154,9 @@
 				others = append(others, m)
 			}
 		}
-		l.Members(others)
+		l.SetMembers(others)
 	}
-	f.learners[0].Lead(true)
+	f.learners[0].SetLeading(true)
 }
 
 // Verify tells that the leader leads.
@@ -184,7 +184,7 @@
 		{Activate: &rules.Activate{Number: number, Kind: rules.Overlap}}, {Prepare: &rules.Prepare{Number: number}}} {
 		raw, err := c.Encode()
 		if err == nil {
-			_, err = f.Propose(learner.Machine, raw, 0)
+			_, err = f.Propose(learner.StateMachineKind, raw, 0)
 		}
 		if err != nil && !errors.As(err, new(*rules.NoVersionError)) {
 			return 0, fmt.Errorf("version %d: %w", number, err)
