--- a/cmd/fleetlab/scale_test.go
+++ b/cmd/fleetlab/scale_test.go
@@ -7,6 +7,7 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
@@ -69,3 +70,30 @@
 		}
 	}
 }
+
+// The parts of the quick form hold each sweep and event once, and the run passes only where all of them do.
+func TestPartsAreTheWhole(t *testing.T) {
+	names := make(map[string]int)
+	parts := divideScale(scaleParts)
+	for _, part := range parts {
+		for _, name := range part.names {
+			names[name]++
+		}
+	}
+	for _, s := range sweeps() {
+		assert.Equal(t, 1, names[s.Name], s.Name)
+	}
+	for _, e := range events() {
+		assert.Equal(t, 1, names[e.Name], e.Name)
+	}
+	assert.Len(t, names, len(sweeps())+len(events()))
+
+	var out strings.Builder
+	for i := range parts {
+		parts[i].result = scalePartResult{Passed: true, Last: "PASS"}
+	}
+	require.NoError(t, printParts(&out, parts, time.Second))
+	parts[1].result = scalePartResult{Last: "FAIL scale: stopped after 1s"}
+	require.ErrorIs(t, printParts(&out, parts, time.Second), errFailed)
+	assert.Equal(t, "FAIL scale: stopped after 1s", lastLine([]byte(out.String())))
+}
