--- a/control/homes_test.go
+++ b/control/homes_test.go
@@ -40,6 +40,14 @@
 			t.Errorf("%d of 80 gateways turn to server %d first", n, id)
 		}
 	}
+}
+
+// A gateway of a small group prefers all servers, and one of a large group leaves its preferred servers where they are slow.
+func TestPreferredServersOfASmallGroupAndSlowOnes(t *testing.T) {
+	var ids []uint32
+	for id := uint32(1); id <= 60; id++ {
+		ids = append(ids, id)
+	}
 	few := newGate(t, fleet(3), on(ids...)...)
 	for _, x := range few.c.servers.ordered {
 		if !few.c.servers.isPreferred(x) {
--- a/control/meter.go
+++ b/control/meter.go
@@ -71,7 +71,7 @@
 	t.readEnd = end
 	asked := t.asked.inPeriodBefore(end)
 	rejected := m.rejectedFraction(t, end)
-	t.tenantDemand.read(m.env.now, used, rejected, period, t.plan.Rate, t.visibility())
+	t.read(m.env.now, used, rejected, period, t.plan.Rate, t.visibility())
 	if t.plan.Rate == 0 {
 		t.adjustSlots(percent, rejected, asked)
 		return
--- a/fleet/maintenance/bounds.go
+++ b/fleet/maintenance/bounds.go
@@ -185,6 +185,11 @@
 	if b.bound == NoBound {
 		return nil
 	}
+	return s.boundError(host, b)
+}
+
+// boundError describes the bound that keeps a host from going.
+func (s *State) boundError(host string, b bar) *BoundError {
 	e := &BoundError{Host: host, Bound: b.bound, Away: b.away, Most: b.most}
 	if m := s.fleet[host]; m != nil {
 		e.Where = fmt.Sprintf("%s of zone %s", m.Kind, m.Zone)
--- a/fleet/maintenance/command.go
+++ b/fleet/maintenance/command.go
@@ -242,7 +242,7 @@
 		return spoilt("order", "a reason of over %d bytes", whyMost)
 	case c.Uplinks != nil:
 		return checkUplinks(c.Uplinks.Windows)
-	case c.Adopt != nil && !(nameGood(c.Adopt.Host) && nameGood(c.Adopt.Name)), c.Drop != nil && !nameGood(c.Drop.Host):
+	case c.Adopt != nil && (!nameGood(c.Adopt.Host) || !nameGood(c.Adopt.Name)), c.Drop != nil && !nameGood(c.Drop.Host):
 		return spoilt("order", "no host's name")
 	}
 	return nil
--- a/fleet/maintenance/forecast.go
+++ b/fleet/maintenance/forecast.go
@@ -141,7 +141,7 @@
 	}
 	for _, q := range queue {
 		b := s.barred(&y, q.m, false, s.need(q.length), at)
-		f.keep(q.host, q.due, s.err(q.host, b).(*BoundError))
+		f.keep(q.host, q.due, s.boundError(q.host, b))
 	}
 	slices.SortFunc(f.Late, func(a, b *LateError) int {
 		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Host, b.Host))
--- a/fleet/maintenance/status.go
+++ b/fleet/maintenance/status.go
@@ -46,7 +46,7 @@
 			break
 		}
 		if b := s.barred(&s.yard, q.m, false, s.need(q.length), s.wall); b.bound != NoBound {
-			st.Next = append(st.Next, s.err(q.host, b).(*BoundError))
+			st.Next = append(st.Next, s.boundError(q.host, b))
 		}
 	}
 	return st
--- a/fleet/maintenance/words.go
+++ b/fleet/maintenance/words.go
@@ -65,7 +65,7 @@
 	case t == nil || !t.Stage.holds() || w.Fence != t.Fence:
 		r.Err = s.staleFence(host, w.Fence, t)
 	default:
-		r.Err = s.say(t, w, r)
+		r.Err = s.say(t, w)
 	}
 	r.Answer = s.Answer(host)
 }
@@ -127,7 +127,7 @@
 }
 
 // say takes a word under the number in force.
-func (s *State) say(t *Turn, w *Word, r *Result) error {
+func (s *State) say(t *Turn, w *Word) error {
 	switch {
 	case w.Verb == Begin && t.Stage == Granted:
 		if err := s.stillFree(t); err != nil {
--- a/fleet/prefetch/uplink.go
+++ b/fleet/prefetch/uplink.go
@@ -23,10 +23,10 @@
 func (s State) String() string { return stateNames[s] }
 
 const (
-	// Early and Late are by how much a window may begin before or after its time, clocks apart, and
-	// still be the one that was known.
+	// Early is how long before its published start a window may begin and still be the known one, clock skew included.
 	Early = 5 * time.Second
-	Late  = 5 * time.Second
+	// Late is how long after its published start a window may begin and still be the known one, clock skew included.
+	Late = 5 * time.Second
 
 	goneAfter = 1500 * time.Millisecond // without a word of anybody outside, by which the link counts as gone
 	backFor   = 500 * time.Millisecond  // of words from outside, by which it counts as back
--- a/fleet/subset/choose.go
+++ b/fleet/subset/choose.go
@@ -162,7 +162,7 @@
 func (s *Set) difference(before, after []*entry) Change {
 	var change Change
 	for len(before) > 0 || len(after) > 0 {
-		order := 0
+		var order int
 		switch {
 		case len(before) == 0:
 			order = 1
--- a/fleet/subset/delta.go
+++ b/fleet/subset/delta.go
@@ -6,7 +6,8 @@
 // Apply takes in a delta: each entry is added, replaces the one with its ID, or is removed. The delta is
 // validated whole first, and on an error nothing changes. An entry that repeats one of the same delta is
 // ignored, one that contradicts it is an *EntryError, and the removal of an ID that is not listed changes
-// nothing. A *TooManyError reports a delta after which the list would be too large.
+// nothing. A *TooManyError reports a delta with more entries than a list may hold, or one after which the list would be
+// too large.
 func (s *Set) Apply(servers []Server) (Change, error) {
 	steps, err := s.plan(servers)
 	if err != nil {
--- a/fleet/subset/property_test.go
+++ b/fleet/subset/property_test.go
@@ -101,8 +101,11 @@
 	return servers
 }
 
-// update changes the list by a delta. It reports whether the list stays within its maximum.
+// update changes the list by a delta. It reports whether both the delta and the list stay within the maximum of entries.
 func (n *naive) update(delta []Server) bool {
+	if len(delta) > n.config.ListMost {
+		return false
+	}
 	after := make(map[string]Server)
 	for id, server := range n.list {
 		after[id] = server
--- a/internal/consensus/learner/status.go
+++ b/internal/consensus/learner/status.go
@@ -28,8 +28,8 @@
 	Nodes  int
 }
 
-// NodeError is a node that can't use a version, and why.
-type NodeError struct {
+// VersionFailure is a node that can't use a version, and why.
+type VersionFailure struct {
 	_    struct{} `cbor:",toarray"`
 	Node int
 	Text string
@@ -38,9 +38,9 @@
 // FleetStatus is how the nodes of a part of the fleet are. At the leader it is all that report. It is encoded as a CBOR map
 // by the names in its tags, which may not change.
 type FleetStatus struct {
-	Versions []VersionCount `cbor:"By"`
-	Errors   []NodeError    `cbor:"Troubles"`
-	Unusable int            `cbor:"Refusing"` // nodes, also those that Errors has no room for
+	Versions []VersionCount   `cbor:"By"`
+	Failures []VersionFailure `cbor:"Troubles"`
+	Unusable int              `cbor:"Refusing"` // nodes, also those that Failures has no room for
 }
 
 type receivedStatus struct {
@@ -60,7 +60,7 @@
 	if !known && len(r.byNode) >= maxReportingNodes {
 		return
 	}
-	if len(report.Status.Versions) > maxVersionCounts || len(report.Status.Errors) > maxNodeErrors {
+	if len(report.Status.Versions) > maxVersionCounts || len(report.Status.Failures) > maxNodeErrors {
 		return
 	}
 	r.byNode[report.Sender] = receivedStatus{now, report.Status}
@@ -92,7 +92,7 @@
 }
 
 func (s *FleetStatus) equal(o FleetStatus) bool {
-	return s.Unusable == o.Unusable && slices.Equal(s.Versions, o.Versions) && slices.Equal(s.Errors, o.Errors)
+	return s.Unusable == o.Unusable && slices.Equal(s.Versions, o.Versions) && slices.Equal(s.Failures, o.Failures)
 }
 
 // total adds this node to those that report.
@@ -111,9 +111,9 @@
 			nodes[key{v.Number, v.Reason}] += v.Nodes
 		}
 		total.Unusable += status.Unusable
-		total.Errors = append(total.Errors, status.Errors...)
+		total.Failures = append(total.Failures, status.Failures...)
 	}
-	total.Errors = total.Errors[:min(len(total.Errors), maxNodeErrors)]
+	total.Failures = total.Failures[:min(len(total.Failures), maxNodeErrors)]
 	for k, n := range nodes {
 		total.Versions = append(total.Versions, VersionCount{Number: k.number, Reason: k.reason, Nodes: n})
 	}
@@ -132,7 +132,7 @@
 	}
 	text := err.Error()
 	text = strings.ToValidUTF8(text[:min(len(text), maxErrorBytes)], "")
-	return FleetStatus{Unusable: 1, Errors: []NodeError{{Node: l.config.Node, Text: text}}}
+	return FleetStatus{Unusable: 1, Failures: []VersionFailure{{Node: l.config.Node, Text: text}}}
 }
 
 // FleetStatus returns how the nodes are that report to this one; at the leader, all. It is safe for concurrent use.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	in := &messages{from: resp.Body, left: messageMost, heartbeat: func() { emit(event{}) },
 		deadline: time.AfterFunc(messageDeadline, func() { end(errStalled) })}
 	in.deadline.Stop()
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
+		_ = resp.Body.Close()
 		return nil, uselessError{fmt.Errorf("discovery answered %s", resp.Status)}
 	}
 	return resp, nil
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -34,7 +34,7 @@
 			if line == "" {
 				return
 			}
-			io.WriteString(w, line)
+			_, _ = io.WriteString(w, line)
 			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	in := newBulkReader(resp.Body, end, emit)
 	defer in.stop()
 	r := &stream{selection: s, in: in, dec: json.NewDecoder(in)}
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return nil, &BindError{cfg.Bind, err}
 	}
-	probe.Close()
+	_ = probe.Close()
 	net, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: number, Logger: std})
 	if err != nil {
 		return nil, &BindError{cfg.Bind, err}
@@ -126,7 +126,7 @@
 	c.Logger, c.Delegate, c.Events, c.Conflict, c.Alive = std, p, p, p, p
 	p.life, p.end = context.WithCancel(context.Background())
 	if p.list, err = memberlist.Create(c); err != nil {
-		net.Shutdown()
+		_ = net.Shutdown()
 		return nil, &StartError{cfg.Name, cfg.Bind, err}
 	}
 	p.done.Go(p.join)
--- a/internal/node/body.go
+++ b/internal/node/body.go
@@ -63,7 +63,7 @@
 		b.begun = now
 	}
 	// Guards, by the second, against a client that sends a byte now and then without end.
-	b.limit.SetReadDeadline(earlier(now.Add(bodyStall), b.begun.Add(mostTime(bodyMostTime, b.total))))
+	_ = b.limit.SetReadDeadline(earlier(now.Add(bodyStall), b.begun.Add(mostTime(bodyMostTime, b.total))))
 	b.mu.Unlock()
 
 	n, err := b.src.Read(p)
@@ -74,9 +74,9 @@
 		err = errLong
 	}
 	switch {
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		b.ended = true
-		b.limit.SetReadDeadline(time.Time{})
+		_ = b.limit.SetReadDeadline(time.Time{})
 		b.whole()
 	case err != nil && b.stopped:
 		err = errStopped
@@ -104,7 +104,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped = true; !b.ended {
-		b.limit.SetReadDeadline(past)
+		_ = b.limit.SetReadDeadline(past)
 	}
 }
 
@@ -141,7 +141,7 @@
 	piece := pieces.Get().(*[pieceSize]byte)
 	defer pieces.Put(piece)
 	for end := time.Now().Add(discardMost); time.Now().Before(end); {
-		b.limit.SetReadDeadline(time.Now().Add(discardStall))
+		_ = b.limit.SetReadDeadline(time.Now().Add(discardStall))
 		if _, err := b.src.Read(piece[:]); err != nil {
 			return
 		}
@@ -157,7 +157,7 @@
 		}
 		n, err := b.Read(held[len(held):min(cap(held), most)])
 		held = held[:len(held)+n]
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return held, true, nil
 		} else if err != nil {
 			return nil, false, err
@@ -172,8 +172,8 @@
 // messages are not piled up there.
 func tune(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		tcp.SetReadBuffer(socketBuffer)
-		tcp.SetWriteBuffer(socketBuffer)
+		_ = tcp.SetReadBuffer(socketBuffer)
+		_ = tcp.SetWriteBuffer(socketBuffer)
 	}
 }
 
--- a/internal/node/clientanswers.go
+++ b/internal/node/clientanswers.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"io"
 	"net/http"
 	"slices"
@@ -77,7 +78,7 @@
 				return err
 			}
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -93,7 +93,7 @@
 		return false
 	}
 	delete(of, c)
-	c.counted.Close()
+	_ = c.counted.Close()
 	f.evicted.Add(1)
 	return true
 }
@@ -246,7 +246,7 @@
 	if c.shut || c.begun && (c.full || !part) || len(c.ahead) > 0 || c.waiting() {
 		return false
 	}
-	c.closeWrite()
+	_ = c.closeWrite()
 	c.expire()
 	return true
 }
@@ -264,7 +264,7 @@
 func (c *clientConn) expire() {
 	if c.until.IsZero() {
 		c.until = time.Now().Add(closeWithin)
-		c.counted.SetReadDeadline(c.until)
+		_ = c.counted.SetReadDeadline(c.until)
 	}
 }
 
@@ -279,12 +279,12 @@
 // then closes.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
-	c.closeWrite()
+	_ = c.closeWrite()
 	c.expire()
 	c.mu.Unlock()
 	piece := pieces.Get().(*[pieceSize]byte)
 	defer pieces.Put(piece)
-	c.receive(piece[:], func([]byte) {})
+	_, _ = c.receive(piece[:], func([]byte) {})
 	return c.counted.Close()
 }
 
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -111,7 +112,7 @@
 		var whole bool
 		if x.body, whole, err = rest.take(most); err == nil && !whole && r.ContentLength > 0 {
 			_, err = rest.Read(make([]byte, 1)) // its end
-			if whole = err == io.EOF; whole {
+			if whole = errors.Is(err, io.EOF); whole {
 				err = nil
 			}
 		}
--- a/internal/node/console.go
+++ b/internal/node/console.go
@@ -44,7 +44,7 @@
 
 // run answers until ctx ends.
 func (c *console) run(ctx context.Context) {
-	defer context.AfterFunc(ctx, func() { c.srv.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = c.srv.Close() })()
 	if err := c.srv.Serve(c.listener); !errors.Is(err, http.ErrServerClosed) {
 		slog.Error("console ends", "err", err)
 	}
@@ -70,7 +70,7 @@
 				writeRegistry(&text, n.loop.figures)
 			}
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-			w.Write(text.Bytes())
+			_, _ = w.Write(text.Bytes())
 		}},
 		"/drain": {http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
 			n.drainer.begin(consoleServe, consoleIdle)
@@ -137,7 +137,7 @@
 	l.open[c] = time.Now()
 	l.mu.Unlock()
 	if oldest != nil {
-		oldest.Conn.Close()
+		_ = oldest.Conn.Close()
 	}
 	return c, nil
 }
--- a/internal/node/council.go
+++ b/internal/node/council.go
@@ -109,7 +109,7 @@
 		}
 		<-learnt
 		if c.link != nil {
-			c.link.Close()
+			_ = c.link.Close()
 		}
 	}()
 	<-ctx.Done()
--- a/internal/node/councilcalls.go
+++ b/internal/node/councilcalls.go
@@ -53,7 +53,7 @@
 				refuse(w, err)
 				return
 			}
-			c.give(w, r.Context(), o)
+			c.give(r.Context(), w, o)
 		}}
 	}
 	post("publish", func(r *http.Request, o *order) error {
@@ -96,7 +96,7 @@
 	post("cancel", func(r *http.Request, o *order) error { return number(r, "cancel", "number", &o.Number) })
 	calls["/council/status"] = map[string]http.HandlerFunc{http.MethodGet: func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(c.status(r.Context()))
+		_, _ = w.Write(c.status(r.Context()))
 	}}
 	if c.voter != nil {
 		calls["/council/trust"] = map[string]http.HandlerFunc{http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
@@ -134,7 +134,7 @@
 }
 
 // give has the leader carry an order out, and answers with what it says.
-func (c *council) give(w http.ResponseWriter, ctx context.Context, o order) {
+func (c *council) give(ctx context.Context, w http.ResponseWriter, o order) {
 	a, err := c.office(ctx, o)
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
@@ -145,7 +145,7 @@
 	slog.Info("council: an order", "call", o.Op, "by", o.By, "number", o.Number, "status", a.Status)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(a.Status)
-	w.Write(a.Body)
+	_, _ = w.Write(a.Body)
 }
 
 // office brings an order to the leader, once: one that may have come there is not sent again.
@@ -222,7 +222,7 @@
 }
 
 // answer answers another node's order.
-func (c *council) answer(from string, body []byte) []byte {
+func (c *council) answer(_ string, body []byte) []byte {
 	var o order
 	if err := cbor.Unmarshal(body, &o); err != nil {
 		return nil
--- a/internal/node/degraded.go
+++ b/internal/node/degraded.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				return false
 			}
-			resp.Body.Close()
+			_ = resp.Body.Close()
 			return resp.StatusCode == http.StatusOK
 		}
 	}
--- a/internal/node/fleetsubset.go
+++ b/internal/node/fleetsubset.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"errors"
 	"fmt"
 
 	"github.com/prometheus/client_golang/prometheus"
@@ -31,8 +32,8 @@
 			return k.name, fmt.Errorf("%d is below %d", *k.value, k.least)
 		}
 	}
-	wrong, ok := c.config(0).Validate().(*subset.ConfigError)
-	if !ok {
+	var wrong *subset.ConfigError
+	if !errors.As(c.config(0).Validate(), &wrong) {
 		return "", nil
 	}
 	return subsetKeys[wrong.Key], fmt.Errorf("%d is not in %d to %d", wrong.Have, wrong.Least, wrong.Most)
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -70,7 +70,7 @@
 		// Guards, here and below, against peers that hold a descriptor with a connection on
 		// which nothing more is to come: only a proper request earns its connection a stay.
 		w.Header().Set("Connection", "close")
-		f.write(w, answer{status: status})
+		_ = f.write(w, answer{status: status})
 		return
 	}
 	if r.ContentLength != 0 {
@@ -174,5 +174,5 @@
 func (f *front) mistaken(w http.ResponseWriter, wrong *badRequest) {
 	f.wrong.Add(1)
 	w.Header().Set("Connection", "close")
-	f.write(w, answer{status: wrong.status, body: []byte(wrong.text + "\n")})
+	_ = f.write(w, answer{status: wrong.status, body: []byte(wrong.text + "\n")})
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil // none, or one that has gone
 	}
-	c.SetDeadline(time.Now().Add(handoverWithin))
+	_ = c.SetDeadline(time.Now().Add(handoverWithin))
 	m, err := readMessage(c)
 	var from legacy
 	if err == nil {
@@ -94,13 +94,13 @@
 	}
 	if err != nil {
 		slog.Warn("nothing is taken over", "err", err)
-		c.Close()
+		_ = c.Close()
 		// There is another process all the same, for a while.
 		n.upstream.sockets.share(true)
 		time.AfterFunc(sharedMost, func() { n.upstream.sockets.share(false) })
 		return nil
 	}
-	c.SetDeadline(time.Time{})
+	_ = c.SetDeadline(time.Time{})
 	n.takeList(from, true)
 	n.upstream.sockets.share(true)
 	slog.Info("taken over", "customers and servers", len(m), "listed", len(from.List.Targets))
@@ -123,8 +123,8 @@
 
 // succeed waits for the process before this one to end, and takes what it leaves.
 func (n *Node) succeed(ctx context.Context, c net.Conn) {
-	defer context.AfterFunc(ctx, func() { c.Close() })()
-	defer c.Close()
+	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
+	defer func() { _ = c.Close() }()
 	rest, err := readMessage(c)
 	if ctx.Err() != nil {
 		return
@@ -153,26 +153,26 @@
 	if err == nil {
 		l.(*net.UnixListener).SetUnlinkOnClose(false)
 		if err = os.Rename(own, filepath.Join(dir, handoverName)); err != nil {
-			l.Close()
+			_ = l.Close()
 		}
 	}
 	if err != nil {
 		slog.Warn("nothing can be handed over", "err", err)
 		return
 	}
-	defer context.AfterFunc(ctx, func() { l.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = l.Close() })()
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		n.hand(ctx, c)
+		n.hand(c)
 	}
 }
 
 // hand serves one process that takes over, until either ends.
-func (n *Node) hand(ctx context.Context, c net.Conn) {
-	defer c.Close()
+func (n *Node) hand(c net.Conn) {
+	defer func() { _ = c.Close() }()
 	got := make(chan []byte, 1)
 	if !n.loop.post(func() {
 		m, err := n.loop.bequest(n.discovery.Address())
@@ -190,7 +190,7 @@
 	case <-n.loop.ended:
 		return
 	}
-	c.SetWriteDeadline(time.Now().Add(handoverWithin))
+	_ = c.SetWriteDeadline(time.Now().Add(handoverWithin))
 	if m == nil || writeMessage(c, m) != nil {
 		n.loop.post(func() { n.alone(nil) })
 		return
@@ -199,7 +199,7 @@
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, c)
 	}()
 	select {
 	case <-gone:
@@ -207,10 +207,10 @@
 		n.loop.post(func() { n.alone(nil) })
 	case <-n.loop.ended: // what is left is granted there only
 		if m, err := n.loop.ctl.Remainder(n.loop.now()); err == nil && n.loop.failed == nil {
-			c.SetWriteDeadline(time.Now().Add(handoverWithin))
-			writeMessage(c, m)
+			_ = c.SetWriteDeadline(time.Now().Add(handoverWithin))
+			_ = writeMessage(c, m)
 		}
-		c.Close()
+		_ = c.Close()
 		<-gone
 	}
 }
--- a/internal/node/keeping.go
+++ b/internal/node/keeping.go
@@ -106,7 +106,7 @@
 		slog.Warn("state: the disk stands still; the node starts from nothing and keeps its state when the disk goes on", "dir", k.dir)
 		go func() { // likewise
 			if kept := <-read; !k.loop.post(func() { k.begin(f, kept) }) {
-				f.Close()
+				_ = f.Close()
 			}
 		}()
 	}
@@ -144,7 +144,7 @@
 		// What the process before had marked goes on: its customers may not send here before a crash.
 		kept := k.read(f)
 		if !k.loop.post(func() { k.begin(f, kept) }) {
-			f.Close()
+			_ = f.Close()
 		}
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 	}
 	if err := n.assemble(cfg); err != nil {
 		cancel()
-		tcp.Close()
+		_ = tcp.Close()
 		return nil, err
 	}
 	return n, nil
@@ -135,7 +135,7 @@
 	}
 	p, err := n.peering()
 	// A process whose place this one takes has the address until it ends.
-	if err != nil && !(n.inherited && errors.Is(err, syscall.EADDRINUSE)) {
+	if err != nil && (!n.inherited || !errors.Is(err, syscall.EADDRINUSE)) {
 		return err
 	}
 	n.peers.Store(p)
--- a/internal/node/serveranswers.go
+++ b/internal/node/serveranswers.go
@@ -60,10 +60,10 @@
 			if r.late != nil && r.lateAt.Before(at) {
 				at = r.lateAt
 			}
-			r.SetReadDeadline(at)
+			_ = r.SetReadDeadline(at)
 			// Guards against undoing the end of an attempt that comes at this moment.
 			if r.set = true; r.ctx.Err() != nil {
-				r.SetReadDeadline(past)
+				_ = r.SetReadDeadline(past)
 			}
 		}
 		n, err := r.Conn.Read(b)
@@ -81,7 +81,7 @@
 // start makes the reader ready for the answer to an attempt.
 func (r *answerReader) start(ctx context.Context) {
 	if r.set {
-		r.SetReadDeadline(time.Time{})
+		_ = r.SetReadDeadline(time.Time{})
 	}
 	*r = answerReader{Conn: r.Conn, ctx: ctx, left: answerHead, stall: answerStall}
 }
@@ -90,9 +90,9 @@
 // the attempt's end, against undoing the deadline of one that ends at this moment.
 func (r *answerReader) again() {
 	if r.set {
-		r.SetReadDeadline(time.Time{})
+		_ = r.SetReadDeadline(time.Time{})
 		if r.ctx.Err() != nil {
-			r.SetReadDeadline(past)
+			_ = r.SetReadDeadline(past)
 		}
 	}
 	r.begun = false
@@ -122,7 +122,7 @@
 	if err != nil {
 		return outcome{reason: control.ResetByPeer, err: err}, false
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	c.in.left = -1
 	o.header = resp.Header
 	switch {
@@ -202,7 +202,7 @@
 		}
 		if err == io.EOF {
 			if o.begun && to != nil {
-				to.Close()
+				_ = to.Close()
 			}
 			return o, true
 		}
--- a/internal/node/serverconns.go
+++ b/internal/node/serverconns.go
@@ -76,7 +76,7 @@
 	defer u.mu.Unlock()
 	delete(u.pools, p)
 	for _, c := range p.idle {
-		c.Close()
+		_ = c.Close()
 	}
 	p.idle = nil
 }
@@ -92,7 +92,7 @@
 			u.count.reused.Add(1)
 			return c, nil
 		}
-		c.Close()
+		_ = c.Close()
 	}
 }
 
@@ -123,7 +123,7 @@
 	tune(tcp)
 	c := &conn{counted: counted{Conn: tcp, sockets: u.sockets}, in: answerReader{Conn: tcp}, since: time.Now()}
 	if c.raw, err = tcp.(*net.TCPConn).SyscallConn(); err != nil {
-		c.Close()
+		_ = c.Close()
 		return nil, err
 	}
 	c.r, c.w = bufio.NewReaderSize(&c.in, connBuffer), bufio.NewWriterSize(tcp, connBuffer)
@@ -164,7 +164,7 @@
 	defer u.mu.Unlock()
 	// Guards against many nodes that together keep more connections than an app server holds.
 	if _, ok := u.pools[p]; !ok || len(p.idle) >= u.idle {
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	p.idle = append(p.idle, c)
@@ -193,7 +193,7 @@
 		kept := p.idle[:0]
 		for _, c := range p.idle {
 			if is(c) {
-				c.Close()
+				_ = c.Close()
 			} else {
 				kept = append(kept, c)
 			}
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -24,7 +24,7 @@
 // given in the order in which a node hears of servers; the key is the same at all nodes.
 func member(t *discovery.Target, id uint32) control.Endpoint {
 	key := fnv.New32a()
-	io.WriteString(key, t.UID)
+	_, _ = io.WriteString(key, t.UID)
 	return control.Endpoint{Server: id, HashKey: key.Sum32(), Condition: condition(t.Status()), Zone: t.Zone, Cell: t.Group,
 		Flavor: t.Model, Size: t.Capacity, HasStartedAt: t.BootMS > 0,
 		StartedAt: time.Duration(t.BootMS * float64(time.Millisecond))}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -96,7 +96,7 @@
 	}
 	c.in.start(ctx)
 	// Guards against a peer that takes or gives nothing: both directions end with ctx.
-	unhook := context.AfterFunc(ctx, func() { c.SetDeadline(past) })
+	unhook := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
 	keep := false
 	defer func() {
 		if unhook() && keep {
@@ -105,7 +105,7 @@
 			u.put(p, c)
 		} else {
 			u.count.broken.Add(1)
-			c.Close()
+			_ = c.Close()
 		}
 	}()
 	var o outcome
@@ -139,7 +139,7 @@
 		if err == nil {
 			a.written()
 		} else {
-			c.SetReadDeadline(time.Now().Add(answerGrace))
+			_ = c.SetReadDeadline(time.Now().Add(answerGrace))
 		}
 		sent <- err
 	}()
@@ -153,7 +153,7 @@
 		early = true
 		end()
 		a.rest.stop()
-		c.SetWriteDeadline(past)
+		_ = c.SetWriteDeadline(past)
 		return <-sent
 	})
 	o, keep = u.read(c, a, cut)
--- a/internal/node/zoning.go
+++ b/internal/node/zoning.go
@@ -142,7 +142,7 @@
 	for _, v := range *z.views.Load() {
 		lines = append(lines, line{v.Zone, v.State.String(), v.Order.String(), v.Why, v.Part})
 	}
-	json.NewEncoder(w).Encode(lines)
+	_ = json.NewEncoder(w).Encode(lines)
 }
 
 // names gives the zones that orders may name.
--- a/internal/oncall/oncall.go
+++ b/internal/oncall/oncall.go
@@ -92,28 +92,40 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, d := range f.Decls {
-			g, ok := d.(*ast.GenDecl)
-			if !ok {
-				continue
-			}
-			for _, s := range g.Specs {
-				t, ok := s.(*ast.TypeSpec)
-				if !ok || !t.Name.IsExported() || !strings.HasSuffix(t.Name.Name, "Error") {
-					continue
-				}
-				types[t.Name.Name] = []string{}
-				if x, ok := t.Type.(*ast.StructType); ok {
-					for _, field := range x.Fields.List {
-						for _, n := range field.Names {
-							types[t.Name.Name] = append(types[t.Name.Name], n.Name)
-						}
-					}
-				}
+		addErrorTypes(f, types)
+	}
+	return types, nil
+}
+
+// addErrorTypes adds the exported error types that a file declares, each with the names of its fields.
+func addErrorTypes(f *ast.File, types map[string][]string) {
+	for _, d := range f.Decls {
+		g, ok := d.(*ast.GenDecl)
+		if !ok {
+			continue
+		}
+		for _, s := range g.Specs {
+			t, ok := s.(*ast.TypeSpec)
+			if ok && t.Name.IsExported() && strings.HasSuffix(t.Name.Name, "Error") {
+				types[t.Name.Name] = fieldNames(t)
 			}
 		}
 	}
-	return types, nil
+}
+
+// fieldNames returns the names of a struct type's fields, and none for another type.
+func fieldNames(t *ast.TypeSpec) []string {
+	names := []string{}
+	x, ok := t.Type.(*ast.StructType)
+	if !ok {
+		return names
+	}
+	for _, field := range x.Fields.List {
+		for _, n := range field.Names {
+			names = append(names, n.Name)
+		}
+	}
+	return names
 }
 
 // documented gives the errors that have a row with a meaning and something to do.
--- a/internal/oneline/oneline.go
+++ b/internal/oneline/oneline.go
@@ -12,7 +12,7 @@
 // Of gives the text of a cause without line breaks, and without the place where it is one of the
 // standard library's that tells it: who wraps it names the place.
 func Of(err error) string {
-	switch e := err.(type) {
+	switch e := err.(type) { //nolint:errorlint // only the outermost error may lose its place; inner ones stay whole
 	case *fs.PathError:
 		err = fmt.Errorf("%s: %w", e.Op, e.Err)
 	case *os.LinkError:
--- a/internal/store/disk/faulty/file.go
+++ b/internal/store/disk/faulty/file.go
@@ -112,7 +112,7 @@
 		if err != nil {
 			return err
 		}
-		defer r.Close()
+		defer func() { _ = r.Close() }()
 		if n, err := r.ReadAt(old, at); n < len(old) && !errors.Is(err, io.EOF) {
 			return err
 		}
--- a/internal/store/disk/faulty/undo.go
+++ b/internal/store/disk/faulty/undo.go
@@ -91,7 +91,7 @@
 // rewrite begins the journal anew with some notes.
 func (j *journal) rewrite(all []undo) error {
 	if j.file != nil {
-		j.file.Close()
+		_ = j.file.Close()
 	}
 	f, err := os.OpenFile(filepath.Join(j.dir, UndoName), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -176,7 +176,7 @@
 	half := len(all) / 2
 	for _, u := range all[:half] {
 		if u.Kept > 0 {
-			os.Remove(aside(j.dir, u.Kept))
+			_ = os.Remove(aside(j.dir, u.Kept))
 		}
 	}
 	return j.rewrite(all[half:])
@@ -217,7 +217,7 @@
 	}
 	for _, u := range all[end:] {
 		if u.Kept > 0 {
-			os.Remove(aside(dir, u.Kept))
+			_ = os.Remove(aside(dir, u.Kept))
 		}
 	}
 	return steps, write(dir, all[:end])
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -134,7 +134,7 @@
 		return nil, &FolderError{dir, err}
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		lock.Close()
+		_ = lock.Close()
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, &InUseError{dir}
 		}
--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -136,12 +136,12 @@
 			if unheard = record.Unheard; hasty {
 				unheard = record.Left
 			}
-			cn.Close()
+			_ = cn.Close()
 		})
 	})
 	defer timer.Stop()
 	if _, err := cn.Write(c.message(t)); err != nil {
-		cn.Close()
+		_ = cn.Close()
 		c.ended(t, record.Unsent, 0)
 		return false
 	}
@@ -153,7 +153,7 @@
 	if _, err := cn.in.Peek(1); err != nil {
 		over.Do(func() {})
 		unread := cn.unread(err)
-		cn.Close()
+		_ = cn.Close()
 		if unheard != record.Open {
 			c.ended(t, unheard, 0)
 			return true
@@ -168,7 +168,7 @@
 	}
 	over.Do(func() {})
 	if err != nil {
-		cn.Close()
+		_ = cn.Close()
 		end := record.Broken
 		if unheard != record.Open {
 			end = unheard
@@ -178,7 +178,7 @@
 	}
 	c.answered(t, resp, body)
 	if resp.Close {
-		cn.Close()
+		_ = cn.Close()
 	} else {
 		n.put(cn)
 	}
--- a/internal/testbed/client/front.go
+++ b/internal/testbed/client/front.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return false, err
 	}
-	resp.Body.Close()
+	_ = resp.Body.Close()
 	return resp.StatusCode == http.StatusOK, nil
 }
 
@@ -127,7 +127,7 @@
 			c.reused = true
 			return c
 		}
-		c.Close()
+		_ = c.Close()
 	}
 	return nil
 }
@@ -170,19 +170,19 @@
 
 // closed tells whether the node has ended an idle connection, as a client that reads would know.
 func (c *conn) closed() bool {
-	c.Conn.Conn.SetReadDeadline(time.Now().Add(10 * time.Microsecond))
-	defer c.Conn.Conn.SetReadDeadline(time.Time{})
+	_ = c.SetReadDeadline(time.Now().Add(10 * time.Microsecond))
+	defer func() { _ = c.SetReadDeadline(time.Time{}) }()
 	var b [1]byte
-	_, err := c.Conn.Conn.Read(b[:])
+	_, err := c.Read(b[:])
 	var timeout net.Error
-	return !(errors.As(err, &timeout) && timeout.Timeout())
+	return !errors.As(err, &timeout) || !timeout.Timeout()
 }
 
 func (n *Node) put(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.idle) >= idleKept {
-		c.Close()
+		_ = c.Close()
 		return
 	}
 	n.idle = append(n.idle, c)
@@ -193,7 +193,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.idle {
-		c.Close()
+		_ = c.Close()
 	}
 	n.idle = nil
 }
--- a/internal/testbed/client/improper.go
+++ b/internal/testbed/client/improper.go
@@ -40,13 +40,13 @@
 	if err != nil {
 		return
 	}
-	defer cn.Close()
+	defer func() { _ = cn.Close() }()
 	from := c.Clock()
-	stop := time.AfterFunc(improperWait, func() { cn.Close() })
+	stop := time.AfterFunc(improperWait, func() { _ = cn.Close() })
 	defer stop.Stop()
-	defer context.AfterFunc(ctx, func() { cn.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = cn.Close() })()
 	if _, err := cn.Write([]byte(text)); err == nil {
-		cn.in.Peek(1) // an error or a close; a served answer would be counted by its id
+		_, _ = cn.in.Peek(1) // an error or a close; a served answer would be counted by its id
 	}
 	took := c.Clock() - from
 	if !c.Killed(n.Index, from, c.Clock()) && ctx.Err() == nil {
--- a/internal/testbed/counter/counter.go
+++ b/internal/testbed/counter/counter.go
@@ -71,7 +71,7 @@
 	c.mu.Lock()
 	c.servers = append(c.servers, s)
 	c.mu.Unlock()
-	go s.Serve(l)
+	go func() { _ = s.Serve(l) }() // until Close
 	return nil
 }
 
@@ -80,7 +80,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.servers {
-		s.Close()
+		_ = s.Close()
 	}
 }
 
--- a/internal/testbed/discovery/discovery.go
+++ b/internal/testbed/discovery/discovery.go
@@ -103,7 +103,7 @@
 	old := a.http
 	a.http = h
 	a.mu.Unlock()
-	go h.Serve(l)
+	go func() { _ = h.Serve(l) }() // until retire
 	if old != nil {
 		retire(old)
 	}
@@ -114,7 +114,7 @@
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	h.SetKeepAlivesEnabled(false)
-	time.AfterFunc(movedOpen, func() { h.Shutdown(gone); h.Close() })
+	time.AfterFunc(movedOpen, func() { _ = h.Shutdown(gone); _ = h.Close() })
 }
 
 // Close ends the agent.
@@ -124,8 +124,8 @@
 	a.mu.Unlock()
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	h.Shutdown(gone)
-	h.Close()
+	_ = h.Shutdown(gone)
+	_ = h.Close()
 }
 
 // Put enters a change, which comes to the agent at once or when discovery is back. A target that is
--- a/internal/testbed/faultlink/conn.go
+++ b/internal/testbed/faultlink/conn.go
@@ -106,14 +106,14 @@
 // Abort ends this end with a reset.
 func (c *Conn) Abort() {
 	c.reset()
-	c.Close()
+	_ = c.Close()
 }
 
 func (c *Conn) reset() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
-		t.SetLinger(0)
+		_ = t.SetLinger(0)
 	}
-	c.Conn.Close()
+	_ = c.Conn.Close()
 }
 
 // Dial opens a connection across the path. Where nothing passes it does not come up until ctx ends.
--- a/internal/testbed/faultlink/forward.go
+++ b/internal/testbed/faultlink/forward.go
@@ -45,12 +45,12 @@
 	}
 	addr, err := net.ResolveUDPAddr("udp", tcp.Addr().String())
 	if err != nil {
-		tcp.Close()
+		_ = tcp.Close()
 		return nil, err
 	}
 	udp, err := net.ListenUDP("udp", addr)
 	if err != nil {
-		tcp.Close()
+		_ = tcp.Close()
 		return nil, err
 	}
 	f := &Forwarder{path: p, tcp: tcp, udp: udp, to: to, out: out, dest: dest, flight: make(chan struct{}, udpCopies), backs: make(map[string]*net.UDPConn)}
@@ -65,12 +65,12 @@
 func (f *Forwarder) Close() {
 	f.stop()
 	f.path.Clear() // what waits on it ends
-	f.tcp.Close()
-	f.udp.Close()
+	_ = f.tcp.Close()
+	_ = f.udp.Close()
 	f.path.Reset()
 	f.mu.Lock()
 	for _, c := range f.backs {
-		c.Close()
+		_ = c.Close()
 	}
 	f.mu.Unlock()
 	f.done.Wait()
@@ -87,9 +87,9 @@
 			return
 		}
 		if f.out != nil {
-			f.carry(append([]byte(nil), buf[:n]...), true, func(b []byte) { f.out.WriteToUDP(b, f.dest) })
+			f.carry(append([]byte(nil), buf[:n]...), true, func(b []byte) { _, _ = f.out.WriteToUDP(b, f.dest) })
 		} else if back := f.back(from); back != nil {
-			f.carry(append([]byte(nil), buf[:n]...), true, func(b []byte) { back.Write(b) })
+			f.carry(append([]byte(nil), buf[:n]...), true, func(b []byte) { _, _ = back.Write(b) })
 		}
 	}
 }
@@ -166,7 +166,7 @@
 				time.Sleep(time.Millisecond)
 				continue
 			}
-			f.carry(append([]byte(nil), buf[:n]...), false, func(b []byte) { f.udp.WriteToUDP(b, from) })
+			f.carry(append([]byte(nil), buf[:n]...), false, func(b []byte) { _, _ = f.udp.WriteToUDP(b, from) })
 		}
 	})
 	return c
--- a/internal/testbed/faultlink/listen.go
+++ b/internal/testbed/faultlink/listen.go
@@ -25,7 +25,7 @@
 	}
 	x := &Listener{TCPListener: l.(*net.TCPListener), path: p, open: make(chan struct{})}
 	p.mu.Lock()
-	p.wakeListener = func() { x.SetDeadline(time.Unix(1, 0)) }
+	p.wakeListener = func() { _ = x.SetDeadline(time.Unix(1, 0)) }
 	p.mu.Unlock()
 	return x, nil
 }
@@ -47,7 +47,7 @@
 		if m := l.path.now.Load(); m.silent() {
 			l.keepOut(m)
 		}
-		l.SetDeadline(time.Time{})
+		_ = l.SetDeadline(time.Time{})
 		if m := l.path.now.Load(); m.silent() { // changed before the deadline was lifted
 			continue
 		}
@@ -86,15 +86,15 @@
 		return
 	}
 	own := dummy.LocalAddr().String()
-	dummy.Close()
-	l.SetDeadline(time.Now().Add(dummyTimeout))
+	_ = dummy.Close()
+	_ = l.SetDeadline(time.Now().Add(dummyTimeout))
 	for { // the dummy and, before it, whoever came while the queue was shortened
 		c, err := l.TCPListener.Accept()
 		if err != nil {
 			return
 		}
 		last := c.RemoteAddr().String() == own
-		c.Close()
+		_ = c.Close()
 		if last {
 			return
 		}
@@ -107,5 +107,5 @@
 	if err != nil {
 		return
 	}
-	raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
+	_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
 }
--- a/internal/testbed/faultlink/stream.go
+++ b/internal/testbed/faultlink/stream.go
@@ -43,13 +43,13 @@
 		return
 	}
 	far := c.(*net.TCPConn)
-	defer far.Close()
-	defer near.Close()
+	defer func() { _ = far.Close() }()
+	defer func() { _ = near.Close() }()
 	var both sync.WaitGroup
 	// What ends with an error ends both ways at once; an end of what is sent ends one.
 	abort := func() {
-		far.SetLinger(0)
-		far.Close()
+		_ = far.SetLinger(0)
+		_ = far.Close()
 		near.Abort()
 	}
 	tcp := near.Conn.(*net.TCPConn)
@@ -107,7 +107,7 @@
 		abort()
 		return
 	}
-	to.CloseWrite()
+	_ = to.CloseWrite()
 }
 
 // send writes a chunk when it is through, bit by bit where the path trickles.
--- a/internal/testbed/judge/price.go
+++ b/internal/testbed/judge/price.go
@@ -98,7 +98,7 @@
 		late += btof(lateUnsent(t)) * j.worth(t.Arrival)
 		switch {
 		case t.End == record.Answered && t.Status == 200:
-			h.RecordValue(max(1, int64((t.Ended-t.Due)/time.Microsecond)))
+			_ = h.RecordValue(max(1, int64((t.Ended-t.Due)/time.Microsecond)))
 			if t.Inside && t.Ended-a.At <= time.Duration(j.day.Classes[t.Class].AimMS*float64(time.Millisecond)) {
 				served[t.Arrival] = j.worth(t.Arrival)
 			}
@@ -281,7 +281,7 @@
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	over := 0.0
 	for _, t := range j.book.Late {
-		h.RecordValue(max(1, int64(t/time.Microsecond)))
+		_ = h.RecordValue(max(1, int64(t/time.Microsecond)))
 		over += btof(t > lateSend)
 	}
 	j.add("late", over/math.Max(1, float64(len(j.book.Late))), "of sends")
--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -88,12 +88,12 @@
 	if err := p.takeBlock(); err != nil {
 		return nil, err
 	}
-	defer p.lock.Close()
+	defer func() { _ = p.lock.Close() }()
 	var err error
 	if p.guard, err = proc.NewGuard(); err != nil {
 		return nil, err
 	}
-	defer p.guard.Close()
+	defer func() { _ = p.guard.Close() }()
 	ctx, cancel := context.WithCancel(ctx)
 	defer p.end(cancel)
 	if err := p.build(ctx); err != nil {
@@ -151,7 +151,7 @@
 		f.Close()
 	}
 	if p.datagrams != nil {
-		p.datagrams.Close()
+		_ = p.datagrams.Close()
 	}
 	p.wg.Wait()
 }
--- a/internal/testbed/peers.go
+++ b/internal/testbed/peers.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		return nil, false
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	got = make([]float64, len(names))
 	for in := bufio.NewScanner(resp.Body); in.Scan(); {
 		name, text, _ := strings.Cut(in.Text(), " ")
--- a/internal/testbed/proc/proc.go
+++ b/internal/testbed/proc/proc.go
@@ -40,9 +40,9 @@
 		}
 	}
 	for g := range groups {
-		syscall.Kill(-g, syscall.SIGKILL)
+		_ = syscall.Kill(-g, syscall.SIGKILL)
 	}
-	os.RemoveAll(dir)
+	_ = os.RemoveAll(dir)
 	os.Exit(0)
 }
 
@@ -91,7 +91,7 @@
 // Close ends all processes and removes the folder.
 func (g *Guard) Close() error {
 	close(g.starts)
-	g.tell.Close()
+	_ = g.tell.Close()
 	return g.reaper.Wait()
 }
 
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }()
 	c := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d; %s", s.Descriptors, s.Command))
 	c.Dir, c.Env, c.Stdout, c.Stderr = s.Root, s.Env, log, log
 	c.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
@@ -144,7 +144,7 @@
 }
 
 // Signal sends a signal; to a process that has ended it does nothing.
-func (p *Process) Signal(s syscall.Signal) { p.cmd.Process.Signal(s) }
+func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
 // Done is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
--- a/internal/testbed/ratingserver/http.go
+++ b/internal/testbed/ratingserver/http.go
@@ -82,7 +82,7 @@
 		s.listeners = append(s.listeners, l)
 		h := s.http
 		s.mu.Unlock()
-		go h.Serve(accepting{l})
+		go func() { _ = h.Serve(accepting{l}) }() // until the server's end
 	}
 	return nil
 }
@@ -103,12 +103,12 @@
 	s.listeners = nil
 	s.mu.Unlock()
 	for _, l := range ls {
-		l.Close()
+		_ = l.Close()
 	}
 	for _, p := range s.paths {
 		p.Reset()
 	}
-	h.Close()
+	_ = h.Close()
 }
 
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
@@ -298,7 +298,7 @@
 			s.fleet.Ledger.Settle(t.Customer, float64(t.Units), float64(t.True), s.fleet.Clock())
 		}
 	}
-	io.WriteString(w, Answer(t.ID, s.Index))
+	_, _ = io.WriteString(w, Answer(t.ID, s.Index))
 }
 
 func (s *Server) isDead() bool {
--- a/internal/testbed/report/plot.go
+++ b/internal/testbed/report/plot.go
@@ -36,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		band.Color, band.LineStyle.Width = faultColor, 0
+		band.Color, band.Width = faultColor, 0
 		c.Add(band)
 		if i > 0 && p.Day.Faults[i-1].Kind == f.Kind {
 			continue // a series, such as a rolling restart, is named once
@@ -93,7 +93,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", strconv.Quote(name), err)
 		}
-		s.GlyphStyle.Color, s.GlyphStyle.Shape, s.GlyphStyle.Radius = servedColor, draw.CircleGlyph{}, vg.Points(3)
+		s.Color, s.Shape, s.Radius = servedColor, draw.CircleGlyph{}, vg.Points(3)
 		c.Add(s)
 	}
 	if c.Y.Min = 0; top > 0 {
--- a/internal/testbed/report/report.go
+++ b/internal/testbed/report/report.go
@@ -63,7 +63,7 @@
 	for _, f := range v.Figures {
 		fmt.Fprintf(t, "%s\t%.4g\t%s\n", f.Name, f.Value, f.Unit)
 	}
-	t.Flush()
+	_ = t.Flush()
 	parts(w, v)
 	for _, rule := range judge.Rules {
 		for _, c := range v.Broken[rule] {
@@ -84,7 +84,7 @@
 	for _, p := range v.Parts {
 		fmt.Fprintf(t, "%s %s\t%.3f\t%.3f\t%.3f\n", p.Kind, p.Name, p.Served, p.Late, p.Owed)
 	}
-	t.Flush()
+	_ = t.Flush()
 }
 
 // Last is the last line of a play, and whether it passed.
@@ -156,7 +156,7 @@
 		mean, half := Paired(a, b)
 		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%+.4g\t±%.2g\t%s\n", f.Name, Of(a).Median, Of(b).Median, mean, half, f.Unit)
 	}
-	t.Flush()
+	_ = t.Flush()
 }
 
 // Spreads prints each figure's median, least and most over plays.
@@ -171,7 +171,7 @@
 		s := Of(x)
 		fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.4g\t%s\n", f.Name, s.Median, s.Low, s.High, f.Unit)
 	}
-	t.Flush()
+	_ = t.Flush()
 }
 
 // Play is one play of a report.
--- a/internal/testbed/scale/exchange/churn.go
+++ b/internal/testbed/scale/exchange/churn.go
@@ -164,9 +164,9 @@
 
 func (f *liveFleet) close() {
 	for _, h := range f.members {
-		h.Shutdown()
+		_ = h.Shutdown()
 	}
-	f.peers.Close()
+	_ = f.peers.Close()
 }
 
 // known waits until all members know so many.
--- a/internal/testbed/scale/exchange/fleet.go
+++ b/internal/testbed/scale/exchange/fleet.go
@@ -109,7 +109,7 @@
 	f.prime()
 	f.arrive()
 	f.After(f.warm, f.reset)
-	f.Agenda.Run()
+	f.Run()
 	return f.err
 }
 
--- a/internal/testbed/scale/exchange/learners.go
+++ b/internal/testbed/scale/exchange/learners.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	defer slog.SetLogLoggerLevel(slog.SetLogLoggerLevel(slog.LevelWarn)) // each learner logs each version
 	ctx, end := context.WithCancel(ctx)
 	f := newLearnerFleet(dir, size)
--- a/internal/testbed/scale/exchange/member.go
+++ b/internal/testbed/scale/exchange/member.go
@@ -147,7 +147,7 @@
 		if err != nil {
 			return err
 		}
-		defer h.Shutdown()
+		defer func() { _ = h.Shutdown() }()
 		if head == nil {
 			head = h
 			continue
--- a/internal/testbed/scale/exchange/membership.go
+++ b/internal/testbed/scale/exchange/membership.go
@@ -59,13 +59,13 @@
 	if err != nil {
 		return s, err
 	}
-	defer p.Close()
+	defer func() { _ = p.Close() }()
 	m := newMesh()
 	root, err := newMember(m, memberConfig{delegate: p, events: p})
 	if err != nil {
 		return s, err
 	}
-	defer root.Shutdown()
+	defer func() { _ = root.Shutdown() }()
 	before, goroutines := scale.Heap(), runtime.NumGoroutine()
 	if err := gather(ctx, m, root, p, size); err != nil {
 		return s, err
@@ -107,7 +107,7 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	defer h.Shutdown()
+	defer func() { _ = h.Shutdown() }()
 	if err := h.join(root); err != nil {
 		return 0, 0, err
 	}
@@ -122,7 +122,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer p.Close()
+	defer func() { _ = p.Close() }()
 	for _, n := range root.Members() {
 		if p.NotifyAlive(n) == nil {
 			p.NotifyJoin(n)
--- a/internal/testbed/scale/exchange/mesh.go
+++ b/internal/testbed/scale/exchange/mesh.go
@@ -161,7 +161,7 @@
 	for {
 		select {
 		case c := <-e.streams:
-			c.Close()
+			_ = c.Close()
 		default:
 			return nil
 		}
--- a/internal/testbed/scale/limits.go
+++ b/internal/testbed/scale/limits.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }()
 	values := make([]float64, len(keys))
 	found := 0
 	for lines := bufio.NewScanner(f); lines.Scan(); {
--- a/internal/testbed/scale/outage/rackloss.go
+++ b/internal/testbed/scale/outage/rackloss.go
@@ -81,7 +81,7 @@
 		for _, s := range before {
 			uses = uses || gone[s.ID]
 		}
-		change, err := apply(set, inState(lost, subset.Removed))
+		change, err := apply(set, removed(lost))
 		if err != nil {
 			return c, err
 		}
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	raw, err := message(inState(rack, subset.Removed), false)
+	raw, err := message(removed(rack), false)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/scale/outage/serverloss.go
+++ b/internal/testbed/scale/outage/serverloss.go
@@ -42,7 +42,7 @@
 			w.gone[s.ID] = true
 		}
 	})
-	delta := inState(lost, subset.Removed)
+	delta := removed(lost)
 	var failed error
 	for _, g := range w.gateways {
 		w.after(sampleWarm+noticedWithin+pushDelay(w.rng), func() {
--- a/internal/testbed/scale/outage/servers.go
+++ b/internal/testbed/scale/outage/servers.go
@@ -91,11 +91,11 @@
 	return set.Sharers(l.size.nodes) * float64(set.Available()) / float64(listed)
 }
 
-// inState returns the servers with another state, as a delta brings them.
-func inState(servers []subset.Server, state subset.State) []subset.Server {
+// removed returns the servers as a delta that removes them brings them.
+func removed(servers []subset.Server) []subset.Server {
 	out := slices.Clone(servers)
 	for i := range out {
-		out[i].State = state
+		out[i].State = subset.Removed
 	}
 	return out
 }
--- a/internal/testbed/scale/outage/zoneloss.go
+++ b/internal/testbed/scale/outage/zoneloss.go
@@ -123,7 +123,7 @@
 		}
 	}
 	r.atOnce = max(r.atOnce, 1-r.capacity(before)/capacityOf(before))
-	if _, err := apply(set, inState(lost, subset.Removed)); err != nil {
+	if _, err := apply(set, removed(lost)); err != nil {
 		return err
 	}
 	used := map[string]bool{}
@@ -245,7 +245,7 @@
 
 // time measures what the loss and the return cost a node that holds the whole list.
 func (r *zoneRun) time(out *figures) error {
-	raw, err := message(inState(r.lost, subset.Removed), false)
+	raw, err := message(removed(r.lost), false)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/scale/process/backend.go
+++ b/internal/testbed/scale/process/backend.go
@@ -27,16 +27,16 @@
 	at     []string       // addresses
 }
 
-// serveBackends begins to serve; requests are numbered below most.
-func (b *bench) serveBackends(most int) (*backend, error) {
-	s := &backend{held: make([]atomic.Int64, most), cost: make([]atomic.Int32, most)}
+// serveBackends begins to serve; requests are numbered below requestsMost.
+func (b *bench) serveBackends() (*backend, error) {
+	s := &backend{held: make([]atomic.Int64, requestsMost), cost: make([]atomic.Int32, requestsMost)}
 	h := &http.Server{Handler: s, IdleTimeout: keepIdle, ErrorLog: log.New(io.Discard, "", 0),
 		ConnState: func(_ net.Conn, state http.ConnState) {
 			if state == http.StateNew {
 				s.opened.Add(1)
 			}
 		}}
-	b.atEnd(func() { h.Close() })
+	b.atEnd(func() { _ = h.Close() })
 	for i := range backends {
 		at := b.address(hostsBackends, i, portBackend)
 		l, err := net.Listen("tcp", at)
@@ -44,7 +44,7 @@
 			return nil, err
 		}
 		s.at = append(s.at, at)
-		go h.Serve(l)
+		go func() { _ = h.Serve(l) }() // until the backend's Close
 	}
 	return s, nil
 }
@@ -62,5 +62,5 @@
 	time.Sleep(backendWork)
 	w.Header().Set("X-True-Cost", strconv.Itoa(int(s.cost[number].Load())))
 	s.held[number].Store(int64(time.Since(came)))
-	io.Copy(w, strings.NewReader("rated\n"))
+	_, _ = io.Copy(w, strings.NewReader("rated\n"))
 }
--- a/internal/testbed/scale/process/bench.go
+++ b/internal/testbed/scale/process/bench.go
@@ -62,7 +62,7 @@
 	}
 	var err error
 	if b.guard, err = proc.NewGuard(); err != nil {
-		b.lock.Close()
+		_ = b.lock.Close()
 		return nil, err
 	}
 	return b, nil
@@ -81,6 +81,6 @@
 	for i := len(b.ends) - 1; i >= 0; i-- {
 		b.ends[i]()
 	}
-	b.guard.Close()
-	b.lock.Close()
+	_ = b.guard.Close()
+	_ = b.lock.Close()
 }
--- a/internal/testbed/scale/process/edgenode.go
+++ b/internal/testbed/scale/process/edgenode.go
@@ -252,6 +252,6 @@
 	if err != nil {
 		return nil, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	return readFigures(resp.Body)
 }
--- a/internal/testbed/scale/process/hollow.go
+++ b/internal/testbed/scale/process/hollow.go
@@ -62,7 +62,7 @@
 func (b *bench) hollowSeed() string { return b.address(hostsMembers, 0, portPeer) }
 
 func (h *hollow) close() {
-	each(h.members, (*membership.Peers).Close)
+	_ = each(h.members, (*membership.Peers).Close)
 }
 
 // meetFirst has each member exchange all states with the first, which knows all: the gossip of so many
--- a/internal/testbed/scale/process/limits.go
+++ b/internal/testbed/scale/process/limits.go
@@ -162,7 +162,7 @@
 		return nil, err
 	}
 	defer b.close()
-	back, err := b.serveBackends(requestsMost)
+	back, err := b.serveBackends()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/scale/process/load.go
+++ b/internal/testbed/scale/process/load.go
@@ -162,7 +162,7 @@
 	if err != nil {
 		return 0, err.Error()
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 		return 0, err.Error()
 	}
--- a/internal/testbed/scale/process/members.go
+++ b/internal/testbed/scale/process/members.go
@@ -162,7 +162,7 @@
 
 // startReal starts the real node and waits until it knows all hollow members and they know it.
 func (b *bench) startReal(ctx context.Context, p *memberPoint, size int, seed uint64) error {
-	s, err := b.serveBackends(requestsMost)
+	s, err := b.serveBackends()
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/scale/process/request.go
+++ b/internal/testbed/scale/process/request.go
@@ -114,7 +114,7 @@
 
 // onePoint starts one node among a number of listed servers and waits until it serves.
 func (b *bench) onePoint(ctx context.Context, servers int, seed uint64) (*onePoint, error) {
-	s, err := b.serveBackends(requestsMost)
+	s, err := b.serveBackends()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/scale/request/changes.go
+++ b/internal/testbed/scale/request/changes.go
@@ -58,7 +58,7 @@
 	took := scale.CPUOf(func() {
 		for i := 0; i < changes && err == nil && ctx.Err() == nil; i++ {
 			var told control.EndpointUpdate
-			any := false
+			var any bool
 			if told, any, err = k.apply([]subset.Server{drained(all, i)}); any {
 				c.Handle(start+time.Duration(i+1)*gap, told)
 			}
--- a/internal/testbed/scale/request/deployment.go
+++ b/internal/testbed/scale/request/deployment.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return control.Settings{}, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }()
 	path := filepath.Join(dir, "node.json")
 	if err := os.WriteFile(path, fmt.Appendf(nil, configFile, memoryMB), 0o644); err != nil {
 		return control.Settings{}, err
--- a/internal/testbed/scale/request/serverlist.go
+++ b/internal/testbed/scale/request/serverlist.go
@@ -70,7 +70,7 @@
 		f.numbers[s.ID] = number
 	}
 	key := fnv.New32a()
-	io.WriteString(key, s.ID)
+	_, _ = io.WriteString(key, s.ID)
 	m := control.Endpoint{Server: number, HashKey: key.Sum32(), Condition: control.Active, Zone: s.Zone, Cell: s.Group,
 		Flavor: s.Model, Size: s.Capacity}
 	if s.State == subset.Draining {
--- a/internal/testbed/scenario/recorded.go
+++ b/internal/testbed/scenario/recorded.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	rows, err := csv.NewReader(file).ReadAll()
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
--- a/internal/testbed/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -205,7 +205,7 @@
 	case Notices, Uncut, Cut, Provided:
 		return p.shared(v, n, a)
 	case Lease:
-		return p.leased(v, n, a)
+		return p.leased(v, a)
 	}
 	return p.alone(v, units)
 }
@@ -222,7 +222,7 @@
 		p.blind++
 		return p.alone(v, float64(a.Units))
 	}
-	p.age.RecordValue(max(1, int64(k.Age/time.Microsecond)))
+	_ = p.age.RecordValue(max(1, int64(k.Age/time.Microsecond)))
 	return k.AtLeast || k.Tokens >= control.SharedBucketMinimum(q.Burst, float64(a.Units), math.Min(1, 4/float64(c.Spread)))
 }
 
@@ -239,7 +239,7 @@
 
 // leased decides by the lease, and alone where there is none. A lease is asked for beside the try,
 // never before it.
-func (p *play) leased(v *view, n int, a *scenario.Arrival) bool {
+func (p *play) leased(v *view, a *scenario.Arrival) bool {
 	units, held := float64(a.Units), p.now <= v.until
 	v.asked = v.asked*math.Exp(-(p.now-v.at).Seconds()) + units
 	v.at = p.now
@@ -250,7 +250,7 @@
 			back = v.lease
 		}
 		v.lease = 0
-		p.ask(n, a.Customer, v, math.Max(units, leaseAhead*v.asked), back)
+		p.ask(a.Customer, v, math.Max(units, leaseAhead*v.asked), back)
 	}
 	switch {
 	case !held:
@@ -264,7 +264,7 @@
 }
 
 // ask is the exchange of a lease: units back, units out, deducted when they are given.
-func (p *play) ask(n, customer int, v *view, want, back float64) {
+func (p *play) ask(customer int, v *view, want, back float64) {
 	asked := p.now
 	p.message(leaseBytes)
 	p.after(p.wire(), func() {
--- a/internal/testbed/virtual/window.go
+++ b/internal/testbed/virtual/window.go
@@ -120,7 +120,7 @@
 	for i := range p.nodes {
 		var seen []ratelimit.Peer
 		for _, o := range all {
-			if o.Index != i && !p.parted(i, o.Index) && !(p.win.resting && p.inside(o.Index)) {
+			if o.Index != i && !p.parted(i, o.Index) && (!p.win.resting || !p.inside(o.Index)) {
 				seen = append(seen, o)
 			}
 		}
