--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -15,6 +15,7 @@
 	"runtime/debug"
 	"syscall"
 
+	"sloestile/internal/config"
 	"sloestile/internal/node"
 )
 
@@ -50,7 +51,7 @@
 
 // check tells whether a fleet file can be used, without starting.
 func check(path string) int {
-	if _, err := node.LoadFleet(path); err != nil {
+	if _, err := config.LoadFleet(path); err != nil {
 		fmt.Fprintln(os.Stderr, "edgenode:", err)
 		return 1
 	}
@@ -59,10 +60,10 @@
 }
 
 // load reads the node's configuration and, where one is named, its fleet file.
-func load(path, fleet string) (node.Config, error) {
-	cfg, err := node.LoadConfig(path)
+func load(path, fleet string) (config.Config, error) {
+	cfg, err := config.Load(path)
 	if err == nil && fleet != "" {
-		cfg.Fleet, err = node.LoadFleet(fleet)
+		cfg.Fleet, err = config.LoadFleet(fleet)
 	}
 	return cfg, err
 }
@@ -70,7 +71,7 @@
 func run(ctx context.Context, hup <-chan os.Signal, fleet string) error {
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
-		return &node.EnvironmentError{Variable: "NODE_CONFIG", Err: errors.New("it names no configuration file")}
+		return &config.EnvironmentError{Variable: "NODE_CONFIG", Err: errors.New("it names no configuration file")}
 	}
 	cfg, err := load(path, fleet)
 	if err != nil {
--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,61 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// milliseconds reads a duration of the settings, or returns the default where it is not given.
+func milliseconds(paths map[string]string, path string, byDefault time.Duration) (time.Duration, error) {
+	text, ok := paths[path]
+	if !ok {
+		return byDefault, nil
+	}
+	v, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(v > 0 && v < 1e9) {
+		return 0, fmt.Errorf("%q is no span in milliseconds", text)
+	}
+	return time.Duration(v * float64(time.Millisecond)), nil
+}
+
+// flatten turns nested JSON into the dotted paths that package simwire reads.
+func flatten(raw json.RawMessage) (map[string]string, error) {
+	d := json.NewDecoder(bytes.NewReader(raw))
+	d.UseNumber()
+	var tree map[string]any
+	if err := d.Decode(&tree); err != nil {
+		return nil, err
+	}
+	paths := make(map[string]string)
+	flattenInto(paths, "", tree)
+	return paths, nil
+}
+
+func flattenInto(paths map[string]string, prefix string, v any) {
+	switch v := v.(type) {
+	case map[string]any:
+		for k, item := range v {
+			flattenInto(paths, strings.TrimPrefix(prefix+"."+k, "."), item)
+		}
+	case []any:
+		var plain []string
+		for i, item := range v {
+			if _, ok := item.(map[string]any); ok {
+				flattenInto(paths, prefix+"."+strconv.Itoa(i), item)
+			} else {
+				plain = append(plain, fmt.Sprint(item))
+			}
+		}
+		paths[prefix+".count"] = strconv.Itoa(len(v))
+		if plain != nil {
+			paths[prefix] = strings.Join(plain, ",")
+		}
+	case nil:
+	default:
+		paths[prefix] = fmt.Sprint(v)
+	}
+}
--- a/internal/node/council.go
+++ b/internal/node/council.go
@@ -13,6 +13,7 @@
 
 	"sloestile/control"
 	"sloestile/fleet/rules"
+	"sloestile/internal/config"
 	agreement "sloestile/internal/consensus"
 	"sloestile/internal/consensus/learner"
 	"sloestile/internal/consensus/transport"
@@ -27,10 +28,23 @@
 	councilEnd    = 500 * time.Millisecond
 )
 
+// consensusDescriptors returns how many descriptors are set apart for the consensus group at the node with a name.
+func consensusDescriptors(fleet *config.Fleet, name string) int {
+	if fleet == nil || fleet.Consensus == nil {
+		return 0
+	}
+	for _, v := range fleet.Consensus.Voters {
+		if v.Name == name {
+			return voterPlaces + eachPlaces*(len(fleet.Consensus.Voters)-1)
+		}
+	}
+	return councilPlaces
+}
+
 // council is the node's part in what the fleet decides together. The learner has a goroutine of its
 // own; the loop asks it at the begin of each request by what that goes.
 type council struct {
-	cfg      *CouncilConfig
+	cfg      *config.Consensus
 	name     string
 	loop     *loop
 	voter    *agreement.Voter  // nil is that this node has no vote
@@ -44,8 +58,8 @@
 }
 
 // newCouncil makes the node's part, which does nothing before run.
-func newCouncil(cfg Config, l *loop) (*council, error) {
-	f := cfg.Fleet.Council
+func newCouncil(cfg config.Config, l *loop) (*council, error) {
+	f := cfg.Fleet.Consensus
 	c := &council{cfg: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
 	lc := learner.Config{Node: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
@@ -60,7 +74,7 @@
 		c.registry = learner.NewRegistry(func(w rules.VersionState) { c.learner.Observe(w) })
 		var err error
 		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
-			Via: cfg.Fleet.Peers.Via, StateMachines: map[byte]agreement.StateMachine{learner.StateMachineKind: c.registry},
+			Via: cfg.Fleet.Peers.DialAddresses, StateMachines: map[byte]agreement.StateMachine{learner.StateMachineKind: c.registry},
 			CallHandlers: map[byte]func(string, []byte) []byte{callOffice: c.answer},
 			OnLeading:    func(term uint64) { c.learner.SetLeading(term != 0) }, OnLeaderChange: func() { c.learner.LeaderChanged() }})
 		if err != nil {
@@ -69,7 +83,7 @@
 		lc.Consensus, lc.Registry = c.voter, c.registry
 	} else {
 		var err error
-		if c.link, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Via: cfg.Fleet.Peers.Via}); err != nil {
+		if c.link, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Via: cfg.Fleet.Peers.DialAddresses}); err != nil {
 			return nil, err
 		}
 	}
@@ -80,7 +94,7 @@
 
 // ruleSettings is what the settings have, of what rule sets may speak of. The zones are those of the
 // fleet file's regions, and the node's own.
-func ruleSettings(cfg Config) rules.Settings {
+func ruleSettings(cfg config.Config) rules.Settings {
 	s := &cfg.Settings
 	out := rules.Settings{Zones: []string{s.Zone}, MaxAttempts: s.MaxAttempts, MaxInFlight: s.MaxInFlight}
 	for _, zones := range cfg.Fleet.Regions {
@@ -177,8 +191,8 @@
 
 // header tells by which version an attempt goes, where the fleet file says so.
 func (c *council) header(x *exchange) {
-	if c.cfg.Header != "" {
-		x.forward.Header.Set(c.cfg.Header, strconv.FormatUint(x.version, 10))
+	if c.cfg.VersionHeader != "" {
+		x.forward.Header.Set(c.cfg.VersionHeader, strconv.FormatUint(x.version, 10))
 	}
 }
 
--- a/internal/node/councilcalls.go
+++ b/internal/node/councilcalls.go
@@ -15,6 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"sloestile/fleet/rules"
+	"sloestile/internal/config"
 	agreement "sloestile/internal/consensus"
 	"sloestile/internal/consensus/learner"
 	"sloestile/internal/oneline"
@@ -171,7 +172,7 @@
 	var last error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
 	tried, next := map[string]bool{}, c.name
 	for range len(c.cfg.Voters) + 1 {
-		var at *VoterConfig
+		var at *config.Voter
 		for i, v := range c.cfg.Voters {
 			if !tried[v.Name] && (v.Name == next || at == nil) {
 				at = &c.cfg.Voters[i]
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -11,57 +11,6 @@
 	"sloestile/internal/oneline"
 )
 
-// ConfigError is a configuration that can't be used.
-type ConfigError struct {
-	File string
-	Key  string // "" is the file as a whole
-	Err  error
-}
-
-func (e *ConfigError) Error() string {
-	return fmt.Sprintf("configuration %s: %s; mend the file, then start again, or send SIGHUP to a node that runs", e.File, under(e.Key, e.Err))
-}
-
-func (e *ConfigError) Unwrap() error { return e.Err }
-
-// EnvironmentError is a variable of the environment that can't be used.
-type EnvironmentError struct {
-	Variable string
-	Err      error
-}
-
-func (e *EnvironmentError) Error() string {
-	return fmt.Sprintf("environment: %s: %s; mend the variable and start again", e.Variable, oneline.Of(e.Err))
-}
-
-func (e *EnvironmentError) Unwrap() error { return e.Err }
-
-// FleetFileError is a fleet file that can't be used.
-type FleetFileError struct {
-	File string
-	Line int    // 0 is not known
-	Key  string // "" is the file as a whole
-	Err  error
-}
-
-func (e *FleetFileError) Error() string {
-	at := e.File
-	if e.Line > 0 {
-		at = fmt.Sprintf("%s: line %d", at, e.Line)
-	}
-	return fmt.Sprintf("fleet file %s: %s; mend it and try it with edgenode check", at, under(e.Key, e.Err))
-}
-
-func (e *FleetFileError) Unwrap() error { return e.Err }
-
-// under gives a cause behind the key that it speaks of.
-func under(key string, err error) string {
-	if key == "" {
-		return oneline.Of(err)
-	}
-	return key + ": " + oneline.Of(err)
-}
-
 // ListenError is a socket on which the node can't take connections.
 type ListenError struct {
 	For   string // clients or operators
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -6,6 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"sloestile/control"
+	"sloestile/internal/config"
 	"sloestile/internal/discovery"
 )
 
@@ -18,11 +19,11 @@
 }
 
 // follow makes the watch of the server list, and has the loop take what it brings.
-func (n *Node) follow(cfg Config) error {
+func (n *Node) follow(cfg config.Config) error {
 	n.degraded = newDegraded(cfg.Settings, n.loop)
 	n.updated = n.listed
 	watch := discovery.Config{Address: cfg.Discovery, Group: cfg.Settings.FleetSize, DrainGrace: cfg.Settings.DrainGrace,
-		Seed: cfg.Seed, Polled: cfg.Settings.PollDiscovery, Subset: cfg.Fleet.subset(cfg.Settings.NodeIndex),
+		Seed: cfg.Seed, Polled: cfg.Settings.PollDiscovery, Subset: cfg.Fleet.SubsetOf(cfg.Settings.NodeIndex),
 		Updated:  func(u discovery.Update) { n.updated(u) },
 		Degraded: func(on bool) { n.loop.post(func() { n.degraded.turn(on) }) }}
 	var dropped prometheus.Counter
@@ -34,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	n.discovery, n.known = w, w.Adopt(cfg.Known, true)
+	n.discovery, n.known = w, w.Adopt(cfg.KnownServers, true)
 	if watch.Subset != nil {
 		registerSubset(n.loop.registry(), w.Counts(), dropped)
 	}
--- a/internal/node/keeping.go
+++ b/internal/node/keeping.go
@@ -12,15 +12,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"sloestile/control"
+	"sloestile/internal/config"
 	"sloestile/internal/store"
 	"sloestile/internal/store/disk"
 )
 
-// StateConfig switches on that what the node has learnt outlives its process.
-type StateConfig struct {
-	Dir string // the node's own, on a disk that outlives the process
-}
-
 const (
 	writeAfter = 500 * time.Millisecond // from a grant that needs a mark to the state's writing
 	learntEach = 2 * time.Second        // at most, between two states with what was learnt of servers and shares
@@ -52,7 +48,7 @@
 	writtenAt               atomic.Int64 // ms of Unix time
 }
 
-func newKeeping(cfg Config, l *loop, discovery func() string) *keeping {
+func newKeeping(cfg config.Config, l *loop, discovery func() string) *keeping {
 	most := cfg.Settings.MaxTenants
 	if most <= 0 {
 		most = marksMost
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,6 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"sloestile/control"
+	"sloestile/internal/config"
 	"sloestile/internal/discovery"
 )
 
@@ -48,7 +49,7 @@
 	council *council             // nil is that nothing is decided together
 }
 
-func newLoop(cfg Config, up *upstream, counts *stats) (*loop, error) {
+func newLoop(cfg config.Config, up *upstream, counts *stats) (*loop, error) {
 	ctl, err := control.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sloestile/control"
+	"sloestile/internal/config"
 	"sloestile/internal/discovery"
 	"sloestile/internal/membership"
 )
@@ -54,13 +55,13 @@
 }
 
 // New makes an edge node and begins to listen.
-func New(cfg Config) (*Node, error) {
-	socks := newSockets(cfg.Sockets, placesApart(cfg))
+func New(cfg config.Config) (*Node, error) {
+	socks := newSockets(cfg.MaxSockets, placesApart(cfg))
 	counts := newStats(cfg.Settings.Classes)
 	up := newUpstreamOf(cfg, socks)
 	l, err := newLoop(cfg, up, counts)
 	if err != nil {
-		return nil, &ConfigError{File: cfg.File, Err: err}
+		return nil, &config.FileError{File: cfg.File, Err: err}
 	}
 	tcp, inherited, err := listen(cfg)
 	if err != nil {
@@ -73,7 +74,7 @@
 	n.drainer = &drainer{front: n.front}
 	n.discoveryAt = cfg.Discovery
 	if inherited {
-		n.dir = cfg.Dir
+		n.dir = cfg.HandoverDir
 	}
 	if err := n.assemble(cfg); err != nil {
 		cancel()
@@ -84,7 +85,7 @@
 }
 
 // placesApart is how many descriptors are set apart for other parts than clients and servers.
-func placesApart(cfg Config) int {
+func placesApart(cfg config.Config) int {
 	apart := socketsApart
 	if cfg.Console != "" {
 		apart += consolePlaces
@@ -92,28 +93,28 @@
 	if cfg.Fleet != nil && cfg.Fleet.Peers != nil {
 		apart += peerPlaces
 	}
-	return apart + cfg.Fleet.councilPlaces(cfg.Name)
+	return apart + consensusDescriptors(cfg.Fleet, cfg.Name)
 }
 
 // newUpstreamOf makes the connections to servers as a configuration has them.
-func newUpstreamOf(cfg Config, socks *sockets) *upstream {
+func newUpstreamOf(cfg config.Config, socks *sockets) *upstream {
 	memory := cfg.MemoryMB
 	if cfg.SocketFD > 0 {
 		memory /= 2 // a second process may run beside this one
 	}
-	connect := cfg.Connect
+	connect := cfg.ServerConnectTimeout
 	if grace := cfg.Settings.DrainGrace; grace > 0 {
 		// Guards against a first byte later than the grace to a server that is told to drain while a
 		// connection to it opens.
 		connect = min(connect, grace)
 	}
-	return newUpstream(connect, cfg.Keepalive, cfg.Settings.FleetSize, socks, newBudget(memory))
+	return newUpstream(connect, cfg.ServerKeepalive, cfg.Settings.FleetSize, socks, newBudget(memory))
 }
 
 // assemble adds the parts that the configuration and the fleet file switch on, and the list watch.
-func (n *Node) assemble(cfg Config) (err error) {
+func (n *Node) assemble(cfg config.Config) (err error) {
 	l, fleet := n.loop, cfg.Fleet
-	if fleet != nil && fleet.Zones != nil && fleet.Zones.Leave {
+	if fleet != nil && fleet.Zones != nil && fleet.Zones.Evacuate {
 		l.zoning = newZoning(cfg, l)
 	}
 	if fleet != nil && fleet.State != nil {
@@ -147,7 +148,7 @@
 
 // Reload takes over what may change while the node runs: where discovery is. Requests,
 // connections and what the module has learned stay as they are.
-func (n *Node) Reload(cfg Config) {
+func (n *Node) Reload(cfg config.Config) {
 	slog.Info("reloading", "discovery", cfg.Discovery)
 	n.discovery.Move(cfg.Discovery)
 	if p := n.peers.Load(); p != nil && cfg.Fleet != nil && cfg.Fleet.Peers != nil {
--- a/internal/node/sharing.go
+++ b/internal/node/sharing.go
@@ -11,6 +11,7 @@
 
 	"sloestile/control"
 	"sloestile/fleet/ratelimit"
+	"sloestile/internal/config"
 	"sloestile/internal/discovery"
 	"sloestile/internal/membership"
 )
@@ -27,7 +28,7 @@
 	loop  *loop
 	ex    *ratelimit.Limiter // nil until the membership has begun
 	set   *control.Settings
-	on    PeersConfig                 // what is shared
+	on    config.Peers                // what is shared
 	uids  map[uint32]ratelimit.Server // of the listed rating servers
 	ids   map[ratelimit.Server]uint32
 	peers atomic.Pointer[membership.Peers] // nil until the membership has begun
@@ -44,7 +45,7 @@
 	knownStore, unknown prometheus.Counter
 }
 
-func newSharing(set *control.Settings, on PeersConfig, l *loop) *sharing {
+func newSharing(set *control.Settings, on config.Peers, l *loop) *sharing {
 	s := &sharing{loop: l, set: set, on: on, uids: make(map[uint32]ratelimit.Server), ids: make(map[ratelimit.Server]uint32), out: make(chan ratelimit.Outgoing, sendQueue)}
 	s.figures.Store(&ratelimit.Counts{})
 	s.describe()
@@ -119,7 +120,7 @@
 
 // known gives what is known of the store that a request is held against; nil is nothing.
 func (s *sharing) known(r *control.Request) *control.SharedBucket {
-	if s.ex == nil || !s.on.Limits {
+	if s.ex == nil || !s.on.SharedLimits {
 		return nil
 	}
 	k, ok := s.ex.Level(s.loop.now(), customerKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes})
@@ -134,7 +135,7 @@
 
 // sent tells of units sent on; see ratelimit.Exchange.
 func (s *sharing) sent(r *control.Request, units float64, correction bool) {
-	if s.ex == nil || !s.on.Limits {
+	if s.ex == nil || !s.on.SharedLimits {
 		return
 	}
 	s.ex.Consume(s.loop.now(), customerKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes}, units, correction)
@@ -155,7 +156,7 @@
 
 // charge speaks against a server to the other nodes.
 func (s *sharing) charge(server uint32) {
-	if v, ok := s.uids[server]; ok && s.ex != nil && s.on.Verdicts {
+	if v, ok := s.uids[server]; ok && s.ex != nil && s.on.OutlierReports {
 		s.ex.ReportSlow(s.loop.now(), v)
 		s.arm()
 	}
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"sloestile/internal/config"
 )
 
 const (
@@ -38,7 +40,7 @@
 // listen takes clients at the address of the configuration, or on the inherited socket where one
 // is named. That one is never shut down: closing a copy leaves it to the other processes. Its error
 // is a ListenError.
-func listen(cfg Config) (l net.Listener, inherited bool, err error) {
+func listen(cfg config.Config) (l net.Listener, inherited bool, err error) {
 	if cfg.SocketFD == 0 {
 		if l, err = net.Listen("tcp", cfg.Listen); err != nil {
 			return nil, false, &ListenError{"clients", cfg.Listen, err}
--- a/internal/node/zoning.go
+++ b/internal/node/zoning.go
@@ -11,14 +11,10 @@
 
 	"sloestile/control"
 	"sloestile/fleet/zone"
+	"sloestile/internal/config"
 	"sloestile/internal/discovery"
 )
 
-// ZonesConfig switches on that a zone is more than a price.
-type ZonesConfig struct {
-	Leave bool // one that fails is left, and returned to in steps
-}
-
 const (
 	lookEach    = 100 * time.Millisecond // at the zones, while there is something to see
 	zonesWithin = time.Second            // for the loop to take an order
@@ -35,7 +31,7 @@
 }
 
 // newZoning makes the policy of the zones that the fleet file names.
-func newZoning(cfg Config, l *loop) *zoning {
+func newZoning(cfg config.Config, l *loop) *zoning {
 	own := cfg.Settings.Zone
 	zones := []zone.Zone{{Name: own}}
 	for region, names := range cfg.Fleet.Regions {
@@ -44,7 +40,7 @@
 				continue
 			}
 			z := zone.Zone{Name: name, Distance: 1}
-			if region != cfg.Fleet.region(own) {
+			if region != cfg.Fleet.Region(own) {
 				z.Distance = 2
 			}
 			zones = append(zones, z)
--- a/internal/testbed/scale/request/deployment.go
+++ b/internal/testbed/scale/request/deployment.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"sloestile/control"
-	"sloestile/internal/node"
+	"sloestile/internal/config"
 )
 
 // The target's figures that the sweeps hold while they change another.
@@ -54,7 +54,7 @@
 	if err := os.WriteFile(path, fmt.Appendf(nil, configFile, memoryMB), 0o644); err != nil {
 		return control.Settings{}, err
 	}
-	c, err := node.LoadConfig(path)
+	c, err := config.Load(path)
 	return c.Settings, err
 })
 
