--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -44,7 +44,7 @@
 		os.Exit(2)
 	}
 	if err := run(ctx, hup, *fleet); err != nil {
-		slog.Error("edgenode ends", "err", err)
+		slog.Error("edgenode failed", "error", err)
 		os.Exit(1)
 	}
 }
@@ -109,7 +109,7 @@
 func reload(n *node.Node, path, fleet string) {
 	cfg, err := load(path, fleet)
 	if err != nil {
-		slog.Error("reload: the old configuration stays", "err", err)
+		slog.Error("reload failed, the old configuration stays", "error", err)
 		return
 	}
 	n.Reload(cfg)
--- a/cmd/edgenode/replaced_test.go
+++ b/cmd/edgenode/replaced_test.go
@@ -120,7 +120,7 @@
 			}()
 			socket := clientSocket(t)
 			p := startWith(t, bin, testConfig, list, socket, "TMPDIR="+dir)
-			if !slices.ContainsFunc(p.seen, func(l string) bool { return strings.Contains(l, "nothing is taken over") }) {
+			if !slices.ContainsFunc(p.seen, func(l string) bool { return strings.Contains(l, "starting without the state of the previous process") }) {
 				t.Errorf("%q", p.seen)
 			}
 			if a := <-p.ask("id-1"); !strings.HasPrefix(a, "200 done") {
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -62,7 +62,7 @@
 // callAnew makes a call beside those that are stalled, or the first one.
 func (s *session) callAnew() {
 	if len(s.open) > 0 {
-		slog.Warn("discovery: silent, asking anew", "rev", s.rev, "open", len(s.open))
+		slog.Warn("discovery: watch stalled, opening another", "rev", s.rev, "open", len(s.open))
 		if s.open[len(s.open)-1] == s.latest { // else the latest has ended, and an older stalled one is open
 			s.refused = false
 			s.weigh()
@@ -122,7 +122,7 @@
 
 // ended takes the end of the call open[i], or ends it where its update can't be used.
 func (s *session) ended(i int, e event) {
-	slog.Warn("discovery: watch ended", "rev", s.rev, "heard", e.from.heard, "err", e.err)
+	slog.Warn("discovery: watch ended", "rev", s.rev, "received", e.from.heard, "error", e.err)
 	s.drop(e.from)
 	s.tellDropped(e.err)
 	var timeout net.Error
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -108,7 +108,7 @@
 	shown, err := w.selection.adopt(held)
 	if err != nil {
 		w.rev = noRev
-		slog.Warn("discovery: the list held before is not used", "err", err)
+		slog.Warn("discovery: cached list not used", "error", err)
 		w.dropped(&ListError{Address: w.Address(), Entries: len(held.Targets), Err: err})
 	}
 	return shown
@@ -160,7 +160,7 @@
 	on := (w.useless || w.refused || w.polled) && !time.Now().Before(w.pace.binds)
 	if on != w.stale {
 		w.stale = on
-		slog.Warn("discovery: degraded, the list that is held is stale", "on", on, "rev", w.rev, "refused", w.refused)
+		slog.Warn("discovery: degraded, the cached list is stale", "on", on, "rev", w.rev, "rejected", w.refused)
 		w.degraded(on)
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -37,7 +37,7 @@
 	var said meta
 	if err := cbor.Unmarshal(n.Meta, &said); err != nil {
 		p.Counts.Spoilt.Add(1)
-		p.log.Warn("peers: a member's word is spoilt", "peer", n.Name, "err", err)
+		p.log.Warn("peers: metadata of a member is corrupt", "peer", n.Name, "error", err)
 		return m, false
 	}
 	m.Zone, m.Region, m.Program, m.State, m.Incarnation = said.Zone, said.Region, said.Program, said.State, said.Incarnation
@@ -155,5 +155,5 @@
 // NotifyConflict is told of a name that two nodes use; the first stays.
 func (p *Peers) NotifyConflict(existing, other *memberlist.Node) {
 	p.Counts.Conflicts.Add(1)
-	p.log.Error("peers: a name is used twice", "peer", existing.Name, "first", existing.Address(), "other", other.Address())
+	p.log.Error("peers: name conflict", "peer", existing.Name, "first", existing.Address(), "other", other.Address())
 }
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -223,7 +223,7 @@
 				if first := errors.Unwrap(err); first != nil { // of a list with a line for each
 					err = first
 				}
-				p.log.Warn("peers: nobody joined", "err", &JoinError{len(seeds), err})
+				p.log.Warn("peers: joining failed", "error", &JoinError{len(seeds), err})
 			}
 		}
 		pauses := alone
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -9,128 +9,179 @@
 	"sloestile/control"
 )
 
+// exchangeAttempt is what the event loop keeps of one attempt of a request.
+type exchangeAttempt struct {
+	number      int
+	server      uint32
+	sentAt      time.Time
+	cancel      context.CancelCauseFunc
+	timer       *time.Timer // ends the attempt with the client's time; nil while that does not run
+	start       *start      // nil where nothing was sent
+	stragglerID uint64      // number by which stragglers are watched
+}
+
+// stop ends the attempt's timer and its context.
+func (t *exchangeAttempt) stop() {
+	if t.timer != nil {
+		t.timer.Stop()
+	}
+	t.cancel(context.Canceled)
+}
+
+// expireAt has the attempt end with the client's time, unless it has an end already.
+func (t *exchangeAttempt) expireAt(deadline time.Time) {
+	if t.timer == nil {
+		t.timer = time.AfterFunc(time.Until(deadline), func() { t.cancel(context.DeadlineExceeded) })
+	}
+}
+
+// send starts an attempt that the decision module asked for. Where it can't begin, the module is told that it was
+// never sent.
 func (l *loop) send(a control.Send) {
 	x := l.exchanges[a.ID]
 	if x == nil {
-		l.pending = append(l.pending, control.AttemptEnded{ID: a.ID, Server: a.Server, Outcome: control.NeverSent, Done: true})
+		l.pendingEvents = append(l.pendingEvents, control.AttemptEnded{ID: a.ID, Server: a.Server, Outcome: control.NeverSent, Done: true})
 		return
 	}
-	n, to := x.sends, l.pools[a.Server]
-	x.sends++
-	var limit *time.Timer
-	ctx, stop := context.WithCancelCause(l.life)
-	if until := x.deadline; !until.IsZero() || a.Timeout > 0 {
-		left := time.Until(until)
-		if until.IsZero() || a.Timeout > 0 && a.Timeout < left {
-			left = a.Timeout
-		}
-		if left <= 0 {
-			stop(context.DeadlineExceeded)
-		} else {
-			limit = time.AfterFunc(left, func() { stop(context.DeadlineExceeded) })
+	ctx, t := l.newExchangeAttempt(x, a)
+	x.attempts = append(x.attempts, t)
+	pool := l.pools[a.Server]
+	overLimit := l.maxAttempts > 0 && len(x.attempts) > l.maxAttempts
+	if pool == nil || x.done || ctx.Err() != nil || x.bodySpent() || overLimit {
+		t.stop()
+		l.pendingEvents = append(l.pendingEvents, control.AttemptEnded{ID: a.ID, Attempt: t.number, Server: a.Server,
+			Outcome: control.NeverSent, Done: x.done, BodySpent: x.bodySpent()})
+		return
+	}
+	x.inFlight++
+	l.countSend(x, t)
+	t.sentAt = time.Now()
+	sending := l.newAttempt(x, t, l.at(a.NotAfter))
+	t.start = &sending.start
+	go func() { // ends with ctx at the latest
+		o := l.upstream.attempt(ctx, pool, sending)
+		if !l.post(func() { l.attemptEnded(x, t, o) }) {
+			o.reservation.shrink(0)
 		}
+	}()
+}
+
+// newExchangeAttempt returns a further attempt of a request with its context, which ends with the client's time or with
+// the timeout that the decision module gave, whichever is first.
+func (l *loop) newExchangeAttempt(x *exchange, a control.Send) (context.Context, *exchangeAttempt) {
+	ctx, cancel := context.WithCancelCause(l.life)
+	t := &exchangeAttempt{number: len(x.attempts), server: a.Server, cancel: cancel}
+	hasDeadline := !x.deadline.IsZero()
+	if !hasDeadline && a.Timeout <= 0 {
+		return ctx, t
+	}
+	left := time.Until(x.deadline)
+	if !hasDeadline || a.Timeout > 0 && a.Timeout < left {
+		left = a.Timeout
 	}
-	x.stop, x.limit, x.start = append(x.stop, stop), append(x.limit, limit), append(x.start, nil)
-	if l.watching != nil {
-		x.watched = append(x.watched, 0)
+	if left <= 0 {
+		cancel(context.DeadlineExceeded)
+		return ctx, t
 	}
-	if to == nil || x.done || ctx.Err() != nil || x.spent() || l.sendCap > 0 && x.sends > l.sendCap {
-		l.over(x, n)
-		l.pending = append(l.pending, control.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: control.NeverSent, Done: x.done, BodySpent: x.spent()})
+	t.timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
+	return ctx, t
+}
+
+// countSend tells the parts that a fleet file switches on of an attempt. Token buckets are charged for the first only.
+func (l *loop) countSend(x *exchange, t *exchangeAttempt) {
+	if l.stragglers != nil {
+		t.stragglerID = l.stragglers.began(t.server)
+	}
+	if t.number > 0 {
 		return
 	}
-	x.out++
-	if l.watching != nil {
-		x.watched[n] = l.watching.began(a.Server)
-	}
-	if l.sharing != nil && n == 0 {
-		l.sharing.sent(&x.req, x.req.Tokens, false)
-	}
-	if l.keeping != nil && n == 0 {
-		l.keeping.granted(&x.req)
-	}
-	sent := time.Now()
-	t := &attempt{req: x.message(), first: x.body, rest: x.rest, until: l.at(a.NotAfter),
-		written: func() {
-			l.stats.calls.Add(1)
-			if x.rest != nil {
-				l.post(func() { l.handle(control.BodySent{ID: x.req.ID, Attempt: n}) })
-			}
-		},
-		begin: func(o outcome, length int64) (to *io.PipeWriter) {
-			told := make(chan struct{})
-			if l.post(func() { to = l.started(x, n, a.Server, sent, o, length); close(told) }) {
-				select {
-				case <-told:
-				case <-l.ended:
-					return nil
-				}
-			}
-			return to
-		}}
-	x.start[n] = &t.start
-	go func() {
-		o := l.upstream.try(ctx, to, t)
-		if !l.post(func() { l.settle(x, n, a.Server, sent, o) }) {
-			o.held.shrink(0)
-		}
-	}()
+	if l.limitSharing != nil {
+		l.limitSharing.consume(&x.req, x.req.Tokens, false)
+	}
+	if l.persistence != nil {
+		l.persistence.granted(&x.req)
+	}
 }
 
-// over ends what bounds an attempt.
-func (l *loop) over(x *exchange, n int) {
-	if x.limit[n] != nil {
-		x.limit[n].Stop()
+// newAttempt returns what the upstream side needs of an attempt.
+func (l *loop) newAttempt(x *exchange, t *exchangeAttempt, startBy time.Time) *attempt {
+	written := func() {
+		l.stats.calls.Add(1)
+		if x.rest != nil {
+			l.post(func() { l.handle(control.BodySent{ID: x.req.ID, Attempt: t.number}) })
+		}
 	}
-	x.stop[n](context.Canceled)
+	streamStarted := func(o outcome, length int64) (to *io.PipeWriter) {
+		taken := make(chan struct{})
+		posted := l.post(func() {
+			to = l.responseStarted(x, t, o, length)
+			close(taken)
+		})
+		if !posted {
+			return nil
+		}
+		select {
+		case <-taken:
+			return to
+		case <-l.ended:
+			return nil
+		}
+	}
+	return &attempt{req: x.message(), first: x.body, rest: x.rest, startBy: startBy, onWritten: written, onStreamStart: streamStarted}
 }
 
-// started takes in that a good answer has begun that is not held: it is the final one. It gives
-// where the answer's rest goes, or nil where nobody waits for it.
-func (l *loop) started(x *exchange, n int, server uint32, sent time.Time, o outcome, length int64) *io.PipeWriter {
+// responseStarted makes a good answer that streams the final one. It returns the writer for the answer's rest, or nil
+// where nobody waits for it.
+func (l *loop) responseStarted(x *exchange, t *exchangeAttempt, o outcome, length int64) *io.PipeWriter {
 	if x.done {
 		return nil
 	}
-	if x.limit[n] != nil {
-		x.limit[n].Stop() // its first bytes are in time; the rest takes what it takes
+	if t.timer != nil {
+		t.timer.Stop() // its first bytes are in time; the rest takes what it takes
 	}
-	l.cost(x, o)
+	l.reportCost(x, o)
 	from, to := io.Pipe()
-	x.end(answer{status: http.StatusOK, header: o.header, body: o.body, stream: from, length: length})
-	l.handle(control.ResponseStarted{ID: x.req.ID, Attempt: n, Server: server, Delay: time.Since(sent), Tokens: o.cost(l.unitsTop), MeterReading: o.used()})
+	x.finish(answer{status: http.StatusOK, header: o.header, body: o.body, stream: from, length: length})
+	l.handle(control.ResponseStarted{ID: x.req.ID, Attempt: t.number, Server: t.server, Delay: time.Since(t.sentAt),
+		Tokens: o.tokens(l.maxTokens), MeterReading: o.meterReading()})
 	return to
 }
 
-// settle takes in how an attempt ended. The first good answer is the final one.
-func (l *loop) settle(x *exchange, n int, server uint32, sent time.Time, o outcome) {
-	l.over(x, n)
-	l.cost(x, o)
-	if l.watching != nil {
-		l.watching.ended(x.watched[n], o.reason)
-	}
-	x.out--
-	x.last = o.reason
-	r := control.AttemptEnded{ID: x.req.ID, Attempt: n, Server: server, Outcome: o.reason, Delay: time.Since(sent), BodySpent: x.spent()}
-	if o.header != nil && !o.begun {
-		r.MeterReading, r.Tokens, r.LoadReport = o.used(), o.cost(l.unitsTop), o.load()
+// attemptEnded takes the outcome of an attempt. The first good answer is the final one.
+func (l *loop) attemptEnded(x *exchange, t *exchangeAttempt, o outcome) {
+	t.stop()
+	l.reportCost(x, o)
+	if l.stragglers != nil {
+		l.stragglers.ended(t.stragglerID, o.reason)
+	}
+	x.inFlight--
+	x.lastOutcome = o.reason
+	r := control.AttemptEnded{ID: x.req.ID, Attempt: t.number, Server: t.server, Outcome: o.reason, Delay: time.Since(t.sentAt),
+		BodySpent: x.bodySpent()}
+	if o.header != nil && !o.streamed {
+		r.MeterReading = o.meterReading()
+		r.Tokens = o.tokens(l.maxTokens)
+		r.LoadReport = o.loadReport()
 	}
 	if o.reason == control.OK && !x.done {
-		l.finish(x, answer{status: http.StatusOK, header: o.header, body: o.body, held: o.held})
+		l.finish(x, answer{status: http.StatusOK, header: o.header, body: o.body, reservation: o.reservation})
 	} else {
-		o.held.shrink(0)
+		o.reservation.shrink(0)
 	}
 	r.Done = x.done
 	l.release(x)
 	l.handle(r)
 }
 
-// cost tells those who share the customer's limit the true units of a request, once.
-func (l *loop) cost(x *exchange, o outcome) {
-	if l.sharing == nil || x.settled || o.header == nil {
+// reportCost tells the other nodes the true cost of a request, once.
+func (l *loop) reportCost(x *exchange, o outcome) {
+	if l.limitSharing == nil || x.costReported || o.header == nil {
 		return
 	}
-	if cost := o.cost(l.unitsTop); cost > 0 {
-		x.settled = true
-		l.sharing.sent(&x.req, cost-x.req.Tokens, true)
+	cost := o.tokens(l.maxTokens)
+	if cost <= 0 {
+		return
 	}
+	x.costReported = true
+	l.limitSharing.consume(&x.req, cost-x.req.Tokens, true)
 }
--- a/internal/node/clientanswers.go
+++ b/internal/node/clientanswers.go
@@ -20,7 +20,7 @@
 		h.Set("Connection", "close")
 	}
 	for k, v := range a.header {
-		if !ownHeader(k) {
+		if !hopHeader(k) {
 			h[k] = v
 		}
 	}
@@ -37,25 +37,25 @@
 		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
 	}
 	// Guards against a client that takes nothing: each piece has its own time.
-	_ = limit.SetWriteDeadline(time.Now().Add(clientStall))
+	_ = limit.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	w.WriteHeader(a.status)
-	if a.stream == nil && len(a.body) <= freeSize {
+	if a.stream == nil && len(a.body) <= uncountedBytes {
 		if _, err := w.Write(a.body); err != nil {
-			return errLeft
+			return errClientLeft
 		}
 		return nil
 	}
 	send := func(b []byte) error {
-		_ = limit.SetWriteDeadline(time.Now().Add(clientStall))
+		_ = limit.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 		if _, err := w.Write(b); err != nil {
-			return errLeft
+			return errClientLeft
 		}
 		if err := limit.Flush(); err != nil {
-			return errLeft
+			return errClientLeft
 		}
 		return nil
 	}
-	for part := range slices.Chunk(a.body, 2*freeSize) {
+	for part := range slices.Chunk(a.body, 2*uncountedBytes) {
 		if err := send(part); err != nil {
 			a.close(err)
 			return err
@@ -68,8 +68,8 @@
 		a.close(err)
 		return err
 	}
-	piece := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(piece)
+	piece := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(piece)
 	for {
 		n, err := a.stream.Read(piece[:])
 		if n > 0 {
@@ -87,10 +87,10 @@
 }
 
 // ownHeader tells whether a header speaks of one connection or hop only.
-func ownHeader(name string) bool {
+func hopHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
-		"Content-Length", "Expect", headerUsed, headerCost, headerLoad, headerUnseen:
+		"Content-Length", "Expect", headerMeter, headerCost, headerLoad, headerUnprocessed:
 		return true
 	}
 	return false
--- a/internal/node/body.go
+++ b/internal/node/clientbody.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	bodyStall    = 2500 * time.Millisecond // silence of a client within a body
-	bodyMostTime = 10 * time.Second        // of a body, and as much more as it needs at slowest
-	slowest      = 16 << 10                // bytes a second that a message comes with on the whole
-	clientStall  = 4 * time.Second         // for which a client may take nothing of its answer
-	discardMost  = 10 * time.Second        // for which the rest of a refused body is taken and dropped
-	discardStall = time.Second
+	bodyIdleTimeout    = 2500 * time.Millisecond // silence of a client within a body
+	bodyTimeout        = 10 * time.Second        // of a body, and as much more as it needs at slowest
+	minBytesPerSecond  = 16 << 10                // bytes a second that a message comes with on the whole
+	clientWriteTimeout = 4 * time.Second         // for which a client may take nothing of its answer
+	discardTimeout     = 10 * time.Second        // for which the rest of a refused body is taken and dropped
+	discardIdleTimeout = time.Second
 )
 
 var (
-	errLong    = errors.New("a message of more than 32 MB")
-	errLeft    = errors.New("the client has left")
-	errNoBody  = errors.New("the client's body has ended early")
-	errStopped = errors.New("the body is wanted no more")
-	past       = time.Unix(1, 0)
+	errMessageTooLong = errors.New("a message of more than 32 MB")
+	errClientLeft     = errors.New("the client has left")
+	errBodyEndedEarly = errors.New("the client's body has ended early")
+	errBodyNotWanted  = errors.New("the body is wanted no more")
+	deadlinePassed    = time.Unix(1, 0)
 )
 
 // clientBody reads a client's body, for as long as it moves.
 type clientBody struct {
-	src   io.Reader
-	limit *http.ResponseController
-	whole func()      // called at its end
-	spent atomic.Bool // something was read that is not held
+	src       io.Reader
+	deadlines *http.ResponseController
+	onEnd     func()      // called at its end
+	spent     atomic.Bool // something was read that is not held
 
 	mu      sync.Mutex
 	stopped bool
@@ -45,7 +45,7 @@
 }
 
 func newClientBody(src io.Reader, limit *http.ResponseController) *clientBody {
-	return &clientBody{src: src, limit: limit, whole: func() {}, broken: make(chan struct{})}
+	return &clientBody{src: src, deadlines: limit, onEnd: func() {}, broken: make(chan struct{})}
 }
 
 func (b *clientBody) Read(p []byte) (int, error) {
@@ -56,30 +56,30 @@
 		return 0, io.EOF
 	case b.fault != nil || b.stopped:
 		b.mu.Unlock()
-		return 0, errNoBody
+		return 0, errBodyEndedEarly
 	}
 	now := time.Now()
 	if b.begun.IsZero() {
 		b.begun = now
 	}
 	// Guards, by the second, against a client that sends a byte now and then without end.
-	_ = b.limit.SetReadDeadline(earlier(now.Add(bodyStall), b.begun.Add(mostTime(bodyMostTime, b.total))))
+	_ = b.deadlines.SetReadDeadline(earlier(now.Add(bodyIdleTimeout), b.begun.Add(maxDuration(bodyTimeout, b.total))))
 	b.mu.Unlock()
 
 	n, err := b.src.Read(p)
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.total += int64(n); b.total > longMost && err == nil {
-		err = errLong
+	if b.total += int64(n); b.total > maxMessageBytes && err == nil {
+		err = errMessageTooLong
 	}
 	switch {
 	case errors.Is(err, io.EOF):
 		b.ended = true
-		_ = b.limit.SetReadDeadline(time.Time{})
-		b.whole()
+		_ = b.deadlines.SetReadDeadline(time.Time{})
+		b.onEnd()
 	case err != nil && b.stopped:
-		err = errStopped
+		err = errBodyNotWanted
 	case err != nil:
 		b.fault = err
 		close(b.broken)
@@ -88,8 +88,8 @@
 }
 
 // mostTime is what a message of so many bytes may take in all.
-func mostTime(least time.Duration, bytes int64) time.Duration {
-	return least + time.Duration(bytes)*time.Second/slowest
+func maxDuration(least time.Duration, bytes int64) time.Duration {
+	return least + time.Duration(bytes)*time.Second/minBytesPerSecond
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -104,28 +104,28 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.stopped = true; !b.ended {
-		_ = b.limit.SetReadDeadline(past)
+		_ = b.deadlines.SetReadDeadline(deadlinePassed)
 	}
 }
 
 // halted tells whether the body was stopped.
-func (b *clientBody) halted() bool {
+func (b *clientBody) isStopped() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stopped
 }
 
 // mistake is what a client is told of a body that could not be read.
-func (b *clientBody) mistake() *badRequest {
+func (b *clientBody) badRequest() *badRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case errors.Is(b.fault, errLong):
-		return bad(http.StatusRequestEntityTooLarge, "%v", errLong)
+	case errors.Is(b.fault, errMessageTooLong):
+		return newBadRequest(http.StatusRequestEntityTooLarge, "%v", errMessageTooLong)
 	case errors.Is(b.fault, os.ErrDeadlineExceeded):
-		return bad(http.StatusRequestTimeout, "the body came to a halt")
+		return newBadRequest(http.StatusRequestTimeout, "the body came to a halt")
 	}
-	return bad(http.StatusBadRequest, "reading the body: %v", b.fault)
+	return newBadRequest(http.StatusBadRequest, "reading the body: %v", b.fault)
 }
 
 // discard takes what the client still sends. Guards against a reset, by closing on data unread,
@@ -138,10 +138,10 @@
 	if over {
 		return
 	}
-	piece := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(piece)
-	for end := time.Now().Add(discardMost); time.Now().Before(end); {
-		_ = b.limit.SetReadDeadline(time.Now().Add(discardStall))
+	piece := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(piece)
+	for end := time.Now().Add(discardTimeout); time.Now().Before(end); {
+		_ = b.deadlines.SetReadDeadline(time.Now().Add(discardIdleTimeout))
 		if _, err := b.src.Read(piece[:]); err != nil {
 			return
 		}
@@ -149,8 +149,8 @@
 }
 
 // take reads up to most bytes and tells whether the body has ended with them.
-func (b *clientBody) take(most int) (held []byte, whole bool, err error) {
-	held = make([]byte, 0, min(most, freeSize))
+func (b *clientBody) readUpTo(most int) (held []byte, whole bool, err error) {
+	held = make([]byte, 0, min(most, uncountedBytes))
 	for len(held) < most {
 		if len(held) == cap(held) {
 			held = append(held, 0)[:len(held)]
@@ -170,11 +170,11 @@
 
 // tune keeps the kernel's buffers small, so that the progress of a slow peer is seen and long
 // messages are not piled up there.
-func tune(c net.Conn) {
+func setSocketBuffers(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetReadBuffer(socketBuffer)
-		_ = tcp.SetWriteBuffer(socketBuffer)
+		_ = tcp.SetReadBuffer(socketBufferBytes)
+		_ = tcp.SetWriteBuffer(socketBufferBytes)
 	}
 }
 
-const socketBuffer = 64 << 10
+const socketBufferBytes = 64 << 10
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	headMost    = 16 << 10
-	clientIdle  = 10 * time.Second
-	headWithin  = 2600 * time.Millisecond // of a request's head
-	closeWithin = 250 * time.Millisecond  // for which a connection that is let go waits for the client's close; less than drainWrite
-	silentMost  = 250 * time.Millisecond  // of a new connection where others want its place
+	maxHeadBytes         = 16 << 10
+	clientIdleTimeout    = 10 * time.Second
+	headTimeout          = 2600 * time.Millisecond // of a request's head
+	closeTimeoutOfClient = 250 * time.Millisecond  // for which a connection that is let go waits for the client's close; less than drainWrite
+	maxSilence           = 250 * time.Millisecond  // of a new connection where others want its place
 )
 
 // server is the HTTP server of the clients. An answer or a close is owed to each soon after it
 // has connected, so a head has to come whole in time; a body has to move.
 func (f *front) server() *http.Server {
-	return &http.Server{Handler: f, MaxHeaderBytes: headMost, IdleTimeout: clientIdle, ConnState: f.state,
-		ReadHeaderTimeout: headWithin, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+	return &http.Server{Handler: f, MaxHeaderBytes: maxHeadBytes, IdleTimeout: clientIdleTimeout, ConnState: f.connStateChanged,
+		ReadHeaderTimeout: headTimeout, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, c)
 		}}
 }
 
 // state keeps track of the client connections on which no request is open.
-func (f *front) state(conn net.Conn, s http.ConnState) {
+func (f *front) connStateChanged(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
 		return
@@ -62,7 +62,7 @@
 	defer f.mu.Unlock()
 	for _, conns := range []map[*clientConn]time.Time{f.idle, f.fresh} {
 		for c, since := range conns {
-			if time.Since(since) >= idleLook && c.end(false) {
+			if time.Since(since) >= idlePollInterval && c.end(false) {
 				delete(conns, c)
 			}
 		}
@@ -75,12 +75,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range byAge(f.fresh) {
-		if time.Since(f.fresh[c]) >= silentMost && f.drop(f.fresh, c, true) {
+		if time.Since(f.fresh[c]) >= maxSilence && f.evictConn(f.fresh, c, true) {
 			return true
 		}
 	}
 	for _, c := range byAge(f.idle) {
-		if f.drop(f.idle, c, false) {
+		if f.evictConn(f.idle, c, false) {
 			return true
 		}
 	}
@@ -88,12 +88,12 @@
 }
 
 // drop ends a connection and gives its place back at once.
-func (f *front) drop(of map[*clientConn]time.Time, c *clientConn, part bool) bool {
+func (f *front) evictConn(of map[*clientConn]time.Time, c *clientConn, part bool) bool {
 	if !c.end(part) {
 		return false
 	}
 	delete(of, c)
-	_ = c.counted.Close()
+	_ = c.countedConn.Close()
 	f.evicted.Add(1)
 	return true
 }
@@ -103,12 +103,12 @@
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *clientConn) int { return conns[a].Compare(conns[b]) })
 }
 
-var errAhead = errors.New("too much behind a request that has no answer yet")
+var errTooMuchPipelined = errors.New("too much behind a request that has no answer yet")
 
 // clientConn is a client's connection that remembers the raw head of the request it carries.
 // net/http drops a Content-Length next to a Transfer-Encoding, and forgets that it was there.
 type clientConn struct {
-	counted
+	countedConn
 	mu        sync.Mutex
 	head      []byte
 	full      bool   // the head has ended, or is too long to be remembered
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{counted: counted{Conn: c, sockets: s}, raw: raw}, nil
+	return &clientConn{countedConn: countedConn{Conn: c, sockets: s}, raw: raw}, nil
 }
 
 // Read gives net/http what the client sends. While a request is held, net/http notices a hang-up
@@ -169,7 +169,7 @@
 				return false
 			case err == nil && n > 0 && c.shut:
 				c.dropped += n
-				shut = c.dropped <= headMost+bodyMost
+				shut = c.dropped <= maxHeadBytes+maxHeldBytes
 			case err == nil && n > 0:
 				got(p[:n])
 				return true
@@ -198,7 +198,7 @@
 	c.mu.Lock()
 	c.answering = true
 	c.mu.Unlock()
-	return c.counted.Write(p)
+	return c.countedConn.Write(p)
 }
 
 // watch reads ahead until the client has left, or sends more than is kept. Guards against a next
@@ -214,13 +214,13 @@
 			return err
 		}
 		switch {
-		case kept > headMost && answering:
+		case kept > maxHeadBytes && answering:
 			return c.raw.Read(func(uintptr) bool { return false })
-		case kept > headMost:
-			return errAhead
+		case kept > maxHeadBytes:
+			return errTooMuchPipelined
 		}
 		if len(p) == 1 {
-			p = make([]byte, freeSize)
+			p = make([]byte, uncountedBytes)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 		return nil
 	}
 	c.limited = !t.IsZero()
-	return c.counted.SetReadDeadline(t)
+	return c.countedConn.SetReadDeadline(t)
 }
 
 // end ends the sending on a connection unless a request has begun to come; a part of its head is
@@ -257,14 +257,14 @@
 		return nil
 	}
 	c.shut = true
-	return c.counted.Conn.(*net.TCPConn).CloseWrite()
+	return c.countedConn.Conn.(*net.TCPConn).CloseWrite()
 }
 
 // expire sets the end of what is still read. The lock is held.
 func (c *clientConn) expire() {
 	if c.until.IsZero() {
-		c.until = time.Now().Add(closeWithin)
-		_ = c.counted.SetReadDeadline(c.until)
+		c.until = time.Now().Add(closeTimeoutOfClient)
+		_ = c.countedConn.SetReadDeadline(c.until)
 	}
 }
 
@@ -282,10 +282,10 @@
 	_ = c.closeWrite()
 	c.expire()
 	c.mu.Unlock()
-	piece := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(piece)
+	piece := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(piece)
 	_, _ = c.receive(piece[:], func([]byte) {})
-	return c.counted.Close()
+	return c.countedConn.Close()
 }
 
 // over tells whether the connection is given up.
@@ -324,7 +324,7 @@
 	} else if i := bytes.Index(c.head[from:], []byte("\n\n")); i >= 0 {
 		c.head, c.full = c.head[:from+i+2], true
 	}
-	c.full = c.full || len(c.head) > headMost
+	c.full = c.full || len(c.head) > maxHeadBytes
 }
 
 // next forgets the head, for the next request: this one is answered.
@@ -332,7 +332,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.head, c.full, c.begun, c.answering = c.head[:0], false, false, false
-	if cap(c.head) > freeSize {
+	if cap(c.head) > uncountedBytes {
 		c.head = nil
 	}
 }
--- a/internal/node/clientconns_test.go
+++ b/internal/node/clientconns_test.go
@@ -19,7 +19,7 @@
 	r := newRig(t)
 	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
 	r.wait("ready", r.node.front.ready.Load)
-	r.node.upstream.sockets.most.Store(3) // one client, a server, and the place for the next
+	r.node.upstream.sockets.limit.Store(3) // one client, a server, and the place for the next
 	for range 3 {
 		c, err := net.Dial("tcp", r.node.Addr())
 		if err != nil {
@@ -95,7 +95,7 @@
 	leaves := r.dial()
 	_, _ = io.WriteString(leaves, "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n")
 	next(t, asked)
-	time.Sleep(bodyStall + bodyStall/4) // the limit has to pass
+	time.Sleep(bodyIdleTimeout + bodyIdleTimeout/4) // the limit has to pass
 	r.wait("both held", func() bool {
 		x, y := r.node.loop.exchanges["id-1"], r.node.loop.exchanges["raw"]
 		return x != nil && !x.done && y != nil && !y.done
@@ -112,7 +112,7 @@
 // the connections to app servers stay.
 func TestSilentClientsMakeRoom(t *testing.T) {
 	r := newRig(t)
-	r.node.upstream.sockets.most.Store(socketsAhead + 20)
+	r.node.upstream.sockets.limit.Store(serverPlacesAhead + 20)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
@@ -158,7 +158,7 @@
 func TestIdleClientsFillAllPlaces(t *testing.T) {
 	r := newRig(t)
 	const most = 30
-	r.node.upstream.sockets.most.Store(most)
+	r.node.upstream.sockets.limit.Store(most)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	next(t, r.agent.Asked)
@@ -182,7 +182,7 @@
 	next(t, r.agent.Asked)
 	// A kept connection is served while all places are taken, also where that needs a new one to a
 	// server.
-	r.node.upstream.drop(func(*conn) bool { return true })
+	r.node.upstream.closeIdleWhere(func(*conn) bool { return true })
 	_, _ = io.WriteString(last, second)
 	r.answered(bufio.NewReader(last), "second", false)
 }
--- a/internal/node/clientends_test.go
+++ b/internal/node/clientends_test.go
@@ -125,7 +125,7 @@
 // that had sent more than the node read: a close over unread bytes would be a reset.
 func TestAnswerBeforeUnreadBytes(t *testing.T) {
 	r := newRig(t)
-	more := strings.Repeat("x", bodyMost)
+	more := strings.Repeat("x", maxHeldBytes)
 	for name, text := range map[string]string{
 		"no request":        "\x00\x01 noise\r\n\r\n" + more,
 		"behind a health":   "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n" + more,
@@ -191,10 +191,10 @@
 	q := r.call(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
 	w := httptest.NewRecorder()
 	x := &exchange{req: control.Request{ID: "id-1", Class: "visit-update", Plan: q.Header.Get(headerPlan), Tenant: "1", Tokens: 1, TenantNodes: 1, Write: true},
-		forward: q, left: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1), stats: r.node.stats}
+		forward: q, timeLeft: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1), stats: r.node.stats}
 	begun, end := make(chan struct{}), make(chan struct{})
 	x.rest = newClientBody(readerFunc(func([]byte) (int, error) { close(begun); <-end; return 0, io.EOF }), http.NewResponseController(w))
-	x.rest.whole = x.take
+	x.rest.onEnd = x.markReceived
 	read := make(chan error)
 	go func() { _, err := x.rest.Read(make([]byte, 1)); read <- err }()
 	<-begun
@@ -205,7 +205,7 @@
 	answered := make(chan int, 1)
 	go func() {
 		defer func() { answered <- -1; _ = recover() }()
-		a, _ := r.node.front.await(w, q, x)
+		a, _ := r.node.front.awaitAnswer(w, q, x)
 		answered <- a.status
 	}()
 	r.wait("held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
--- a/internal/node/clientfloods_test.go
+++ b/internal/node/clientfloods_test.go
@@ -32,7 +32,7 @@
 		for i := range 60 {
 			c := r.dial()
 			conns = append(conns, c)
-			_, _ = io.WriteString(c, strings.Replace(rawGet, "raw", fmt.Sprintf("id-%d-%d", burst, i), 1)+strings.Repeat("x", headMost/2))
+			_, _ = io.WriteString(c, strings.Replace(rawGet, "raw", fmt.Sprintf("id-%d-%d", burst, i), 1)+strings.Repeat("x", maxHeadBytes/2))
 		}
 		r.wait("all are held", func() bool {
 			held := 0
@@ -59,7 +59,7 @@
 			return f.conns.Load() == 0
 		})
 		assert.Less(t, time.Since(left), 5*time.Second, "held until their time of 7 s was over")
-		assert.LessOrEqual(t, f.sockets.open.Load(), f.sockets.most.Load())
+		assert.LessOrEqual(t, f.sockets.open.Load(), f.sockets.limit.Load())
 	}
 	assert.Less(t, a.count(), 60, "attempts for clients that had gone")
 	release()
--- a/internal/node/clientleaves_test.go
+++ b/internal/node/clientleaves_test.go
@@ -45,8 +45,8 @@
 		"an empty line":    "\r\n",
 		"half a request":   rawGet[:40],
 		"a second request": strings.Replace(rawGet, "raw", "second", 1),
-		"as much as kept":  strings.Repeat("x", headMost-1),
-		"too much":         strings.Repeat("x", 4*headMost),
+		"as much as kept":  strings.Repeat("x", maxHeadBytes-1),
+		"too much":         strings.Repeat("x", 4*maxHeadBytes),
 	} {
 		for _, k := range []struct {
 			name     string
@@ -62,7 +62,7 @@
 				r.list(a.target("s-1", 0))
 				c := r.dial()
 				// It may be let go for that before its attempt has begun, which then never does.
-				unasked := k.at && len(behind) > headMost
+				unasked := k.at && len(behind) > maxHeadBytes
 				if k.at {
 					_, _ = io.WriteString(c, rawGet+behind)
 					if !unasked {
@@ -79,7 +79,7 @@
 				_ = c.Close()
 				r.wait("the hang-up", func() bool {
 					x := r.node.loop.exchanges["raw"]
-					return r.node.front.left.Load() == 1 && (x == nil || x.done)
+					return r.node.front.clientsLeft.Load() == 1 && (x == nil || x.done)
 				})
 				release()
 				r.wait("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
@@ -107,7 +107,7 @@
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, rawGet)
 	next(t, asked)
-	body := noise(3 * headMost)
+	body := noise(3 * maxHeadBytes)
 	second := strings.Replace(postHead, "raw", "second", 1) + "Transfer-Encoding: chunked\r\n\r\n"
 	k, sent := r.conn(c), 0
 	// Each piece is read ahead before the next is sent.
@@ -158,7 +158,7 @@
 		server, err := (&countedListener{l, t.Context(), socks}).Accept()
 		require.NoError(t, err)
 		k := server.(*clientConn)
-		defer func() { _ = k.counted.Close() }()
+		defer func() { _ = k.countedConn.Close() }()
 		if answered {
 			_, err = k.Write([]byte("an answer"))
 			require.NoError(t, err)
@@ -171,18 +171,18 @@
 			}
 			watched <- err
 		}()
-		text := noise(3 * headMost)
+		text := noise(3 * maxHeadBytes)
 		go func() { _, _ = client.Write(text) }()
 		if !answered {
-			require.ErrorIs(t, next(t, watched), errAhead)
+			require.ErrorIs(t, next(t, watched), errTooMuchPipelined)
 			continue
 		}
 		require.Eventually(t, func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			return len(k.ahead) > headMost
+			return len(k.ahead) > maxHeadBytes
 		}, patience, time.Millisecond)
-		_ = k.SetReadDeadline(past)
+		_ = k.SetReadDeadline(deadlinePassed)
 		require.ErrorIs(t, next(t, watched), os.ErrDeadlineExceeded)
 		_ = k.SetReadDeadline(time.Now().Add(patience))
 		got := make([]byte, len(text))
--- a/internal/node/council.go
+++ b/internal/node/consensus.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	councilPlaces = 4  // descriptors set apart for calls of voters
-	voterPlaces   = 16 // and at a voter, for strangers, its log and each
-	eachPlaces    = 8  // other voter
-	councilEnd    = 500 * time.Millisecond
+	learnerDescriptors   = 4  // descriptors set apart for calls of voters
+	voterDescriptors     = 16 // and at a voter, for strangers, its log and each
+	descriptorsPerVoter  = 8  // other voter
+	consensusStopTimeout = 500 * time.Millisecond
 )
 
 // consensusDescriptors returns how many descriptors are set apart for the consensus group at the node with a name.
@@ -35,35 +35,35 @@
 	}
 	for _, v := range fleet.Consensus.Voters {
 		if v.Name == name {
-			return voterPlaces + eachPlaces*(len(fleet.Consensus.Voters)-1)
+			return voterDescriptors + descriptorsPerVoter*(len(fleet.Consensus.Voters)-1)
 		}
 	}
-	return councilPlaces
+	return learnerDescriptors
 }
 
 // council is the node's part in what the fleet decides together. The learner has a goroutine of its
 // own; the loop asks it at the begin of each request by what that goes.
-type council struct {
-	cfg      *config.Consensus
-	name     string
-	loop     *loop
-	voter    *agreement.Voter  // nil is that this node has no vote
-	registry *learner.Registry // with voter
-	learner  *learner.Learner
-	link     *transport.Transport // by which it calls voters, where it is none
-	self     agreement.Peer
-	settings rules.Settings
-	peers    atomic.Pointer[membership.Peers] // nil until the membership has begun
-	ruled    uint64                           // version that the module was told of last; the loop's
+type consensusMember struct {
+	config         *config.Consensus
+	name           string
+	loop           *loop
+	voter          *agreement.Voter  // nil is that this node has no vote
+	registry       *learner.Registry // with voter
+	learner        *learner.Learner
+	transport      *transport.Transport // by which it calls voters, where it is none
+	self           agreement.Peer
+	settings       rules.Settings
+	peers          atomic.Pointer[membership.Peers] // nil until the membership has begun
+	appliedVersion uint64                           // version that the module was told of last; the loop's
 }
 
 // newCouncil makes the node's part, which does nothing before run.
-func newCouncil(cfg config.Config, l *loop) (*council, error) {
+func newConsensusMember(cfg config.Config, l *loop) (*consensusMember, error) {
 	f := cfg.Fleet.Consensus
-	c := &council{cfg: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
+	c := &consensusMember{config: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
 	lc := learner.Config{Node: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
-		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.meet, OnActing: c.act}
+		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.introduce, OnActing: c.actingChanged}
 	var voters []agreement.Peer
 	for _, v := range f.Voters {
 		lc.Voters = append(lc.Voters, v.Name)
@@ -75,7 +75,7 @@
 		var err error
 		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
 			Via: cfg.Fleet.Peers.DialAddresses, StateMachines: map[byte]agreement.StateMachine{learner.StateMachineKind: c.registry},
-			CallHandlers: map[byte]func(string, []byte) []byte{callOffice: c.answer},
+			CallHandlers: map[byte]func(string, []byte) []byte{orderCallKind: c.handleCall},
 			OnLeading:    func(term uint64) { c.learner.SetLeading(term != 0) }, OnLeaderChange: func() { c.learner.LeaderChanged() }})
 		if err != nil {
 			return nil, err
@@ -83,12 +83,12 @@
 		lc.Consensus, lc.Registry = c.voter, c.registry
 	} else {
 		var err error
-		if c.link, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Via: cfg.Fleet.Peers.DialAddresses}); err != nil {
+		if c.transport, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Via: cfg.Fleet.Peers.DialAddresses}); err != nil {
 			return nil, err
 		}
 	}
 	c.learner = learner.New(lc)
-	c.describe()
+	c.registerMetrics()
 	return c, nil
 }
 
@@ -112,7 +112,7 @@
 }
 
 // run takes part until ctx ends. A disk that stands still is left to itself then.
-func (c *council) run(ctx context.Context) {
+func (c *consensusMember) run(ctx context.Context) {
 	ended := make(chan struct{})
 	go func() { // ends with its two parts, or with the process
 		defer close(ended)
@@ -122,26 +122,26 @@
 			c.voter.Run(ctx)
 		}
 		<-learnt
-		if c.link != nil {
-			_ = c.link.Close()
+		if c.transport != nil {
+			_ = c.transport.Close()
 		}
 	}()
 	<-ctx.Done()
 	select {
 	case <-ended:
-	case <-time.After(councilEnd):
-		slog.Warn("council: not ended, the disk or a voter stands still")
+	case <-time.After(consensusStopTimeout):
+		slog.Warn("consensus: not stopped in time, a disk or a voter does not answer")
 	}
 }
 
 // start has it talk, once the membership has begun.
-func (c *council) start(p *membership.Peers) {
+func (c *consensusMember) start(p *membership.Peers) {
 	c.peers.Store(p)
-	c.members()
+	c.updateMembers()
 }
 
 // members tells who is live.
-func (c *council) members() {
+func (c *consensusMember) updateMembers() {
 	p := c.peers.Load()
 	if p == nil {
 		return
@@ -156,14 +156,14 @@
 	c.learner.SetMembers(out)
 }
 
-func (c *council) send(to int, raw []byte) error {
+func (c *consensusMember) send(to int, raw []byte) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Send(to, raw)
 	}
 	return &membership.MemberError{Index: to}
 }
 
-func (c *council) meet(to int) error {
+func (c *consensusMember) introduce(to int) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Meet(to)
 	}
@@ -171,14 +171,14 @@
 }
 
 // act has the loop look by which version requests go, also where none begins.
-func (c *council) act() { c.loop.post(func() { c.look() }) }
+func (c *consensusMember) actingChanged() { c.loop.post(func() { c.applyActing() }) }
 
 // look gives the version that a request goes by which begins now, and tells the module of another one.
 // It is the loop's.
-func (c *council) look() uint64 {
+func (c *consensusMember) applyActing() uint64 {
 	a := c.learner.Acting()
-	if a.Number != c.ruled {
-		c.ruled = a.Number
+	if a.Number != c.appliedVersion {
+		c.appliedVersion = a.Number
 		e := control.Rules{Version: a.Number}
 		if r := a.Rules; r != nil {
 			e.PriceFactor, e.QuotaFactor, e.TenantQuotaFactor, e.MaxAttempts = r.PriceFactor, r.QuotaFactor, r.TenantQuotaFactor, r.MaxAttempts
@@ -190,15 +190,15 @@
 }
 
 // header tells by which version an attempt goes, where the fleet file says so.
-func (c *council) header(x *exchange) {
-	if c.cfg.VersionHeader != "" {
-		x.forward.Header.Set(c.cfg.VersionHeader, strconv.FormatUint(x.version, 10))
+func (c *consensusMember) setVersionHeader(x *exchange) {
+	if c.config.VersionHeader != "" {
+		x.forward.Header.Set(c.config.VersionHeader, strconv.FormatUint(x.version, 10))
 	}
 }
 
 // describe names the figures for the operators.
-func (c *council) describe() {
-	figures := c.loop.registry()
+func (c *consensusMember) registerMetrics() {
+	figures := c.loop.metricsRegistry()
 	gauge := func(name, help string, of func() float64) {
 		figures.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, of))
 	}
--- a/internal/node/councilcalls.go
+++ b/internal/node/consensuscalls.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	callOffice    = 'o' // calls of operators, from node to voter
-	officeWithin  = 1500 * time.Millisecond
-	versionsShown = 100
+	orderCallKind    = 'o' // calls of operators, from node to voter
+	orderTimeout     = 1500 * time.Millisecond
+	maxVersionsShown = 100
 )
 
 // order is an operators' call on its way to the leader.
 type order struct {
 	Op     string `cbor:"1,keyasint"`
-	By     string `cbor:"2,keyasint,omitempty"`
+	Author string `cbor:"2,keyasint,omitempty"`
 	Number uint64 `cbor:"3,keyasint,omitempty"`
 	Kind   uint8  `cbor:"4,keyasint,omitempty"`
 	At     uint64 `cbor:"5,keyasint,omitempty"`
@@ -46,28 +46,28 @@
 }
 
 // routes are the operators' calls.
-func (c *council) routes(calls map[string]map[string]http.HandlerFunc) {
+func (c *consensusMember) routes(calls map[string]map[string]http.HandlerFunc) {
 	post := func(path string, read func(r *http.Request, o *order) error) {
 		calls["/council/"+path] = map[string]http.HandlerFunc{http.MethodPost: func(w http.ResponseWriter, r *http.Request) {
-			o := order{Op: path, By: r.FormValue("by"), Parent: -1}
+			o := order{Op: path, Author: r.FormValue("by"), Parent: -1}
 			if err := read(r, &o); err != nil {
-				refuse(w, err)
+				writeError(w, err)
 				return
 			}
-			c.give(r.Context(), w, o)
+			c.handleOrder(r.Context(), w, o)
 		}}
 	}
 	post("publish", func(r *http.Request, o *order) error {
 		if p := r.URL.Query().Get("parent"); p != "" {
 			n, err := strconv.ParseUint(p, 10, 62)
 			if err != nil {
-				return &CouncilCallError{"publish", "parent", p, "a version's number"}
+				return &ConsensusCallError{"publish", "parent", p, "a version's number"}
 			}
 			o.Parent = int64(n)
 		}
 		var err error
 		if o.Text, err = io.ReadAll(io.LimitReader(r.Body, rules.MaxTextBytes+1)); err != nil {
-			return &CouncilCallError{"publish", "body", err.Error(), "the rule set's text"}
+			return &ConsensusCallError{"publish", "body", err.Error(), "the rule set's text"}
 		}
 		set, err := rules.Parse(o.Text)
 		if err == nil {
@@ -82,7 +82,7 @@
 		if at := r.FormValue("at"); at != "" {
 			t, err := time.Parse(time.RFC3339, at)
 			if err != nil {
-				return &CouncilCallError{"activate", "at", at, "a time as 2026-01-02T15:04:05Z"}
+				return &ConsensusCallError{"activate", "at", at, "a time as 2026-01-02T15:04:05Z"}
 			}
 			o.At = uint64(max(0, t.UnixMilli()))
 		}
@@ -97,11 +97,11 @@
 	post("cancel", func(r *http.Request, o *order) error { return number(r, "cancel", "number", &o.Number) })
 	calls["/council/status"] = map[string]http.HandlerFunc{http.MethodGet: func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(c.status(r.Context()))
+		_, _ = w.Write(c.statusJSON(r.Context()))
 	}}
 	if c.voter != nil {
 		calls["/council/trust"] = map[string]http.HandlerFunc{http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
-			slog.Warn("council: an operator trusts this voter's disk", "node", c.name)
+			slog.Warn("consensus: operator readmits this voter by its disk", "node", c.name)
 			c.voter.TrustDisk()
 			fmt.Fprintln(w, "trusted")
 		}}
@@ -111,7 +111,7 @@
 func number(r *http.Request, call, key string, to *uint64) error {
 	n, err := strconv.ParseUint(r.FormValue(key), 10, 62)
 	if err != nil || n == 0 {
-		return &CouncilCallError{call, key, r.FormValue(key), "a version's number"}
+		return &ConsensusCallError{call, key, r.FormValue(key), "a version's number"}
 	}
 	*to = n
 	return nil
@@ -124,43 +124,43 @@
 			return nil
 		}
 	}
-	return &CouncilCallError{call, "kind", r.FormValue("kind"), "overlap or exclusive"}
+	return &ConsensusCallError{call, "kind", r.FormValue("kind"), "overlap or exclusive"}
 }
 
-// CouncilCallError is a call of the council's whose parts can't be used.
-type CouncilCallError struct{ Call, Key, Have, Want string }
+// ConsensusCallError is a call to the consensus group with a part that can't be used.
+type ConsensusCallError struct{ Call, Key, Have, Want string }
 
-func (e *CouncilCallError) Error() string {
+func (e *ConsensusCallError) Error() string {
 	return fmt.Sprintf("console: council/%s: %s: not by %q; give %s", e.Call, e.Key, e.Have, e.Want)
 }
 
 // give has the leader carry an order out, and answers with what it says.
-func (c *council) give(ctx context.Context, w http.ResponseWriter, o order) {
-	a, err := c.office(ctx, o)
+func (c *consensusMember) handleOrder(ctx context.Context, w http.ResponseWriter, o order) {
+	a, err := c.sendToLeader(ctx, o)
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
-		http.Error(w, err.Error(), officeStatus(err))
-		slog.Info("console: refused", "call", o.Op, "err", err)
+		http.Error(w, err.Error(), orderStatus(err))
+		slog.Info("console: call rejected", "call", o.Op, "error", err)
 		return
 	}
-	slog.Info("council: an order", "call", o.Op, "by", o.By, "number", o.Number, "status", a.Status)
+	slog.Info("consensus: operator's order", "call", o.Op, "author", o.Author, "number", o.Number, "status", a.Status)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
 
 // office brings an order to the leader, once: one that may have come there is not sent again.
-func (c *council) office(ctx context.Context, o order) (*reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, officeWithin)
+func (c *consensusMember) sendToLeader(ctx context.Context, o order) (*reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	leader, err := c.locate(ctx)
+	leader, err := c.findLeader(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if leader.Name == c.name {
-		return c.carryOut(o), nil
+		return c.execute(o), nil
 	}
-	a, err := c.ask(ctx, leader, o)
+	a, err := c.callVoter(ctx, leader, o)
 	if err != nil {
 		return nil, &agreement.OutcomeUnknownError{Err: err}
 	}
@@ -168,14 +168,14 @@
 }
 
 // locate finds the voter that leads and is confirmed in it: this node, or one that others name.
-func (c *council) locate(ctx context.Context) (leader agreement.Peer, err error) {
+func (c *consensusMember) findLeader(ctx context.Context) (leader agreement.Peer, err error) {
 	var last error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
 	tried, next := map[string]bool{}, c.name
-	for range len(c.cfg.Voters) + 1 {
+	for range len(c.config.Voters) + 1 {
 		var at *config.Voter
-		for i, v := range c.cfg.Voters {
+		for i, v := range c.config.Voters {
 			if !tried[v.Name] && (v.Name == next || at == nil) {
-				at = &c.cfg.Voters[i]
+				at = &c.config.Voters[i]
 			}
 		}
 		if at == nil {
@@ -185,8 +185,8 @@
 		var a *reply
 		p := agreement.Peer{Name: at.Name, Address: at.Address}
 		if at.Name == c.name {
-			a = c.carryOut(order{Op: "leader"})
-		} else if a, err = c.ask(ctx, p, order{Op: "leader"}); err != nil {
+			a = c.execute(order{Op: "leader"})
+		} else if a, err = c.callVoter(ctx, p, order{Op: "leader"}); err != nil {
 			last = err
 			continue
 		}
@@ -202,7 +202,7 @@
 }
 
 // ask has a voter carry an order out.
-func (c *council) ask(ctx context.Context, p agreement.Peer, o order) (*reply, error) {
+func (c *consensusMember) callVoter(ctx context.Context, p agreement.Peer, o order) (*reply, error) {
 	body, err := cbor.Marshal(o)
 	if err != nil {
 		return nil, err
@@ -215,20 +215,20 @@
 	return a, cbor.Unmarshal(raw, a)
 }
 
-func (c *council) call(ctx context.Context, p agreement.Peer, body []byte) ([]byte, error) {
+func (c *consensusMember) call(ctx context.Context, p agreement.Peer, body []byte) ([]byte, error) {
 	if c.voter != nil {
-		return c.voter.Call(ctx, p, callOffice, body)
+		return c.voter.Call(ctx, p, orderCallKind, body)
 	}
-	return c.link.Call(ctx, p.Name, p.Address, append([]byte{callOffice}, body...))
+	return c.transport.Call(ctx, p.Name, p.Address, append([]byte{orderCallKind}, body...))
 }
 
 // answer answers another node's order.
-func (c *council) answer(_ string, body []byte) []byte {
+func (c *consensusMember) handleCall(_ string, body []byte) []byte {
 	var o order
 	if err := cbor.Unmarshal(body, &o); err != nil {
 		return nil
 	}
-	raw, err := cbor.Marshal(c.carryOut(o))
+	raw, err := cbor.Marshal(c.execute(o))
 	if err != nil {
 		return nil
 	}
@@ -236,48 +236,48 @@
 }
 
 // carryOut does an order where this voter leads, or says who does.
-func (c *council) carryOut(o order) *reply {
+func (c *consensusMember) execute(o order) *reply {
 	if o.Op == "status" || o.Op == "leader" {
 		if err := c.voter.Verify(); err != nil {
-			return refusal(err)
+			return errorReply(err)
 		}
 		if o.Op == "leader" {
 			return &reply{Status: http.StatusOK}
 		}
-		raw, err := json.Marshal(c.agreed())
+		raw, err := json.Marshal(c.leaderStatus())
 		if err != nil {
-			return refusal(err)
+			return errorReply(err)
 		}
 		return &reply{Status: http.StatusOK, Body: raw}
 	}
 	cmd, err := c.command(o)
 	if err != nil {
-		return refusal(err)
+		return errorReply(err)
 	}
 	raw, err := cmd.Encode()
 	if err != nil {
-		return refusal(err)
+		return errorReply(err)
 	}
-	done, err := c.voter.Propose(learner.StateMachineKind, raw, officeWithin)
+	done, err := c.voter.Propose(learner.StateMachineKind, raw, orderTimeout)
 	if err != nil {
-		return refusal(err)
+		return errorReply(err)
 	}
 	out, ok := done.(learner.Outcome)
 	if !ok {
-		return refusal(fmt.Errorf("council: the registry answered %T", done))
+		return errorReply(fmt.Errorf("council: the registry answered %T", done))
 	}
 	if out.Err != nil {
-		return refusal(out.Err)
+		return errorReply(out.Err)
 	}
 	body, err := json.Marshal(map[string]any{"number": out.Result.Number, "call": o.Op})
 	if err != nil {
-		return refusal(err)
+		return errorReply(err)
 	}
 	return &reply{Status: http.StatusOK, Body: append(body, '\n')}
 }
 
 // command is what is to be agreed on. A text is checked by the leader's settings too.
-func (c *council) command(o order) (cmd rules.Command, err error) {
+func (c *consensusMember) command(o order) (cmd rules.Command, err error) {
 	newest := func() uint64 {
 		if o.Parent >= 0 {
 			return uint64(o.Parent)
@@ -293,21 +293,21 @@
 		if err != nil {
 			return cmd, err
 		}
-		cmd.Publish = &rules.Publish{Parent: newest(), Author: o.By, Text: o.Text}
+		cmd.Publish = &rules.Publish{Parent: newest(), Author: o.Author, Text: o.Text}
 	case "activate":
-		cmd.Activate = &rules.Activate{Number: o.Number, Kind: rules.ActivationKind(o.Kind), At: o.At, Author: o.By}
+		cmd.Activate = &rules.Activate{Number: o.Number, Kind: rules.ActivationKind(o.Kind), At: o.At, Author: o.Author}
 	case "back":
-		cmd.Rollback = &rules.Rollback{Parent: newest(), Target: o.Number, Kind: rules.ActivationKind(o.Kind), Author: o.By}
+		cmd.Rollback = &rules.Rollback{Parent: newest(), Target: o.Number, Kind: rules.ActivationKind(o.Kind), Author: o.Author}
 	case "cancel":
-		cmd.Cancel = &rules.Cancel{Number: o.Number, Author: o.By}
+		cmd.Cancel = &rules.Cancel{Number: o.Number, Author: o.Author}
 	default:
-		return cmd, &CouncilCallError{o.Op, "call", o.Op, "publish, activate, back, cancel or status"}
+		return cmd, &ConsensusCallError{o.Op, "call", o.Op, "publish, activate, back, cancel or status"}
 	}
 	return cmd, nil
 }
 
-func refusal(err error) *reply {
-	a := &reply{Status: officeStatus(err), Body: []byte(err.Error() + "\n")}
+func errorReply(err error) *reply {
+	a := &reply{Status: orderStatus(err), Body: []byte(err.Error() + "\n")}
 	if e, ok := errors.AsType[*agreement.NotLeaderError](err); ok {
 		a.Leader = e.Leader.Name
 	}
@@ -315,7 +315,7 @@
 }
 
 // officeStatus is that of an error's answer.
-func officeStatus(err error) int {
+func orderStatus(err error) int {
 	var (
 		stale, order, phase = new(rules.StaleVersionError), new(rules.OrderError), new(rules.PhaseError)
 		none                = new(rules.NoVersionError)
--- a/internal/node/console.go
+++ b/internal/node/console.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	consolePlaces = 16              // callers at once
-	consoleWithin = time.Second     // of a call's head
-	consoleAnswer = 2 * time.Second // of a call, and of the writing of its answer
-	consoleHead   = 4 << 10
+	maxConsoleConns     = 16              // callers at once
+	consoleHeadTimeout  = time.Second     // of a call's head
+	consoleCallTimeout  = 2 * time.Second // of a call, and of the writing of its answer
+	maxConsoleHeadBytes = 4 << 10
 )
 
 // console is the operators' door. It has a server and places of its own and reads atomics
@@ -35,9 +35,9 @@
 	if err != nil {
 		return nil, &ListenError{"operators", addr, err}
 	}
-	c := &console{listener: &fewListener{Listener: tcp, open: make(map[*fewConn]time.Time)}}
-	c.srv = &http.Server{Handler: consoleRoutes(n), ReadHeaderTimeout: consoleWithin, ReadTimeout: consoleAnswer,
-		WriteTimeout: consoleAnswer, MaxHeaderBytes: consoleHead}
+	c := &console{listener: &boundedListener{Listener: tcp, open: make(map[*boundedConn]time.Time)}}
+	c.srv = &http.Server{Handler: consoleRoutes(n), ReadHeaderTimeout: consoleHeadTimeout, ReadTimeout: consoleCallTimeout,
+		WriteTimeout: consoleCallTimeout, MaxHeaderBytes: maxConsoleHeadBytes}
 	c.srv.SetKeepAlivesEnabled(false) // one call a connection
 	return c, nil
 }
@@ -46,7 +46,7 @@
 func (c *console) run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { _ = c.srv.Close() })()
 	if err := c.srv.Serve(c.listener); !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("console ends", "err", err)
+		slog.Error("console: serving failed", "error", err)
 	}
 }
 
@@ -66,29 +66,29 @@
 			if p := n.peers.Load(); p != nil {
 				writePeers(&text, &p.Counts)
 			}
-			if n.loop.figures != nil {
-				writeRegistry(&text, n.loop.figures)
+			if n.loop.metrics != nil {
+				writeRegistry(&text, n.loop.metrics)
 			}
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 			_, _ = w.Write(text.Bytes())
 		}},
 		"/drain": {http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
-			n.drainer.begin(consoleServe, consoleIdle)
+			n.drainer.begin(consoleDrainServe, consoleDrainIdle)
 			fmt.Fprintln(w, "draining")
 		}},
 		"/undrain": {http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
-			if !n.drainer.undo() {
-				refuse(w, &EndingError{n.name})
+			if !n.drainer.callOff() {
+				writeError(w, &EndingError{n.name})
 				return
 			}
 			fmt.Fprintln(w, "serving")
 		}},
 	}
-	if c := n.loop.council; c != nil {
+	if c := n.loop.consensus; c != nil {
 		c.routes(calls)
 	}
-	if z := n.loop.zoning; z != nil {
-		calls["/zones"] = map[string]http.HandlerFunc{http.MethodGet: z.show, http.MethodPost: z.order}
+	if z := n.loop.zones; z != nil {
+		calls["/zones"] = map[string]http.HandlerFunc{http.MethodGet: z.handleShow, http.MethodPost: z.handleOrder}
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		methods := calls[r.URL.Path]
@@ -100,33 +100,33 @@
 		if len(allowed) > 0 {
 			w.Header().Set("Allow", strings.Join(allowed, ", "))
 		}
-		refuse(w, &CallError{r.Method, r.URL.Path, allowed})
+		writeError(w, &CallError{r.Method, r.URL.Path, allowed})
 	})
 }
 
 // fewListener keeps to a few connections: where all places are taken, the oldest is closed for
 // the new one. Guards against callers that finish nothing and keep the staff out.
-type fewListener struct {
+type boundedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open map[*fewConn]time.Time
+	open map[*boundedConn]time.Time
 }
 
 // fewConn is a connection that gives its place back when it is closed.
-type fewConn struct {
+type boundedConn struct {
 	net.Conn
-	of *fewListener
+	listener *boundedListener
 }
 
-func (l *fewListener) Accept() (net.Conn, error) {
+func (l *boundedListener) Accept() (net.Conn, error) {
 	tcp, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &fewConn{Conn: tcp, of: l}
+	c := &boundedConn{Conn: tcp, listener: l}
 	l.mu.Lock()
-	var oldest *fewConn
-	if len(l.open) >= consolePlaces {
+	var oldest *boundedConn
+	if len(l.open) >= maxConsoleConns {
 		for o, since := range l.open {
 			if oldest == nil || since.Before(l.open[oldest]) {
 				oldest = o
@@ -142,9 +142,9 @@
 	return c, nil
 }
 
-func (c *fewConn) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c)
-	c.of.mu.Unlock()
+func (c *boundedConn) Close() error {
+	c.listener.mu.Lock()
+	delete(c.listener.open, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/node/console_test.go
+++ b/internal/node/console_test.go
@@ -98,7 +98,7 @@
 	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
 	r.wait("ready", r.node.front.ready.Load)
 	var callers []net.Conn
-	for i := range 3 * consolePlaces {
+	for i := range 3 * maxConsoleConns {
 		c, err := net.Dial("tcp", r.door())
 		if err != nil {
 			t.Fatal(err)
@@ -285,7 +285,7 @@
 	r.stop()
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		r.node.drainer.mu.Lock()
-		ends := r.node.drainer.ends
+		ends := r.node.drainer.final
 		r.node.drainer.mu.Unlock()
 		if ends {
 			break
@@ -294,7 +294,7 @@
 			t.Fatal("the drain's end is not the process's")
 		}
 	}
-	if r.node.drainer.undo() {
+	if r.node.drainer.callOff() {
 		t.Error("a process that ends was called back")
 	}
 	if err := next(t, r.ended); err != nil {
--- a/internal/node/degraded_test.go
+++ b/internal/node/degradeddiscovery_test.go
@@ -26,7 +26,7 @@
 		r.list(sound.target("s-1", 0), drains.target("s-2", 1))
 		up := func() int {
 			n := 0
-			for _, s := range r.node.loop.ids {
+			for _, s := range r.node.loop.serverIDs {
 				if r.node.loop.pools[s] != nil {
 					n++
 				}
@@ -34,12 +34,12 @@
 			return n
 		}
 		r.wait("both are listed", func() bool { return up() == 2 })
-		r.node.loop.post(func() { r.node.degraded.turn(true) })
+		r.node.loop.post(func() { r.node.degraded.setActive(true) })
 		r.wait("who vouches", func() bool { return up() == want })
 		resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
 		require.Equal(t, probes, resp.StatusCode == http.StatusOK)
 		require.Equal(t, "up", r.node.loopTarget("s-2").State, "what is listed is not forgotten")
-		r.node.loop.post(func() { r.node.degraded.turn(false) })
+		r.node.loop.post(func() { r.node.degraded.setActive(false) })
 		r.wait("all are back", func() bool { return up() == 2 })
 	}
 }
@@ -47,12 +47,12 @@
 // loopTarget gives an entry of the list, on the loop's goroutine.
 func (n *Node) loopTarget(uid string) discovery.Target {
 	c := make(chan discovery.Target, 1)
-	n.loop.post(func() { c <- n.loop.targets[uid] })
+	n.loop.post(func() { c <- n.loop.endpoints[uid] })
 	return <-c
 }
 
 // Where the settings tell no grace no word comes in time, and a call for one would have no end.
 func TestNobodyIsAskedWithoutAGrace(t *testing.T) {
-	require.Nil(t, newDegraded(control.Settings{HealthChecks: true}, nil).ask)
-	require.NotNil(t, newDegraded(control.Settings{HealthChecks: true, DrainGrace: time.Second}, nil).ask)
+	require.Nil(t, newDegradedDiscovery(control.Settings{HealthChecks: true}, nil).healthCheck)
+	require.NotNil(t, newDegradedDiscovery(control.Settings{HealthChecks: true, DrainGrace: time.Second}, nil).healthCheck)
 }
--- a/internal/node/follow.go
+++ b/internal/node/discovery.go
@@ -20,12 +20,12 @@
 
 // follow makes the watch of the server list, and has the loop take what it brings.
 func (n *Node) follow(cfg config.Config) error {
-	n.degraded = newDegraded(cfg.Settings, n.loop)
-	n.updated = n.listed
+	n.degraded = newDegradedDiscovery(cfg.Settings, n.loop)
+	n.onUpdate = n.listUpdated
 	watch := discovery.Config{Address: cfg.Discovery, Group: cfg.Settings.FleetSize, DrainGrace: cfg.Settings.DrainGrace,
 		Seed: cfg.Seed, Polled: cfg.Settings.PollDiscovery, Subset: cfg.Fleet.SubsetOf(cfg.Settings.NodeIndex),
-		Updated:  func(u discovery.Update) { n.updated(u) },
-		Degraded: func(on bool) { n.loop.post(func() { n.degraded.turn(on) }) }}
+		Updated:  func(u discovery.Update) { n.onUpdate(u) },
+		Degraded: func(on bool) { n.loop.post(func() { n.degraded.setActive(on) }) }}
 	var dropped prometheus.Counter
 	if watch.Subset != nil {
 		dropped = newSubsetDropped()
@@ -35,21 +35,21 @@
 	if err != nil {
 		return err
 	}
-	n.discovery, n.known = w, w.Adopt(cfg.KnownServers, true)
+	n.discovery, n.knownServers = w, w.Adopt(cfg.KnownServers, true)
 	if watch.Subset != nil {
-		registerSubset(n.loop.registry(), w.Counts(), dropped)
+		registerSubset(n.loop.metricsRegistry(), w.Counts(), dropped)
 	}
 	return nil
 }
 
 // listed hands an update of discovery to the loop.
-func (n *Node) listed(u discovery.Update) {
+func (n *Node) listUpdated(u discovery.Update) {
 	kind := control.Delta
 	if u.All {
 		kind = control.Complete
 	}
 	n.loop.post(func() {
-		n.listDue.Store(false)
-		n.learn(kind, u)
+		n.listUnconfirmed.Store(false)
+		n.applyList(kind, u)
 	})
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -9,9 +9,9 @@
 const (
 	// The front asks /healthz every 0.1 s and sends new connections for 0.2 s more; what comes on
 	// kept connections is to end by 2 s, and no connection may be held idle from 4 s on.
-	consoleServe = 800 * time.Millisecond // a drain by the console: connections are kept until then
-	consoleIdle  = 700 * time.Millisecond // and from then on those that idle
-	idleLook     = 50 * time.Millisecond  // how often idle connections are looked at after that
+	consoleDrainServe = 800 * time.Millisecond // a drain by the console: connections are kept until then
+	consoleDrainIdle  = 700 * time.Millisecond // and from then on those that idle
+	idlePollInterval  = 50 * time.Millisecond  // how often idle connections are looked at after that
 )
 
 // drainer is the one drain state, for operators and for SIGTERM. A drain first only tells the
@@ -19,10 +19,10 @@
 type drainer struct {
 	front *front
 
-	mu    sync.Mutex
-	quit  chan struct{} // closed to call off the present drain; nil is none
-	stage int           // 0 to 2: serving on, letting go, closing what idles
-	ends  bool          // the process does: there is no way back
+	mu     sync.Mutex
+	cancel chan struct{} // closed to call off the present drain; nil is none
+	stage  int           // 0 to 2: serving on, letting go, closing what idles
+	final  bool          // the process does: there is no way back
 }
 
 // begin starts a drain that lets connections go on answers after a while, and closes those that
@@ -30,7 +30,7 @@
 func (d *drainer) begin(serve, idle time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.quit != nil {
+	if d.cancel != nil {
 		return
 	}
 	slog.Info("draining")
@@ -39,34 +39,34 @@
 
 func (d *drainer) start(serve, idle time.Duration) {
 	quit := make(chan struct{})
-	d.quit, d.stage = quit, 0
+	d.cancel, d.stage = quit, 0
 	d.front.draining.Store(true)
-	go d.steps(quit, serve, idle)
+	go d.runStages(quit, serve, idle)
 }
 
 // end makes the drain the process's last. One that an operator began goes on at its pace. A quiet
 // one does not tell the front: another process answers it at the same address.
-func (d *drainer) end(serve, idle time.Duration, quiet bool) {
+func (d *drainer) beginFinal(serve, idle time.Duration, quiet bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ends = true
-	if d.quit == nil {
+	d.final = true
+	if d.cancel == nil {
 		d.start(serve, idle)
 		d.front.draining.Store(!quiet)
 	}
 }
 
 // undo calls a drain off; false where the process ends.
-func (d *drainer) undo() bool {
+func (d *drainer) callOff() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ends {
+	if d.final {
 		return false
 	}
-	if d.quit != nil {
-		slog.Info("drain called off")
-		close(d.quit)
-		d.quit, d.stage = nil, 0
+	if d.cancel != nil {
+		slog.Info("drain cancelled")
+		close(d.cancel)
+		d.cancel, d.stage = nil, 0
 		d.front.closing.Store(false)
 		d.front.draining.Store(false)
 	}
@@ -77,14 +77,14 @@
 func (d *drainer) leaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ends || d.quit != nil
+	return d.final || d.cancel != nil
 }
 
 // reach enters a stage unless the drain was called off.
-func (d *drainer) reach(quit chan struct{}, stage int) bool {
+func (d *drainer) enterStage(quit chan struct{}, stage int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.quit != quit {
+	if d.cancel != quit {
 		return false
 	}
 	d.stage = stage
@@ -93,7 +93,7 @@
 }
 
 // steps takes a drain through its stages until it is called off.
-func (d *drainer) steps(quit chan struct{}, serve, idle time.Duration) {
+func (d *drainer) runStages(quit chan struct{}, serve, idle time.Duration) {
 	wait := func(t time.Duration) bool {
 		select {
 		case <-quit:
@@ -102,21 +102,21 @@
 			return true
 		}
 	}
-	if !wait(serve) || !d.reach(quit, 1) || !wait(idle) || !d.reach(quit, 2) {
+	if !wait(serve) || !d.enterStage(quit, 1) || !wait(idle) || !d.enterStage(quit, 2) {
 		return
 	}
-	for ok := true; ok; ok = wait(idleLook) {
+	for ok := true; ok; ok = wait(idlePollInterval) {
 		d.front.closeIdle()
 	}
 }
 
 // over ends what a drain still does, with the process.
-func (d *drainer) over() {
+func (d *drainer) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ends = true
-	if d.quit != nil {
-		close(d.quit)
+	d.final = true
+	if d.cancel != nil {
+		close(d.cancel)
 	}
-	d.quit = make(chan struct{}) // none begins any more
+	d.cancel = make(chan struct{}) // none begins any more
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -77,7 +77,7 @@
 	for _, k := range []struct{ deadline, kill time.Duration }{
 		{2 * time.Second, 2700 * time.Millisecond}, {6 * time.Second, 3700 * time.Millisecond}} {
 		classes := []control.Class{{Deadline: time.Second}, {Deadline: k.deadline}}
-		if most := drainMost(classes); most+drainWrite >= k.kill || most < k.kill-time.Second {
+		if most := maxDrainOf(classes); most+drainWriteTime >= k.kill || most < k.kill-time.Second {
 			t.Errorf("deadline %v: the drain ends after %v, the kill comes after %v", k.deadline, most, k.kill)
 		}
 	}
@@ -89,13 +89,13 @@
 	t.Parallel()
 	r := newRig(t)
 	r.list(newApp(t, served).target("s-1", 0))
-	r.node.most = drainMost([]control.Class{{Deadline: 500 * time.Millisecond}})
+	r.node.maxDrain = maxDrainOf([]control.Class{{Deadline: 500 * time.Millisecond}})
 	begun := time.Now()
 	r.stop()
-	for id := 0; time.Since(begun) < drainListen; id++ {
+	for id := 0; time.Since(begun) < drainListenTime; id++ {
 		c, err := net.Dial("tcp", r.node.Addr())
 		if err != nil {
-			if after := time.Since(begun); after < drainListen {
+			if after := time.Since(begun); after < drainListenTime {
 				t.Errorf("refused after %v", after)
 			}
 			break
@@ -106,7 +106,7 @@
 		switch {
 		case err == nil && resp.StatusCode != 200:
 			t.Error(resp.Status)
-		case err != nil && time.Since(begun) < drainListen:
+		case err != nil && time.Since(begun) < drainListenTime:
 			t.Error(err)
 		}
 		_ = c.Close()
--- a/internal/node/earlyanswers_test.go
+++ b/internal/node/earlyanswers_test.go
@@ -25,7 +25,7 @@
 		want   int
 	}{
 		"good":        {short, http.StatusBadGateway},
-		"good, long":  {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*bodyMost, noise(2*bodyMost)), http.StatusBadGateway},
+		"good, long":  {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*maxHeldBytes, noise(2*maxHeldBytes)), http.StatusBadGateway},
 		"endless":     {"HTTP/1.1 200 OK\r\n\r\nevil", http.StatusBadGateway},
 		"failed":      {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", http.StatusBadGateway},
 		"turned away": {"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", http.StatusServiceUnavailable},
--- a/internal/node/servers.go
+++ b/internal/node/endpoints.go
@@ -31,7 +31,7 @@
 }
 
 // retire lets go of the connections to an app server, and takes new ones where it goes on.
-func (l *loop) retire(server uint32, goesOn bool) {
+func (l *loop) retirePool(server uint32, goesOn bool) {
 	p := l.pools[server]
 	if p == nil {
 		return
@@ -44,39 +44,39 @@
 }
 
 // list takes in what discovery tells. What is no longer listed is forgotten.
-func (l *loop) list(kind control.UpdateKind, news discovery.Update) {
-	l.keep(kind, news)
-	l.show(kind, news)
+func (l *loop) endpointsChanged(kind control.UpdateKind, news discovery.Update) {
+	l.rememberEndpoints(kind, news)
+	l.applyEndpoints(kind, news)
 }
 
 // show has the module and the pools go by a list.
-func (l *loop) show(kind control.UpdateKind, news discovery.Update) {
-	l.handle(l.apply(kind, news))
+func (l *loop) applyEndpoints(kind control.UpdateKind, news discovery.Update) {
+	l.handle(l.updatePools(kind, news))
 	l.publish()
 }
 
 // apply has the pools and the other parts of the node go by a list, and gives what the module is told.
-func (l *loop) apply(kind control.UpdateKind, news discovery.Update) control.EndpointUpdate {
-	e := control.EndpointUpdate{Kind: kind, NodesPerServer: l.sharers}
+func (l *loop) updatePools(kind control.UpdateKind, news discovery.Update) control.EndpointUpdate {
+	e := control.EndpointUpdate{Kind: kind, NodesPerServer: l.nodesPerServer}
 	listed := make(map[string]bool)
 	for i := range news.Targets {
 		t := &news.Targets[i]
 		m := member(t, l.idOf(t.UID))
-		l.note(m.Server, t)
+		l.notifyEndpoint(m.Server, t)
 		e.Endpoints = append(e.Endpoints, m)
 		listed[t.UID] = m.Condition != control.Removed
 		if p := l.pools[m.Server]; p != nil && (m.Condition != control.Active || p.endpoint != t.Endpoint) {
-			l.retire(m.Server, false)
+			l.retirePool(m.Server, false)
 		}
 		if m.Condition == control.Active && l.pools[m.Server] == nil {
 			l.pools[m.Server] = l.upstream.pool(t.Endpoint)
 		}
 	}
-	for uid, id := range l.ids {
+	for uid, id := range l.serverIDs {
 		if is, told := listed[uid]; told && !is || !told && kind != control.Delta {
-			l.retire(id, false)
-			delete(l.ids, uid)
-			l.note(id, nil)
+			l.retirePool(id, false)
+			delete(l.serverIDs, uid)
+			l.notifyEndpoint(id, nil)
 		}
 	}
 	return e
@@ -84,21 +84,21 @@
 
 // idOf gives the number of a server, a new one for a server that is not listed yet.
 func (l *loop) idOf(uid string) uint32 {
-	id, ok := l.ids[uid]
+	id, ok := l.serverIDs[uid]
 	if !ok {
-		l.lastID++
-		id = l.lastID
-		l.ids[uid] = id
+		l.lastServerID++
+		id = l.lastServerID
+		l.serverIDs[uid] = id
 	}
 	return id
 }
 
 // note tells the parts that are switched on of an entry of the list; nil is that it is gone.
-func (l *loop) note(id uint32, t *discovery.Target) {
-	if l.sharing != nil {
-		l.sharing.listed(id, t)
+func (l *loop) notifyEndpoint(id uint32, t *discovery.Target) {
+	if l.limitSharing != nil {
+		l.limitSharing.updateServer(id, t)
 	}
-	if l.zoning != nil {
-		l.zoning.listed(id, t)
+	if l.zones != nil {
+		l.zones.updateServer(id, t)
 	}
 }
--- a/internal/node/servers_test.go
+++ b/internal/node/endpoints_test.go
@@ -27,7 +27,7 @@
 	if a.count() != 1 || b.count() != 20 {
 		t.Errorf("%d requests to the one that drains, %d to the other", a.count(), b.count())
 	}
-	if r.node.loop.pools[r.node.loop.ids["s-1"]] != nil || len(pooled(r.node.upstream)) != 1 {
+	if r.node.loop.pools[r.node.loop.serverIDs["s-1"]] != nil || len(pooled(r.node.upstream)) != 1 {
 		t.Error("an idle connection to it was kept")
 	}
 }
@@ -98,13 +98,13 @@
 			t.Errorf("%s", resp.Status)
 		}
 		r.wait("one app server", func() bool {
-			seen[r.node.loop.ids[up.UID]] = true
-			return len(r.node.loop.ids) == 1 && len(r.node.loop.pools) == 1
+			seen[r.node.loop.serverIDs[up.UID]] = true
+			return len(r.node.loop.serverIDs) == 1 && len(r.node.loop.pools) == 1
 		})
 		up.State = "removed"
 		r.list(up)
 	}
-	r.wait("none", func() bool { return len(r.node.loop.ids) == 0 && len(r.node.loop.pools) == 0 })
+	r.wait("none", func() bool { return len(r.node.loop.serverIDs) == 0 && len(r.node.loop.pools) == 0 })
 	if len(seen) != 50 || len(r.node.upstream.pools) != 0 || len(pooled(r.node.upstream)) != 0 {
 		t.Errorf("%d ids, %d pools, %d connections", len(seen), len(r.node.upstream.pools), len(pooled(r.node.upstream)))
 	}
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -50,12 +50,12 @@
 }
 
 // refuse answers a call of the console's with an error.
-func refuse(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	if e, ok := errors.AsType[callError](err); ok {
 		status = e.Status()
 	}
-	slog.Info("console: refused", "status", status, "err", err)
+	slog.Info("console: call rejected", "status", status, "error", err)
 	http.Error(w, err.Error(), status)
 }
 
--- a/internal/node/errors_test.go
+++ b/internal/node/errors_test.go
@@ -11,7 +11,7 @@
 	oncall.Check(t,
 		&BusyError{Call: "zones", Within: time.Second},
 		&CallError{Method: "PUT", Path: "/drain", Allowed: []string{"POST"}},
-		&CouncilCallError{Call: "activate", Key: "kind", Have: "soon", Want: "overlap or exclusive"},
+		&ConsensusCallError{Call: "activate", Key: "kind", Have: "soon", Want: "overlap or exclusive"},
 		&EndingError{Node: "n-1"},
 		&ListenError{For: "clients", Where: "127.0.0.1:80", Err: oncall.ErrCause},
 		&ModuleError{Panic: oncall.ErrCause},
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"context"
 	"io"
 	"maps"
 	"net/http"
@@ -13,78 +12,74 @@
 	"sloestile/control"
 )
 
-// answerAhead is how long before a client gives up its attempts are stopped, so that
-// the last byte of the answer is there in time.
-const answerAhead = 15 * time.Millisecond
+// answerMargin is how long before the client's deadline attempts end, so that the last byte of the answer is there in
+// time.
+const answerMargin = 15 * time.Millisecond
 
-// exchange is one client request on its way to its final answer.
+// exchange is one request of a client on its way to its final answer.
 type exchange struct {
-	req     control.Request // its TTL is set when the module is told
-	forward *http.Request   // what goes on to app servers, without its body
-	body    []byte          // whole, or what comes before the rest
-	rest    *clientBody     // of a long body, which goes on as it comes; else nil
-	length  int64           // of the body; below 0 is not told
-	left    time.Duration   // of the client's time, from the request's last byte
-	held    *holding        // of the budget for bodies
-	answer  chan answer     // holds the one final answer
-	stats   *stats
-	taken   atomic.Bool // its last byte has come
+	req             control.Request // its TimeLeft is set when the decision module gets it
+	forward         *http.Request   // as it goes to servers, without its body
+	body            []byte          // the whole body, or what came before rest
+	rest            *clientBody     // of a long body, which is streamed; else nil
+	length          int64           // of the body in bytes; below 0 is not known
+	timeLeft        time.Duration   // of the client, from the last byte of the request
+	bodyReservation *reservation    // for the body
+	answer          chan answer     // gets the one final answer
+	stats           *stats
+	received        atomic.Bool // the last byte of the request has come
 
-	// The loop's own, once it has begun.
-	deadline time.Time // zero until the body is whole
-	done     bool      // answered, or the client has left
-	sends    int
-	out      int // attempts outstanding
-	stop     []context.CancelCauseFunc
-	limit    []*time.Timer // end the attempts with the client's time; nil where it has not begun
-	start    []*start      // of the attempts; nil is one that was not made
-	last     control.Outcome
-	settled  bool     // its true units were told to others
-	version  uint64   // of the rules that it goes by, to its end; 0 is the settings alone
-	watched  []uint64 // numbers of the attempts, where verdicts are shared
+	// Owned by the event loop once it has begun the request.
+	deadline     time.Time // zero until the last byte has come
+	done         bool      // answered, or the client has left
+	attempts     []*exchangeAttempt
+	inFlight     int // attempts without an outcome
+	lastOutcome  control.Outcome
+	costReported bool   // the other nodes know its true cost
+	version      uint64 // rule version that it goes by until its end; 0 is the settings alone
 }
 
-// take counts the request as taken.
-func (x *exchange) take() {
-	if !x.taken.Swap(true) {
+// markReceived counts the request as in flight, once.
+func (x *exchange) markReceived() {
+	if !x.received.Swap(true) {
 		x.stats.inflight.Add(1)
 	}
 }
 
-// leave counts it as ended.
-func (x *exchange) leave() {
-	if x.taken.Load() {
+// markEnded counts it as no longer in flight.
+func (x *exchange) markEnded() {
+	if x.received.Load() {
 		x.stats.inflight.Add(-1)
 	}
 }
 
-// broken is closed where the body can't be read to its end.
-func (x *exchange) broken() <-chan struct{} {
+// bodyBroken returns a channel that is closed when the body can't be read to its end.
+func (x *exchange) bodyBroken() <-chan struct{} {
 	if x.rest == nil {
 		return nil
 	}
 	return x.rest.broken
 }
 
-// spent tells whether a part of the body is gone.
-func (x *exchange) spent() bool { return x.rest != nil && x.rest.spent.Load() }
+// bodySpent reports whether a part of the body was streamed and so can't be sent again.
+func (x *exchange) bodySpent() bool { return x.rest != nil && x.rest.spent.Load() }
 
-// end gives the exchange its final answer. No attempt begins behind it, nor once the client has left.
-func (x *exchange) end(a answer) {
+// finish gives the request its final answer and keeps attempts from starting that have not been written yet.
+func (x *exchange) finish(a answer) {
 	x.done = true
-	for _, s := range x.start {
-		if s != nil {
-			s.callOff()
+	for _, t := range x.attempts {
+		if t.start != nil {
+			t.start.callOff()
 		}
 	}
 	x.answer <- a
 }
 
-// message is the request as one attempt sends it.
+// message returns the request as an attempt sends it now.
 func (x *exchange) message() *http.Request {
 	m := *x.forward
 	m.Header = maps.Clone(m.Header)
-	left := x.left
+	left := x.timeLeft
 	if !x.deadline.IsZero() {
 		left = time.Until(x.deadline)
 	}
@@ -102,26 +97,26 @@
 	return &m
 }
 
-// answer is the final answer of an exchange. One that streams has its first bytes in body.
+// answer is the final answer to a request. One that streams has its first bytes in body.
 type answer struct {
-	status     int
-	header     http.Header
-	body       []byte
-	retryAfter time.Duration
-	stream     *io.PipeReader // the rest; nil is none
-	length     int64          // of one that streams, in all; below 0 is not told
-	held       *holding       // of the budget for answers; one that streams has none
+	status      int
+	header      http.Header
+	body        []byte
+	retryAfter  time.Duration
+	stream      *io.PipeReader // the rest; nil is none
+	length      int64          // of one that streams, in all; below 0 is not told
+	reservation *reservation   // of the budget for answers; one that streams has none
 }
 
-// close tells the attempt behind an answer that streams that nobody takes it.
+// close tells the attempt behind a streamed answer that nobody reads it.
 func (a *answer) close(err error) {
 	if a.stream != nil {
 		a.stream.CloseWithError(err)
 	}
 }
 
-// drop gives back what an answer holds.
+// drop releases what an answer holds.
 func (a answer) drop() {
-	a.close(errLeft)
-	a.held.shrink(0)
+	a.close(errClientLeft)
+	a.reservation.shrink(0)
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -22,11 +22,11 @@
 
 // What one process hands to the next, or keeps for it, has the recorded bytes.
 func TestHandoverIsAsRecorded(t *testing.T) {
-	b := &legacy{}
+	b := &handoverState{}
 	golden.Fill(b)
 	b.Module = json.RawMessage(`{"a":1}`)
-	golden.RoundTripOf(t, "handover", b, encodeJSON[legacy], decodeJSON[legacy])
-	require.Equal(t, "handover.sock learnt", handoverName+" "+learntPart)
+	golden.RoundTripOf(t, "handover", b, encodeJSON[handoverState], decodeJSON[handoverState])
+	require.Equal(t, "handover.sock learnt", handoverName+" "+snapshotPart)
 }
 
 // The orders that go to the leader, its replies and what the console shows of them have the recorded bytes.
@@ -39,11 +39,11 @@
 		a := &reply{}
 		return a, cbor.Unmarshal(raw, a)
 	})
-	golden.RoundTrip(t, "agreed", encodeJSON[agreedShown], decodeJSON[agreedShown])
-	here := &hereShown{}
+	golden.RoundTrip(t, "agreed", encodeJSON[leaderStatus], decodeJSON[leaderStatus])
+	here := &nodeStatus{}
 	golden.Fill(here)
-	here.Council = json.RawMessage(`{"a":1}`)
-	golden.RoundTripOf(t, "here", here, encodeJSON[hereShown], decodeJSON[hereShown])
+	here.Leader = json.RawMessage(`{"a":1}`)
+	golden.RoundTripOf(t, "here", here, encodeJSON[nodeStatus], decodeJSON[nodeStatus])
 }
 
 // The figures that are there without a fleet file, and those of the membership, are written as recorded.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,23 +24,23 @@
 // hears what it can't use, starts as from nothing.
 
 const (
-	handoverName    = "handover.sock"
-	handoverWithin  = 1500 * time.Millisecond // of the whole exchange
-	handoverMost    = 8 << 20                 // bytes of a message
-	handoverVersion = 1                       // of this side's part; the module's has its own
-	listWithin      = 3 * time.Second         // after which the list handed over has to do
-	sharedMost      = 12 * time.Second        // for which two processes run side by side
+	handoverName       = "handover.sock"
+	handoverTimeout    = 1500 * time.Millisecond // of the whole exchange
+	maxHandoverBytes   = 8 << 20                 // bytes of a message
+	handoverVersion    = 1                       // of this side's part; the module's has its own
+	listConfirmTimeout = 3 * time.Second         // after which the list handed over has to do
+	maxSideBySide      = 12 * time.Second        // for which two processes run side by side
 )
 
 // legacy is what goes over: the module's part, the names behind its server ids, and the list.
-type legacy struct {
-	Version   int
-	Discovery string // whose versions the list's is one of
-	LastID    uint32
-	IDs       map[string]uint32
-	List      discovery.Update
-	Sharers   float64 `json:",omitempty"` // of List, where it is a subset; see discovery.Update
-	Module    json.RawMessage
+type handoverState struct {
+	Version        int
+	Discovery      string // whose versions the list's is one of
+	LastID         uint32
+	IDs            map[string]uint32
+	List           discovery.Update
+	NodesPerServer float64 `json:"Sharers,omitempty"` // of List, where it is a subset; see discovery.Update
+	Module         json.RawMessage
 }
 
 // writeMessage sends a message with its length and sum, so that a part of one is never taken.
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	n := binary.BigEndian.Uint32(head[:4])
-	if n > handoverMost {
+	if n > maxHandoverBytes {
 		return nil, fmt.Errorf("a message of %d bytes", n)
 	}
 	m := make([]byte, n)
@@ -72,14 +72,14 @@
 
 // inherit takes over from the process that runs beside this one, if one does. The connection to
 // it stays open for as long as both run; nil is none.
-func (n *Node) inherit(dir string) net.Conn {
-	c, err := net.DialTimeout("unix", filepath.Join(dir, handoverName), handoverWithin)
+func (n *Node) takeOver(dir string) net.Conn {
+	c, err := net.DialTimeout("unix", filepath.Join(dir, handoverName), handoverTimeout)
 	if err != nil {
 		return nil // none, or one that has gone
 	}
-	_ = c.SetDeadline(time.Now().Add(handoverWithin))
+	_ = c.SetDeadline(time.Now().Add(handoverTimeout))
 	m, err := readMessage(c)
-	var from legacy
+	var from handoverState
 	if err == nil {
 		err = json.Unmarshal(m, &from)
 	}
@@ -90,39 +90,39 @@
 		err = from.List.Check()
 	}
 	if err == nil {
-		err = n.loop.ctl.Adopt(n.loop.now(), from.Module)
+		err = n.loop.controller.Adopt(n.loop.now(), from.Module)
 	}
 	if err != nil {
-		slog.Warn("nothing is taken over", "err", err)
+		slog.Warn("handover: starting without the state of the previous process", "error", err)
 		_ = c.Close()
 		// There is another process all the same, for a while.
 		n.upstream.sockets.share(true)
-		time.AfterFunc(sharedMost, func() { n.upstream.sockets.share(false) })
+		time.AfterFunc(maxSideBySide, func() { n.upstream.sockets.share(false) })
 		return nil
 	}
 	_ = c.SetDeadline(time.Time{})
 	n.takeList(from, true)
 	n.upstream.sockets.share(true)
-	slog.Info("taken over", "customers and servers", len(m), "listed", len(from.List.Targets))
+	slog.Info("handover: state taken over", "bytes", len(m), "endpoints", len(from.List.Targets))
 	return c
 }
 
 // takeList takes another process's list and the names of its servers. Its version counts where that
 // process held the list until now.
-func (n *Node) takeList(from legacy, current bool) {
+func (n *Node) takeList(from handoverState, current bool) {
 	for uid, id := range from.IDs {
-		n.loop.ids[uid] = id
-		n.loop.lastID = max(n.loop.lastID, id)
+		n.loop.serverIDs[uid] = id
+		n.loop.lastServerID = max(n.loop.lastServerID, id)
 	}
-	n.loop.lastID = max(n.loop.lastID, from.LastID)
+	n.loop.lastServerID = max(n.loop.lastServerID, from.LastID)
 	if len(from.List.Targets) > 0 {
-		from.List.Sharers = from.Sharers
-		n.known = n.discovery.Adopt(from.List, current && from.Discovery == n.discoveryAt)
+		from.List.Sharers = from.NodesPerServer
+		n.knownServers = n.discovery.Adopt(from.List, current && from.Discovery == n.discoveryAddress)
 	}
 }
 
 // succeed waits for the process before this one to end, and takes what it leaves.
-func (n *Node) succeed(ctx context.Context, c net.Conn) {
+func (n *Node) awaitPredecessor(ctx context.Context, c net.Conn) {
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
 	defer func() { _ = c.Close() }()
 	rest, err := readMessage(c)
@@ -130,23 +130,23 @@
 		return
 	}
 	if err != nil {
-		slog.Warn("the process before has left nothing", "err", err)
+		slog.Warn("handover: receiving the remainder of the previous process failed", "error", err)
 		rest = nil
 	}
-	n.loop.post(func() { n.alone(rest) })
+	n.loop.post(func() { n.endSharing(rest) })
 }
 
 // alone has the node go on without the other process.
-func (n *Node) alone(rest []byte) {
-	if err := n.loop.ctl.EndSharing(n.loop.now(), rest); err != nil {
-		slog.Warn("the rest can't be used", "err", err)
+func (n *Node) endSharing(rest []byte) {
+	if err := n.loop.controller.EndSharing(n.loop.now(), rest); err != nil {
+		slog.Warn("handover: using the remainder of the previous process failed", "error", err)
 	}
 	n.upstream.sockets.share(false)
 }
 
 // bequeath hands over to a process that starts beside this one, until ctx ends; then, when the
 // loop has ended, what is left.
-func (n *Node) bequeath(ctx context.Context, dir string) {
+func (n *Node) serveHandover(ctx context.Context, dir string) {
 	// Guards against a name without a listener: the new one takes the old one's place at once.
 	own := filepath.Join(dir, handoverName+"."+strconv.Itoa(os.Getpid()))
 	l, err := net.Listen("unix", own)
@@ -157,7 +157,7 @@
 		}
 	}
 	if err != nil {
-		slog.Warn("nothing can be handed over", "err", err)
+		slog.Warn("handover: listening for a successor failed", "error", err)
 		return
 	}
 	defer context.AfterFunc(ctx, func() { _ = l.Close() })()
@@ -166,18 +166,18 @@
 		if err != nil {
 			return
 		}
-		n.hand(c)
+		n.handOver(c)
 	}
 }
 
 // hand serves one process that takes over, until either ends.
-func (n *Node) hand(c net.Conn) {
+func (n *Node) handOver(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	got := make(chan []byte, 1)
 	if !n.loop.post(func() {
-		m, err := n.loop.bequest(n.discovery.Address())
+		m, err := n.loop.handoverMessage(n.discovery.Address())
 		if err != nil {
-			slog.Warn("nothing is handed over", "err", err)
+			slog.Warn("handover: encoding the state failed", "error", err)
 		}
 		n.upstream.sockets.share(true)
 		got <- m
@@ -190,12 +190,12 @@
 	case <-n.loop.ended:
 		return
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(handoverWithin))
+	_ = c.SetWriteDeadline(time.Now().Add(handoverTimeout))
 	if m == nil || writeMessage(c, m) != nil {
-		n.loop.post(func() { n.alone(nil) })
+		n.loop.post(func() { n.endSharing(nil) })
 		return
 	}
-	slog.Info("handed over", "bytes", len(m))
+	slog.Info("handover: state handed over", "bytes", len(m))
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
@@ -203,11 +203,11 @@
 	}()
 	select {
 	case <-gone:
-		slog.Warn("the process that took over has gone")
-		n.loop.post(func() { n.alone(nil) })
+		slog.Warn("handover: the successor has ended")
+		n.loop.post(func() { n.endSharing(nil) })
 	case <-n.loop.ended: // what is left is granted there only
-		if m, err := n.loop.ctl.Remainder(n.loop.now()); err == nil && n.loop.failed == nil {
-			_ = c.SetWriteDeadline(time.Now().Add(handoverWithin))
+		if m, err := n.loop.controller.Remainder(n.loop.now()); err == nil && n.loop.failure == nil {
+			_ = c.SetWriteDeadline(time.Now().Add(handoverTimeout))
 			_ = writeMessage(c, m)
 		}
 		_ = c.Close()
@@ -216,38 +216,38 @@
 }
 
 // bequest is what the loop's side hands over. From now on the module shares its quotas.
-func (l *loop) bequest(address string) ([]byte, error) {
-	module, err := l.ctl.Handover(l.now())
+func (l *loop) handoverMessage(address string) ([]byte, error) {
+	module, err := l.controller.Handover(l.now())
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(l.legacy(address, module))
+	return json.Marshal(l.handoverState(address, module))
 }
 
 // legacy is what goes to another process: the module's part, the names behind its ids, and the list.
-func (l *loop) legacy(address string, module []byte) legacy {
-	b := legacy{Version: handoverVersion, Discovery: address, LastID: l.lastID, IDs: l.ids,
-		List: discovery.Update{Rev: l.rev, All: true}, Sharers: l.sharers, Module: module}
-	if l.sharers > 0 {
+func (l *loop) handoverState(address string, module []byte) handoverState {
+	b := handoverState{Version: handoverVersion, Discovery: address, LastID: l.lastServerID, IDs: l.serverIDs,
+		List: discovery.Update{Rev: l.listRevision, All: true}, NodesPerServer: l.nodesPerServer, Module: module}
+	if l.nodesPerServer > 0 {
 		b.Discovery = "" // nobody has the rest of the list: a program before this one asks for all of it too
 	}
-	for _, t := range l.targets {
+	for _, t := range l.endpoints {
 		b.List.Targets = append(b.List.Targets, t)
 	}
 	return b
 }
 
 // keep remembers the list, for a process that takes over.
-func (l *loop) keep(kind control.UpdateKind, news discovery.Update) {
+func (l *loop) rememberEndpoints(kind control.UpdateKind, news discovery.Update) {
 	if kind != control.Delta {
-		clear(l.targets)
+		clear(l.endpoints)
 	}
 	for _, t := range news.Targets {
 		if t.Status() == discovery.Removed {
-			delete(l.targets, t.UID)
+			delete(l.endpoints, t.UID)
 		} else {
-			l.targets[t.UID] = t
+			l.endpoints[t.UID] = t
 		}
 	}
-	l.rev, l.sharers = news.Rev, news.Sharers
+	l.listRevision, l.nodesPerServer = news.Rev, news.Sharers
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -43,10 +43,10 @@
 	gone.State = "removed"
 	old.list(gone, b)
 	old.wait("ready", old.node.front.ready.Load)
-	most := old.node.upstream.sockets.most.Load()
+	most := old.node.upstream.sockets.limit.Load()
 
 	fresh := newRigWith(t, config)
-	fresh.wait("the old one's ids", func() bool { return fresh.node.loop.ids["s-1"] == 2 && fresh.node.loop.lastID == 2 })
+	fresh.wait("the old one's ids", func() bool { return fresh.node.loop.serverIDs["s-1"] == 2 && fresh.node.loop.lastServerID == 2 })
 	if q := next(t, fresh.agent.Asked); q != "/v1/servers?watch=1" { // its discovery is not the old one's
 		t.Errorf("asked %s", q)
 	}
@@ -54,7 +54,7 @@
 		t.Error("yes before it was told its list")
 	}
 	for _, r := range []*rig{old, fresh} {
-		if now := r.node.upstream.sockets.most.Load(); now != most/2-int64(socketsApart+consolePlaces)/2 {
+		if now := r.node.upstream.sockets.limit.Load(); now != most/2-int64(ownDescriptors+maxConsoleConns)/2 {
 			t.Errorf("%d descriptors of %d", now, most)
 		}
 	}
@@ -66,7 +66,7 @@
 		t.Error(err)
 	}
 	old.ended <- nil
-	fresh.wait("alone", func() bool { return fresh.node.upstream.sockets.most.Load() == most })
+	fresh.wait("alone", func() bool { return fresh.node.upstream.sockets.limit.Load() == most })
 	if resp, _ := fresh.do(fresh.call(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
@@ -85,7 +85,7 @@
 			t.Fatal("never ready")
 		}
 	}
-	if took := time.Since(begun); took < listWithin/2 {
+	if took := time.Since(begun); took < listConfirmTimeout/2 {
 		t.Errorf("yes after %v without its list", took)
 	}
 }
@@ -95,15 +95,15 @@
 	config := beside(t)
 	old := newRigWith(t, config)
 	old.list(newApp(t, served).target("s-1", 0))
-	most := old.node.upstream.sockets.most.Load()
+	most := old.node.upstream.sockets.limit.Load()
 	fresh := newRigWith(t, config)
-	fresh.wait("the old one's list", func() bool { return len(fresh.node.loop.ids) == 1 })
+	fresh.wait("the old one's list", func() bool { return len(fresh.node.loop.serverIDs) == 1 })
 	fresh.stop()
 	if err := next(t, fresh.ended); err != nil {
 		t.Error(err)
 	}
 	fresh.ended <- nil
-	old.wait("alone", func() bool { return old.node.upstream.sockets.most.Load() == most })
+	old.wait("alone", func() bool { return old.node.upstream.sockets.limit.Load() == most })
 	if !old.node.front.ready.Load() {
 		t.Error("the old one is not ready any more")
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -87,15 +87,15 @@
 	if r.node, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	r.node.most = drainServe + 800*time.Millisecond // short drains
+	r.node.maxDrain = drainLetGo + 800*time.Millisecond // short drains
 	for _, s := range set {
 		s(r.node)
 	}
 	r.conns = &recorded{Listener: r.node.listener}
 	r.node.listener = r.conns
-	r.node.upstream.rest = 0 // at once, so that a wrong one would be used again too
-	updated := r.node.updated
-	r.node.updated = func(u discovery.Update) {
+	r.node.upstream.restTime = 0 // at once, so that a wrong one would be used again too
+	updated := r.node.onUpdate
+	r.node.onUpdate = func(u discovery.Update) {
 		updated(u)
 		r.told <- u.Rev
 	}
@@ -105,7 +105,7 @@
 	go func() { r.ended <- r.node.Run(ctx) }()
 	t.Cleanup(func() {
 		if !stopped {
-			r.node.most = drainClose // nobody looks at this drain
+			r.node.maxDrain = drainCloseDelay // nobody looks at this drain
 		}
 		stop()
 		select {
@@ -241,7 +241,7 @@
 // pooled are the idle connections to app servers.
 func pooled(u *upstream) []*conn {
 	var all []*conn
-	u.drop(func(c *conn) bool { all = append(all, c); return false })
+	u.closeIdleWhere(func(c *conn) bool { all = append(all, c); return false })
 	return all
 }
 
--- /dev/null
+++ b/internal/node/limitsharing.go
@@ -0,0 +1,294 @@
+package node
+
+import (
+	"log/slog"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/prometheus/client_golang/prometheus"
+
+	"sloestile/control"
+	"sloestile/fleet/ratelimit"
+	"sloestile/internal/config"
+	"sloestile/internal/discovery"
+	"sloestile/internal/membership"
+)
+
+const (
+	maxOutgoing       = 256 // messages that wait to be sent; one beyond is lost, and its uses are sent again
+	maxQueued         = 128 // messages that wait for the loop; one beyond is lost
+	defaultMaxTenants = 1024
+)
+
+// sharing is the node's part in keeping customers' stores for all nodes. It belongs to the loop, but
+// for what receives and sends messages; neither waits for the other.
+type limitSharing struct {
+	loop        *loop
+	limiter     *ratelimit.Limiter // nil until the membership has begun
+	settings    *control.Settings
+	peersConfig config.Peers                // what is shared
+	serverByID  map[uint32]ratelimit.Server // of the listed rating servers
+	idByServer  map[ratelimit.Server]uint32
+	peers       atomic.Pointer[membership.Peers] // nil until the membership has begun
+	outgoing    chan ratelimit.Outgoing
+	sender      sync.WaitGroup
+	timer       *time.Timer
+	timerAt     time.Duration // when the timer rings; zero is not
+
+	membersChanged atomic.Bool  // news of members is on its way to the loop
+	queued         atomic.Int64 // messages on their way to the loop
+	counts         atomic.Pointer[ratelimit.Counts]
+	age            prometheus.Histogram
+	corrupt, droppedIn, droppedOut,
+	knownBuckets, unknownBuckets prometheus.Counter
+}
+
+func newLimitSharing(set *control.Settings, on config.Peers, l *loop) *limitSharing {
+	s := &limitSharing{loop: l, settings: set, peersConfig: on, serverByID: make(map[uint32]ratelimit.Server), idByServer: make(map[ratelimit.Server]uint32), outgoing: make(chan ratelimit.Outgoing, maxOutgoing)}
+	s.counts.Store(&ratelimit.Counts{})
+	s.registerMetrics()
+	return s
+}
+
+// describe names the figures for the operators.
+func (s *limitSharing) registerMetrics() {
+	registry := s.loop.metricsRegistry()
+	s.age = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "node_share_age_seconds",
+		Help: "Age of what was told of a store when a request was decided by it.", Buckets: []float64{.01, .05, .1, .2, .3, .5, .7, .9, 1}})
+	counter := func(name, help string) prometheus.Counter {
+		c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
+		registry.MustRegister(c)
+		return c
+	}
+	registry.MustRegister(s.age)
+	s.corrupt = counter("node_share_spoilt_total", "Messages of others that could not be used.")
+	s.droppedIn = counter("node_share_dropped_total", "Messages of others dropped, as the loop had no room.")
+	s.droppedOut = counter("node_share_unsent_total", "Messages that could not be sent.")
+	s.knownBuckets = counter("node_share_known_total", "Requests whose store was known.")
+	s.unknownBuckets = counter("node_share_unknown_total", "Requests whose store was not known: decided as by one alone.")
+	for name, of := range map[string]func(*ratelimit.Counts) int64{
+		"node_share_sent_total":     func(c *ratelimit.Counts) int64 { return c.Sent },
+		"node_share_heard_total":    func(c *ratelimit.Counts) int64 { return c.Received },
+		"node_share_late_total":     func(c *ratelimit.Counts) int64 { return c.Late },
+		"node_share_ageless_total":  func(c *ratelimit.Counts) int64 { return c.UnknownAge },
+		"node_share_strange_total":  func(c *ratelimit.Counts) int64 { return c.UnknownSender },
+		"node_share_resent_total":   func(c *ratelimit.Counts) int64 { return c.Resent },
+		"node_share_repeated_total": func(c *ratelimit.Counts) int64 { return c.Duplicates },
+		"node_share_untold_total":   func(c *ratelimit.Counts) int64 { return c.Unowned },
+		"node_share_charges_total":  func(c *ratelimit.Counts) int64 { return c.SlowReports },
+		"node_share_verdicts_total": func(c *ratelimit.Counts) int64 { return c.Outliers },
+		"node_share_handed_total":   func(c *ratelimit.Counts) int64 { return c.TransferredOut },
+		"node_share_taken_total":    func(c *ratelimit.Counts) int64 { return c.TransferredIn },
+	} {
+		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
+			func() float64 { return float64(of(s.counts.Load())) }))
+	}
+	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "node_share_stores", Help: "Customers' stores kept here for all nodes."},
+		func() float64 { return float64(s.counts.Load().Buckets) }))
+	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "node_share_low", Help: "Those of them that are low."},
+		func() float64 { return float64(s.counts.Load().LowBuckets) }))
+}
+
+// start begins to take part, once the membership has begun.
+func (s *limitSharing) start(p *membership.Peers) {
+	quotas := make(map[uint32]ratelimit.Quota)
+	for _, plan := range s.settings.Plans {
+		quotas[planKey(plan.Name)] = ratelimit.Quota{Rate: plan.Rate, Burst: plan.Burst}
+	}
+	customers := s.settings.MaxTenants
+	if customers <= 0 {
+		customers = defaultMaxTenants
+	}
+	s.peers.Store(p)
+	s.sender.Go(s.sendMessages)
+	s.loop.post(func() { // it waits for a loop that has not begun
+		s.limiter = ratelimit.NewLimiter(ratelimit.Config{Node: s.settings.NodeIndex, FleetSize: s.settings.FleetSize, Incarnation: p.Incarnation(),
+			Quotas: quotas, MaxTenants: customers}, s.loop.now())
+		s.updateMembers()
+	})
+}
+
+func planKey(plan string) uint32 { return uint32(xxhash.Sum64String(plan)) }
+
+func tenantKey(r *control.Request) uint64 {
+	return xxhash.Sum64String(r.Plan + " " + r.Tenant)
+}
+
+// ---- the loop's ----
+
+// known gives what is known of the store that a request is held against; nil is nothing.
+func (s *limitSharing) bucketOf(r *control.Request) *control.SharedBucket {
+	if s.limiter == nil || !s.peersConfig.SharedLimits {
+		return nil
+	}
+	k, ok := s.limiter.Level(s.loop.now(), tenantKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes})
+	if !ok {
+		s.unknownBuckets.Inc()
+		return nil
+	}
+	s.knownBuckets.Inc()
+	s.age.Observe(k.Age.Seconds())
+	return &control.SharedBucket{Tokens: k.Tokens, AtLeast: k.AtLeast, Age: k.Age}
+}
+
+// sent tells of units sent on; see ratelimit.Exchange.
+func (s *limitSharing) consume(r *control.Request, units float64, correction bool) {
+	if s.limiter == nil || !s.peersConfig.SharedLimits {
+		return
+	}
+	s.limiter.Consume(s.loop.now(), tenantKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes}, units, correction)
+	s.scheduleFlush()
+}
+
+// listed takes an entry of the list, or that one is gone.
+func (s *limitSharing) updateServer(id uint32, t *discovery.Target) {
+	if old, ok := s.serverByID[id]; ok {
+		delete(s.idByServer, old)
+		delete(s.serverByID, id)
+	}
+	if t != nil {
+		v := ratelimit.Server{Key: xxhash.Sum64String(t.UID), StartedAt: uint64(max(0, t.BootMS))}
+		s.serverByID[id], s.idByServer[v] = v, id
+	}
+}
+
+// charge speaks against a server to the other nodes.
+func (s *limitSharing) reportSlow(server uint32) {
+	if v, ok := s.serverByID[server]; ok && s.limiter != nil && s.peersConfig.OutlierReports {
+		s.limiter.ReportSlow(s.loop.now(), v)
+		s.scheduleFlush()
+	}
+}
+
+// judge tells the module of servers against which enough nodes speak. It is not to be called while
+// the loop carries out what the module answered.
+func (s *limitSharing) applyOutlierReports() {
+	for _, v := range s.limiter.Outliers(s.loop.now(), len(s.idByServer)) {
+		if id, ok := s.idByServer[v.Server]; ok {
+			slog.Info("outlier reports: nodes report a server as slow", "server", id, "reporters", v.Reporters)
+			s.loop.handle(control.OutlierReport{Server: id, Reporters: v.Reporters, Until: v.ReportedAt + ratelimit.SlowReportLifetime})
+		}
+	}
+}
+
+// members takes the live members.
+func (s *limitSharing) updateMembers() {
+	s.membersChanged.Store(false)
+	if s.limiter == nil {
+		return
+	}
+	var nodes []ratelimit.Peer
+	live, _ := s.peers.Load().Live()
+	for _, m := range live {
+		if m.State >= membership.StateVersion {
+			nodes = append(nodes, ratelimit.Peer{Index: m.Index, Incarnation: m.Incarnation})
+		}
+	}
+	s.limiter.SetLive(s.loop.now(), nodes)
+	s.scheduleFlush()
+}
+
+// leave gives the stores held here to others.
+func (s *limitSharing) leave() {
+	if s.limiter != nil {
+		s.limiter.Leave(s.loop.now())
+		s.flush()
+	}
+}
+
+// flush sends what is due.
+func (s *limitSharing) flush() {
+	s.timerAt = 0
+	for _, o := range s.limiter.Flush(s.loop.now()) {
+		select {
+		case s.outgoing <- o:
+		default:
+			s.droppedOut.Inc()
+		}
+	}
+	s.applyOutlierReports()
+	counts := s.limiter.Stats()
+	s.counts.Store(&counts)
+	s.scheduleFlush()
+}
+
+// arm has flush called when something is due.
+func (s *limitSharing) scheduleFlush() {
+	when, ok := s.limiter.NextFlush()
+	if !ok || s.timerAt != 0 && s.timerAt <= when {
+		return
+	}
+	s.timerAt = when
+	wait := max(0, when-s.loop.now())
+	if s.timer != nil {
+		s.timer.Stop()
+	}
+	s.timer = time.AfterFunc(wait, func() {
+		s.loop.post(func() {
+			if s.timerAt == when {
+				s.flush()
+			}
+		})
+	})
+}
+
+// ---- the membership's ----
+
+// receive takes a message; the bytes are the caller's after it.
+func (s *limitSharing) receive(raw []byte) {
+	m, err := ratelimit.Decode(raw, s.settings.FleetSize)
+	if err != nil {
+		s.corrupt.Inc()
+		slog.Debug("shared limits: message dropped", "bytes", len(raw), "error", err)
+		return
+	}
+	if s.queued.Add(1) > maxQueued {
+		s.queued.Add(-1)
+		s.droppedIn.Inc()
+		return
+	}
+	s.loop.post(func() {
+		s.queued.Add(-1)
+		if s.limiter != nil {
+			now := s.loop.now()
+			s.limiter.Receive(now, m)
+			if when, ok := s.limiter.NextFlush(); ok && when <= now { // as most answers to others are
+				s.flush()
+				return
+			}
+			s.applyOutlierReports()
+			s.scheduleFlush()
+		}
+	})
+}
+
+// changed has the loop take the live members, once for many changes. The loop waits for nothing of
+// the membership's.
+func (s *limitSharing) membershipChanged() {
+	if s.peers.Load() != nil && !s.membersChanged.Swap(true) {
+		s.loop.post(s.updateMembers)
+	}
+}
+
+// carry sends messages until out is closed.
+func (s *limitSharing) sendMessages() {
+	for o := range s.outgoing {
+		raw, err := o.Message.Encode()
+		if err == nil {
+			err = s.peers.Load().Send(o.To, raw)
+		}
+		if err != nil {
+			s.droppedOut.Inc()
+			slog.Debug("shared limits: sending a message failed", "to", o.To, "error", err)
+		}
+	}
+}
+
+// end ends the sending, once the loop has ended or sends no more.
+func (s *limitSharing) waitForSender() {
+	<-s.loop.ended
+	close(s.outgoing)
+	s.sender.Wait()
+}
--- a/internal/node/sharing_test.go
+++ b/internal/node/limitsharing_test.go
@@ -62,7 +62,7 @@
 				r.list(app.target("a", 1))
 				if limits {
 					askBasic(r, "first", 1, 2) // so that the store has an owner that tells of it
-					r.wait("any word", func() bool { return r.node.loop.sharing.known(q) != nil })
+					r.wait("any word", func() bool { return r.node.loop.limitSharing.bucketOf(q) != nil })
 				}
 			}
 			for i := 0; askBasic(rigs[0], fmt.Sprint("a", i), 1, 2) == http.StatusOK; i++ {
@@ -78,14 +78,14 @@
 				return
 			}
 			b.wait("word of the store", func() bool {
-				s := b.node.loop.sharing.known(q)
+				s := b.node.loop.limitSharing.bucketOf(q)
 				return s != nil && !s.AtLeast && s.Tokens < 3
 			})
 			if got := askBasic(b, "b", 4, 2); got != http.StatusServiceUnavailable {
 				t.Errorf("a node that is told of an empty store answers %d", got)
 			}
 			var text strings.Builder
-			writeRegistry(&text, b.node.loop.figures)
+			writeRegistry(&text, b.node.loop.metrics)
 			if !strings.Contains(text.String(), "node_share_age_seconds_bucket") || !strings.Contains(text.String(), "node_share_known_total") {
 				t.Error("the figures lack age or known")
 			}
@@ -96,7 +96,7 @@
 // Without a fleet file a node has no part of this, and tells the module nothing.
 func TestOffIsNothing(t *testing.T) {
 	r := newRig(t)
-	if n := r.node; n.peering != nil || n.peers.Load() != nil || n.loop.sharing != nil {
+	if n := r.node; n.startPeers != nil || n.peers.Load() != nil || n.loop.limitSharing != nil {
 		t.Error("a node without a fleet file talks")
 	}
 }
@@ -104,14 +104,14 @@
 // What the loop does more for a request where limits are shared, and the store known.
 func BenchmarkSharing(b *testing.B) {
 	q := &control.Request{Plan: "basic", Tenant: "x", TenantNodes: 3, Tokens: 1}
-	s := newSharing(&control.Settings{FleetSize: 3}, config.Peers{SharedLimits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
-	s.ex = ratelimit.NewLimiter(ratelimit.Config{Node: 0, FleetSize: 3, Incarnation: 1, MaxTenants: 1000,
+	s := newLimitSharing(&control.Settings{FleetSize: 3}, config.Peers{SharedLimits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
+	s.limiter = ratelimit.NewLimiter(ratelimit.Config{Node: 0, FleetSize: 3, Incarnation: 1, MaxTenants: 1000,
 		Quotas: map[uint32]ratelimit.Quota{planKey("basic"): {Rate: 1e9, Burst: 1e9}}}, s.loop.now())
-	s.ex.SetLive(s.loop.now(), []ratelimit.Peer{{Index: 1, Incarnation: 1}, {Index: 2, Incarnation: 1}})
+	s.limiter.SetLive(s.loop.now(), []ratelimit.Peer{{Index: 1, Incarnation: 1}, {Index: 2, Incarnation: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
-		s.known(q)
-		s.sent(q, 1, false)
+		s.bucketOf(q)
+		s.consume(q, 1, false)
 	}
 	close(s.loop.ended)
 }
@@ -129,16 +129,16 @@
 	}
 	cfg.Settings.PeerMessages = true
 	cfg.Fleet = &config.Fleet{Peers: &config.Peers{Label: "x", Port: before.Addr().(*net.TCPAddr).Port}}
-	join, err := peering(cfg, &loop{})
+	join, err := startPeersFunc(cfg, &loop{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Node{peering: join}
-	if _, err := n.peering(); !errors.Is(err, syscall.EADDRINUSE) {
+	n := &Node{startPeers: join}
+	if _, err := n.startPeers(); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Fatalf("while the address is taken: %v", err)
 	}
 	_ = before.Close()
-	p := n.join(t.Context())
+	p := n.joinPeers(t.Context())
 	if p == nil || n.peers.Load() != p {
 		t.Fatal("it does not begin")
 	}
--- a/internal/node/longanswers_test.go
+++ b/internal/node/longanswers_test.go
@@ -93,7 +93,7 @@
 	r.list(stream(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst")
 		<-came
-		time.Sleep(answerStall + answerStall/4) // has to pass
+		time.Sleep(answerIdleTimeout + answerIdleTimeout/4) // has to pass
 		_, _ = io.WriteString(c, "after")
 	}).target("s-1", 0))
 	c := r.dial()
@@ -188,17 +188,17 @@
 
 // A message may take its time, but not without end: a byte now and then is no progress.
 func TestMessagesComeToAnEnd(t *testing.T) {
-	if d := mostTime(bodyMostTime, 0); d != bodyMostTime {
+	if d := maxDuration(bodyTimeout, 0); d != bodyTimeout {
 		t.Errorf("%v for nothing", d)
 	}
 	// The slowest proper client sends 64 kB a second.
-	if d := mostTime(bodyMostTime, 32<<20); d < 32<<20*time.Second/64000 {
+	if d := maxDuration(bodyTimeout, 32<<20); d < 32<<20*time.Second/64000 {
 		t.Errorf("32 MB may take only %v", d)
 	}
 	b := newClientBody(strings.NewReader("x"), http.NewResponseController(&deadlines{}))
-	b.begun = time.Now().Add(-bodyMostTime)
+	b.begun = time.Now().Add(-bodyTimeout)
 	set := &deadlines{}
-	b.limit = http.NewResponseController(set)
+	b.deadlines = http.NewResponseController(set)
 	_, _ = b.Read(make([]byte, 1))
 	if left := time.Until(set.read[0]); left > time.Second {
 		t.Errorf("another %v for a body that has had its time", left)
--- a/internal/node/longbodies_test.go
+++ b/internal/node/longbodies_test.go
@@ -156,7 +156,7 @@
 		if a.count() != before {
 			t.Fatal("an app server was asked before the body was whole")
 		}
-		if r.node.stats.of["visit-update"].busy.Load() == 0 && i < 12 { // within the burst: it goes on
+		if r.node.stats.byClass["visit-update"].rejected.Load() == 0 && i < 12 { // within the burst: it goes on
 			_, _ = c.Write(half)
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode == 200 {
 				continue
--- a/internal/node/stats.go
+++ b/internal/node/metrics.go
@@ -18,35 +18,35 @@
 // requests; whoever decides an outcome counts it here, once. All are atomics, so that reading
 // them waits for nobody.
 type stats struct {
-	tiers    []string // the classes in order
-	of       map[string]*tierStats
+	classes  []string // the classes in order
+	byClass  map[string]*classStats
 	calls    atomic.Int64 // attempts written whole to app servers
 	inflight atomic.Int64 // requests taken and not ended
 	listed   atomic.Int64 // app servers in the list
-	down     atomic.Int64 // those of them that the module avoids
+	avoided  atomic.Int64 // those of them that the module avoids
 }
 
 // tierStats are the counts of one class's requests.
-type tierStats struct{ success, busy, failure atomic.Int64 }
+type classStats struct{ success, rejected, failure atomic.Int64 }
 
 func newStats(classes []control.Class) *stats {
-	s := &stats{of: make(map[string]*tierStats, len(classes))}
+	s := &stats{byClass: make(map[string]*classStats, len(classes))}
 	for _, k := range classes {
-		s.tiers = append(s.tiers, k.Name)
-		s.of[k.Name] = &tierStats{}
+		s.classes = append(s.classes, k.Name)
+		s.byClass[k.Name] = &classStats{}
 	}
-	slices.Sort(s.tiers)
+	slices.Sort(s.classes)
 	return s
 }
 
 // answered counts a final answer that was written to its client.
 func (s *stats) answered(class string, status int) {
-	t := s.of[class]
+	t := s.byClass[class]
 	switch status {
 	case http.StatusOK:
 		t.success.Add(1)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		t.busy.Add(1)
+		t.rejected.Add(1)
 	default:
 		t.failure.Add(1)
 	}
@@ -56,15 +56,15 @@
 func (s *stats) write(w io.Writer) {
 	for _, m := range []struct {
 		name, help string
-		of         func(*tierStats) *atomic.Int64
+		of         func(*classStats) *atomic.Int64
 	}{
-		{"node_success_total", "Requests served.", func(t *tierStats) *atomic.Int64 { return &t.success }},
-		{"node_busy_total", "Requests refused.", func(t *tierStats) *atomic.Int64 { return &t.busy }},
-		{"node_failure_total", "Requests failed.", func(t *tierStats) *atomic.Int64 { return &t.failure }},
+		{"node_success_total", "Requests served.", func(t *classStats) *atomic.Int64 { return &t.success }},
+		{"node_busy_total", "Requests refused.", func(t *classStats) *atomic.Int64 { return &t.rejected }},
+		{"node_failure_total", "Requests failed.", func(t *classStats) *atomic.Int64 { return &t.failure }},
 	} {
 		fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s counter\n", m.name, m.help, m.name)
-		for _, name := range s.tiers {
-			fmt.Fprintf(w, "%s{tier=%q} %d\n", m.name, name, m.of(s.of[name]).Load())
+		for _, name := range s.classes {
+			fmt.Fprintf(w, "%s{tier=%q} %d\n", m.name, name, m.of(s.byClass[name]).Load())
 		}
 	}
 	for _, m := range []struct {
@@ -74,7 +74,7 @@
 		{"node_backend_calls_total", "counter", "Attempts written whole to rating servers.", &s.calls},
 		{"node_inflight", "gauge", "Requests taken and not ended.", &s.inflight},
 		{"node_hosts_listed", "gauge", "Rating servers in the list.", &s.listed},
-		{"node_hosts_down", "gauge", "Listed rating servers that are avoided now.", &s.down},
+		{"node_hosts_down", "gauge", "Listed rating servers that are avoided now.", &s.avoided},
 	} {
 		writeFigure(w, m.name, m.kind, m.help, m.value)
 	}
@@ -88,7 +88,7 @@
 func writeRegistry(w io.Writer, r *prometheus.Registry) {
 	families, err := r.Gather()
 	if err != nil {
-		slog.Error("figures", "err", err)
+		slog.Error("metrics: gathering failed", "error", err)
 	}
 	for _, f := range families {
 		if _, err := expfmt.MetricFamilyToText(w, f); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,111 +16,128 @@
 	"sloestile/internal/membership"
 )
 
+// Times of a drain. The platform gives a node 0.7 s more than the longest deadline of its classes.
 const (
-	deadlineMost = 3 * time.Second         // of a class, as far as the end of a planned restart waits for it
-	drainMargin  = 300 * time.Millisecond  // after the longest deadline: what is still held then is failed
-	drainServe   = 1200 * time.Millisecond // before that: connections are let go
-	drainClose   = 200 * time.Millisecond  // from then until what rests is closed, and no new connections are taken
-	drainListen  = 400 * time.Millisecond  // for which new connections may come, by the protocol
-	drainWrite   = 300 * time.Millisecond  // what the last answers may take
-	drainLook    = 20 * time.Millisecond   // how often an end is looked for that comes early
-	reportEvery  = 5 * time.Second         // how often the log is told what became of connections
-	readyMost    = 5 * time.Second         // a process is ready by then, whatever it was told of servers
+	maxDrainDeadline  = 3 * time.Second         // longest class deadline that a drain waits for
+	drainMargin       = 300 * time.Millisecond  // after it: what is open then is answered with 502
+	drainLetGo        = 1200 * time.Millisecond // before the end of the drain: answers close their connections
+	drainCloseDelay   = 200 * time.Millisecond  // from then until idle connections are closed and no new ones accepted
+	drainListenTime   = 400 * time.Millisecond  // for which new connections may come, by the protocol
+	drainWriteTime    = 300 * time.Millisecond  // for the last answers
+	drainPollInterval = 20 * time.Millisecond   // between two looks for an early end
 )
 
-// Node is an edge node.
+const (
+	logInterval       = 5 * time.Second // between two log lines with counts of connections
+	readyTimeout      = 5 * time.Second // after the start, by which the node is ready without an endpoint list
+	joinRetryInterval = time.Second     // between two tries to start peers while the previous process has the address
+)
+
+// Node is an edge node. New starts to listen, Run serves until its context ends.
 type Node struct {
-	name      string
-	front     *front
-	loop      *loop
-	upstream  *upstream
-	discovery watcher
-	known     discovery.Update       // shown to the loop as stale at the start
-	updated   func(discovery.Update) // takes the watcher's updates
-	degraded  *degraded
-	listener  net.Listener
-	listening context.CancelFunc
-	inherited bool          // the socket of the clients is the platform's: another process may share it
-	most      time.Duration // a drain ends by then
-	readyBy   time.Duration // after the start, whatever came of discovery until then
-	console   *console      // nil is none
-	stats     *stats
-	drainer   *drainer
-	peers     atomic.Pointer[membership.Peers]  // nil is that nodes don't talk, or not yet
-	peering   func() (*membership.Peers, error) // begins it; nil is that nodes don't talk
+	name     string
+	front    *front
+	loop     *loop
+	upstream *upstream
+	stats    *stats
+	console  *console // nil is none
+	drainer  *drainer
+
+	discovery        watcher
+	discoveryAddress string
+	knownServers     discovery.Update       // cached list for the decision module at the start
+	onUpdate         func(discovery.Update) // takes the watcher's updates
+	degraded         *degradedDiscovery
+
+	listener      net.Listener
+	stopListening context.CancelFunc
+	inherited     bool          // the clients' socket was inherited: another process may share it
+	maxDrain      time.Duration // a drain ends by then
+	readyTimeout  time.Duration
 
-	dir         string // that a process which takes this one's place shares; "" is none
-	discoveryAt string
-	listDue     atomic.Bool // the list that was handed over is to be confirmed
+	peers      atomic.Pointer[membership.Peers]  // nil while peers are off or not started
+	startPeers func() (*membership.Peers, error) // nil is off
+
+	handoverDir     string      // shared with the process that takes over from this one; "" is none
+	listUnconfirmed atomic.Bool // the list that was handed over has not been confirmed by discovery
 }
 
-// New makes an edge node and begins to listen.
+// New makes an edge node and starts to listen.
 func New(cfg config.Config) (*Node, error) {
-	socks := newSockets(cfg.MaxSockets, placesApart(cfg))
+	sockets := newSockets(cfg.MaxSockets, reservedDescriptors(cfg))
 	counts := newStats(cfg.Settings.Classes)
-	up := newUpstreamOf(cfg, socks)
+	up := upstreamOf(cfg, sockets)
 	l, err := newLoop(cfg, up, counts)
 	if err != nil {
 		return nil, &config.FileError{File: cfg.File, Err: err}
 	}
-	tcp, inherited, err := listen(cfg)
+	listener, inherited, err := listen(cfg)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &Node{name: cfg.Name, front: newFront(cfg.Settings, l, socks, counts), loop: l, upstream: up,
-		listener: &countedListener{tcp, ctx, socks}, listening: cancel, inherited: inherited,
-		most: drainMost(cfg.Settings.Classes), readyBy: readyMost, stats: counts}
+	n := &Node{
+		name:             cfg.Name,
+		front:            newFront(cfg.Settings, l, sockets, counts),
+		loop:             l,
+		upstream:         up,
+		stats:            counts,
+		discoveryAddress: cfg.Discovery,
+		listener:         &countedListener{listener, ctx, sockets},
+		stopListening:    cancel,
+		inherited:        inherited,
+		maxDrain:         maxDrainOf(cfg.Settings.Classes),
+		readyTimeout:     readyTimeout,
+	}
 	n.drainer = &drainer{front: n.front}
-	n.discoveryAt = cfg.Discovery
 	if inherited {
-		n.dir = cfg.HandoverDir
+		n.handoverDir = cfg.HandoverDir
 	}
 	if err := n.assemble(cfg); err != nil {
 		cancel()
-		_ = tcp.Close()
+		_ = listener.Close()
 		return nil, err
 	}
 	return n, nil
 }
 
-// placesApart is how many descriptors are set apart for other parts than clients and servers.
-func placesApart(cfg config.Config) int {
-	apart := socketsApart
+// reservedDescriptors returns how many descriptors are reserved for other uses than connections to clients and servers.
+func reservedDescriptors(cfg config.Config) int {
+	reserved := ownDescriptors
 	if cfg.Console != "" {
-		apart += consolePlaces
+		reserved += maxConsoleConns
 	}
 	if cfg.Fleet != nil && cfg.Fleet.Peers != nil {
-		apart += peerPlaces
+		reserved += peerDescriptors
 	}
-	return apart + consensusDescriptors(cfg.Fleet, cfg.Name)
+	return reserved + consensusDescriptors(cfg.Fleet, cfg.Name)
 }
 
-// newUpstreamOf makes the connections to servers as a configuration has them.
-func newUpstreamOf(cfg config.Config, socks *sockets) *upstream {
+// upstreamOf makes the upstream side as a configuration has it.
+func upstreamOf(cfg config.Config, sockets *sockets) *upstream {
 	memory := cfg.MemoryMB
 	if cfg.SocketFD > 0 {
 		memory /= 2 // a second process may run beside this one
 	}
 	connect := cfg.ServerConnectTimeout
 	if grace := cfg.Settings.DrainGrace; grace > 0 {
-		// Guards against a first byte later than the grace to a server that is told to drain while a
-		// connection to it opens.
+		// Otherwise the first byte could reach a server after the grace, where it begins to drain while a connection
+		// to it opens.
 		connect = min(connect, grace)
 	}
-	return newUpstream(connect, cfg.ServerKeepalive, cfg.Settings.FleetSize, socks, newBudget(memory))
+	return newUpstream(connect, cfg.ServerKeepalive, cfg.Settings.FleetSize, sockets, newBudget(memory))
 }
 
-// assemble adds the parts that the configuration and the fleet file switch on, and the list watch.
+// assemble adds the parts that the configuration and the fleet file switch on, and the watch of the endpoint list.
 func (n *Node) assemble(cfg config.Config) (err error) {
 	l, fleet := n.loop, cfg.Fleet
 	if fleet != nil && fleet.Zones != nil && fleet.Zones.Evacuate {
-		l.zoning = newZoning(cfg, l)
+		l.zones = newZoneEvacuation(cfg, l)
 	}
 	if fleet != nil && fleet.State != nil {
-		l.keeping = newKeeping(cfg, l, func() string { return n.discovery.Address() })
+		l.persistence = newPersistence(cfg, l, func() string { return n.discovery.Address() })
 	}
-	if n.peering, err = peering(cfg, l); err != nil {
+	if n.startPeers, err = startPeersFunc(cfg, l); err != nil {
 		return err
 	}
 	if err := n.follow(cfg); err != nil {
@@ -131,11 +148,11 @@
 			return err
 		}
 	}
-	if n.peering == nil {
+	if n.startPeers == nil {
 		return nil
 	}
-	p, err := n.peering()
-	// A process whose place this one takes has the address until it ends.
+	p, err := n.startPeers()
+	// The process that this one replaces has the address until it ends; joinPeers tries again.
 	if err != nil && (!n.inherited || !errors.Is(err, syscall.EADDRINUSE)) {
 		return err
 	}
@@ -143,11 +160,11 @@
 	return nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address where clients connect.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Reload takes over what may change while the node runs: where discovery is. Requests,
-// connections and what the module has learned stay as they are.
+// Reload applies what may change while the node runs: the address of discovery and the seeds of peers. Requests,
+// connections and the state of the decision module stay as they are.
 func (n *Node) Reload(cfg config.Config) {
 	slog.Info("reloading", "discovery", cfg.Discovery)
 	n.discovery.Move(cfg.Discovery)
@@ -156,101 +173,120 @@
 	}
 }
 
-// learn tells the loop's side of a list; with a server to send to the node is ready, else by readyBy.
-func (n *Node) learn(kind control.UpdateKind, news discovery.Update) {
-	n.loop.list(kind, news)
-	if len(n.loop.ids) > 0 && !n.listDue.Load() {
+// applyList gives the loop an endpoint list or a change of it. With a server to send to the node is ready.
+func (n *Node) applyList(kind control.UpdateKind, update discovery.Update) {
+	n.loop.endpointsChanged(kind, update)
+	if len(n.loop.serverIDs) > 0 && !n.listUnconfirmed.Load() {
 		n.front.ready.Store(true)
 	}
 }
 
-// Run serves until ctx ends, then drains. An error is a failure of the node itself.
+// Run serves until ctx ends, then drains. It returns an error where the node itself has failed. Every goroutine that it
+// starts has ended when it returns.
 func (n *Node) Run(ctx context.Context) error {
 	life, end := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	defer end()
-	defer n.drainer.over()
-	work, stop := context.WithCancel(life)
-	defer stop()
+	defer n.drainer.stop()
+	loopLife, stopLoop := context.WithCancel(life)
+	defer stopLoop()
 	if n.console != nil {
 		parts.Go(func() { n.console.run(life) })
 	}
-	var before net.Conn
-	if n.dir != "" {
-		if before = n.inherit(n.dir); before != nil {
-			n.listDue.Store(true)
+	previous := n.startLoop(life, loopLife, &parts)
+	if previous != nil {
+		defer n.confirmListLater().Stop()
+		parts.Go(func() { n.awaitPredecessor(life, previous) })
+	}
+	// A node whose discovery is down or lists no server becomes ready all the same: it rejects requests then, which
+	// clients may safely retry.
+	ready := time.AfterFunc(n.readyTimeout, func() { n.front.ready.Store(true) })
+	defer ready.Stop()
+	served := n.startServing(life, &parts)
+	n.startFleetParts(ctx, life, &parts)
+	select {
+	case <-ctx.Done():
+		return n.drain(stopLoop)
+	case <-n.loop.ended:
+		n.finish(drainWriteTime)
+		return n.loop.failure
+	case err := <-served:
+		return &ServeError{n.Addr(), err}
+	}
+}
+
+// startLoop takes over from a previous process or restores the stored state, and starts the event loop. It returns the
+// connection to the previous process, or nil.
+func (n *Node) startLoop(life, loopLife context.Context, parts *sync.WaitGroup) (previous net.Conn) {
+	if n.handoverDir != "" {
+		previous = n.takeOver(n.handoverDir)
+		if previous != nil {
+			n.listUnconfirmed.Store(true)
 		}
 	}
-	if k := n.loop.keeping; k != nil {
-		if !k.open(n, before != nil) {
-			parts.Go(func() { k.openLater(life) })
+	if p := n.loop.persistence; p != nil {
+		if !p.open(n, previous != nil) {
+			parts.Go(func() { p.openWhenFree(life) })
 		}
-		parts.Go(func() { <-n.loop.ended; k.end() })
-	}
-	parts.Go(func() { n.loop.run(work) })
-	// Guards against a bound that the module sets by a list of no servers.
-	if len(n.known.Targets) > 0 {
-		n.loop.post(func() { n.learn(control.Cached, n.known) })
-	}
-	if before != nil {
-		parts.Go(func() { n.succeed(life, before) })
-		late := time.AfterFunc(listWithin, func() {
-			n.loop.post(func() {
-				if n.listDue.Swap(false) && len(n.loop.ids) > 0 {
-					n.front.ready.Store(true)
-				}
-			})
-		})
-		defer late.Stop()
+		parts.Go(func() { <-n.loop.ended; p.close() })
 	}
-	// Guards against clients that nobody takes for as long as discovery is down or lists nobody: a node
-	// without servers refuses them, which is harmless to try again.
-	bound := time.AfterFunc(n.readyBy, func() { n.front.ready.Store(true) })
-	defer bound.Stop()
-	if n.dir != "" {
-		parts.Go(func() { n.bequeath(life, n.dir) })
+	parts.Go(func() { n.loop.run(loopLife) })
+	// Without this check a list of no servers would set the decision module's bound.
+	if len(n.knownServers.Targets) > 0 {
+		n.loop.post(func() { n.applyList(control.Cached, n.knownServers) })
+	}
+	return previous
+}
+
+// confirmListLater makes the node ready with the list that was handed over where discovery does not confirm it in time.
+func (n *Node) confirmListLater() *time.Timer {
+	return time.AfterFunc(listConfirmTimeout, func() {
+		n.loop.post(func() {
+			if n.listUnconfirmed.Swap(false) && len(n.loop.serverIDs) > 0 {
+				n.front.ready.Store(true)
+			}
+		})
+	})
+}
+
+// startServing starts to serve clients and returns the channel that gets the error of the clients' listener.
+func (n *Node) startServing(life context.Context, parts *sync.WaitGroup) <-chan error {
+	if n.handoverDir != "" {
+		parts.Go(func() { n.serveHandover(life, n.handoverDir) })
 	}
 	parts.Go(func() { n.discovery.Run(life) })
 	parts.Go(func() { n.upstream.sweep(life) })
-	parts.Go(func() { n.report(life) })
-	srv := n.front.server()
+	parts.Go(func() { n.logCounts(life) })
+	server := n.front.server()
 	served := make(chan error, 1)
-	parts.Go(func() { served <- srv.Serve(n.listener) })
+	parts.Go(func() { served <- server.Serve(n.listener) })
 	slog.Info("serving", "listen", n.Addr())
+	return served
+}
 
-	if c := n.loop.council; c != nil {
+// startFleetParts starts what a fleet file switches on beside the loop. The other nodes are told of a planned end when
+// ctx ends, and learn of a failure by this node's silence.
+func (n *Node) startFleetParts(ctx, life context.Context, parts *sync.WaitGroup) {
+	if c := n.loop.consensus; c != nil {
 		parts.Go(func() { c.run(life) })
 	}
-	if n.peering != nil {
-		// The others hear of a planned end at its beginning, and of a failure as of a death.
-		parts.Go(func() { n.part(ctx, life) })
-	}
-	select {
-	case <-ctx.Done():
-	case <-n.loop.ended:
-		n.finish(drainWrite)
-		return n.loop.failed
-	case err := <-served:
-		return &ServeError{n.Addr(), err}
+	if n.startPeers != nil {
+		parts.Go(func() { n.leavePeers(ctx, life) })
 	}
-	return n.drain(stop)
 }
 
-// joinAgain is how often a process tries to talk that waits for the one before it to end.
-const joinAgain = time.Second
-
-// join gives the talk with other nodes, once it could begin; nil is that ctx ended before.
-func (n *Node) join(ctx context.Context) *membership.Peers {
+// joinPeers returns the membership once it has started, or nil where ctx ends before.
+func (n *Node) joinPeers(ctx context.Context) *membership.Peers {
 	for n.peers.Load() == nil {
 		select {
-		case <-time.After(joinAgain):
+		case <-time.After(joinRetryInterval):
 		case <-ctx.Done():
 			return nil
 		}
-		p, err := n.peering()
+		p, err := n.startPeers()
 		if err != nil {
-			slog.Debug("peers: not yet", "err", err)
+			slog.Debug("peers: starting failed, trying again", "error", err)
 			continue
 		}
 		n.peers.Store(p)
@@ -258,37 +294,37 @@
 	return n.peers.Load()
 }
 
-// part takes leave of the other nodes when ctx ends, and ends the talk with life: until then this
-// node serves, and tells them what it sends on.
-func (n *Node) part(ctx, life context.Context) {
-	p := n.join(ctx)
+// leavePeers announces this node's end to the others when ctx ends, and leaves the membership when life ends. Until then
+// the node serves and reports to them what it admits.
+func (n *Node) leavePeers(ctx, life context.Context) {
+	p := n.joinPeers(ctx)
 	if p == nil {
 		return
 	}
 	end := p.Close
 	select {
 	case <-ctx.Done():
-		if n.loop.sharing != nil {
-			n.loop.post(n.loop.sharing.leave)
+		if n.loop.limitSharing != nil {
+			n.loop.post(n.loop.limitSharing.leave)
 		}
 		if err := p.Part(); err != nil {
-			slog.Warn("peers: leaving", "err", err)
+			slog.Warn("peers: leaving failed", "error", err)
 		}
 		end = p.Leave
 		<-life.Done()
 	case <-life.Done():
 	}
-	if n.loop.sharing != nil {
-		n.loop.sharing.end()
+	if n.loop.limitSharing != nil {
+		n.loop.limitSharing.waitForSender()
 	}
 	if err := end(); err != nil {
-		slog.Warn("peers: leaving", "err", err)
+		slog.Warn("peers: leaving failed", "error", err)
 	}
 }
 
-// report writes the node's counts to the log now and then, until ctx ends.
-func (n *Node) report(ctx context.Context) {
-	t := time.NewTicker(reportEvery)
+// logCounts writes counts of connections to the log at intervals until ctx ends.
+func (n *Node) logCounts(ctx context.Context) {
+	t := time.NewTicker(logInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -301,72 +337,78 @@
 	}
 }
 
-// drainMost is how long a drain lasts at most: the platform kills a node 0.7 s after the longest
-// deadline of its classes.
-func drainMost(classes []control.Class) time.Duration {
+// maxDrainOf returns how long a drain lasts at most.
+func maxDrainOf(classes []control.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range classes {
 		longest = max(longest, k.Deadline)
 	}
-	return min(longest, deadlineMost) + drainMargin
+	return min(longest, maxDrainDeadline) + drainMargin
 }
 
-// drain ends the process. The front goes by /healthz; the connections it has it may go on
-// using for as long as they are open, and while another edge node restarts too, some customers
-// have no other. So the node serves as before for a while, then each answer closes its
-// connection, and the node ends when all that it holds is answered. Where another process shares
-// the socket, that one takes all that comes: this one takes nothing new and lets go at once.
-func (n *Node) drain(stop context.CancelFunc) error {
+// drain ends the process. Clients see it by /healthz but may use their open connections on, and while another node
+// restarts too, some tenants have no other node. So the node serves as before for a while, then each answer closes its
+// connection, and the node ends when all requests are answered. Where another process shares the socket, that one gets
+// all new connections: this one accepts none and lets go at once.
+func (n *Node) drain(stopLoop context.CancelFunc) error {
 	begun := time.Now()
-	serve := max(n.most-drainServe, 0)
+	serve := max(n.maxDrain-drainLetGo, 0)
 	slog.Info("draining", "shared", n.inherited)
 	if n.inherited {
-		n.listening()
+		n.stopListening()
 		if err := n.listener.Close(); err != nil {
-			slog.Warn("closing the clients' socket", "err", err)
+			slog.Warn("closing the listener for clients failed", "error", err)
 		}
-		n.drainer.end(0, serve, true)
+		n.drainer.beginFinal(0, serve, true)
 	} else {
-		n.drainer.end(serve, drainClose, false)
+		n.drainer.beginFinal(serve, drainCloseDelay, false)
+	}
+	if !n.awaitDrainEnd(max(serve+drainCloseDelay, min(n.maxDrain, drainListenTime))) {
+		n.finish(drainWriteTime)
+		return n.loop.failure
 	}
-	look := time.NewTicker(drainLook)
-	defer look.Stop()
-	for over := time.After(max(serve+drainClose, min(n.most, drainListen))); ; {
+	n.finish(n.maxDrain - time.Since(begun))
+	stopLoop() // answers what is still open with 502
+	<-n.loop.ended
+	n.finish(drainWriteTime)
+	slog.Info("drained", "took", time.Since(begun).Round(time.Millisecond))
+	return n.loop.failure
+}
+
+// awaitDrainEnd waits until the time for new requests is over, or until no connection is left where another process
+// takes new ones. It returns false where the loop ended before.
+func (n *Node) awaitDrainEnd(wait time.Duration) bool {
+	poll := time.NewTicker(drainPollInterval)
+	defer poll.Stop()
+	over := time.After(wait)
+	for {
 		select {
-		case <-look.C:
-			if !n.inherited || n.front.conns.Load() > 0 {
-				continue
+		case <-poll.C:
+			if n.inherited && n.front.conns.Load() <= 0 {
+				return true
 			}
 		case <-over:
+			return true
 		case <-n.loop.ended:
-			n.finish(drainWrite)
-			return n.loop.failed
+			return false
 		}
-		break
 	}
-	n.finish(n.most - time.Since(begun))
-	stop() // answers what is still held as failed
-	<-n.loop.ended
-	n.finish(drainWrite)
-	slog.Info("drained", "took", time.Since(begun).Round(time.Millisecond))
-	return n.loop.failed
 }
 
-// finish stops listening and gives the answers that are under way some time. Guards against
-// http.Server's Shutdown, which closes connections that seem idle to it while a request comes on
-// them, and drops requests that it has just read.
+// finish stops listening and gives open answers some time. http.Server's Shutdown is not used: it closes connections
+// that seem idle to it while a request arrives on them, and drops requests that it has just read.
 func (n *Node) finish(within time.Duration) {
-	n.listening()
+	n.stopListening()
 	if err := n.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-		slog.Warn("closing the clients' socket", "err", err)
+		slog.Warn("closing the listener for clients failed", "error", err)
 	}
 	n.front.closing.Store(true)
-	look := time.NewTicker(drainLook)
-	defer look.Stop()
+	poll := time.NewTicker(drainPollInterval)
+	defer poll.Stop()
 	for over := time.After(within); n.front.conns.Load() > 0; {
 		n.front.closeIdle()
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-over:
 			return
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -17,11 +17,11 @@
 	a := newApp(t, func(w http.ResponseWriter, req *http.Request) {
 		left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get(headerTimeLeft), "m"))
 		// The answer's last byte has to be there in time: the edge node waits a little less.
-		if err != nil || left < 1 || left > 7000-int(answerAhead.Milliseconds()) {
+		if err != nil || left < 1 || left > 7000-int(answerMargin.Milliseconds()) {
 			t.Errorf("time left %q", req.Header.Get(headerTimeLeft))
 		}
 		w.Header().Set("Content-Type", "text/x-roster")
-		w.Header().Set(headerUsed, "85")
+		w.Header().Set(headerMeter, "85")
 		served(w, req)
 	})
 	r.list(a.target("s-1", 0))
@@ -31,7 +31,7 @@
 	if resp.StatusCode != 200 || body != "served id-1" || resp.Header.Get("Content-Type") != "text/x-roster" {
 		t.Errorf("%s %q %v", resp.Status, body, resp.Header)
 	}
-	if resp.Header.Get(headerUsed) != "" {
+	if resp.Header.Get(headerMeter) != "" {
 		t.Error("a report for edge nodes went to a client")
 	}
 	if want := "POST /visit-update/a%2Fb/c?account=00000000b4d65521 k-id-1 swap"; a.requests()[0] != want {
--- a/internal/node/peering.go
+++ b/internal/node/peering.go
@@ -12,68 +12,93 @@
 	"sloestile/internal/membership"
 )
 
-const peerPlaces = 16 // descriptors set apart for talk with others
+const peerDescriptors = 16 // descriptors reserved for the membership
 
-// peering gives what lets the node talk with others, where the fleet file has it and the settings
-// allow it; nil is nothing.
-func peering(cfg config.Config, l *loop) (func() (*membership.Peers, error), error) {
+// startPeersFunc returns the function that starts the membership, where the fleet file has it and the settings allow it;
+// else nil. It makes the loop's parts that use the membership.
+func startPeersFunc(cfg config.Config, l *loop) (func() (*membership.Peers, error), error) {
 	if cfg.Fleet == nil || cfg.Fleet.Peers == nil {
 		return nil, nil
 	}
 	if !cfg.Settings.PeerMessages {
-		slog.Warn("peers stay off: the settings refuse them")
+		slog.Warn("peers: off, the settings do not allow them")
 		return nil, nil
 	}
-	f, s := cfg.Fleet.Peers, &cfg.Settings
+	peers := cfg.Fleet.Peers
 	if cfg.Fleet.Consensus != nil {
 		var err error
-		if l.council, err = newCouncil(cfg, l); err != nil {
+		if l.consensus, err = newConsensusMember(cfg, l); err != nil {
 			return nil, err
 		}
 	}
-	if f.SharedLimits || f.OutlierReports {
-		l.sharing = newSharing(s, *f, l)
-		if f.OutlierReports {
-			w := l.watch()
-			w.late = append(w.late, l.sharing.charge)
-		}
+	if peers.SharedLimits || peers.OutlierReports {
+		l.limitSharing = newLimitSharing(&cfg.Settings, *peers, l)
 	}
-	return func() (*membership.Peers, error) {
-		host, _, err := net.SplitHostPort(cfg.Listen)
-		if err != nil {
-			return nil, err
-		}
-		pc := membership.Config{Label: f.Label, Name: cfg.Name, Index: s.NodeIndex, Zone: s.Zone, Region: cfg.Fleet.Region(s.Zone),
-			Program: program(), Bind: net.JoinHostPort(host, strconv.Itoa(f.Port)), Seeds: f.Seeds, Via: f.DialAddresses, Seed: cfg.Seed}
-		var changed []func()
-		if l.sharing != nil {
-			pc.Receive, changed = l.sharing.receive, append(changed, l.sharing.changed)
-		}
-		if l.council != nil {
-			pc.Kinds, changed = l.council.learner.Receive, append(changed, l.council.members)
-		}
-		if changed != nil {
-			pc.Changed = func() {
-				for _, tell := range changed {
-					tell()
-				}
+	if peers.OutlierReports {
+		w := l.stragglerWatch()
+		w.onLate = append(w.onLate, l.limitSharing.reportSlow)
+	}
+	return func() (*membership.Peers, error) { return startMembership(cfg, l) }, nil
+}
+
+// startMembership joins the fleet and starts the loop's parts that use the membership.
+func startMembership(cfg config.Config, l *loop) (*membership.Peers, error) {
+	member, err := membershipConfig(cfg)
+	if err != nil {
+		return nil, err
+	}
+	var changed []func()
+	if l.limitSharing != nil {
+		member.Receive = l.limitSharing.receive
+		changed = append(changed, l.limitSharing.membershipChanged)
+	}
+	if l.consensus != nil {
+		member.Kinds = l.consensus.learner.Receive
+		changed = append(changed, l.consensus.updateMembers)
+	}
+	if changed != nil {
+		member.Changed = func() {
+			for _, notify := range changed {
+				notify()
 			}
 		}
-		p, err := membership.Start(pc, slog.Default())
-		if err != nil {
-			return nil, err
-		}
-		if l.sharing != nil {
-			l.sharing.start(p)
-		}
-		if l.council != nil {
-			l.council.start(p)
-		}
-		return p, nil
+	}
+	p, err := membership.Start(member, slog.Default())
+	if err != nil {
+		return nil, err
+	}
+	if l.limitSharing != nil {
+		l.limitSharing.start(p)
+	}
+	if l.consensus != nil {
+		l.consensus.start(p)
+	}
+	return p, nil
+}
+
+// membershipConfig returns this node's part of the membership's configuration.
+func membershipConfig(cfg config.Config) (membership.Config, error) {
+	host, _, err := net.SplitHostPort(cfg.Listen)
+	if err != nil {
+		return membership.Config{}, err
+	}
+	peers := cfg.Fleet.Peers
+	settings := &cfg.Settings
+	return membership.Config{
+		Label:   peers.Label,
+		Name:    cfg.Name,
+		Index:   settings.NodeIndex,
+		Zone:    settings.Zone,
+		Region:  cfg.Fleet.Region(settings.Zone),
+		Program: program(),
+		Bind:    net.JoinHostPort(host, strconv.Itoa(peers.Port)),
+		Seeds:   peers.Seeds,
+		Via:     peers.DialAddresses,
+		Seed:    cfg.Seed,
 	}, nil
 }
 
-// program names the version of this program: the commit that it was built from, where known.
+// program returns the version of this program: the commit that it was built from, where known.
 func program() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -87,7 +112,7 @@
 	return info.Main.Version
 }
 
-// writePeers gives the figures of the membership.
+// writePeers writes the metrics of the membership.
 func writePeers(w io.Writer, c *membership.Counts) {
 	for _, m := range []struct {
 		name, kind, help string
--- a/internal/node/peering_test.go
+++ b/internal/node/peering_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	cfg.Fleet = &config.Fleet{Peers: &config.Peers{Label: "x", Port: 1}}
-	on, err := peering(cfg, nil)
+	on, err := startPeersFunc(cfg, nil)
 	if on != nil || err != nil {
 		t.Error("peers against the settings", err)
 	}
--- a/internal/node/keeping_test.go
+++ b/internal/node/persistence_test.go
@@ -50,7 +50,9 @@
 			}
 			state := filepath.Join(dir, "state")
 			if how == "killed" {
-				a.wait("a state on the disk", func() bool { return a.node.loop.keeping.writtenAt.Load() > 0 && !a.node.loop.keeping.marks.Due() })
+				a.wait("a state on the disk", func() bool {
+					return a.node.loop.persistence.writtenAt.Load() > 0 && !a.node.loop.persistence.checkpoints.Due()
+				})
 				raw, err := os.ReadFile(state)
 				if err != nil {
 					t.Fatal(err)
@@ -81,7 +83,7 @@
 			}
 			if how != "off" {
 				var text strings.Builder
-				writeRegistry(&text, b.node.loop.figures)
+				writeRegistry(&text, b.node.loop.metrics)
 				if !strings.Contains(text.String(), "node_state_restored_total") {
 					t.Error("the figures lack what was restored")
 				}
@@ -104,14 +106,14 @@
 	}
 	b := newRigWith(t, with)
 	b.list(app.target("a", 1))
-	b.wait("no folder", func() bool { return b.node.loop.keeping.keeper == nil })
+	b.wait("no folder", func() bool { return b.node.loop.persistence.persister == nil })
 	a.end()
-	b.wait("the folder", func() bool { return b.node.loop.keeping.keeper != nil })
+	b.wait("the folder", func() bool { return b.node.loop.persistence.persister != nil })
 	req := b.call(http.MethodGet, "/roster-read", "b") // another customer's
 	if resp, _ := b.do(req); resp.StatusCode != http.StatusOK {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
-	b.wait("a state of its own", func() bool { return b.node.loop.keeping.writtenAt.Load() > 0 })
+	b.wait("a state of its own", func() bool { return b.node.loop.persistence.writtenAt.Load() > 0 })
 	b.end()
 	f, err := store.Open(disk.Local{}, dir, "n0")
 	if err != nil {
@@ -142,10 +144,10 @@
 	resp, _ := b.do(req)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	require.NoError(t, faulty.Set(drive, faulty.Faults{}))
-	b.wait("the folder", func() bool { return b.node.loop.keeping.keeper != nil })
+	b.wait("the folder", func() bool { return b.node.loop.persistence.persister != nil })
 	resp, _ = b.do(b.call(http.MethodGet, "/roster-read", "c"))
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	b.wait("a state of its own", func() bool { return b.node.loop.keeping.writtenAt.Load() > 0 })
+	b.wait("a state of its own", func() bool { return b.node.loop.persistence.writtenAt.Load() > 0 })
 	b.end()
 	f, err := store.Open(disk.Local{}, dir, "n0")
 	require.NoError(t, err)
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -18,7 +18,7 @@
 // A process is ready at once by the list that it knows, and by its bound without one, whatever
 // discovery does. Until it has a server it refuses; once it is told one it serves.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
-	require.Less(t, readyMost, 10*time.Second, "nine in ten processes are ready by then")
+	require.Less(t, readyTimeout, 10*time.Second, "nine in ten processes are ready by then")
 	for name, serveList := range map[string]func(w http.ResponseWriter, r *http.Request, tell <-chan string){
 		"turns away": func(w http.ResponseWriter, _ *http.Request, _ <-chan string) {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -65,8 +65,8 @@
 						c.KnownServers = known
 					}
 				}, func(n *Node) {
-					if n.readyBy = 100 * time.Millisecond; knows {
-						n.readyBy = time.Hour
+					if n.readyTimeout = 100 * time.Millisecond; knows {
+						n.readyTimeout = time.Hour
 					}
 				})
 				r.wait("ready", r.node.front.ready.Load)
@@ -80,7 +80,7 @@
 					line, err := json.Marshal(known)
 					require.NoError(t, err)
 					tell <- string(line)
-					r.wait("the list", func() bool { return r.node.loop.rev == 10 })
+					r.wait("the list", func() bool { return r.node.loop.listRevision == 10 })
 				}
 				got, _ := r.do(r.impatient("id-1"))
 				if knows || lists {
--- a/internal/node/resets_test.go
+++ b/internal/node/resets_test.go
@@ -36,7 +36,7 @@
 	t.Cleanup(func() { _ = l.Close() })
 	n := &line{t: t, u: newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64)),
 		dialed: make(chan *net.TCPConn, 10), taken: make(chan *net.TCPConn, 10)}
-	n.u.rest = 0
+	n.u.restTime = 0
 	n.pool = n.u.pool(l.Addr().String())
 	t.Cleanup(func() { n.u.retire(n.pool) })
 	dial := n.u.dial
@@ -119,7 +119,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		done <- n.u.try(ctx, n.pool, a)
+		done <- n.u.attempt(ctx, n.pool, a)
 	}()
 	return done
 }
@@ -160,7 +160,7 @@
 // A connection that is reset before or in a request's bytes, be it new or used again, surely ran
 // nothing; one that breaks behind the last byte may have.
 func TestResetAroundARequest(t *testing.T) {
-	const piece = 2 * connBuffer
+	const piece = 2 * connBufferBytes
 	for name, tc := range map[string]struct {
 		parts  [][]byte
 		within func(n *line) // before the second part
@@ -213,7 +213,7 @@
 				a.req.Body = io.NopCloser(&body{parts: slices.Clone(tc.parts), before: func() { at <- struct{}{}; <-on }})
 				a.req.ContentLength = int64(length)
 				written := make(chan struct{})
-				a.written = func() { close(written) }
+				a.onWritten = func() { close(written) }
 				done := n.try(a)
 				next(t, at)
 				if !reused {
@@ -260,7 +260,7 @@
 			a := message(t, nil)
 			from, to := io.Pipe()
 			begun := make(chan []byte, 1)
-			a.begin = func(o outcome, length int64) *io.PipeWriter {
+			a.onStreamStart = func(o outcome, length int64) *io.PipeWriter {
 				assert.EqualValues(t, -1, length)
 				begun <- o.body
 				return to
@@ -269,10 +269,10 @@
 			n.up()
 			n.request()
 			n.answer("HTTP/1.1 200 OK\r\n\r\n")
-			whole := noise(bodyMost + 1)
+			whole := noise(maxHeldBytes + 1)
 			n.answer(string(whole))
 			got := next(t, begun)
-			for rest := make([]byte, pieceSize); len(got) < len(whole); {
+			for rest := make([]byte, streamBufferBytes); len(got) < len(whole); {
 				k, err := from.Read(rest)
 				require.NoError(t, err)
 				got = append(got, rest[:k]...)
@@ -297,8 +297,8 @@
 // request: the connection rests for a while, in which the second answer is there to be seen.
 func TestSecondAnswerComesLate(t *testing.T) {
 	n := newLine(t)
-	assert.Equal(t, idleRest, newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64)).rest)
-	n.u.rest = patience // until the test has it over
+	assert.Equal(t, idleRestTime, newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64)).restTime)
+	n.u.restTime = patience // until the test has it over
 	n.use()
 	before, first := n.near, n.far
 
@@ -319,7 +319,7 @@
 	for end := time.Now().Add(patience); nothingCame(t, before) && time.Now().Before(end); time.Sleep(time.Millisecond / 10) {
 	}
 	for _, c := range idle {
-		c.rests = time.Time{}
+		c.restsUntil = time.Time{}
 	}
 	done = n.try(message(t, nil))
 	n.request() // on the second one, the most recently used
--- a/internal/node/serverconns.go
+++ b/internal/node/serverconns.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	idlePart   = 2.0 / 3     // of the servers' keepalive that a connection may idle here
-	idleGroup  = 64          // connections of a whole group that idle to one app server
-	idleLeast  = 2           // and of one node of it, at least
-	idleSweep  = time.Second // how often idle connections are looked at
-	connBuffer = 4 << 10
+	idleKeepaliveFraction = 2.0 / 3     // of the servers' keepalive that a connection may idle here
+	maxIdlePerFleet       = 64          // connections of a whole group that idle to one app server
+	minIdlePerNode        = 2           // and of one node of it, at least
+	idleSweepInterval     = time.Second // how often idle connections are looked at
+	connBufferBytes       = 4 << 10
 	// Between two uses of a connection. A spoilt app server may answer a second time some milliseconds
 	// later: by then that is there to be seen, and else it would be read as the answer to the next request.
-	idleRest = 20 * time.Millisecond
+	idleRestTime = 20 * time.Millisecond
 )
 
 // connCounts tells how connections to app servers begin and end, since the node started.
@@ -52,13 +52,13 @@
 
 // conn is a connection to an app server.
 type conn struct {
-	counted
-	raw   syscall.RawConn
-	in    answerReader
-	r     *bufio.Reader
-	w     *bufio.Writer
-	since time.Time // of the end of its last use
-	rests time.Time // until when it is not used; zero for one that never was
+	countedConn
+	raw        syscall.RawConn
+	answers    answerReader
+	r          *bufio.Reader
+	w          *bufio.Writer
+	since      time.Time // of the end of its last use
+	restsUntil time.Time // until when it is not used; zero for one that never was
 }
 
 // pool makes a pool of connections to an address.
@@ -88,7 +88,7 @@
 		if c == nil {
 			return u.open(ctx, p.endpoint)
 		}
-		if u.good(c) {
+		if u.usable(c) {
 			u.count.reused.Add(1)
 			return c, nil
 		}
@@ -97,11 +97,11 @@
 }
 
 // good tells whether an idle connection can be used, and counts why not.
-func (u *upstream) good(c *conn) bool {
+func (u *upstream) usable(c *conn) bool {
 	switch {
 	case !c.quiet():
 		u.count.gone.Add(1)
-	case time.Since(c.since) >= u.idleFor:
+	case time.Since(c.since) >= u.maxIdle:
 		u.count.aged.Add(1)
 	default:
 		return true
@@ -110,7 +110,7 @@
 }
 
 func (u *upstream) open(ctx context.Context, endpoint string) (*conn, error) {
-	if !u.sockets.take(0) {
+	if !u.sockets.reservePlace(0) {
 		return nil, errNoDescriptor
 	}
 	tcp, err := u.dial(ctx, "tcp", endpoint)
@@ -120,13 +120,13 @@
 		return nil, err
 	}
 	u.count.dialed.Add(1)
-	tune(tcp)
-	c := &conn{counted: counted{Conn: tcp, sockets: u.sockets}, in: answerReader{Conn: tcp}, since: time.Now()}
+	setSocketBuffers(tcp)
+	c := &conn{countedConn: countedConn{Conn: tcp, sockets: u.sockets}, answers: answerReader{Conn: tcp}, since: time.Now()}
 	if c.raw, err = tcp.(*net.TCPConn).SyscallConn(); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
-	c.r, c.w = bufio.NewReaderSize(&c.in, connBuffer), bufio.NewWriterSize(tcp, connBuffer)
+	c.r, c.w = bufio.NewReaderSize(&c.answers, connBufferBytes), bufio.NewWriterSize(tcp, connBufferBytes)
 	return c, nil
 }
 
@@ -148,7 +148,7 @@
 	defer u.mu.Unlock()
 	now := time.Now()
 	for i, c := range slices.Backward(p.idle) {
-		if !now.Before(c.rests) {
+		if !now.Before(c.restsUntil) {
 			p.idle = slices.Delete(p.idle, i, i+1)
 			return c
 		}
@@ -163,7 +163,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	// Guards against many nodes that together keep more connections than an app server holds.
-	if _, ok := u.pools[p]; !ok || len(p.idle) >= u.idle {
+	if _, ok := u.pools[p]; !ok || len(p.idle) >= u.maxIdlePerServer {
 		_ = c.Close()
 		return
 	}
@@ -173,20 +173,20 @@
 // sweep closes idle connections that are old or that the app server has closed,
 // until ctx ends.
 func (u *upstream) sweep(ctx context.Context) {
-	t := time.NewTicker(idleSweep)
+	t := time.NewTicker(idleSweepInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			u.drop(func(c *conn) bool { return !u.good(c) })
+			u.closeIdleWhere(func(c *conn) bool { return !u.usable(c) })
 		}
 	}
 }
 
 // drop closes the idle connections of which is tells so.
-func (u *upstream) drop(is func(*conn) bool) {
+func (u *upstream) closeIdleWhere(is func(*conn) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for p := range u.pools {
@@ -208,7 +208,7 @@
 func (u *upstream) evict(keep int) bool {
 	var oldest *conn
 	n := 0
-	u.drop(func(c *conn) bool {
+	u.closeIdleWhere(func(c *conn) bool {
 		if n++; oldest == nil || c.since.Before(oldest.since) {
 			oldest = c
 		}
@@ -217,6 +217,6 @@
 	if oldest == nil || n <= keep {
 		return false
 	}
-	u.drop(func(c *conn) bool { return c == oldest })
+	u.closeIdleWhere(func(c *conn) bool { return c == oldest })
 	return true
 }
--- a/internal/node/serverconns_test.go
+++ b/internal/node/serverconns_test.go
@@ -29,13 +29,13 @@
 	})
 	socks := newSockets(1024, 0)
 	u := newUpstream(patience, 2*patience, 1, socks, newBudget(64))
-	u.rest = 0 // at once
+	u.restTime = 0 // at once
 	p := u.pool(a.Listener.Addr().String())
 	try := func() {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		if o := u.try(ctx, p, message(t, nil)); o.reason != control.OK {
+		if o := u.attempt(ctx, p, message(t, nil)); o.reason != control.OK {
 			t.Fatalf("%d (%v)", o.reason, o.err)
 		}
 	}
@@ -55,7 +55,7 @@
 	if from[2] == from[1] {
 		t.Error("a closed connection was used again")
 	}
-	u.idleFor = 0 // all have idled for too long
+	u.maxIdle = 0 // all have idled for too long
 	try()
 	if from[3] == from[2] {
 		t.Error("an old connection was used again")
@@ -69,9 +69,9 @@
 func TestNoDescriptorLeft(t *testing.T) {
 	a := newApp(t, served)
 	socks := newSockets(0, 0)
-	socks.most.Store(0)
+	socks.limit.Store(0)
 	u := newUpstream(patience, patience, 1, socks, newBudget(64))
-	if o := u.try(context.Background(), u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.NeverSent || a.count() > 0 {
+	if o := u.attempt(context.Background(), u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.NeverSent || a.count() > 0 {
 		t.Errorf("%d (%v)", o.reason, o.err)
 	}
 }
@@ -81,11 +81,11 @@
 	a := newApp(t, served)
 	b := newApp(t, served)
 	socks := newSockets(0, 0)
-	socks.most.Store(1)
+	socks.limit.Store(1)
 	u := newUpstream(patience, 2*patience, 1, socks, newBudget(64))
 	for _, x := range []*app{a, b, a} {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		if o := u.try(ctx, u.pool(x.Listener.Addr().String()), message(t, nil)); o.reason != control.OK {
+		if o := u.attempt(ctx, u.pool(x.Listener.Addr().String()), message(t, nil)); o.reason != control.OK {
 			t.Errorf("%d (%v)", o.reason, o.err)
 		}
 		cancel()
--- a/internal/node/serverrequests.go
+++ b/internal/node/serverrequests.go
@@ -21,10 +21,10 @@
 	if !w.streams {
 		return w.w.Write(b)
 	}
-	_ = w.SetWriteDeadline(time.Now().Add(streamStall))
+	_ = w.SetWriteDeadline(time.Now().Add(streamIdleTimeout))
 	// Guards against undoing the end of the sending that comes at this moment.
 	if w.ctx.Err() != nil {
-		_ = w.SetWriteDeadline(past)
+		_ = w.SetWriteDeadline(deadlinePassed)
 	}
 	n, err := w.w.Write(b)
 	if err == nil {
--- a/internal/node/serverrequests_test.go
+++ b/internal/node/serverrequests_test.go
@@ -17,13 +17,13 @@
 	c, err := n.u.open(t.Context(), n.pool.endpoint)
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
-	c.in.start(t.Context())
+	c.answers.start(t.Context())
 	ctx, end := context.WithCancel(t.Context())
 	end()
-	_ = c.SetWriteDeadline(past)
+	_ = c.SetWriteDeadline(deadlinePassed)
 	w := &requestWriter{conn: c, ctx: ctx, streams: true}
 	begun := time.Now()
 	_, err = w.Write(make([]byte, 16*mega)) // more than sockets hold
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	assert.Less(t, time.Since(begun), streamStall)
+	assert.Less(t, time.Since(begun), streamIdleTimeout)
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -137,8 +137,8 @@
 			n.finish(time.Millisecond)
 			require.ErrorIs(t, n.listener.Close(), net.ErrClosed)
 			require.Positive(t, cfg.ServerConnectTimeout)
-			require.Positive(t, n.upstream.idleFor)
-			require.Positive(t, n.most)
+			require.Positive(t, n.upstream.maxIdle)
+			require.Positive(t, n.maxDrain)
 			// Within what discovery's TestPausesOfAnySettingsArePositive draws from.
 			require.GreaterOrEqual(t, cfg.Settings.DrainGrace, time.Duration(0))
 			require.Positive(t, cfg.Settings.FleetSize)
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	socketsApart = 24 // listener, discovery, log, poller and what the runtime opens
-	socketsAhead = 64 // left to upstream connections when clients fill the rest
-	roomAgain    = 20 * time.Millisecond
+	ownDescriptors     = 24 // listener, discovery, log, poller and what the runtime opens
+	serverPlacesAhead  = 64 // left to upstream connections when clients fill the rest
+	placeRetryInterval = 20 * time.Millisecond
 )
 
 // sockets holds the connections of all sides together under the limit on
 // descriptors. Where it is reached, idle connections are closed for new ones.
 type sockets struct {
-	open   atomic.Int64
-	most   atomic.Int64
-	full   int64       // most, of a process alone
-	apart  int64       // descriptors of a process beside these
-	shared atomic.Bool // another process has half of the descriptors
+	open      atomic.Int64
+	limit     atomic.Int64
+	fullLimit int64       // most, of a process alone
+	reserved  int64       // descriptors of a process beside these
+	shared    atomic.Bool // another process has half of the descriptors
 
 	waits atomic.Int64 // times that a client had to wait for a place, for the log
 
@@ -67,9 +67,9 @@
 // newSockets holds connections to what a limit on descriptors leaves beside those set apart.
 func newSockets(limit, apart int) *sockets {
 	limit -= apart
-	s := &sockets{apart: int64(apart), evictClient: func() bool { return false }, evictServer: func(int) bool { return false }}
-	s.full = int64(max(limit, 2*socketsAhead))
-	s.most.Store(s.full)
+	s := &sockets{reserved: int64(apart), evictClient: func() bool { return false }, evictServer: func(int) bool { return false }}
+	s.fullLimit = int64(max(limit, 2*serverPlacesAhead))
+	s.limit.Store(s.fullLimit)
 	return s
 }
 
@@ -80,17 +80,17 @@
 		return
 	}
 	if !on {
-		s.most.Store(s.full)
+		s.limit.Store(s.fullLimit)
 		return
 	}
-	s.most.Store(s.full/2 - s.apart/2) // the other one sets as many apart
-	for s.open.Load() > s.most.Load() && (s.evictServer(0) || s.evictClient()) {
+	s.limit.Store(s.fullLimit/2 - s.reserved/2) // the other one sets as many apart
+	for s.open.Load() > s.limit.Load() && (s.evictServer(0) || s.evictClient()) {
 	}
 }
 
 // take books a place for one more connection and leaves some free.
-func (s *sockets) take(leave int64) bool {
-	for s.open.Add(1) > s.most.Load()-leave {
+func (s *sockets) reservePlace(leave int64) bool {
+	for s.open.Add(1) > s.limit.Load()-leave {
 		s.open.Add(-1)
 		// Guards against silent clients that cost app servers handshakes: a client's place is
 		// given up first, and for a client the idle connections to app servers stay.
@@ -102,29 +102,29 @@
 }
 
 // ahead is what clients leave free for connections to app servers.
-func (s *sockets) ahead() int64 { return min(socketsAhead, s.most.Load()/3) }
+func (s *sockets) reservedForServers() int64 { return min(serverPlacesAhead, s.limit.Load()/3) }
 
 // wait books a place as soon as there is one.
-func (s *sockets) wait(ctx context.Context, leave func() int64) error {
-	for !s.take(leave()) {
+func (s *sockets) awaitPlace(ctx context.Context, leave func() int64) error {
+	for !s.reservePlace(leave()) {
 		s.waits.Add(1)
 		select {
 		case <-ctx.Done():
 			return net.ErrClosed
-		case <-time.After(roomAgain):
+		case <-time.After(placeRetryInterval):
 		}
 	}
 	return nil
 }
 
 // counted is a connection that gives its place back when it is closed.
-type counted struct {
+type countedConn struct {
 	net.Conn
 	sockets *sockets
 	once    sync.Once
 }
 
-func (c *counted) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() { c.sockets.open.Add(-1) })
 	return c.Conn.Close()
 }
@@ -137,7 +137,7 @@
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
-	if err := l.sockets.wait(l.ctx, l.sockets.ahead); err != nil {
+	if err := l.sockets.awaitPlace(l.ctx, l.sockets.reservedForServers); err != nil {
 		return nil, err
 	}
 	c, err := l.Listener.Accept()
@@ -145,7 +145,7 @@
 		l.sockets.open.Add(-1)
 		return nil, err
 	}
-	tune(c)
+	setSocketBuffers(c)
 	k, err := newClientConn(c.(*net.TCPConn), l.sockets)
 	if err != nil {
 		l.sockets.open.Add(-1)
--- a/internal/node/fleetsubset_test.go
+++ b/internal/node/subset_test.go
@@ -51,8 +51,8 @@
 	t.Helper()
 	seen := make(chan discovery.Update, len(messages))
 	r := newRigWith(t, change, func(n *Node) {
-		updated := n.updated
-		n.updated = func(u discovery.Update) { updated(u); seen <- u }
+		updated := n.onUpdate
+		n.onUpdate = func(u discovery.Update) { updated(u); seen <- u }
 	})
 	for i := range messages {
 		r.tell(messages[i])
@@ -73,15 +73,15 @@
 // events are what a node tells its module of updates, and of requests between them.
 func events(t *testing.T, cfg config.Config, told []discovery.Update) (all []control.Event) {
 	t.Helper()
-	l, err := newLoop(cfg, newUpstreamOf(cfg, newSockets(64, 0)), newStats(cfg.Settings.Classes))
+	l, err := newLoop(cfg, upstreamOf(cfg, newSockets(64, 0)), newStats(cfg.Settings.Classes))
 	require.NoError(t, err)
 	for i, u := range told {
 		kind := control.Delta
 		if u.All {
 			kind = control.Complete
 		}
-		l.keep(kind, u)
-		all = append(all, l.apply(kind, u))
+		l.rememberEndpoints(kind, u)
+		all = append(all, l.updatePools(kind, u))
 		for k := range 5 {
 			all = append(all, control.Request{ID: fmt.Sprint(i, " ", k), Class: cfg.Settings.Classes[0].Name, Plan: "enterprise",
 				Tenant: fmt.Sprint("c", k), TimeLeft: time.Second, Tokens: 1, TenantNodes: 2})
@@ -137,7 +137,7 @@
 // used are the servers that the node uses, in order; it reads them on the loop.
 func (r *rig) used() []string {
 	got := make(chan []string, 1)
-	r.node.loop.post(func() { got <- slices.Sorted(maps.Keys(r.node.loop.ids)) })
+	r.node.loop.post(func() { got <- slices.Sorted(maps.Keys(r.node.loop.serverIDs)) })
 	return next(r.t, got)
 }
 
@@ -148,9 +148,9 @@
 	r := newRigWith(t, subsetOf(6))
 	r.tell(discovery.Update{Rev: 8, All: true, Targets: manyTargets(a, 40)})
 	r.wait("its servers", func() bool {
-		return len(r.node.loop.ids) == 6 && len(r.node.loop.targets) == 6 && len(r.node.loop.pools) == 6
+		return len(r.node.loop.serverIDs) == 6 && len(r.node.loop.endpoints) == 6 && len(r.node.loop.pools) == 6
 	})
-	require.InDelta(t, 2*6/40.0, r.node.loop.sharers, 1e-9)
+	require.InDelta(t, 2*6/40.0, r.node.loop.nodesPerServer, 1e-9)
 	resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	r.figure("node_hosts_listed", 6)
@@ -166,7 +166,7 @@
 	for name := range off.figures() {
 		require.NotContains(t, name, "subset")
 	}
-	require.Nil(t, off.node.loop.figures)
+	require.Nil(t, off.node.loop.metrics)
 }
 
 // What a process hands over or keeps is its subset. The next one begins with it, asks for the whole list,
@@ -198,7 +198,7 @@
 			fresh := newRigWith(t, with)
 			require.Equal(t, "/v1/servers?watch=1", next(t, fresh.agent.Asked), "it does not ask for the whole list")
 			require.Equal(t, before, fresh.used(), "what was there before is not used at first")
-			fresh.wait("sharers", func() bool { return fresh.node.loop.sharers == 6.0/40 })
+			fresh.wait("sharers", func() bool { return fresh.node.loop.nodesPerServer == 6.0/40 })
 			fresh.tell(whole)
 			require.Equal(t, before, fresh.used())
 		})
@@ -213,7 +213,7 @@
 		r.tell(discovery.Update{Rev: 8, All: true, Targets: manyTargets(newApp(t, served), 40)})
 		got := make(chan string, 1)
 		r.node.loop.post(func() {
-			raw, _ := json.Marshal(r.node.loop.legacy("d:1", []byte("{}")))
+			raw, _ := json.Marshal(r.node.loop.handoverState("d:1", []byte("{}")))
 			got <- string(raw)
 		})
 		text := next(t, got)
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -15,136 +15,147 @@
 
 // outcome is how an attempt ended.
 type outcome struct {
-	reason control.Outcome
-	err    error // why, where there was no answer
-	header http.Header
-	body   []byte
-	held   *holding // of the budget for answers
-	begun  bool     // the answer has been passed on as it came
+	reason      control.Outcome
+	err         error // why there was no answer
+	header      http.Header
+	body        []byte
+	reservation *reservation // for the body
+	streamed    bool         // the answer has been passed on as it came
 }
 
-// attempt is one sending of a request.
+// attempt is one sending of a request to a server.
 type attempt struct {
-	start   start
-	until   time.Time // by which it begins, or never; zero is no bound
-	req     *http.Request
-	first   []byte      // of a long body
-	rest    *clientBody // of a long body; nil is none
-	written func()      // called when the last byte has gone out
-	// Called when a good answer begins that is not held, with its first bytes. It gives where
-	// the rest goes; nil is nowhere.
-	begin func(o outcome, length int64) *io.PipeWriter
+	start     start
+	startBy   time.Time // after which it must not start; zero is no bound
+	req       *http.Request
+	first     []byte      // of a long body, before rest
+	rest      *clientBody // of a long body; nil is none
+	onWritten func()      // called when the last byte of the request has been written
+	// onStreamStart is called when a good answer begins that is not held whole, with its first bytes and its length, which
+	// is below 0 where it is not known. It returns the writer for the rest; nil is that nobody reads it.
+	onStreamStart func(o outcome, length int64) *io.PipeWriter
 }
 
-// expired tells whether it is too late to begin.
-func (a *attempt) expired() bool { return !a.until.IsZero() && !time.Now().Before(a.until) }
+// expired reports whether it is too late to start.
+func (a *attempt) expired() bool { return !a.startBy.IsZero() && !time.Now().Before(a.startBy) }
 
-// start is the one way into an attempt: either it begins to be written, or it is called off and
-// never will be. Guards against a request that is written on a connection which came up after its
-// client had left.
+// start decides between an attempt that begins to be written and its client who leaves: either it begins, or it is
+// called off and never will. So no request is written on a connection that opened after its client had left.
 type start struct{ state atomic.Int32 }
 
 const (
-	startOpen = iota // its connection is looked for
+	startOpen = iota // no connection yet
 	startBegun
-	startOff
+	startCalledOff
 )
 
-// begin tells whether the attempt may be written, once and for all.
+// begin reports whether the attempt may be written. It may be called once.
 func (s *start) begin() bool { return s.state.CompareAndSwap(startOpen, startBegun) }
 
-// callOff keeps an attempt from beginning; one that has begun goes on.
-func (s *start) callOff() { s.state.CompareAndSwap(startOpen, startOff) }
+// callOff keeps an attempt from beginning. One that has begun goes on.
+func (s *start) callOff() { s.state.CompareAndSwap(startOpen, startCalledOff) }
 
-// upstream sends requests to app servers, one at a time on a connection. It never
-// sends one again by itself: net/http's Transport would, and doesn't tell whether
-// the last byte of a request went out.
+// upstream sends requests to servers, one at a time on a connection, and never retries by itself. net/http's Transport
+// would retry, and does not tell whether the last byte of a request was written.
 type upstream struct {
-	idleFor time.Duration
-	rest    time.Duration
-	idle    int // connections that idle to one app server at most
-	dial    func(ctx context.Context, network, address string) (net.Conn, error)
-	sockets *sockets
-	budget  *budget
+	maxIdle          time.Duration // for which a connection is kept idle
+	restTime         time.Duration // between two uses of a connection
+	maxIdlePerServer int           // idle connections
+	dial             func(ctx context.Context, network, address string) (net.Conn, error)
+	sockets          *sockets
+	budget           *budget
 
 	mu    sync.Mutex
-	pools map[*pool]struct{} // those that are not retired
+	pools map[*pool]struct{} // that are not retired
 
 	count connCounts
 }
 
-func newUpstream(connect, keepalive time.Duration, group int, s *sockets, b *budget) *upstream {
-	d := net.Dialer{Timeout: connect, KeepAlive: -1}
-	u := &upstream{dial: d.DialContext, rest: idleRest, idle: max(idleLeast, idleGroup/max(group, 1)), idleFor: time.Duration(idlePart * float64(keepalive)), sockets: s,
-		budget: b, pools: make(map[*pool]struct{})}
+func newUpstream(connectTimeout, keepalive time.Duration, fleetSize int, s *sockets, b *budget) *upstream {
+	d := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
+	u := &upstream{
+		dial:             d.DialContext,
+		restTime:         idleRestTime,
+		maxIdlePerServer: max(minIdlePerNode, maxIdlePerFleet/max(fleetSize, 1)),
+		maxIdle:          time.Duration(idleKeepaliveFraction * float64(keepalive)),
+		sockets:          s,
+		budget:           b,
+		pools:            make(map[*pool]struct{}),
+	}
 	s.evictServer = u.evict
 	return u
 }
 
-// try makes one attempt, which lasts until ctx ends at the most.
-func (u *upstream) try(ctx context.Context, p *pool, a *attempt) outcome {
+// attempt makes one attempt at a server of a pool. It lasts until ctx ends at the latest.
+func (u *upstream) attempt(ctx context.Context, p *pool, a *attempt) outcome {
 	c, err := u.get(ctx, p)
-	if errors.Is(err, errNoDescriptor) { // speaks against no app server
+	if errors.Is(err, errNoDescriptor) { // says nothing about the server
 		return outcome{reason: control.NeverSent, err: err}
-	} else if err != nil {
+	}
+	if err != nil {
 		return outcome{reason: control.ConnectFailed, err: err}
 	}
-	// No sooner: a connection takes its time to come up, and what it was for may be over then.
+	// Only now: opening the connection took time, and the request may be over.
 	if ctx.Err() != nil || a.expired() || !a.start.begin() {
 		u.put(p, c)
-		return outcome{reason: control.NeverSent, err: errOff}
-	}
-	c.in.start(ctx)
-	// Guards against a peer that takes or gives nothing: both directions end with ctx.
-	unhook := context.AfterFunc(ctx, func() { _ = c.SetDeadline(past) })
-	keep := false
-	defer func() {
-		if unhook() && keep {
-			c.since = time.Now()
-			c.rests = c.since.Add(u.rest)
-			u.put(p, c)
-		} else {
-			u.count.broken.Add(1)
-			_ = c.Close()
-		}
-	}()
-	var o outcome
-	if a.rest != nil {
-		o, keep = u.tryLong(c, a)
-	} else {
-		// An app server begins a request with its last byte: what breaks before has not run.
-		if err := c.send(ctx, a); err != nil {
-			return outcome{reason: control.ConnectFailed, err: err}
-		}
-		a.written()
-		o, keep = u.read(c, a, func() error { return nil })
+		return outcome{reason: control.NeverSent, err: errCalledOff}
 	}
+	c.answers.start(ctx)
+	// A server that neither reads nor writes must not hold the attempt: both directions end with ctx.
+	unhook := context.AfterFunc(ctx, func() { _ = c.SetDeadline(deadlinePassed) })
+	o, keep := u.sendAndRead(ctx, c, a)
 	if o.reason == control.ResetByPeer && ctx.Err() != nil {
-		o.reason = control.TimedOut
-		if errors.Is(context.Cause(ctx), context.Canceled) {
-			o.reason = control.Cancelled
-		}
+		o.reason = endOf(ctx)
 	}
+	if unhook() && keep {
+		c.since = time.Now()
+		c.restsUntil = c.since.Add(u.restTime)
+		u.put(p, c)
+		return o
+	}
+	u.count.broken.Add(1)
+	_ = c.Close()
 	return o
 }
 
-// tryLong sends a body that streams and looks for the answer meanwhile: an app server may refuse it
-// before it has all.
-func (u *upstream) tryLong(c *conn, a *attempt) (o outcome, keep bool) {
-	ctx, end := context.WithCancel(c.in.ctx)
+// endOf returns the outcome of an attempt that its context ended.
+func endOf(ctx context.Context) control.Outcome {
+	if errors.Is(context.Cause(ctx), context.Canceled) {
+		return control.Cancelled
+	}
+	return control.TimedOut
+}
+
+// sendAndRead writes a request and reads its answer. keep reports whether the connection can be used again.
+func (u *upstream) sendAndRead(ctx context.Context, c *conn, a *attempt) (o outcome, keep bool) {
+	if a.rest != nil {
+		return u.attemptStreaming(c, a)
+	}
+	// A server starts its work with the last byte of a request: what breaks before has not run.
+	if err := c.send(ctx, a); err != nil {
+		return outcome{reason: control.ConnectFailed, err: err}, false
+	}
+	a.onWritten()
+	return u.readAnswer(c, a, func() error { return nil })
+}
+
+// attemptStreaming sends a long body as it comes and reads the answer meanwhile, as a server may reject the request
+// before it has the whole body.
+func (u *upstream) attemptStreaming(c *conn, a *attempt) (o outcome, keep bool) {
+	ctx, end := context.WithCancel(c.answers.ctx)
 	defer end()
 	sent := make(chan error, 1)
 	go func() {
 		err := c.send(ctx, a)
 		if err == nil {
-			a.written()
+			a.onWritten()
 		} else {
-			_ = c.SetReadDeadline(time.Now().Add(answerGrace))
+			_ = c.SetReadDeadline(time.Now().Add(lateAnswerTime))
 		}
 		sent <- err
 	}()
 	early := false
-	cut := sync.OnceValue(func() error { // ends the sending
+	stopSending := sync.OnceValue(func() error {
 		select {
 		case err := <-sent:
 			return err
@@ -153,19 +164,19 @@
 		early = true
 		end()
 		a.rest.stop()
-		_ = c.SetWriteDeadline(past)
+		_ = c.SetWriteDeadline(deadlinePassed)
 		return <-sent
 	})
-	o, keep = u.read(c, a, cut)
-	err := cut()
-	if err == nil || o.err == nil || errors.Is(o.err, errEarly) {
+	o, keep = u.readAnswer(c, a, stopSending)
+	err := stopSending()
+	if err == nil || o.err == nil || errors.Is(o.err, errEarlyAnswer) {
 		return o, keep && !early && err == nil
 	}
-	// What breaks before its last byte has not run.
-	o.held.shrink(0)
+	// What breaks before the last byte of the request has not run.
+	o.reservation.shrink(0)
 	a.rest.mu.Lock()
 	defer a.rest.mu.Unlock()
-	if a.rest.fault != nil { // the client's: speaks against no app server
+	if a.rest.fault != nil { // the client's: says nothing about the server
 		return outcome{reason: control.NeverSent, err: a.rest.fault}, false
 	}
 	return outcome{reason: control.ConnectFailed, err: err}, false
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &attempt{req: req, written: func() {}, begin: func(outcome, int64) *io.PipeWriter {
+	return &attempt{req: req, onWritten: func() {}, onStreamStart: func(outcome, int64) *io.PipeWriter {
 		from, to := io.Pipe()
 		go func() { _, _ = io.Copy(io.Discard, from) }()
 		return to
@@ -86,7 +86,7 @@
 			u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			if o := u.try(ctx, u.pool(endpoint), message(t, []byte("body"))); o.reason != tc.want {
+			if o := u.attempt(ctx, u.pool(endpoint), message(t, []byte("body"))); o.reason != tc.want {
 				t.Errorf("%d (%v), not %d", o.reason, o.err, tc.want)
 			} else if o.reason == control.OK && string(o.body) != "ok" {
 				t.Errorf("body %q", o.body)
@@ -112,7 +112,7 @@
 	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if o := u.try(ctx, u.pool(l.Addr().String()), message(t, make([]byte, 64<<20))); o.reason != control.ConnectFailed {
+	if o := u.attempt(ctx, u.pool(l.Addr().String()), message(t, make([]byte, 64<<20))); o.reason != control.ConnectFailed {
 		t.Errorf("%d (%v)", o.reason, o.err)
 	}
 }
@@ -137,7 +137,7 @@
 			u := newUpstream(patience, patience, 1, socks, newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			if o := u.try(ctx, u.pool(l.Addr().String()), message(t, tc.body)); o.reason != tc.want {
+			if o := u.attempt(ctx, u.pool(l.Addr().String()), message(t, tc.body)); o.reason != tc.want {
 				t.Errorf("%d (%v), not %d", o.reason, o.err, tc.want)
 			}
 			if n := socks.open.Load(); n != 0 {
@@ -159,24 +159,24 @@
 		cancel()
 	}()
 	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
-	if o := u.try(ctx, u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.Cancelled {
+	if o := u.attempt(ctx, u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.Cancelled {
 		t.Errorf("%d (%v)", o.reason, o.err)
 	}
 }
 
 func TestReports(t *testing.T) {
-	o := outcome{header: http.Header{headerUsed: {"85"}, headerCost: {"3"},
+	o := outcome{header: http.Header{headerMeter: {"85"}, headerCost: {"3"},
 		headerLoad: {"inflight=7,queue=2, util=0.61,latency_ms=12.5,colour=red,qps=x"}}}
-	if o.used() != 86 || o.cost(4) != 3 {
-		t.Errorf("used %d, cost %g", o.used(), o.cost(4))
+	if o.meterReading() != 86 || o.tokens(4) != 3 {
+		t.Errorf("used %d, cost %g", o.meterReading(), o.tokens(4))
 	}
-	if l := *o.load(); l != (control.LoadReport{Active: 7, Waiting: 2, CPU: 0.61, AvgMS: 12.5, RPS: -1, ErrRPS: -1}) {
+	if l := *o.loadReport(); l != (control.LoadReport{Active: 7, Waiting: 2, CPU: 0.61, AvgMS: 12.5, RPS: -1, ErrRPS: -1}) {
 		t.Errorf("load %+v", l)
 	}
 	for _, odd := range []string{"", "x", "-1", "NaN", "1e400", "1e300", "99999", "inflight=-1,util=NaN", "queue=1e300"} {
-		o := outcome{header: http.Header{headerUsed: {odd}, headerCost: {odd}, headerLoad: {odd}}}
-		if o.used() != 0 || o.cost(4) != 0 || o.load() != nil {
-			t.Errorf("%q: used %d, cost %g", odd, o.used(), o.cost(4))
+		o := outcome{header: http.Header{headerMeter: {odd}, headerCost: {odd}, headerLoad: {odd}}}
+		if o.meterReading() != 0 || o.tokens(4) != 0 || o.loadReport() != nil {
+			t.Errorf("%q: used %d, cost %g", odd, o.meterReading(), o.tokens(4))
 		}
 	}
 }
@@ -205,7 +205,7 @@
 			u := newUpstream(patience, patience, 1, socks, newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			o := u.try(ctx, u.pool(a.Listener.Addr().String()), message(t, nil))
+			o := u.attempt(ctx, u.pool(a.Listener.Addr().String()), message(t, nil))
 			if o.reason != control.ResetByPeer || ctx.Err() != nil {
 				t.Errorf("%d (%v)", o.reason, o.err)
 			}
@@ -221,13 +221,13 @@
 	t.Parallel()
 	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusEarlyHints)
-		time.Sleep(answerStall + answerStall/3) // has to pass
+		time.Sleep(answerIdleTimeout + answerIdleTimeout/3) // has to pass
 		_, _ = io.WriteString(w, "ok")
 	})
 	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if o := u.try(ctx, u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
+	if o := u.attempt(ctx, u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
 		t.Errorf("%d (%v) %q", o.reason, o.err, o.body)
 	}
 }
@@ -238,18 +238,18 @@
 	asked := 0
 	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
 		if asked++; asked > 1 {
-			time.Sleep(answerStall + answerStall/3) // has to pass
+			time.Sleep(answerIdleTimeout + answerIdleTimeout/3) // has to pass
 		}
 		_, _ = io.WriteString(w, "o")
 		w.(http.Flusher).Flush() // a chunk of its own, so that there is a rest to wait for
 		_, _ = io.WriteString(w, "k")
 	})
 	u := newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64))
-	u.rest = 0 // at once
+	u.restTime = 0 // at once
 	p := u.pool(a.Listener.Addr().String())
 	for range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		if o := u.try(ctx, p, message(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
+		if o := u.attempt(ctx, p, message(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
 			t.Errorf("%d (%v) %q", o.reason, o.err, o.body)
 		}
 		cancel()
@@ -275,11 +275,11 @@
 		first <- c
 	})
 	u := newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64))
-	u.rest = 0 // at once
+	u.restTime = 0 // at once
 	p := u.pool(a.Listener.Addr().String())
 	for i := range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		o := u.try(ctx, p, message(t, nil))
+		o := u.attempt(ctx, p, message(t, nil))
 		cancel()
 		if o.reason != control.OK || string(o.body) != "ok" {
 			t.Errorf("%d (%v) %q", o.reason, o.err, o.body)
--- a/internal/node/zoning.go
+++ b/internal/node/zones.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	lookEach    = 100 * time.Millisecond // at the zones, while there is something to see
-	zonesWithin = time.Second            // for the loop to take an order
+	zoneCheckInterval = 100 * time.Millisecond // at the zones, while there is something to see
+	zoneOrderTimeout  = time.Second            // for the loop to take an order
 )
 
 // zoning is the node's part in leaving zones and returning to them. It belongs to the loop.
-type zoning struct {
-	loop   *loop
-	policy *zone.Policy
-	of     map[uint32]string // the zone of each listed server
-	armed  bool
-	seen   time.Duration // the last evidence
-	views  atomic.Pointer[[]zone.View]
+type zoneEvacuation struct {
+	loop           *loop
+	policy         *zone.Policy
+	zoneByServer   map[uint32]string // the zone of each listed server
+	checkScheduled bool
+	lastEvidence   time.Duration // the last evidence
+	views          atomic.Pointer[[]zone.View]
 }
 
 // newZoning makes the policy of the zones that the fleet file names.
-func newZoning(cfg config.Config, l *loop) *zoning {
+func newZoneEvacuation(cfg config.Config, l *loop) *zoneEvacuation {
 	own := cfg.Settings.Zone
 	zones := []zone.Zone{{Name: own}}
 	for region, names := range cfg.Fleet.Regions {
@@ -46,52 +46,52 @@
 			zones = append(zones, z)
 		}
 	}
-	z := &zoning{loop: l, policy: zone.New(own, zones), of: make(map[uint32]string)}
+	z := &zoneEvacuation{loop: l, policy: zone.New(own, zones), zoneByServer: make(map[uint32]string)}
 	views := z.policy.Views()
 	z.views.Store(&views)
-	l.registry().MustRegister(z)
-	w := l.watch()
-	w.late = append(w.late, func(server uint32) { z.saw(server, -1) })
-	w.fared = append(w.fared, z.saw)
+	l.metricsRegistry().MustRegister(z)
+	w := l.stragglerWatch()
+	w.onLate = append(w.onLate, func(server uint32) { z.observe(server, -1) })
+	w.onOutcome = append(w.onOutcome, z.observe)
 	return z
 }
 
 // listed takes an entry of the list, or that one is gone.
-func (z *zoning) listed(id uint32, t *discovery.Target) {
+func (z *zoneEvacuation) updateServer(id uint32, t *discovery.Target) {
 	if t == nil {
-		delete(z.of, id)
+		delete(z.zoneByServer, id)
 		return
 	}
-	z.of[id] = t.Zone
+	z.zoneByServer[id] = t.Zone
 }
 
 // saw takes how an attempt went; took is below zero for one that failed or is late.
-func (z *zoning) saw(server uint32, took time.Duration) {
-	z.seen = z.loop.now()
-	z.policy.Saw(z.seen, z.of[server], uint64(server), 1, took >= 0, max(0, took.Seconds()))
-	z.arm()
+func (z *zoneEvacuation) observe(server uint32, took time.Duration) {
+	z.lastEvidence = z.loop.now()
+	z.policy.Saw(z.lastEvidence, z.zoneByServer[server], uint64(server), 1, took >= 0, max(0, took.Seconds()))
+	z.scheduleCheck()
 }
 
-func (z *zoning) arm() {
-	if !z.armed {
-		z.armed = true
-		time.AfterFunc(lookEach, func() { z.loop.post(z.look) })
+func (z *zoneEvacuation) scheduleCheck() {
+	if !z.checkScheduled {
+		z.checkScheduled = true
+		time.AfterFunc(zoneCheckInterval, func() { z.loop.post(z.check) })
 	}
 }
 
 // look decides anew, and goes on while there is evidence or a zone is not whole.
-func (z *zoning) look() {
-	z.armed = false
+func (z *zoneEvacuation) check() {
+	z.checkScheduled = false
 	now := z.loop.now()
 	z.policy.Look(now)
-	if z.publish() || now < z.seen+time.Second {
-		z.arm()
+	if z.publish() || now < z.lastEvidence+time.Second {
+		z.scheduleCheck()
 	}
 }
 
 // publish tells the module, the log and the console of what has changed. It tells whether a zone is
 // not whole.
-func (z *zoning) publish() (cut bool) {
+func (z *zoneEvacuation) publish() (cut bool) {
 	before, views := z.views.Load(), z.policy.Views()
 	away := map[string]float64{}
 	for name, part := range z.policy.Parts(0) {
@@ -105,7 +105,7 @@
 		o := (*before)[i]
 		changed = changed || o != v
 		if o.State != v.State {
-			slog.Info("zones: turned", "zone", v.Zone, "state", v.State.String(), "part", v.Part, "why", v.Why, "hold", v.Hold)
+			slog.Info("zones: state of a zone changed", "zone", v.Zone, "state", v.State.String(), "part", v.Part, "why", v.Why, "hold", v.Hold)
 		}
 	}
 	if changed {
@@ -118,17 +118,17 @@
 var zonePart = prometheus.NewDesc("node_zone_part", "Part of its usual traffic that a zone may have.", []string{"zone", "state"}, nil)
 
 // Describe names the figures.
-func (z *zoning) Describe(to chan<- *prometheus.Desc) { to <- zonePart }
+func (z *zoneEvacuation) Describe(to chan<- *prometheus.Desc) { to <- zonePart }
 
 // Collect gives the figures.
-func (z *zoning) Collect(to chan<- prometheus.Metric) {
+func (z *zoneEvacuation) Collect(to chan<- prometheus.Metric) {
 	for _, v := range *z.views.Load() {
 		to <- prometheus.MustNewConstMetric(zonePart, prometheus.GaugeValue, v.Part, v.Zone, v.State.String())
 	}
 }
 
 // show answers what the node does with each zone, and why.
-func (z *zoning) show(w http.ResponseWriter, _ *http.Request) {
+func (z *zoneEvacuation) handleShow(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	type line struct {
 		Zone, State, Order, Why string
@@ -142,7 +142,7 @@
 }
 
 // names gives the zones that orders may name.
-func (z *zoning) names() (names []string) {
+func (z *zoneEvacuation) names() (names []string) {
 	for _, v := range *z.views.Load() {
 		names = append(names, v.Zone)
 	}
@@ -150,30 +150,30 @@
 }
 
 // order takes the operators' word on a zone: leave, hold, return or none.
-func (z *zoning) order(w http.ResponseWriter, r *http.Request) {
+func (z *zoneEvacuation) handleOrder(w http.ResponseWriter, r *http.Request) {
 	o, err := zone.ParseOrder(r.URL.Query().Get("order"))
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	name, known := r.URL.Query().Get("zone"), make(chan bool, 1)
 	z.loop.post(func() {
 		ok := z.policy.Tell(z.loop.now(), name, o)
 		if ok {
-			slog.Info("zones: ordered", "zone", name, "order", o.String())
+			slog.Info("zones: operator's order taken", "zone", name, "order", o.String())
 		}
 		z.publish()
-		z.arm()
+		z.scheduleCheck()
 		known <- ok
 	})
 	select {
 	case ok := <-known:
 		if !ok {
-			refuse(w, &ZoneError{name, z.names()})
+			writeError(w, &ZoneError{name, z.names()})
 			return
 		}
-		z.show(w, r)
-	case <-time.After(zonesWithin):
-		refuse(w, &BusyError{"zones", zonesWithin})
+		z.handleShow(w, r)
+	case <-time.After(zoneOrderTimeout):
+		writeError(w, &BusyError{"zones", zoneOrderTimeout})
 	}
 }
--- a/internal/node/zoning_test.go
+++ b/internal/node/zones_test.go
@@ -30,7 +30,7 @@
 	r.list(all...)
 	state := func(want zone.State) func() bool {
 		return func() bool {
-			for _, v := range *r.node.loop.zoning.views.Load() {
+			for _, v := range *r.node.loop.zones.views.Load() {
 				if v.Zone == "z2" {
 					return v.State == want
 				}
