--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -61,7 +61,7 @@
 	go func() { // ends with ctx at the latest
 		o := l.upstream.attempt(ctx, pool, sending)
 		if !l.post(func() { l.attemptEnded(x, t, o) }) {
-			o.reservation.shrink(0)
+			o.reservation.shrinkTo(0)
 		}
 	}()
 }
@@ -166,7 +166,7 @@
 	if o.reason == control.OK && !x.done {
 		l.finish(x, answer{status: http.StatusOK, header: o.header, body: o.body, reservation: o.reservation})
 	} else {
-		o.reservation.shrink(0)
+		o.reservation.shrinkTo(0)
 	}
 	r.Done = x.done
 	l.release(x)
--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxHeldBytes      = 64 << 10 // of a message that is held whole
-	maxMessageBytes   = 33 << 20 // of any message: 32 MB, however counted
-	streamBufferBytes = 32 << 10 // what a stream holds at once
-	uncountedBytes    = 4 << 10  // held without being counted, as the buffers of a connection are
+	maxHeldBytes      = 64 << 10 // of a message that is held whole; a longer one is streamed
+	maxMessageBytes   = 33 << 20 // of any body or answer: 32 MB, however counted
+	streamBufferBytes = 32 << 10 // held of a message that is streamed
+	uncountedBytes    = 4 << 10  // of a message that is held without being counted, as connections' buffers are
 
-	budgetMemoryFraction = 1.0 / 4 // of the memory limit that held messages may come to
+	budgetMemoryFraction = 1.0 / 4 // of the memory limit that held messages may use
 	minBudgetBytes       = 4 << 20
 )
 
-// budget bounds the bytes that the messages of all requests hold together. Bodies and answers
-// have a half each. Guards against bodies that wait for room which answers to them need.
+// budget bounds the bytes that the bodies and answers of all requests hold together. Each kind has a half, so that bodies
+// can't take the room that the answers to them need.
 type budget struct{ bodies, answers *semaphore.Weighted }
 
 func newBudget(memoryMB int) *budget {
@@ -26,7 +26,7 @@
 	return &budget{bodies: semaphore.NewWeighted(half), answers: semaphore.NewWeighted(half)}
 }
 
-// hold counts the bytes of a message as held, as soon as there is room.
+// reserve reserves n bytes as soon as there is room, or until ctx ends.
 func reserve(ctx context.Context, of *semaphore.Weighted, n int64) (*reservation, error) {
 	if n <= uncountedBytes {
 		return &reservation{}, nil
@@ -37,15 +37,15 @@
 	return &reservation{pool: of, bytes: n}, nil
 }
 
-// holding is a part of a budget.
+// reservation is a reserved part of a budget. A nil one holds nothing.
 type reservation struct {
 	mu    sync.Mutex
 	pool  *semaphore.Weighted
 	bytes int64
 }
 
-// shrink gives back all but n bytes.
-func (h *reservation) shrink(n int64) {
+// shrinkTo releases all but n bytes.
+func (h *reservation) shrinkTo(n int64) {
 	if h == nil {
 		return
 	}
@@ -57,5 +57,5 @@
 	}
 }
 
-// pieces are the buffers that streams pass on.
+// streamBuffers are the buffers through which streams are passed on.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
--- a/internal/node/clientanswers.go
+++ b/internal/node/clientanswers.go
@@ -9,13 +9,35 @@
 	"time"
 )
 
-// write sends an answer, whatever it is, for as long as the client takes it. Another error than
-// errLeft is of an answer that has begun and can't be finished.
+// write sends an answer for as long as the client reads it. It returns errClientLeft where the client does not, and
+// another error where a streamed answer has begun and can't be finished.
 func (f *front) write(w http.ResponseWriter, a answer) error {
-	limit := http.NewResponseController(w)
-	h := w.Header()
-	// Guards against requests that come on a held one's connection after the drain: what
-	// counts is whether the node lets go now, not when the request came.
+	f.setHeader(w.Header(), a)
+	out := &answerWriter{w: w, control: http.NewResponseController(w)}
+	out.extendDeadline()
+	w.WriteHeader(a.status)
+	if a.stream == nil && len(a.body) <= uncountedBytes {
+		if _, err := w.Write(a.body); err != nil {
+			return errClientLeft
+		}
+		return nil
+	}
+	for part := range slices.Chunk(a.body, 2*uncountedBytes) {
+		if err := out.send(part); err != nil {
+			a.close(err)
+			return err
+		}
+	}
+	if a.stream == nil {
+		return nil
+	}
+	return out.sendStream(a)
+}
+
+// setHeader sets the header of an answer.
+func (f *front) setHeader(h http.Header, a answer) {
+	// A request may come on an open connection after the drain began: what counts is whether the node lets go of
+	// connections now, not when the request came.
 	if f.closing.Load() {
 		h.Set("Connection", "close")
 	}
@@ -25,7 +47,7 @@
 		}
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // not to be guessed from the body
+		h["Content-Type"] = nil // net/http must not guess it from the body
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
@@ -36,57 +58,57 @@
 	case a.length >= 0:
 		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
 	}
-	// Guards against a client that takes nothing: each piece has its own time.
-	_ = limit.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-	w.WriteHeader(a.status)
-	if a.stream == nil && len(a.body) <= uncountedBytes {
-		if _, err := w.Write(a.body); err != nil {
-			return errClientLeft
-		}
-		return nil
-	}
-	send := func(b []byte) error {
-		_ = limit.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
-		if _, err := w.Write(b); err != nil {
-			return errClientLeft
-		}
-		if err := limit.Flush(); err != nil {
-			return errClientLeft
-		}
-		return nil
-	}
-	for part := range slices.Chunk(a.body, 2*uncountedBytes) {
-		if err := send(part); err != nil {
-			a.close(err)
-			return err
-		}
+}
+
+// answerWriter writes the body of an answer in parts, each with a deadline of its own, so that a client that reads
+// nothing does not hold it.
+type answerWriter struct {
+	w       http.ResponseWriter
+	control *http.ResponseController
+}
+
+func (o *answerWriter) extendDeadline() {
+	_ = o.control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+}
+
+// send writes a part and flushes it.
+func (o *answerWriter) send(part []byte) error {
+	o.extendDeadline()
+	if _, err := o.w.Write(part); err != nil {
+		return errClientLeft
 	}
-	if a.stream == nil {
-		return nil
+	if err := o.control.Flush(); err != nil {
+		return errClientLeft
 	}
-	if err := send(nil); err != nil {
+	return nil
+}
+
+// sendStream writes the rest of an answer as it comes.
+func (o *answerWriter) sendStream(a answer) error {
+	if err := o.send(nil); err != nil {
 		a.close(err)
 		return err
 	}
-	piece := streamBuffers.Get().(*[streamBufferBytes]byte)
-	defer streamBuffers.Put(piece)
+	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buffer)
 	for {
-		n, err := a.stream.Read(piece[:])
+		n, err := a.stream.Read(buffer[:])
 		if n > 0 {
-			if err := send(piece[:n]); err != nil {
-				a.close(err)
-				return err
+			if gone := o.send(buffer[:n]); gone != nil {
+				a.close(gone)
+				return gone
 			}
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return err
 		}
 	}
 }
 
-// ownHeader tells whether a header speaks of one connection or hop only.
+// hopHeader reports whether a header is about one connection or hop only and so is not forwarded.
 func hopHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/internal/node/clientbody.go
+++ b/internal/node/clientbody.go
@@ -13,11 +13,11 @@
 
 const (
 	bodyIdleTimeout    = 2500 * time.Millisecond // silence of a client within a body
-	bodyTimeout        = 10 * time.Second        // of a body, and as much more as it needs at slowest
-	minBytesPerSecond  = 16 << 10                // bytes a second that a message comes with on the whole
-	clientWriteTimeout = 4 * time.Second         // for which a client may take nothing of its answer
-	discardTimeout     = 10 * time.Second        // for which the rest of a refused body is taken and dropped
-	discardIdleTimeout = time.Second
+	bodyTimeout        = 10 * time.Second        // of a body, and the time that its length takes at minBytesPerSecond
+	minBytesPerSecond  = 16 << 10                // of a message as a whole
+	clientWriteTimeout = 4 * time.Second         // for which a client may read nothing of its answer
+	discardTimeout     = 10 * time.Second        // for which the rest of a rejected body is read and dropped
+	discardIdleTimeout = time.Second             // silence of a client within that rest
 )
 
 var (
@@ -28,20 +28,20 @@
 	deadlinePassed    = time.Unix(1, 0)
 )
 
-// clientBody reads a client's body, for as long as it moves.
+// clientBody reads a client's body, with bounds on its length, on silence and on its whole time.
 type clientBody struct {
 	src       io.Reader
 	deadlines *http.ResponseController
-	onEnd     func()      // called at its end
-	spent     atomic.Bool // something was read that is not held
+	onEnd     func()      // called when the body has been read to its end
+	spent     atomic.Bool // a part was read that is not held
 
 	mu      sync.Mutex
 	stopped bool
-	fault   error // why it can't be read to its end
+	fault   error // why the body can't be read to its end
 	ended   bool
 	begun   time.Time
 	total   int64
-	broken  chan struct{} // closed with a fault
+	broken  chan struct{} // closed when fault is set
 }
 
 func newClientBody(src io.Reader, limit *http.ResponseController) *clientBody {
@@ -62,7 +62,7 @@
 	if b.begun.IsZero() {
 		b.begun = now
 	}
-	// Guards, by the second, against a client that sends a byte now and then without end.
+	// The second deadline ends a body of which a byte comes now and then.
 	_ = b.deadlines.SetReadDeadline(earlier(now.Add(bodyIdleTimeout), b.begun.Add(maxDuration(bodyTimeout, b.total))))
 	b.mu.Unlock()
 
@@ -87,7 +87,7 @@
 	return n, err
 }
 
-// mostTime is what a message of so many bytes may take in all.
+// maxDuration returns how long a message of so many bytes may take.
 func maxDuration(least time.Duration, bytes int64) time.Duration {
 	return least + time.Duration(bytes)*time.Second/minBytesPerSecond
 }
@@ -99,7 +99,7 @@
 	return b
 }
 
-// stop ends a read that waits for the client.
+// stop ends reading, also a read that waits for the client.
 func (b *clientBody) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,14 +108,14 @@
 	}
 }
 
-// halted tells whether the body was stopped.
+// isStopped reports whether stop was called.
 func (b *clientBody) isStopped() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.stopped
 }
 
-// mistake is what a client is told of a body that could not be read.
+// badRequest returns the answer to a client whose body could not be read.
 func (b *clientBody) badRequest() *badRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,11 +128,11 @@
 	return newBadRequest(http.StatusBadRequest, "reading the body: %v", b.fault)
 }
 
-// discard takes what the client still sends. Guards against a reset, by closing on data unread,
-// that takes the answer from a client which reads it after it has sent all.
+// discard reads and drops what the client still sends. Closing a connection with unread data would be a reset, which
+// can take the answer from a client that reads it after it has sent all.
 func (b *clientBody) discard(r *http.Request) {
 	b.mu.Lock()
-	// A client that awaits a word before it sends its body has had another one.
+	// A client that waits for 100 Continue has got the final answer instead.
 	over := b.ended || b.fault != nil || b.total == 0 && r.Header.Get("Expect") != ""
 	b.mu.Unlock()
 	if over {
@@ -148,7 +148,7 @@
 	}
 }
 
-// take reads up to most bytes and tells whether the body has ended with them.
+// readUpTo reads up to most bytes. whole reports whether the body has ended with them.
 func (b *clientBody) readUpTo(most int) (held []byte, whole bool, err error) {
 	held = make([]byte, 0, min(most, uncountedBytes))
 	for len(held) < most {
@@ -166,10 +166,11 @@
 	return held, false, nil
 }
 
+// connKey is the key of a request's *clientConn in its context.
 type connKey struct{}
 
-// tune keeps the kernel's buffers small, so that the progress of a slow peer is seen and long
-// messages are not piled up there.
+// setSocketBuffers makes the kernel's buffers small, so that the progress of a slow peer is seen and long messages do not
+// pile up in them.
 func setSocketBuffers(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetReadBuffer(socketBufferBytes)
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxHeadBytes         = 16 << 10
-	clientIdleTimeout    = 10 * time.Second
-	headTimeout          = 2600 * time.Millisecond // of a request's head
-	closeTimeoutOfClient = 250 * time.Millisecond  // for which a connection that is let go waits for the client's close; less than drainWrite
-	maxSilence           = 250 * time.Millisecond  // of a new connection where others want its place
+	maxHeadBytes       = 16 << 10                // of a request's head
+	clientIdleTimeout  = 10 * time.Second        // between two requests of a connection
+	headTimeout        = 2600 * time.Millisecond // of a request's head
+	clientCloseTimeout = 250 * time.Millisecond  // for the client's close after this side's; less than drainWriteTime
+	maxSilence         = 250 * time.Millisecond  // of a new connection where others need its place
 )
 
-// server is the HTTP server of the clients. An answer or a close is owed to each soon after it
-// has connected, so a head has to come whole in time; a body has to move.
+// server returns the HTTP server for the clients. Each client must get an answer or a close soon after it has connected,
+// so a head has to come whole in time, and a body has to make progress.
 func (f *front) server() *http.Server {
 	return &http.Server{Handler: f, MaxHeaderBytes: maxHeadBytes, IdleTimeout: clientIdleTimeout, ConnState: f.connStateChanged,
 		ReadHeaderTimeout: headTimeout, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -32,7 +32,7 @@
 		}}
 }
 
-// state keeps track of the client connections on which no request is open.
+// connStateChanged keeps track of the connections on which no request is open.
 func (f *front) connStateChanged(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -45,7 +45,7 @@
 	switch s {
 	case http.StateIdle:
 		f.idle[c] = time.Now()
-		c.next()
+		c.nextRequest()
 	case http.StateNew:
 		f.fresh[c] = time.Now()
 		f.accepted.Add(1)
@@ -55,22 +55,20 @@
 	}
 }
 
-// closeIdle ends the client connections on which nothing is open, also new ones that have said
-// nothing for a while.
+// closeIdle closes the connections on which no request is open, also new ones that have sent nothing for a while.
 func (f *front) closeIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, conns := range []map[*clientConn]time.Time{f.idle, f.fresh} {
 		for c, since := range conns {
-			if time.Since(since) >= idlePollInterval && c.end(false) {
+			if time.Since(since) >= idlePollInterval && c.closeIfIdle(false) {
 				delete(conns, c)
 			}
 		}
 	}
 }
 
-// evict closes a client connection that has said nothing for too long, else the one that
-// has been idle for the longest time.
+// evict closes a connection that has sent nothing for too long, else the one that has been idle for the longest time.
 func (f *front) evict() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,9 +85,9 @@
 	return false
 }
 
-// drop ends a connection and gives its place back at once.
+// evictConn closes a connection and frees its place at once. part allows it where a part of a head has come.
 func (f *front) evictConn(of map[*clientConn]time.Time, c *clientConn, part bool) bool {
-	if !c.end(part) {
+	if !c.closeIfIdle(part) {
 		return false
 	}
 	delete(of, c)
@@ -98,28 +96,28 @@
 	return true
 }
 
-// byAge gives connections, the longest known first.
+// byAge returns the connections, the oldest first.
 func byAge(conns map[*clientConn]time.Time) []*clientConn {
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *clientConn) int { return conns[a].Compare(conns[b]) })
 }
 
 var errTooMuchPipelined = errors.New("too much behind a request that has no answer yet")
 
-// clientConn is a client's connection that remembers the raw head of the request it carries.
-// net/http drops a Content-Length next to a Transfer-Encoding, and forgets that it was there.
+// clientConn is a client's connection that records the raw head of the request it carries: net/http drops a
+// Content-Length next to a Transfer-Encoding and does not tell that it was there.
 type clientConn struct {
 	countedConn
-	mu        sync.Mutex
-	head      []byte
-	full      bool   // the head has ended, or is too long to be remembered
-	limited   bool   // reads have a deadline
-	ahead     []byte // what came behind the request that is held
-	raw       syscall.RawConn
-	answering bool      // to the present request
-	begun     bool      // net/http has bytes of a request that is not answered
-	shut      bool      // nothing more is sent, and net/http is given nothing more
-	until     time.Time // for which what still comes is dropped, once shut
-	dropped   int       // bytes
+	mu               sync.Mutex
+	head             []byte
+	headComplete     bool // the head has ended, or is too long to be recorded
+	hasReadDeadline  bool
+	pipelined        []byte // bytes that came after the open request
+	raw              syscall.RawConn
+	answerBegun      bool      // of the answer to the present request
+	requestBegun     bool      // net/http has bytes of a request without an answer
+	closedForWriting bool      // nothing more is written, and net/http gets nothing more
+	dropUntil        time.Time // until then what still comes is dropped
+	droppedBytes     int       // bytes
 }
 
 func newClientConn(c *net.TCPConn, s *sockets) (*clientConn, error) {
@@ -130,31 +128,30 @@
 	return &clientConn{countedConn: countedConn{Conn: c, sockets: s}, raw: raw}, nil
 }
 
-// Read gives net/http what the client sends. While a request is held, net/http notices a hang-up
-// by the read of one byte, with no deadline, and looks no further once it has that byte. So such a
-// read keeps for later what comes behind the request, and ends with the connection or when
-// net/http ends it by a deadline.
+// Read returns what the client sends. While a request is open, net/http notices a hang-up by the read of one byte without
+// a deadline, and notices none once it has that byte. So such a read keeps what comes after the request for later, and
+// ends with the connection, or when net/http ends it by a deadline.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if len(p) == 1 && !c.limited {
+	if len(p) == 1 && !c.hasReadDeadline {
 		c.mu.Unlock()
-		return 0, c.watch(p)
+		return 0, c.watchForHangup(p)
 	}
-	if len(c.ahead) > 0 && !c.shut {
+	if len(c.pipelined) > 0 && !c.closedForWriting {
 		defer c.mu.Unlock()
-		n := copy(p, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
+		n := copy(p, c.pipelined)
+		if c.pipelined = c.pipelined[n:]; len(c.pipelined) == 0 {
+			c.pipelined = nil
 		}
-		c.hand(p[:n])
+		c.requestBytes(p[:n])
 		return n, nil
 	}
 	c.mu.Unlock()
-	return c.receive(p, c.hand)
+	return c.receive(p, c.requestBytes)
 }
 
-// receive reads what has come and gives it to got with the lock held, so that bytes have either
-// been taken, or are dropped after the sending has ended: never taken and dropped.
+// receive reads what has come and passes it to got with the lock held. So bytes are either passed on, or dropped after the
+// connection was closed for writing, never both.
 func (c *clientConn) receive(p []byte, got func([]byte)) (n int, err error) {
 	for {
 		shut := false
@@ -167,9 +164,9 @@
 			switch {
 			case err == syscall.EAGAIN:
 				return false
-			case err == nil && n > 0 && c.shut:
-				c.dropped += n
-				shut = c.dropped <= maxHeadBytes+maxHeldBytes
+			case err == nil && n > 0 && c.closedForWriting:
+				c.droppedBytes += n
+				shut = c.droppedBytes <= maxHeadBytes+maxHeldBytes
 			case err == nil && n > 0:
 				got(p[:n])
 				return true
@@ -186,30 +183,29 @@
 			return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", err)}
 		case shut:
 			continue
-		case n == 0 || c.over():
+		case n == 0 || c.isClosing():
 			return 0, io.EOF
 		}
 		return n, nil
 	}
 }
 
-// Write notes that an answer has begun: from now on the client may send its next request.
+// Write records that the answer has begun: from now on the client may send its next request.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.answering = true
+	c.answerBegun = true
 	c.mu.Unlock()
 	return c.countedConn.Write(p)
 }
 
-// watch reads ahead until the client has left, or sends more than is kept. Guards against a next
-// request, longer than that, which comes between the answer's last byte and net/http's end of the
-// watch: it is left unread.
-func (c *clientConn) watch(p []byte) error {
+// watchForHangup reads and keeps what comes until the client has left, or has sent more than maxHeadBytes. A next request
+// that is longer may come between the answer's last byte and the end of this read by net/http: its rest is left unread.
+func (c *clientConn) watchForHangup(p []byte) error {
 	for {
 		kept, answering := 0, false
 		if _, err := c.receive(p, func(b []byte) {
-			c.ahead = append(c.ahead, b...)
-			kept, answering = len(c.ahead), c.answering
+			c.pipelined = append(c.pipelined, b...)
+			kept, answering = len(c.pipelined), c.answerBegun
 		}); err != nil {
 			return err
 		}
@@ -225,62 +221,61 @@
 	}
 }
 
-// SetReadDeadline notes whether there is one. A connection that is shut keeps its own.
+// SetReadDeadline records whether there is a deadline. A connection that is closed for writing keeps its own.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.until.IsZero() {
+	if !c.dropUntil.IsZero() {
 		return nil
 	}
-	c.limited = !t.IsZero()
+	c.hasReadDeadline = !t.IsZero()
 	return c.countedConn.SetReadDeadline(t)
 }
 
-// end ends the sending on a connection unless a request has begun to come; a part of its head is
-// none where part is set. What comes later is dropped unread by net/http, and the connection
-// closed by the client's end or soon. So the client knows that its request was not taken, and the
-// close comes over no unread byte, by which it would be a reset and take back an answer.
-func (c *clientConn) end(part bool) bool {
+// closeIfIdle closes a connection for writing unless a request has begun to come; with part, a part of a head does not
+// count. What comes later is dropped without net/http, and the connection is closed when the client closes it, or soon. So
+// the client knows that its request was not received, and there is no close with unread bytes, which would be a reset and
+// could take back an answer.
+func (c *clientConn) closeIfIdle(part bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.shut || c.begun && (c.full || !part) || len(c.ahead) > 0 || c.waiting() {
+	if c.closedForWriting || c.requestBegun && (c.headComplete || !part) || len(c.pipelined) > 0 || c.hasUnreadBytes() {
 		return false
 	}
 	_ = c.closeWrite()
-	c.expire()
+	c.limitDropping()
 	return true
 }
 
-// closeWrite ends the sending. The lock is held.
+// closeWrite closes the connection for writing. The lock is held.
 func (c *clientConn) closeWrite() error {
-	if c.shut {
+	if c.closedForWriting {
 		return nil
 	}
-	c.shut = true
+	c.closedForWriting = true
 	return c.countedConn.Conn.(*net.TCPConn).CloseWrite()
 }
 
-// expire sets the end of what is still read. The lock is held.
-func (c *clientConn) expire() {
-	if c.until.IsZero() {
-		c.until = time.Now().Add(closeTimeoutOfClient)
-		_ = c.countedConn.SetReadDeadline(c.until)
+// limitDropping sets the time until which bytes are still read and dropped. The lock is held.
+func (c *clientConn) limitDropping() {
+	if c.dropUntil.IsZero() {
+		c.dropUntil = time.Now().Add(clientCloseTimeout)
+		_ = c.countedConn.SetReadDeadline(c.dropUntil)
 	}
 }
 
-// CloseWrite ends the sending, as net/http does behind an error to a peer that may still send.
+// CloseWrite closes the connection for writing. net/http calls it after an error to a peer that may still send.
 func (c *clientConn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeWrite()
 }
 
-// Close ends the sending, drops what the client still sends until it closes, for a while, and
-// then closes.
+// Close closes the connection for writing, drops what the client still sends for a while, and closes.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	_ = c.closeWrite()
-	c.expire()
+	c.limitDropping()
 	c.mu.Unlock()
 	piece := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(piece)
@@ -288,15 +283,15 @@
 	return c.countedConn.Close()
 }
 
-// over tells whether the connection is given up.
-func (c *clientConn) over() bool {
+// isClosing reports whether the connection is closed for writing.
+func (c *clientConn) isClosing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.shut
+	return c.closedForWriting
 }
 
-// waiting tells whether bytes have come that are not read. The lock is held.
-func (c *clientConn) waiting() bool {
+// hasUnreadBytes reports whether bytes have come that are not read. The lock is held.
+func (c *clientConn) hasUnreadBytes() bool {
 	some := false
 	_ = c.raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -306,40 +301,40 @@
 	return some
 }
 
-// hand notes bytes that net/http is given. The lock is held.
-func (c *clientConn) hand(b []byte) {
-	c.begun = true
-	c.note(b)
+// requestBytes records bytes that net/http gets. The lock is held.
+func (c *clientConn) requestBytes(b []byte) {
+	c.requestBegun = true
+	c.recordHead(b)
 }
 
-// note remembers what of the head is in b.
-func (c *clientConn) note(b []byte) {
-	if c.full || len(b) == 0 {
+// recordHead records what of the head is in b.
+func (c *clientConn) recordHead(b []byte) {
+	if c.headComplete || len(b) == 0 {
 		return
 	}
 	from := max(len(c.head)-3, 0)
 	c.head = append(c.head, b...)
 	if i := bytes.Index(c.head[from:], []byte("\n\r\n")); i >= 0 {
-		c.head, c.full = c.head[:from+i+3], true
+		c.head, c.headComplete = c.head[:from+i+3], true
 	} else if i := bytes.Index(c.head[from:], []byte("\n\n")); i >= 0 {
-		c.head, c.full = c.head[:from+i+2], true
+		c.head, c.headComplete = c.head[:from+i+2], true
 	}
-	c.full = c.full || len(c.head) > maxHeadBytes
+	c.headComplete = c.headComplete || len(c.head) > maxHeadBytes
 }
 
-// next forgets the head, for the next request: this one is answered.
-func (c *clientConn) next() {
+// nextRequest forgets the head of a request that has been answered.
+func (c *clientConn) nextRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.head, c.full, c.begun, c.answering = c.head[:0], false, false, false
+	c.head, c.headComplete, c.requestBegun, c.answerBegun = c.head[:0], false, false, false
 	if cap(c.head) > uncountedBytes {
 		c.head = nil
 	}
 }
 
-// lengthAsWell tells whether the head of a request that is sent in chunks names a length too, or
-// is not known: it may have come with the request before it, as no proper client sends it.
-func (c *clientConn) lengthAsWell(r *http.Request) bool {
+// hasContentLength reports whether the head of a chunked request names a Content-Length too, or is not known: it may have
+// come together with the request before it, as no proper client sends it.
+func (c *clientConn) hasContentLength(r *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	first, rest, ok := bytes.Cut(c.head, []byte("\n"))
--- a/internal/node/clientends_test.go
+++ b/internal/node/clientends_test.go
@@ -58,7 +58,7 @@
 	r.wait("the part", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		return k.begun && len(k.head) == len(part)
+		return k.requestBegun && len(k.head) == len(part)
 	})
 }
 
--- a/internal/node/clientleaves_test.go
+++ b/internal/node/clientleaves_test.go
@@ -117,7 +117,7 @@
 		r.wait("the piece", func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			return len(k.ahead) == sent
+			return len(k.pipelined) == sent
 		})
 	}
 	finish <- struct{}{}
@@ -180,7 +180,7 @@
 		require.Eventually(t, func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			return len(k.ahead) > maxHeadBytes
+			return len(k.pipelined) > maxHeadBytes
 		}, patience, time.Millisecond)
 		_ = k.SetReadDeadline(deadlinePassed)
 		require.ErrorIs(t, next(t, watched), os.ErrDeadlineExceeded)
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	maxIDBytes     = 128
-	timeLeftSlack  = 50 * time.Millisecond // over a class's deadline
-	tenantKeyLimit = 1 << 33
+	maxIDBytes     = 128                   // of X-Correlation-Id
+	timeLeftSlack  = 50 * time.Millisecond // by which X-Time-Left may exceed the class's deadline
+	tenantKeyLimit = 1 << 33               // tenants' keys are below
 )
 
-// badRequest is a client's mistake and the status that tells it.
+// badRequest is a client's mistake and the status of the answer to it.
 type badRequest struct {
 	status int
 	text   string
@@ -33,12 +33,12 @@
 	return &badRequest{status: status, text: fmt.Sprintf(format, args...)}
 }
 
-// exchange reads a client's request. The module must not hear of one that is wrong.
-func (f *front) readRequest(r *http.Request, limit *http.ResponseController) (*exchange, *badRequest) {
+// readRequest reads a client's request. A request with a mistake must not reach the decision module.
+func (f *front) readRequest(r *http.Request, deadlines *http.ResponseController) (*exchange, *badRequest) {
 	if wrong := checkFraming(r); wrong != nil {
 		return nil, wrong
 	}
-	// Guards against app servers that read another one of two values than this node.
+	// A server could read another one of two values than this node.
 	for _, name := range singleHeaders {
 		if len(r.Header[name]) > 1 {
 			return nil, newBadRequest(http.StatusBadRequest, "%s: given twice", name)
@@ -49,29 +49,16 @@
 	if e.ID == "" || len(e.ID) > maxIDBytes {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: none, or too long", headerID)
 	}
-	e.Class, _, _ = strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	class, ok := f.classes[e.Class]
-	if !ok {
-		return nil, newBadRequest(http.StatusNotFound, "unknown class %q", e.Class)
-	}
-	if (class.Idempotency == control.Idempotent) != (r.Method == http.MethodGet) ||
-		class.Idempotency != control.Idempotent && r.Method != http.MethodPost {
-		return nil, newBadRequest(http.StatusMethodNotAllowed, "%s: not a method of class %s", r.Method, e.Class)
-	}
-	if class.Idempotency == control.Idempotent && r.ContentLength > 0 {
-		return nil, newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
-	}
-	if class.Idempotency == control.IdempotentByKey && r.Header.Get(headerKey) == "" {
-		return nil, newBadRequest(http.StatusBadRequest, "%s: none", headerKey)
+	class, wrong := f.readClass(r)
+	if wrong != nil {
+		return nil, wrong
 	}
+	e.Class = class.Name
 	if !f.plans[e.Plan] {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: unknown plan %q", headerPlan, e.Plan)
 	}
-	if accounts := r.URL.Query()["account"]; len(accounts) == 1 {
-		e.Tenant = strings.ToLower(accounts[0])
-	}
-	if n, err := strconv.ParseUint(e.Tenant, 16, 64); err != nil || len(e.Tenant) != 16 || n >= tenantKeyLimit {
-		return nil, newBadRequest(http.StatusBadRequest, "account: %q is none", e.Tenant)
+	if wrong := readTenant(&e, r); wrong != nil {
+		return nil, wrong
 	}
 	left, err := parseTimeLeft(r.Header.Get(headerTimeLeft), class.Deadline)
 	if err != nil {
@@ -83,7 +70,7 @@
 	x := &exchange{req: e, forward: forwardedRequest(r), timeLeft: left - answerMargin, length: r.ContentLength,
 		answer: make(chan answer, 1), stats: f.stats}
 	if r.ContentLength != 0 {
-		if wrong := f.readBody(x, r, limit); wrong != nil {
+		if wrong := f.readBody(x, r, deadlines); wrong != nil {
 			return nil, wrong
 		}
 	}
@@ -94,42 +81,50 @@
 	return x, nil
 }
 
-// body takes a short body whole. A longer one goes on as it comes: what is known to be long is
-// not begun, so that it costs a client that is refused nothing.
-func (f *front) readBody(x *exchange, r *http.Request, limit *http.ResponseController) *badRequest {
-	rest := newClientBody(r.Body, limit)
+// readClass returns the class that a request's path names, where the request's method and parts fit it.
+func (f *front) readClass(r *http.Request) (control.Class, *badRequest) {
+	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	class, ok := f.classes[name]
+	if !ok {
+		return class, newBadRequest(http.StatusNotFound, "unknown class %q", name)
+	}
+	idempotent := class.Idempotency == control.Idempotent
+	if idempotent != (r.Method == http.MethodGet) || !idempotent && r.Method != http.MethodPost {
+		return class, newBadRequest(http.StatusMethodNotAllowed, "%s: not a method of class %s", r.Method, name)
+	}
+	if idempotent && r.ContentLength > 0 {
+		return class, newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
+	}
+	if class.Idempotency == control.IdempotentByKey && r.Header.Get(headerKey) == "" {
+		return class, newBadRequest(http.StatusBadRequest, "%s: none", headerKey)
+	}
+	return class, nil
+}
+
+// readTenant reads the tenant from the query: 16 hexadecimal digits.
+func readTenant(e *control.Request, r *http.Request) *badRequest {
+	if accounts := r.URL.Query()["account"]; len(accounts) == 1 {
+		e.Tenant = strings.ToLower(accounts[0])
+	}
+	n, err := strconv.ParseUint(e.Tenant, 16, 64)
+	if err != nil || len(e.Tenant) != 16 || n >= tenantKeyLimit {
+		return newBadRequest(http.StatusBadRequest, "account: %q is none", e.Tenant)
+	}
+	return nil
+}
+
+// readBody reads a short body whole. A longer one is streamed: of one with a length over maxHeldBytes nothing is read
+// before the request is admitted, so that a client that is rejected has not sent it for nothing.
+func (f *front) readBody(x *exchange, r *http.Request, deadlines *http.ResponseController) *badRequest {
+	rest := newClientBody(r.Body, deadlines)
 	if r.ContentLength <= maxHeldBytes {
-		most := maxHeldBytes
-		if r.ContentLength > 0 {
-			most = int(r.ContentLength)
-		}
-		ctx, cancel := context.WithTimeout(r.Context(), bodyIdleTimeout)
-		defer cancel()
-		var err error
-		if x.bodyReservation, err = reserve(ctx, f.budget.bodies, int64(most)); err != nil {
-			return newBadRequest(http.StatusServiceUnavailable, "no room for the body")
-		}
-		var whole bool
-		if x.body, whole, err = rest.readUpTo(most); err == nil && !whole && r.ContentLength > 0 {
-			_, err = rest.Read(make([]byte, 1)) // its end
-			if whole = errors.Is(err, io.EOF); whole {
-				err = nil
-			}
-		}
-		if err != nil {
-			x.bodyReservation.shrink(0)
-			return rest.badRequest()
-		}
-		if whole {
-			if x.req.Write || len(x.body) == 0 {
-				return nil
-			}
-			x.bodyReservation.shrink(0)
-			return newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
+		whole, wrong := f.readShortBody(x, r, rest)
+		if wrong != nil || whole {
+			return wrong
 		}
 	}
 	if !x.req.Write {
-		x.bodyReservation.shrink(0)
+		x.bodyReservation.shrinkTo(0)
 		return newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
 	}
 	x.rest, x.req.StreamedBody = rest, true
@@ -141,15 +136,46 @@
 	return nil
 }
 
-// onceOnly are the headers by which a request is told from others.
+// readShortBody reads at most maxHeldBytes of a body, and reports whether that is all of it.
+func (f *front) readShortBody(x *exchange, r *http.Request, rest *clientBody) (whole bool, wrong *badRequest) {
+	most := maxHeldBytes
+	if r.ContentLength > 0 {
+		most = int(r.ContentLength)
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), bodyIdleTimeout)
+	defer cancel()
+	var err error
+	if x.bodyReservation, err = reserve(ctx, f.budget.bodies, int64(most)); err != nil {
+		return false, newBadRequest(http.StatusServiceUnavailable, "no room for the body")
+	}
+	x.body, whole, err = rest.readUpTo(most)
+	if err == nil && !whole && r.ContentLength > 0 {
+		_, err = rest.Read(make([]byte, 1)) // its end
+		whole = errors.Is(err, io.EOF)
+		if whole {
+			err = nil
+		}
+	}
+	if err != nil {
+		x.bodyReservation.shrinkTo(0)
+		return false, rest.badRequest()
+	}
+	if whole && !x.req.Write && len(x.body) > 0 {
+		x.bodyReservation.shrinkTo(0)
+		return false, newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
+	}
+	return whole, nil
+}
+
+// singleHeaders are the headers of the protocol that a request may have once only.
 var singleHeaders = []string{headerID, headerPlan, headerTimeLeft, headerWeight, headerRetry, headerKey}
 
-// framing tells where a request's body can't be told for certain, or is too long. Guards against
-// a second request in the body of one that has a length and a Transfer-Encoding.
+// checkFraming rejects a request whose body's length is ambiguous or too long. A request with both a Content-Length and
+// a Transfer-Encoding could smuggle a second one in its body.
 func checkFraming(r *http.Request) *badRequest {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		if c, ok := r.Context().Value(connKey{}).(*clientConn); !ok || c.lengthAsWell(r) {
+		if c, ok := r.Context().Value(connKey{}).(*clientConn); !ok || c.hasContentLength(r) {
 			return newBadRequest(http.StatusBadRequest, "a Content-Length next to a Transfer-Encoding")
 		}
 	case r.ContentLength > maxMessageBytes:
@@ -158,7 +184,7 @@
 	return nil
 }
 
-// forward is what goes on of a request.
+// forwardedRequest returns the request as it goes to servers, without its body.
 func forwardedRequest(r *http.Request) *http.Request {
 	out := &http.Request{Method: r.Method, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL:    &url.URL{Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery},
@@ -179,8 +205,8 @@
 	return out
 }
 
-// parseTimeLeft reads a number with the unit m (milliseconds) or u (microseconds). No client
-// waits for longer than its class has it.
+// parseTimeLeft reads a number with the unit m (milliseconds) or u (microseconds). It may exceed the class's deadline by
+// timeLeftSlack at most.
 func parseTimeLeft(s string, most time.Duration) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(s, "m")
@@ -195,8 +221,7 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// weight reads the units and the customer's set of edge nodes. Guards against figures that
-// would spoil what the module knows of a customer.
+// readWeight reads the tokens of a request and the tenant's range of nodes.
 func (f *front) readWeight(e *control.Request, s string) error {
 	if s == "" {
 		return nil
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	learnerDescriptors   = 4  // descriptors set apart for calls of voters
-	voterDescriptors     = 16 // and at a voter, for strangers, its log and each
-	descriptorsPerVoter  = 8  // other voter
+	learnerDescriptors   = 4  // descriptors reserved at a node without a vote, for calls of voters
+	voterDescriptors     = 16 // at a voter, for its log and streams of nodes without a vote
+	descriptorsPerVoter  = 8  // at a voter, for each other voter
 	consensusStopTimeout = 500 * time.Millisecond
 )
 
@@ -41,23 +41,23 @@
 	return learnerDescriptors
 }
 
-// council is the node's part in what the fleet decides together. The learner has a goroutine of its
-// own; the loop asks it at the begin of each request by what that goes.
+// consensusMember is the node's part in the consensus group: the learner of rule versions, and at a voter the vote and the
+// registry. The learner has a goroutine of its own; the event loop asks it for the acting version when a request begins.
 type consensusMember struct {
 	config         *config.Consensus
 	name           string
 	loop           *loop
-	voter          *agreement.Voter  // nil is that this node has no vote
-	registry       *learner.Registry // with voter
+	voter          *agreement.Voter  // nil where this node has no vote
+	registry       *learner.Registry // nil where this node has no vote
 	learner        *learner.Learner
-	transport      *transport.Transport // by which it calls voters, where it is none
+	transport      *transport.Transport // to call voters; nil at a voter
 	self           agreement.Peer
 	settings       rules.Settings
-	peers          atomic.Pointer[membership.Peers] // nil until the membership has begun
-	appliedVersion uint64                           // version that the module was told of last; the loop's
+	peers          atomic.Pointer[membership.Peers] // nil until the membership has started
+	appliedVersion uint64                           // version that the decision module has; owned by the event loop
 }
 
-// newCouncil makes the node's part, which does nothing before run.
+// newConsensusMember makes the node's part, which does nothing before run.
 func newConsensusMember(cfg config.Config, l *loop) (*consensusMember, error) {
 	f := cfg.Fleet.Consensus
 	c := &consensusMember{config: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
@@ -92,8 +92,8 @@
 	return c, nil
 }
 
-// ruleSettings is what the settings have, of what rule sets may speak of. The zones are those of the
-// fleet file's regions, and the node's own.
+// ruleSettings returns the names that rule sets may use: plans, classes, and the zones of the fleet file's regions and
+// the node's own.
 func ruleSettings(cfg config.Config) rules.Settings {
 	s := &cfg.Settings
 	out := rules.Settings{Zones: []string{s.Zone}, MaxAttempts: s.MaxAttempts, MaxInFlight: s.MaxInFlight}
@@ -111,10 +111,10 @@
 	return out
 }
 
-// run takes part until ctx ends. A disk that stands still is left to itself then.
+// run takes part until ctx ends. It does not wait for a disk that does not answer.
 func (c *consensusMember) run(ctx context.Context) {
 	ended := make(chan struct{})
-	go func() { // ends with its two parts, or with the process
+	go func() { // ends with learner and voter, or with the process
 		defer close(ended)
 		learnt := make(chan struct{})
 		go func() { c.learner.Run(ctx); close(learnt) }()
@@ -134,13 +134,13 @@
 	}
 }
 
-// start has it talk, once the membership has begun.
+// start begins to use the membership once it has started.
 func (c *consensusMember) start(p *membership.Peers) {
 	c.peers.Store(p)
 	c.updateMembers()
 }
 
-// members tells who is live.
+// updateMembers tells the learner the live members.
 func (c *consensusMember) updateMembers() {
 	p := c.peers.Load()
 	if p == nil {
@@ -156,6 +156,7 @@
 	c.learner.SetMembers(out)
 }
 
+// send sends a message of the learner to the node with an index.
 func (c *consensusMember) send(to int, raw []byte) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Send(to, raw)
@@ -163,6 +164,7 @@
 	return &membership.MemberError{Index: to}
 }
 
+// introduce has the membership meet the node with an index.
 func (c *consensusMember) introduce(to int) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Meet(to)
@@ -170,11 +172,11 @@
 	return &membership.MemberError{Index: to}
 }
 
-// act has the loop look by which version requests go, also where none begins.
+// actingChanged has the loop apply the acting version, also while no request begins.
 func (c *consensusMember) actingChanged() { c.loop.post(func() { c.applyActing() }) }
 
-// look gives the version that a request goes by which begins now, and tells the module of another one.
-// It is the loop's.
+// applyActing returns the version that a request goes by which begins now, and passes it to the decision module where it
+// has changed. It runs on the event loop.
 func (c *consensusMember) applyActing() uint64 {
 	a := c.learner.Acting()
 	if a.Number != c.appliedVersion {
@@ -189,14 +191,14 @@
 	return a.Number
 }
 
-// header tells by which version an attempt goes, where the fleet file says so.
+// setVersionHeader adds the rule version to what goes to servers, where the fleet file names a header.
 func (c *consensusMember) setVersionHeader(x *exchange) {
 	if c.config.VersionHeader != "" {
 		x.forward.Header.Set(c.config.VersionHeader, strconv.FormatUint(x.version, 10))
 	}
 }
 
-// describe names the figures for the operators.
+// registerMetrics registers the metrics of the consensus group and the learner.
 func (c *consensusMember) registerMetrics() {
 	figures := c.loop.metricsRegistry()
 	gauge := func(name, help string, of func() float64) {
--- a/internal/node/consensuscalls.go
+++ b/internal/node/consensuscalls.go
@@ -22,79 +22,39 @@
 )
 
 const (
-	orderCallKind    = 'o' // calls of operators, from node to voter
+	orderCallKind    = 'o' // kind of a call from node to voter that carries an order
 	orderTimeout     = 1500 * time.Millisecond
-	maxVersionsShown = 100
+	maxVersionsShown = 100 // in a status, the latest
 )
 
-// order is an operators' call on its way to the leader.
+// order is an operator's call on its way to the leader.
 type order struct {
-	Op     string `cbor:"1,keyasint"`
+	Op     string `cbor:"1,keyasint"` // publish, activate, back, cancel, status or leader
 	Author string `cbor:"2,keyasint,omitempty"`
-	Number uint64 `cbor:"3,keyasint,omitempty"`
-	Kind   uint8  `cbor:"4,keyasint,omitempty"`
-	At     uint64 `cbor:"5,keyasint,omitempty"`
-	Parent int64  `cbor:"6,keyasint,omitempty"` // -1 is the newest
-	Text   []byte `cbor:"7,keyasint,omitempty"`
+	Number uint64 `cbor:"3,keyasint,omitempty"` // of a version
+	Kind   uint8  `cbor:"4,keyasint,omitempty"` // rules.ActivationKind
+	At     uint64 `cbor:"5,keyasint,omitempty"` // when to activate, in ms of Unix time; 0 is now
+	Parent int64  `cbor:"6,keyasint,omitempty"` // version; -1 is the newest
+	Text   []byte `cbor:"7,keyasint,omitempty"` // of a rule set
 }
 
-// reply is what the leader answers, or who leads.
+// reply is the leader's answer to an order, or names the leader.
 type reply struct {
-	Status int    `cbor:"1,keyasint"`
+	Status int    `cbor:"1,keyasint"` // of HTTP
 	Body   []byte `cbor:"2,keyasint,omitempty"`
-	Leader string `cbor:"3,keyasint,omitempty"` // to be asked instead
+	Leader string `cbor:"3,keyasint,omitempty"` // name of the voter to ask instead
 }
 
-// routes are the operators' calls.
+// routes adds the operators' calls to the consensus group.
 func (c *consensusMember) routes(calls map[string]map[string]http.HandlerFunc) {
-	post := func(path string, read func(r *http.Request, o *order) error) {
-		calls["/council/"+path] = map[string]http.HandlerFunc{http.MethodPost: func(w http.ResponseWriter, r *http.Request) {
-			o := order{Op: path, Author: r.FormValue("by"), Parent: -1}
-			if err := read(r, &o); err != nil {
-				writeError(w, err)
-				return
-			}
-			c.handleOrder(r.Context(), w, o)
-		}}
+	for name, read := range map[string]func(r *http.Request, o *order) error{
+		"publish":  c.readPublish,
+		"activate": readActivate,
+		"back":     readRollback,
+		"cancel":   func(r *http.Request, o *order) error { return number(r, "cancel", "number", &o.Number) },
+	} {
+		calls["/council/"+name] = map[string]http.HandlerFunc{http.MethodPost: c.orderHandler(name, read)}
 	}
-	post("publish", func(r *http.Request, o *order) error {
-		if p := r.URL.Query().Get("parent"); p != "" {
-			n, err := strconv.ParseUint(p, 10, 62)
-			if err != nil {
-				return &ConsensusCallError{"publish", "parent", p, "a version's number"}
-			}
-			o.Parent = int64(n)
-		}
-		var err error
-		if o.Text, err = io.ReadAll(io.LimitReader(r.Body, rules.MaxTextBytes+1)); err != nil {
-			return &ConsensusCallError{"publish", "body", err.Error(), "the rule set's text"}
-		}
-		set, err := rules.Parse(o.Text)
-		if err == nil {
-			err = set.Check(c.settings)
-		}
-		return err
-	})
-	post("activate", func(r *http.Request, o *order) (err error) {
-		if err = number(r, "activate", "number", &o.Number); err != nil {
-			return err
-		}
-		if at := r.FormValue("at"); at != "" {
-			t, err := time.Parse(time.RFC3339, at)
-			if err != nil {
-				return &ConsensusCallError{"activate", "at", at, "a time as 2026-01-02T15:04:05Z"}
-			}
-			o.At = uint64(max(0, t.UnixMilli()))
-		}
-		return kind(r, "activate", o)
-	})
-	post("back", func(r *http.Request, o *order) error {
-		if err := number(r, "back", "to", &o.Number); err != nil {
-			return err
-		}
-		return kind(r, "back", o)
-	})
-	post("cancel", func(r *http.Request, o *order) error { return number(r, "cancel", "number", &o.Number) })
 	calls["/council/status"] = map[string]http.HandlerFunc{http.MethodGet: func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_, _ = w.Write(c.statusJSON(r.Context()))
@@ -108,6 +68,61 @@
 	}
 }
 
+// orderHandler returns the handler of a call that carries an order.
+func (c *consensusMember) orderHandler(name string, read func(r *http.Request, o *order) error) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		o := order{Op: name, Author: r.FormValue("by"), Parent: -1}
+		if err := read(r, &o); err != nil {
+			writeError(w, err)
+			return
+		}
+		c.handleOrder(r.Context(), w, o)
+	}
+}
+
+// readPublish reads a rule set and checks it by this node's settings.
+func (c *consensusMember) readPublish(r *http.Request, o *order) (err error) {
+	if p := r.URL.Query().Get("parent"); p != "" {
+		n, err := strconv.ParseUint(p, 10, 62)
+		if err != nil {
+			return &ConsensusCallError{"publish", "parent", p, "a version's number"}
+		}
+		o.Parent = int64(n)
+	}
+	if o.Text, err = io.ReadAll(io.LimitReader(r.Body, rules.MaxTextBytes+1)); err != nil {
+		return &ConsensusCallError{"publish", "body", err.Error(), "the rule set's text"}
+	}
+	set, err := rules.Parse(o.Text)
+	if err != nil {
+		return err
+	}
+	return set.Check(c.settings)
+}
+
+// readActivate reads the version to activate, when and how.
+func readActivate(r *http.Request, o *order) error {
+	if err := number(r, "activate", "number", &o.Number); err != nil {
+		return err
+	}
+	if at := r.FormValue("at"); at != "" {
+		t, err := time.Parse(time.RFC3339, at)
+		if err != nil {
+			return &ConsensusCallError{"activate", "at", at, "a time as 2026-01-02T15:04:05Z"}
+		}
+		o.At = uint64(max(0, t.UnixMilli()))
+	}
+	return kind(r, "activate", o)
+}
+
+// readRollback reads the version to roll back to, and how.
+func readRollback(r *http.Request, o *order) error {
+	if err := number(r, "back", "to", &o.Number); err != nil {
+		return err
+	}
+	return kind(r, "back", o)
+}
+
+// number reads a version's number from a call.
 func number(r *http.Request, call, key string, to *uint64) error {
 	n, err := strconv.ParseUint(r.FormValue(key), 10, 62)
 	if err != nil || n == 0 {
@@ -117,6 +132,7 @@
 	return nil
 }
 
+// kind reads the kind of an activation from a call.
 func kind(r *http.Request, call string, o *order) error {
 	for _, k := range []rules.ActivationKind{rules.Overlap, rules.Exclusive} {
 		if r.FormValue("kind") == k.String() {
@@ -134,7 +150,7 @@
 	return fmt.Sprintf("console: council/%s: %s: not by %q; give %s", e.Call, e.Key, e.Have, e.Want)
 }
 
-// give has the leader carry an order out, and answers with what it says.
+// handleOrder has the leader execute an order and writes its answer.
 func (c *consensusMember) handleOrder(ctx context.Context, w http.ResponseWriter, o order) {
 	a, err := c.sendToLeader(ctx, o)
 	if err != nil {
@@ -149,7 +165,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-// office brings an order to the leader, once: one that may have come there is not sent again.
+// sendToLeader sends an order to the leader, once: an order that the leader may have got is not sent again.
 func (c *consensusMember) sendToLeader(ctx context.Context, o order) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -167,7 +183,7 @@
 	return a, nil
 }
 
-// locate finds the voter that leads and is confirmed in it: this node, or one that others name.
+// findLeader returns the voter that leads by its own verified account: this node, or one that other voters name.
 func (c *consensusMember) findLeader(ctx context.Context) (leader agreement.Peer, err error) {
 	var last error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
 	tried, next := map[string]bool{}, c.name
@@ -201,7 +217,7 @@
 	return leader, &agreement.NoMajorityError{Reason: oneline.Of(last)}
 }
 
-// ask has a voter carry an order out.
+// callVoter has a voter execute an order.
 func (c *consensusMember) callVoter(ctx context.Context, p agreement.Peer, o order) (*reply, error) {
 	body, err := cbor.Marshal(o)
 	if err != nil {
@@ -215,6 +231,7 @@
 	return a, cbor.Unmarshal(raw, a)
 }
 
+// call sends a call to a voter and returns its answer.
 func (c *consensusMember) call(ctx context.Context, p agreement.Peer, body []byte) ([]byte, error) {
 	if c.voter != nil {
 		return c.voter.Call(ctx, p, orderCallKind, body)
@@ -222,7 +239,7 @@
 	return c.transport.Call(ctx, p.Name, p.Address, append([]byte{orderCallKind}, body...))
 }
 
-// answer answers another node's order.
+// handleCall answers an order of another node.
 func (c *consensusMember) handleCall(_ string, body []byte) []byte {
 	var o order
 	if err := cbor.Unmarshal(body, &o); err != nil {
@@ -235,7 +252,7 @@
 	return raw
 }
 
-// carryOut does an order where this voter leads, or says who does.
+// execute executes an order where this voter leads, else it names the leader.
 func (c *consensusMember) execute(o order) *reply {
 	if o.Op == "status" || o.Op == "leader" {
 		if err := c.voter.Verify(); err != nil {
@@ -250,33 +267,39 @@
 		}
 		return &reply{Status: http.StatusOK, Body: raw}
 	}
-	cmd, err := c.command(o)
+	done, err := c.propose(o)
 	if err != nil {
 		return errorReply(err)
 	}
-	raw, err := cmd.Encode()
+	body, err := json.Marshal(map[string]any{"number": done.Result.Number, "call": o.Op})
 	if err != nil {
 		return errorReply(err)
 	}
+	return &reply{Status: http.StatusOK, Body: append(body, '\n')}
+}
+
+// propose has the consensus group decide on an order.
+func (c *consensusMember) propose(o order) (learner.Outcome, error) {
+	cmd, err := c.command(o)
+	if err != nil {
+		return learner.Outcome{}, err
+	}
+	raw, err := cmd.Encode()
+	if err != nil {
+		return learner.Outcome{}, err
+	}
 	done, err := c.voter.Propose(learner.StateMachineKind, raw, orderTimeout)
 	if err != nil {
-		return errorReply(err)
+		return learner.Outcome{}, err
 	}
 	out, ok := done.(learner.Outcome)
 	if !ok {
-		return errorReply(fmt.Errorf("council: the registry answered %T", done))
-	}
-	if out.Err != nil {
-		return errorReply(out.Err)
-	}
-	body, err := json.Marshal(map[string]any{"number": out.Result.Number, "call": o.Op})
-	if err != nil {
-		return errorReply(err)
+		return out, fmt.Errorf("council: the registry answered %T", done)
 	}
-	return &reply{Status: http.StatusOK, Body: append(body, '\n')}
+	return out, out.Err
 }
 
-// command is what is to be agreed on. A text is checked by the leader's settings too.
+// command returns the registry's command for an order. A rule set is checked by the leader's settings too.
 func (c *consensusMember) command(o order) (cmd rules.Command, err error) {
 	newest := func() uint64 {
 		if o.Parent >= 0 {
@@ -306,6 +329,7 @@
 	return cmd, nil
 }
 
+// errorReply returns the answer to an order that failed.
 func errorReply(err error) *reply {
 	a := &reply{Status: orderStatus(err), Body: []byte(err.Error() + "\n")}
 	if e, ok := errors.AsType[*agreement.NotLeaderError](err); ok {
@@ -314,7 +338,7 @@
 	return a
 }
 
-// officeStatus is that of an error's answer.
+// orderStatus returns the HTTP status of the answer to an order that failed.
 func orderStatus(err error) int {
 	var (
 		stale, order, phase = new(rules.StaleVersionError), new(rules.OrderError), new(rules.PhaseError)
--- a/internal/node/consensusstatus.go
+++ b/internal/node/consensusstatus.go
@@ -9,7 +9,7 @@
 	"sloestile/internal/consensus/learner"
 )
 
-// versionShown is one version in a status.
+// versionStatus is one version, as the console shows it.
 type versionStatus struct {
 	Number       uint64 `json:"number"`
 	Digest       string `json:"digest"`
@@ -23,7 +23,7 @@
 	Bytes        int    `json:"bytes"`
 }
 
-// agreedShown is what the leader knows.
+// leaderStatus is what the leader knows, as the console shows it.
 type leaderStatus struct {
 	Leader       string           `json:"leader"`
 	Term         uint64           `json:"term"`
@@ -39,18 +39,20 @@
 	Failures     []versionFailure `json:"troubles,omitempty"`
 }
 
+// versionNodes counts the nodes that go by a version.
 type versionNodes struct {
 	Version uint64 `json:"version"`
 	Reason  string `json:"why,omitempty"`
 	Nodes   int    `json:"nodes"`
 }
 
+// versionFailure is a node that can't use a version.
 type versionFailure struct {
 	Node   int    `json:"node"`
 	Reason string `json:"why"`
 }
 
-// hereShown is what this node knows of itself.
+// nodeStatus is what a node knows of itself, as the console shows it.
 type nodeStatus struct {
 	Node           string          `json:"node"`
 	Version        uint64          `json:"version"`
@@ -63,6 +65,7 @@
 	LeaderError    string          `json:"council_error,omitempty"`
 }
 
+// voterStatus is what a voter knows of itself.
 type voterStatus struct {
 	Phase            string `json:"phase"`
 	Identity         string `json:"identity"`
@@ -74,7 +77,7 @@
 	LastError        string `json:"why,omitempty"`
 }
 
-// agreed is what the leader knows. It is called where this voter leads.
+// leaderStatus returns what this voter knows as the leader.
 func (c *consensusMember) leaderStatus() leaderStatus {
 	s := c.voter.Status()
 	w, newest, all := c.registry.View()
@@ -107,7 +110,7 @@
 	return out
 }
 
-// status is what this node and the leader know.
+// statusJSON returns what this node and the leader know.
 func (c *consensusMember) statusJSON(ctx context.Context) []byte {
 	a := c.learner.Acting()
 	out := nodeStatus{Node: c.name, Version: a.Number, Known: c.learner.State().Active.Number}
--- a/internal/node/console.go
+++ b/internal/node/console.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	maxConsoleConns     = 16              // callers at once
+	maxConsoleConns     = 16              // open at once
 	consoleHeadTimeout  = time.Second     // of a call's head
 	consoleCallTimeout  = 2 * time.Second // of a call, and of the writing of its answer
 	maxConsoleHeadBytes = 4 << 10
 )
 
-// console is the operators' door. It has a server and places of its own and reads atomics
-// only, so that it answers however busy clients keep the rest of the node.
+// console answers the operators' calls. It has a server and connections of its own and reads atomics only, so that it
+// answers however busy the rest of the node is.
 type console struct {
 	srv      *http.Server
 	listener net.Listener
 }
 
-// newConsole listens for operators.
+// newConsole starts to listen for operators.
 func newConsole(addr string, n *Node) (*console, error) {
 	tcp, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return c, nil
 }
 
-// run answers until ctx ends.
+// run answers calls until ctx ends.
 func (c *console) run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { _ = c.srv.Close() })()
 	if err := c.srv.Serve(c.listener); !errors.Is(err, http.ErrServerClosed) {
@@ -50,39 +50,13 @@
 	}
 }
 
-// consoleRoutes are the operators' calls: another path is 404, another method 405.
+// consoleRoutes returns the handler of the operators' calls. Another path is answered with 404, another method with 405.
 func consoleRoutes(n *Node) http.Handler {
 	calls := map[string]map[string]http.HandlerFunc{
-		"/ready": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
-			if !n.front.ready.Load() || n.drainer.leaving() {
-				http.Error(w, "no", http.StatusServiceUnavailable)
-				return
-			}
-			fmt.Fprintln(w, "yes")
-		}},
-		"/metrics": {http.MethodGet: func(w http.ResponseWriter, _ *http.Request) {
-			var text bytes.Buffer
-			n.stats.write(&text)
-			if p := n.peers.Load(); p != nil {
-				writePeers(&text, &p.Counts)
-			}
-			if n.loop.metrics != nil {
-				writeRegistry(&text, n.loop.metrics)
-			}
-			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-			_, _ = w.Write(text.Bytes())
-		}},
-		"/drain": {http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
-			n.drainer.begin(consoleDrainServe, consoleDrainIdle)
-			fmt.Fprintln(w, "draining")
-		}},
-		"/undrain": {http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
-			if !n.drainer.callOff() {
-				writeError(w, &EndingError{n.name})
-				return
-			}
-			fmt.Fprintln(w, "serving")
-		}},
+		"/ready":   {http.MethodGet: n.handleReady},
+		"/metrics": {http.MethodGet: n.handleMetrics},
+		"/drain":   {http.MethodPost: n.handleDrain},
+		"/undrain": {http.MethodPost: n.handleUndrain},
 	}
 	if c := n.loop.consensus; c != nil {
 		c.routes(calls)
@@ -104,15 +78,53 @@
 	})
 }
 
-// fewListener keeps to a few connections: where all places are taken, the oldest is closed for
-// the new one. Guards against callers that finish nothing and keep the staff out.
+// handleReady answers whether the node takes requests.
+func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if !n.front.ready.Load() || n.drainer.leaving() {
+		http.Error(w, "no", http.StatusServiceUnavailable)
+		return
+	}
+	fmt.Fprintln(w, "yes")
+}
+
+// handleMetrics writes the metrics of the node and of the parts that a fleet file switches on.
+func (n *Node) handleMetrics(w http.ResponseWriter, _ *http.Request) {
+	var text bytes.Buffer
+	n.stats.write(&text)
+	if p := n.peers.Load(); p != nil {
+		writePeers(&text, &p.Counts)
+	}
+	if n.loop.metrics != nil {
+		writeRegistry(&text, n.loop.metrics)
+	}
+	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
+	_, _ = w.Write(text.Bytes())
+}
+
+// handleDrain starts a drain.
+func (n *Node) handleDrain(w http.ResponseWriter, _ *http.Request) {
+	n.drainer.begin(consoleDrainServe, consoleDrainIdle)
+	fmt.Fprintln(w, "draining")
+}
+
+// handleUndrain cancels a drain, unless the process ends.
+func (n *Node) handleUndrain(w http.ResponseWriter, _ *http.Request) {
+	if !n.drainer.callOff() {
+		writeError(w, &EndingError{n.name})
+		return
+	}
+	fmt.Fprintln(w, "serving")
+}
+
+// boundedListener keeps to maxConsoleConns connections: beyond that the oldest is closed for a new one, so that callers
+// that never finish do not keep operators out.
 type boundedListener struct {
 	net.Listener
 	mu   sync.Mutex
 	open map[*boundedConn]time.Time
 }
 
-// fewConn is a connection that gives its place back when it is closed.
+// boundedConn is a connection that frees its place when it is closed.
 type boundedConn struct {
 	net.Conn
 	listener *boundedListener
--- a/internal/node/degradeddiscovery.go
+++ b/internal/node/degradeddiscovery.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	healthCheckInterval   = 4 * time.Second // between two health checks of a server: what it can't know counts as received 6 s later
-	minCheckedServers     = 8               // servers that are checked, at least
-	nodesPerCheckedServer = 10              // nodes of the group that check each server, beyond that
+	healthCheckInterval   = 4 * time.Second // between two health checks of a server; a drain counts as received after 6 s
+	minCheckedServers     = 8               // of a node
+	nodesPerCheckedServer = 10              // nodes of the fleet that check each server, beyond that
 )
 
-// degraded keeps the rule on drains while the list that is held is stale, as discovery answers without a
-// usable update: new requests go only to servers whose own health check says that they serve. Where
-// servers may not be checked, they go to none. It belongs to the loop.
+// degradedDiscovery keeps the rule on drains while the cached list is stale, as discovery answers without a usable update:
+// new requests go only to servers whose own health check says that they serve. Where servers may not be checked, they go
+// to none. It is owned by the event loop.
 type degradedDiscovery struct {
 	loop        *loop
-	healthCheck func(endpoint string) bool // nil is that servers may not be checked
+	healthCheck func(endpoint string) bool // nil where servers may not be checked
 	grace       time.Duration
 	group       int
 	self        int
 
 	active        bool
 	round         int
-	healthy       map[string]bool // said so in the last round
-	shownDraining map[string]bool // are shown to the module as draining
+	healthy       map[string]bool // passed the last health check, by UID
+	shownDraining map[string]bool // shown to the decision module as draining, by UID
 }
 
 func newDegradedDiscovery(s control.Settings, l *loop) *degradedDiscovery {
@@ -52,7 +52,7 @@
 	return d
 }
 
-// turn begins or ends degraded discovery.
+// setActive begins or ends degraded discovery.
 func (d *degradedDiscovery) setActive(on bool) {
 	d.active, d.healthy = on, map[string]bool{}
 	d.round++
@@ -63,7 +63,7 @@
 	d.showHealthyOnly()
 }
 
-// asking checks the servers' health, and again after a while.
+// checkHealth checks the health of servers, and again after healthCheckInterval.
 func (d *degradedDiscovery) checkHealth(round int) {
 	if !d.active || round != d.round {
 		return
@@ -79,6 +79,7 @@
 	d.after(healthCheckInterval, round, func() { d.checkHealth(round) })
 }
 
+// after runs a function on the loop after a while, unless the round is over.
 func (d *degradedDiscovery) after(wait time.Duration, round int, do func()) {
 	time.AfterFunc(wait, func() {
 		d.loop.post(func() {
@@ -89,8 +90,8 @@
 	})
 }
 
-// chosen are the servers that this node asks: each server is asked by some nodes, so that all nodes
-// together ask each no more often than vouchNodes a round, or each node vouchLeast.
+// serversToCheck returns the servers that this node checks. Each server is checked by some nodes, so that in a round all
+// nodes together check it nodesPerCheckedServer times, or each node checks minCheckedServers.
 func (d *degradedDiscovery) serversToCheck() []discovery.Target {
 	var all []discovery.Target
 	for _, t := range d.loop.endpoints {
@@ -108,7 +109,8 @@
 	return all[:min(len(all), max(minCheckedServers, nodesPerCheckedServer*len(all)/max(1, d.group)))]
 }
 
-// show has the module see as draining what nobody vouches for, and as listed what it did before.
+// showHealthyOnly shows servers to the decision module as draining that have not passed a health check, and as listed
+// those that have again.
 func (d *degradedDiscovery) showHealthyOnly() {
 	var news discovery.Update
 	demoted := map[string]bool{}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -10,7 +10,7 @@
 	"sloestile/internal/discovery"
 )
 
-// watcher is what the node needs of the list watch; *discovery.Watcher is one.
+// watcher is what the node needs of the watch of the endpoint list; *discovery.Watcher implements it.
 type watcher interface {
 	Run(ctx context.Context)
 	Move(addr string)
@@ -18,7 +18,7 @@
 	Adopt(held discovery.Update, current bool) discovery.Update
 }
 
-// follow makes the watch of the server list, and has the loop take what it brings.
+// follow makes the watch of the endpoint list and has the loop take its updates.
 func (n *Node) follow(cfg config.Config) error {
 	n.degraded = newDegradedDiscovery(cfg.Settings, n.loop)
 	n.onUpdate = n.listUpdated
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// listed hands an update of discovery to the loop.
+// listUpdated passes an update of discovery to the loop.
 func (n *Node) listUpdated(u discovery.Update) {
 	kind := control.Delta
 	if u.All {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// The front asks /healthz every 0.1 s and sends new connections for 0.2 s more; what comes on
-	// kept connections is to end by 2 s, and no connection may be held idle from 4 s on.
-	consoleDrainServe = 800 * time.Millisecond // a drain by the console: connections are kept until then
-	consoleDrainIdle  = 700 * time.Millisecond // and from then on those that idle
-	idlePollInterval  = 50 * time.Millisecond  // how often idle connections are looked at after that
+	// Clients poll /healthz every 0.1 s and open connections for 0.2 s more. Requests on open connections have to end by
+	// 2 s, and no connection may be idle from 4 s on.
+	consoleDrainServe = 800 * time.Millisecond // a drain by the console: then answers close their connections
+	consoleDrainIdle  = 700 * time.Millisecond // after that: then idle connections are closed
+	idlePollInterval  = 50 * time.Millisecond  // between two closings of idle connections
 )
 
-// drainer is the one drain state, for operators and for SIGTERM. A drain first only tells the
-// front; then each answer closes its connection; then idle connections are closed.
+// drainer is the state of a drain, by an operator or by SIGTERM. In stage 0 only /healthz says no, in stage 1 each answer
+// closes its connection, in stage 2 idle connections are closed.
 type drainer struct {
 	front *front
 
 	mu     sync.Mutex
-	cancel chan struct{} // closed to call off the present drain; nil is none
-	stage  int           // 0 to 2: serving on, letting go, closing what idles
-	final  bool          // the process does: there is no way back
+	cancel chan struct{} // closed to cancel the present drain; nil is none
+	stage  int           // 0 to 2
+	final  bool          // the process ends: the drain can't be cancelled
 }
 
-// begin starts a drain that lets connections go on answers after a while, and closes those that
-// idle after a further one. A drain under way goes on as it was.
+// begin starts a drain that enters stage 1 after serve and stage 2 after a further idle. A drain that runs goes on as it
+// was.
 func (d *drainer) begin(serve, idle time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,6 +37,7 @@
 	d.start(serve, idle)
 }
 
+// start starts the stages of a drain. The lock is held.
 func (d *drainer) start(serve, idle time.Duration) {
 	quit := make(chan struct{})
 	d.cancel, d.stage = quit, 0
@@ -44,8 +45,8 @@
 	go d.runStages(quit, serve, idle)
 }
 
-// end makes the drain the process's last. One that an operator began goes on at its pace. A quiet
-// one does not tell the front: another process answers it at the same address.
+// beginFinal starts the drain with which the process ends. One that an operator started goes on at its pace. A quiet one
+// leaves /healthz as it is, as another process answers at the same address.
 func (d *drainer) beginFinal(serve, idle time.Duration, quiet bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,7 +57,7 @@
 	}
 }
 
-// undo calls a drain off; false where the process ends.
+// callOff cancels a drain. It returns false where the process ends.
 func (d *drainer) callOff() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,14 +74,14 @@
 	return true
 }
 
-// leaving tells whether the process takes part in a drain, or ends.
+// leaving reports whether a drain runs or the process ends.
 func (d *drainer) leaving() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.final || d.cancel != nil
 }
 
-// reach enters a stage unless the drain was called off.
+// enterStage enters a stage unless the drain was cancelled.
 func (d *drainer) enterStage(quit chan struct{}, stage int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +93,7 @@
 	return true
 }
 
-// steps takes a drain through its stages until it is called off.
+// runStages takes a drain through its stages until it is cancelled.
 func (d *drainer) runStages(quit chan struct{}, serve, idle time.Duration) {
 	wait := func(t time.Duration) bool {
 		select {
@@ -110,7 +111,7 @@
 	}
 }
 
-// over ends what a drain still does, with the process.
+// stop ends the drain's goroutine, with the process.
 func (d *drainer) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -9,7 +9,7 @@
 	"sloestile/internal/discovery"
 )
 
-// condition is what the decision module is told of a server's status.
+// condition returns a server's status in the decision module's terms.
 func condition(s discovery.Status) control.Condition {
 	switch s {
 	case discovery.Available:
@@ -20,8 +20,8 @@
 	return control.Draining
 }
 
-// member is what the decision module is told of a target under the id that this node gave it. Ids are
-// given in the order in which a node hears of servers; the key is the same at all nodes.
+// member returns a target in the decision module's terms, under the ID that this node gave it. IDs are given in the order
+// in which a node first sees servers; the hash key is the same at all nodes.
 func member(t *discovery.Target, id uint32) control.Endpoint {
 	key := fnv.New32a()
 	_, _ = io.WriteString(key, t.UID)
@@ -30,7 +30,7 @@
 		StartedAt: time.Duration(t.BootMS * float64(time.Millisecond))}
 }
 
-// retire lets go of the connections to an app server, and takes new ones where it goes on.
+// retirePool closes the connections to a server, and makes a new pool where the server stays in use.
 func (l *loop) retirePool(server uint32, goesOn bool) {
 	p := l.pools[server]
 	if p == nil {
@@ -43,19 +43,20 @@
 	}
 }
 
-// list takes in what discovery tells. What is no longer listed is forgotten.
+// endpointsChanged takes an endpoint list or a change of it. Servers that are no longer listed are forgotten.
 func (l *loop) endpointsChanged(kind control.UpdateKind, news discovery.Update) {
 	l.rememberEndpoints(kind, news)
 	l.applyEndpoints(kind, news)
 }
 
-// show has the module and the pools go by a list.
+// applyEndpoints passes a list or a change to the decision module and the pools.
 func (l *loop) applyEndpoints(kind control.UpdateKind, news discovery.Update) {
 	l.handle(l.updatePools(kind, news))
 	l.publish()
 }
 
-// apply has the pools and the other parts of the node go by a list, and gives what the module is told.
+// updatePools applies a list or a change to the pools and the other parts of the node, and returns the event for the
+// decision module.
 func (l *loop) updatePools(kind control.UpdateKind, news discovery.Update) control.EndpointUpdate {
 	e := control.EndpointUpdate{Kind: kind, NodesPerServer: l.nodesPerServer}
 	listed := make(map[string]bool)
@@ -82,7 +83,7 @@
 	return e
 }
 
-// idOf gives the number of a server, a new one for a server that is not listed yet.
+// idOf returns the ID of a server, and gives a new one to a server that is not listed yet.
 func (l *loop) idOf(uid string) uint32 {
 	id, ok := l.serverIDs[uid]
 	if !ok {
@@ -93,7 +94,7 @@
 	return id
 }
 
-// note tells the parts that are switched on of an entry of the list; nil is that it is gone.
+// notifyEndpoint tells the parts that are switched on of an entry of the list; nil is that it is no longer listed.
 func (l *loop) notifyEndpoint(id uint32, t *discovery.Target) {
 	if l.limitSharing != nil {
 		l.limitSharing.updateServer(id, t)
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -11,7 +11,7 @@
 	"sloestile/internal/oneline"
 )
 
-// ListenError is a socket on which the node can't take connections.
+// ListenError is a socket on which the node can't accept connections.
 type ListenError struct {
 	For   string // clients or operators
 	Where string // an address, or an inherited descriptor
@@ -24,7 +24,7 @@
 
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// ServeError is a clients' socket that has failed while the node served.
+// ServeError is a clients' listener that has failed while the node served.
 type ServeError struct {
 	Address string
 	Err     error
@@ -36,20 +36,20 @@
 
 func (e *ServeError) Unwrap() error { return e.Err }
 
-// ModuleError is a decision module that has panicked. All that was held has been answered as failed.
+// ModuleError is a decision module that has panicked. All open requests have been answered with 502.
 type ModuleError struct{ Panic any }
 
 func (e *ModuleError) Error() string {
 	return fmt.Sprintf("the decision module failed: %s; start the node again and report it with the log's stack", oneline.Of(fmt.Errorf("%v", e.Panic)))
 }
 
-// callError is an operators' call that is answered with no.
+// callError is an operator's call that is rejected.
 type callError interface {
 	error
-	Status() int // of the answer
+	Status() int // of HTTP
 }
 
-// refuse answers a call of the console's with an error.
+// writeError answers an operator's call with an error.
 func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	if e, ok := errors.AsType[callError](err); ok {
@@ -59,7 +59,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// CallError is a call that the console does not have.
+// CallError is a path or method that the console does not have.
 type CallError struct {
 	Method, Path string
 	Allowed      []string // methods of that path; none is that there is no such path
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("console: %s: not by %q; call it by %s", e.Path, e.Method, strings.Join(e.Allowed, " or "))
 }
 
-// Status is that of the answer.
+// Status returns the HTTP status of the answer.
 func (e *CallError) Status() int {
 	if len(e.Allowed) == 0 {
 		return http.StatusNotFound
@@ -80,17 +80,17 @@
 	return http.StatusMethodNotAllowed
 }
 
-// EndingError is a drain that can't be called off, as the process ends.
+// EndingError is a drain that can't be cancelled, as the process ends.
 type EndingError struct{ Node string }
 
 func (e *EndingError) Error() string {
 	return fmt.Sprintf("console: undrain: node %s: the process ends; start another one", e.Node)
 }
 
-// Status is that of the answer.
+// Status returns the HTTP status of the answer.
 func (e *EndingError) Status() int { return http.StatusConflict }
 
-// ZoneError is an order on a zone that the node does not know.
+// ZoneError is an order on a zone that the fleet file does not name.
 type ZoneError struct {
 	Zone  string
 	Known []string
@@ -100,10 +100,10 @@
 	return fmt.Sprintf("console: zones: no zone %q; name one of %s", e.Zone, strings.Join(e.Known, ", "))
 }
 
-// Status is that of the answer.
+// Status returns the HTTP status of the answer.
 func (e *ZoneError) Status() int { return http.StatusNotFound }
 
-// BusyError is a call that the node's loop has not taken in time.
+// BusyError is a call that the event loop has not handled in time.
 type BusyError struct {
 	Call   string
 	Within time.Duration
@@ -113,5 +113,5 @@
 	return fmt.Sprintf("console: %s: not taken within %v, it may still be; look what holds, then call again", e.Call, e.Within)
 }
 
-// Status is that of the answer.
+// Status returns the HTTP status of the answer.
 func (e *BusyError) Status() int { return http.StatusServiceUnavailable }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -118,5 +118,5 @@
 // drop releases what an answer holds.
 func (a answer) drop() {
 	a.close(errClientLeft)
-	a.reservation.shrink(0)
+	a.reservation.shrinkTo(0)
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -19,31 +19,31 @@
 	"sloestile/internal/discovery"
 )
 
-// This file hands over what a process has learnt to the one that takes its place, on a Unix
-// socket in the folder that both share. Nothing depends on it: a process that finds no other, or
-// hears what it can't use, starts as from nothing.
+// This file hands the state of a process over to the one that replaces it, on a Unix socket in the folder that both
+// share. Nothing depends on it: a process that finds no other, or gets what it can't use, starts without that state.
 
 const (
 	handoverName       = "handover.sock"
 	handoverTimeout    = 1500 * time.Millisecond // of the whole exchange
 	maxHandoverBytes   = 8 << 20                 // bytes of a message
-	handoverVersion    = 1                       // of this side's part; the module's has its own
-	listConfirmTimeout = 3 * time.Second         // after which the list handed over has to do
+	handoverVersion    = 1                       // of handoverState; the decision module's state has its own
+	listConfirmTimeout = 3 * time.Second         // after which a list that was handed over is used without confirmation
 	maxSideBySide      = 12 * time.Second        // for which two processes run side by side
 )
 
-// legacy is what goes over: the module's part, the names behind its server ids, and the list.
+// handoverState is what goes to the next process, as JSON by its field names and tags: the decision module's state, the
+// UIDs behind its server IDs, and the endpoint list.
 type handoverState struct {
 	Version        int
-	Discovery      string // whose versions the list's is one of
-	LastID         uint32
-	IDs            map[string]uint32
+	Discovery      string            // address of the discovery whose revision List has
+	LastID         uint32            // highest server ID given
+	IDs            map[string]uint32 // of servers by UID
 	List           discovery.Update
 	NodesPerServer float64 `json:"Sharers,omitempty"` // of List, where it is a subset; see discovery.Update
 	Module         json.RawMessage
 }
 
-// writeMessage sends a message with its length and sum, so that a part of one is never taken.
+// writeMessage sends a message with its length and checksum, so that a part of one is never used.
 func writeMessage(w io.Writer, m []byte) error {
 	head := binary.BigEndian.AppendUint32(nil, uint32(len(m)))
 	head = binary.BigEndian.AppendUint32(head, crc32.ChecksumIEEE(m))
@@ -51,6 +51,7 @@
 	return err
 }
 
+// readMessage reads what writeMessage sent.
 func readMessage(r io.Reader) ([]byte, error) {
 	var head [8]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -65,37 +66,24 @@
 		return nil, err
 	}
 	if crc32.ChecksumIEEE(m) != binary.BigEndian.Uint32(head[4:]) {
-		return nil, errors.New("a spoilt message")
+		return nil, errors.New("a corrupt message")
 	}
 	return m, nil
 }
 
-// inherit takes over from the process that runs beside this one, if one does. The connection to
-// it stays open for as long as both run; nil is none.
+// takeOver takes the state of the process that runs beside this one, if one does. It returns the connection to that
+// process, which stays open for as long as both run, or nil.
 func (n *Node) takeOver(dir string) net.Conn {
 	c, err := net.DialTimeout("unix", filepath.Join(dir, handoverName), handoverTimeout)
 	if err != nil {
 		return nil // none, or one that has gone
 	}
 	_ = c.SetDeadline(time.Now().Add(handoverTimeout))
-	m, err := readMessage(c)
-	var from handoverState
-	if err == nil {
-		err = json.Unmarshal(m, &from)
-	}
-	if err == nil && from.Version != handoverVersion {
-		err = fmt.Errorf("version %d, not %d", from.Version, handoverVersion)
-	}
-	if err == nil {
-		err = from.List.Check()
-	}
-	if err == nil {
-		err = n.loop.controller.Adopt(n.loop.now(), from.Module)
-	}
+	from, size, err := n.readHandover(c)
 	if err != nil {
 		slog.Warn("handover: starting without the state of the previous process", "error", err)
 		_ = c.Close()
-		// There is another process all the same, for a while.
+		// The other process still uses its descriptors for a while.
 		n.upstream.sockets.share(true)
 		time.AfterFunc(maxSideBySide, func() { n.upstream.sockets.share(false) })
 		return nil
@@ -103,12 +91,30 @@
 	_ = c.SetDeadline(time.Time{})
 	n.takeList(from, true)
 	n.upstream.sockets.share(true)
-	slog.Info("handover: state taken over", "bytes", len(m), "endpoints", len(from.List.Targets))
+	slog.Info("handover: state taken over", "bytes", size, "endpoints", len(from.List.Targets))
 	return c
 }
 
-// takeList takes another process's list and the names of its servers. Its version counts where that
-// process held the list until now.
+// readHandover reads the state that another process hands over and has the decision module adopt its part.
+func (n *Node) readHandover(c net.Conn) (from handoverState, size int, err error) {
+	m, err := readMessage(c)
+	if err != nil {
+		return from, 0, err
+	}
+	if err := json.Unmarshal(m, &from); err != nil {
+		return from, 0, err
+	}
+	if from.Version != handoverVersion {
+		return from, 0, fmt.Errorf("version %d, not %d", from.Version, handoverVersion)
+	}
+	if err := from.List.Check(); err != nil {
+		return from, 0, err
+	}
+	return from, len(m), n.loop.controller.Adopt(n.loop.now(), from.Module)
+}
+
+// takeList adopts another process's endpoint list and server IDs. current reports whether that process held the list
+// until now, so that its revision counts.
 func (n *Node) takeList(from handoverState, current bool) {
 	for uid, id := range from.IDs {
 		n.loop.serverIDs[uid] = id
@@ -121,7 +127,7 @@
 	}
 }
 
-// succeed waits for the process before this one to end, and takes what it leaves.
+// awaitPredecessor waits for the end of the process that this one replaces, and takes the remainder of its state.
 func (n *Node) awaitPredecessor(ctx context.Context, c net.Conn) {
 	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
 	defer func() { _ = c.Close() }()
@@ -136,7 +142,7 @@
 	n.loop.post(func() { n.endSharing(rest) })
 }
 
-// alone has the node go on without the other process.
+// endSharing has the node go on without the other process, with the remainder of its state; nil is none.
 func (n *Node) endSharing(rest []byte) {
 	if err := n.loop.controller.EndSharing(n.loop.now(), rest); err != nil {
 		slog.Warn("handover: using the remainder of the previous process failed", "error", err)
@@ -144,10 +150,10 @@
 	n.upstream.sockets.share(false)
 }
 
-// bequeath hands over to a process that starts beside this one, until ctx ends; then, when the
-// loop has ended, what is left.
+// serveHandover hands the state over to a process that starts beside this one, until ctx ends; and, when the loop has
+// ended, the remainder.
 func (n *Node) serveHandover(ctx context.Context, dir string) {
-	// Guards against a name without a listener: the new one takes the old one's place at once.
+	// The rename replaces the old listener at once, so that the name is never without one.
 	own := filepath.Join(dir, handoverName+"."+strconv.Itoa(os.Getpid()))
 	l, err := net.Listen("unix", own)
 	if err == nil {
@@ -170,7 +176,7 @@
 	}
 }
 
-// hand serves one process that takes over, until either ends.
+// handOver serves one process that takes over, until either ends.
 func (n *Node) handOver(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	got := make(chan []byte, 1)
@@ -205,7 +211,7 @@
 	case <-gone:
 		slog.Warn("handover: the successor has ended")
 		n.loop.post(func() { n.endSharing(nil) })
-	case <-n.loop.ended: // what is left is granted there only
+	case <-n.loop.ended: // the remainder is used by the other process only
 		if m, err := n.loop.controller.Remainder(n.loop.now()); err == nil && n.loop.failure == nil {
 			_ = c.SetWriteDeadline(time.Now().Add(handoverTimeout))
 			_ = writeMessage(c, m)
@@ -215,7 +221,7 @@
 	}
 }
 
-// bequest is what the loop's side hands over. From now on the module shares its quotas.
+// handoverMessage returns the encoded state. From now on the decision module uses half of its quotas.
 func (l *loop) handoverMessage(address string) ([]byte, error) {
 	module, err := l.controller.Handover(l.now())
 	if err != nil {
@@ -224,12 +230,12 @@
 	return json.Marshal(l.handoverState(address, module))
 }
 
-// legacy is what goes to another process: the module's part, the names behind its ids, and the list.
+// handoverState returns the state of the loop with that of the decision module.
 func (l *loop) handoverState(address string, module []byte) handoverState {
 	b := handoverState{Version: handoverVersion, Discovery: address, LastID: l.lastServerID, IDs: l.serverIDs,
 		List: discovery.Update{Rev: l.listRevision, All: true}, NodesPerServer: l.nodesPerServer, Module: module}
 	if l.nodesPerServer > 0 {
-		b.Discovery = "" // nobody has the rest of the list: a program before this one asks for all of it too
+		b.Discovery = "" // the list is a subset: the next process, also of an older version, must fetch the whole
 	}
 	for _, t := range l.endpoints {
 		b.List.Targets = append(b.List.Targets, t)
@@ -237,7 +243,7 @@
 	return b
 }
 
-// keep remembers the list, for a process that takes over.
+// rememberEndpoints keeps the endpoint list for a process that takes over.
 func (l *loop) rememberEndpoints(kind control.UpdateKind, news discovery.Update) {
 	if kind != control.Delta {
 		clear(l.endpoints)
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -10,11 +10,12 @@
 )
 
 const (
-	maxMeterPercent = 10000 // per cent; what a meter may tell
-	maxLoadFigure   = 1e6   // of any figure in a load report
+	maxMeterPercent = 10000 // of X-Allowance-Used
+	maxLoadFigure   = 1e6   // of any figure in X-Backend-Load
 )
 
-// Headers of the protocol between edge nodes, clients and app servers.
+// Headers of the protocol between clients, edge nodes and servers. The protocol's names end here: past this file a tariff
+// is a plan, a weight is tokens, an allowance is a meter reading.
 const (
 	headerID          = "X-Correlation-Id"
 	headerPlan        = "X-Tariff"
@@ -28,7 +29,7 @@
 	headerLoad        = "X-Backend-Load"
 )
 
-// used reads the customer's use; the module counts from 1, as 0 is not told.
+// meterReading returns the tenant's use in per cent and one more; 0 is not given.
 func (o *outcome) meterReading() int {
 	v, err := strconv.Atoi(o.header.Get(headerMeter))
 	if err != nil || v < 0 || v > maxMeterPercent {
@@ -37,7 +38,7 @@
 	return v + 1
 }
 
-// cost reads the true units, of which a request can have so many at the most.
+// tokens returns the true cost of a request, of most at most (0 is no limit); 0 is not given.
 func (o *outcome) tokens(most float64) float64 {
 	v, err := parseNumber(o.header.Get(headerCost))
 	if err != nil || v < 0 || most > 0 && v > most {
@@ -46,8 +47,8 @@
 	return v
 }
 
-// load reads the app server's report. The header's words for the figures are not
-// those of the settings; what is not known, or can't be, is skipped.
+// loadReport returns the server's load report, or nil. The header has two names for each figure; an unknown name and a
+// value out of range are skipped.
 func (o *outcome) loadReport() *control.LoadReport {
 	none := control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
 	l := none
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	maxOutgoing       = 256 // messages that wait to be sent; one beyond is lost, and its uses are sent again
-	maxQueued         = 128 // messages that wait for the loop; one beyond is lost
-	defaultMaxTenants = 1024
+	maxOutgoing       = 256  // messages that wait to be sent; one beyond is dropped, and its uses are sent again
+	maxQueued         = 128  // messages that wait for the loop; one beyond is dropped
+	defaultMaxTenants = 1024 // where there is no memory limit
 )
 
-// sharing is the node's part in keeping customers' stores for all nodes. It belongs to the loop, but
-// for what receives and sends messages; neither waits for the other.
+// limitSharing is the node's part in token buckets and outlier reports that all nodes share. It is owned by the event
+// loop but for receive, membershipChanged and sendMessages, which never wait for the loop, nor the loop for them.
 type limitSharing struct {
 	loop        *loop
 	limiter     *ratelimit.Limiter // nil until the membership has begun
@@ -52,7 +52,7 @@
 	return s
 }
 
-// describe names the figures for the operators.
+// registerMetrics registers the metrics of shared limits and outlier reports.
 func (s *limitSharing) registerMetrics() {
 	registry := s.loop.metricsRegistry()
 	s.age = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "node_share_age_seconds",
@@ -91,7 +91,7 @@
 		func() float64 { return float64(s.counts.Load().LowBuckets) }))
 }
 
-// start begins to take part, once the membership has begun.
+// start takes part in the sharing once the membership has started.
 func (s *limitSharing) start(p *membership.Peers) {
 	quotas := make(map[uint32]ratelimit.Quota)
 	for _, plan := range s.settings.Plans {
@@ -103,22 +103,22 @@
 	}
 	s.peers.Store(p)
 	s.sender.Go(s.sendMessages)
-	s.loop.post(func() { // it waits for a loop that has not begun
+	s.loop.post(func() { // runs when the loop has started
 		s.limiter = ratelimit.NewLimiter(ratelimit.Config{Node: s.settings.NodeIndex, FleetSize: s.settings.FleetSize, Incarnation: p.Incarnation(),
 			Quotas: quotas, MaxTenants: customers}, s.loop.now())
 		s.updateMembers()
 	})
 }
 
+// planKey returns the key of a plan in messages between nodes.
 func planKey(plan string) uint32 { return uint32(xxhash.Sum64String(plan)) }
 
+// tenantKey returns the key of a tenant's token bucket in messages between nodes.
 func tenantKey(r *control.Request) uint64 {
 	return xxhash.Sum64String(r.Plan + " " + r.Tenant)
 }
 
-// ---- the loop's ----
-
-// known gives what is known of the store that a request is held against; nil is nothing.
+// bucketOf returns what is known of the shared token bucket of a request's tenant; nil is nothing.
 func (s *limitSharing) bucketOf(r *control.Request) *control.SharedBucket {
 	if s.limiter == nil || !s.peersConfig.SharedLimits {
 		return nil
@@ -133,7 +133,7 @@
 	return &control.SharedBucket{Tokens: k.Tokens, AtLeast: k.AtLeast, Age: k.Age}
 }
 
-// sent tells of units sent on; see ratelimit.Exchange.
+// consume reports tokens of a request that was sent; see ratelimit.Limiter.Consume.
 func (s *limitSharing) consume(r *control.Request, units float64, correction bool) {
 	if s.limiter == nil || !s.peersConfig.SharedLimits {
 		return
@@ -142,7 +142,7 @@
 	s.scheduleFlush()
 }
 
-// listed takes an entry of the list, or that one is gone.
+// updateServer takes an entry of the endpoint list; nil is that the server is no longer listed.
 func (s *limitSharing) updateServer(id uint32, t *discovery.Target) {
 	if old, ok := s.serverByID[id]; ok {
 		delete(s.idByServer, old)
@@ -154,7 +154,7 @@
 	}
 }
 
-// charge speaks against a server to the other nodes.
+// reportSlow reports a server as slow to the other nodes.
 func (s *limitSharing) reportSlow(server uint32) {
 	if v, ok := s.serverByID[server]; ok && s.limiter != nil && s.peersConfig.OutlierReports {
 		s.limiter.ReportSlow(s.loop.now(), v)
@@ -162,8 +162,8 @@
 	}
 }
 
-// judge tells the module of servers against which enough nodes speak. It is not to be called while
-// the loop carries out what the module answered.
+// applyOutlierReports tells the decision module of servers that enough nodes report as slow. It must not be called while
+// the loop carries out the module's actions.
 func (s *limitSharing) applyOutlierReports() {
 	for _, v := range s.limiter.Outliers(s.loop.now(), len(s.idByServer)) {
 		if id, ok := s.idByServer[v.Server]; ok {
@@ -173,7 +173,7 @@
 	}
 }
 
-// members takes the live members.
+// updateMembers takes the live members.
 func (s *limitSharing) updateMembers() {
 	s.membersChanged.Store(false)
 	if s.limiter == nil {
@@ -190,7 +190,7 @@
 	s.scheduleFlush()
 }
 
-// leave gives the stores held here to others.
+// leave hands the buckets that this node owns to other nodes.
 func (s *limitSharing) leave() {
 	if s.limiter != nil {
 		s.limiter.Leave(s.loop.now())
@@ -198,7 +198,7 @@
 	}
 }
 
-// flush sends what is due.
+// flush sends the messages that are due.
 func (s *limitSharing) flush() {
 	s.timerAt = 0
 	for _, o := range s.limiter.Flush(s.loop.now()) {
@@ -214,7 +214,7 @@
 	s.scheduleFlush()
 }
 
-// arm has flush called when something is due.
+// scheduleFlush has flush called when a message is due.
 func (s *limitSharing) scheduleFlush() {
 	when, ok := s.limiter.NextFlush()
 	if !ok || s.timerAt != 0 && s.timerAt <= when {
@@ -234,9 +234,7 @@
 	})
 }
 
-// ---- the membership's ----
-
-// receive takes a message; the bytes are the caller's after it.
+// receive takes a message of another node and does not keep raw.
 func (s *limitSharing) receive(raw []byte) {
 	m, err := ratelimit.Decode(raw, s.settings.FleetSize)
 	if err != nil {
@@ -264,15 +262,14 @@
 	})
 }
 
-// changed has the loop take the live members, once for many changes. The loop waits for nothing of
-// the membership's.
+// membershipChanged has the loop take the live members, once for many changes.
 func (s *limitSharing) membershipChanged() {
 	if s.peers.Load() != nil && !s.membersChanged.Swap(true) {
 		s.loop.post(s.updateMembers)
 	}
 }
 
-// carry sends messages until out is closed.
+// sendMessages sends messages until outgoing is closed.
 func (s *limitSharing) sendMessages() {
 	for o := range s.outgoing {
 		raw, err := o.Message.Encode()
@@ -286,7 +283,7 @@
 	}
 }
 
-// end ends the sending, once the loop has ended or sends no more.
+// waitForSender ends the sending once the loop has ended, and waits for it.
 func (s *limitSharing) waitForSender() {
 	<-s.loop.ended
 	close(s.outgoing)
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,19 +14,18 @@
 	"sloestile/control"
 )
 
-// stats are the figures that operators read. They are the one place that counts what became of
-// requests; whoever decides an outcome counts it here, once. All are atomics, so that reading
-// them waits for nobody.
+// stats are the metrics that operators read without a fleet file. What became of a request is counted here only, once, by
+// whoever decides it. All are atomics, so that reading them waits for nobody.
 type stats struct {
-	classes  []string // the classes in order
+	classes  []string // names, sorted
 	byClass  map[string]*classStats
-	calls    atomic.Int64 // attempts written whole to app servers
-	inflight atomic.Int64 // requests taken and not ended
-	listed   atomic.Int64 // app servers in the list
-	avoided  atomic.Int64 // those of them that the module avoids
+	calls    atomic.Int64 // attempts written whole to servers
+	inflight atomic.Int64 // requests received and not ended
+	listed   atomic.Int64 // servers in the list
+	avoided  atomic.Int64 // those of them that the decision module avoids
 }
 
-// tierStats are the counts of one class's requests.
+// classStats are the counts of one class's requests.
 type classStats struct{ success, rejected, failure atomic.Int64 }
 
 func newStats(classes []control.Class) *stats {
@@ -39,7 +38,7 @@
 	return s
 }
 
-// answered counts a final answer that was written to its client.
+// answered counts a final answer that was written to the client.
 func (s *stats) answered(class string, status int) {
 	t := s.byClass[class]
 	switch status {
@@ -52,7 +51,7 @@
 	}
 }
 
-// write gives the figures in the text form of Prometheus.
+// write writes the metrics in the text format of Prometheus. The label tier has the class.
 func (s *stats) write(w io.Writer) {
 	for _, m := range []struct {
 		name, help string
@@ -80,11 +79,12 @@
 	}
 }
 
+// writeFigure writes one metric without labels.
 func writeFigure(w io.Writer, name, kind, help string, value *atomic.Int64) {
 	fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s %s\n%s %d\n", name, help, name, kind, name, value.Load())
 }
 
-// writeRegistry gives the figures of what a fleet file switches on, in the same form.
+// writeRegistry writes the metrics of the parts that a fleet file switches on, in the same format.
 func writeRegistry(w io.Writer, r *prometheus.Registry) {
 	families, err := r.Gather()
 	if err != nil {
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -18,18 +18,19 @@
 )
 
 const (
-	writeDelay            = 500 * time.Millisecond // from a grant that needs a mark to the state's writing
-	snapshotInterval      = 2 * time.Second        // at most, between two states with what was learnt of servers and shares
-	maxSnapshotAge        = 10 * time.Minute       // for which that is of worth
-	openTimeout           = time.Second            // for what is kept, at the start
-	lockRetryInterval     = time.Second            // between two tries for a folder that the process before still has
-	closeTimeout          = 300 * time.Millisecond // for the last state, at the end
-	snapshotPart          = "learnt"
-	defaultMaxCheckpoints = 4096 // customers, where no limit on memory is told
+	writeDelay            = 500 * time.Millisecond // from a grant that needs a checkpoint to the writing of a state
+	snapshotInterval      = 2 * time.Second        // least, between two states with a snapshot of servers and shares
+	maxSnapshotAge        = 10 * time.Minute       // at a start; an older snapshot is not used
+	openTimeout           = time.Second            // for reading the stored state at the start
+	lockRetryInterval     = time.Second            // between two tries for a folder that the previous process still has
+	stateCloseTimeout     = 300 * time.Millisecond // for writing the last state
+	defaultMaxCheckpoints = 4096                   // tenants, where there is no memory limit
+
+	snapshotPart = "learnt" // name of the snapshot in the stored state
 )
 
-// keeping is the node's part in keeping what it has learnt. It belongs to the loop; the keeper
-// writes beside it.
+// persistence stores what the node has learned, so that it outlives the process. It is owned by the event loop; its
+// persister writes in a goroutine of its own.
 type persistence struct {
 	loop             *loop
 	settings         *control.Settings
@@ -81,8 +82,8 @@
 	return k
 }
 
-// open takes the folder and, unless another process has handed over what it knows, what is kept
-// there. It is called before the loop runs. False is that another process has the folder.
+// open locks the folder and restores what is stored there, unless another process has handed over its state. It is
+// called before the loop runs. It returns false where another process has the folder.
 func (k *persistence) open(n *Node, inherited bool) bool {
 	f, err := store.Open(k.disk, k.dir, k.node)
 	if err != nil {
@@ -91,7 +92,7 @@
 		return !used
 	}
 	read := make(chan *store.State, 1)
-	go func() { read <- k.read(f) }() // ends with the disk's step
+	go func() { read <- k.read(f) }() // ends when the disk answers
 	select {
 	case kept := <-read:
 		if kept != nil && !inherited {
@@ -100,7 +101,7 @@
 		k.startPersister(f, kept)
 	case <-time.After(openTimeout):
 		slog.Warn("state: the disk does not answer, starting without stored state; persisting begins when it answers", "dir", k.dir)
-		go func() { // likewise
+		go func() { // ends when the disk answers
 			if kept := <-read; !k.loop.post(func() { k.startPersister(f, kept) }) {
 				_ = f.Close()
 			}
@@ -109,7 +110,7 @@
 	return true
 }
 
-// read gives what is kept; nil is nothing of use.
+// read returns the stored state; nil is none that can be used.
 func (k *persistence) read(f *store.Folder) *store.State {
 	kept, err := f.Read()
 	if err != nil {
@@ -119,7 +120,7 @@
 	return kept
 }
 
-// openLater takes the folder when the process before has left it, until ctx ends.
+// openWhenFree locks the folder once the previous process has left it, or until ctx ends.
 func (k *persistence) openWhenFree(ctx context.Context) {
 	t := time.NewTicker(lockRetryInterval)
 	defer t.Stop()
@@ -137,7 +138,7 @@
 			slog.Warn("state: not persisted", "error", err)
 			return
 		}
-		// What the process before had marked goes on: its customers may not send here before a crash.
+		// The previous process's checkpoints stay: its tenants may not send here before a crash.
 		kept := k.read(f)
 		if !k.loop.post(func() { k.startPersister(f, kept) }) {
 			_ = f.Close()
@@ -146,6 +147,7 @@
 	}
 }
 
+// startPersister starts to write states to the folder, beginning from the one that is stored.
 func (k *persistence) startPersister(f *store.Folder, from *store.State) {
 	most := k.settings.MaxTenants
 	if most <= 0 {
@@ -164,7 +166,7 @@
 	})
 }
 
-// recall takes what is kept and still of worth.
+// restore has the loop use a stored state as far as it is not too old.
 func (k *persistence) restore(n *Node, s *store.State) {
 	now := k.loop.now()
 	var from handoverState
@@ -188,7 +190,7 @@
 	for _, r := range s.Checkpoints {
 		units, ok := k.tokensNow(r, now)
 		if !ok {
-			continue // full again, or a clock that went back
+			continue // the bucket is full again, or the clock went back
 		}
 		if err := k.loop.controller.RestoreTenant(now, r.Plan, r.Tenant, r.Nodes, units); err != nil {
 			k.dropped.Inc()
@@ -200,19 +202,19 @@
 	slog.Info("state: restored", "generation", s.Generation, "age_ms", time.Now().UnixMilli()-s.Written, "tenants", restored)
 }
 
-// left is what a store holds now by its mark; ok is false where it is full.
+// tokensNow returns the tokens that a bucket holds now by its checkpoint; ok is false where it is full.
 func (k *persistence) tokensNow(r store.Checkpoint, now time.Duration) (units float64, ok bool) {
 	for _, p := range k.settings.Plans {
 		if p.Name == r.Plan {
 			since := now - time.Duration(r.At)*time.Millisecond
-			units = r.Level + p.Rate*max(0, since).Seconds() // a clock that went back refills nothing
+			units = r.Level + p.Rate*max(0, since).Seconds() // no refill where the clock went back
 			return units, units < p.Burst
 		}
 	}
 	return 0, false
 }
 
-// granted notes that a customer's request was sent on.
+// granted takes that a tenant's request was admitted and sent.
 func (k *persistence) granted(r *control.Request) {
 	units, rate, depth, spread, ok := k.loop.controller.TenantLevel(r.Plan, r.Tenant)
 	if !ok {
@@ -225,6 +227,7 @@
 	k.uncovered.Store(k.checkpoints.Uncovered)
 }
 
+// scheduleWrite has a state written soon, unless that is scheduled.
 func (k *persistence) scheduleWrite() {
 	if k.writeScheduled || k.persister == nil {
 		return
@@ -233,7 +236,7 @@
 	time.AfterFunc(writeDelay, func() { k.loop.post(k.write) })
 }
 
-// flush has a state written, unless one is on its way.
+// write has a state written, unless one is being written.
 func (k *persistence) write() {
 	k.writeScheduled = false
 	now := time.Now()
@@ -255,7 +258,7 @@
 	}
 }
 
-// learnt is what was learnt of all but customers, with the list and the names of its servers.
+// snapshot returns what was learned of all but tenants, with the endpoint list and the server IDs.
 func (k *persistence) snapshot() ([]byte, error) {
 	module, err := k.loop.controller.Snapshot(k.loop.now())
 	if err != nil {
@@ -264,7 +267,7 @@
 	return json.Marshal(k.loop.handoverState(k.discoveryAddress(), module))
 }
 
-// wrote takes that a state has come to the disk, or has not.
+// stateWritten takes whether the state that was submitted last came to the disk.
 func (k *persistence) stateWritten(ok bool) {
 	k.checkpoints.BatchWritten(ok)
 	if k.checkpoints.Due() {
@@ -272,7 +275,7 @@
 	}
 }
 
-// end writes what is known last, once the loop has ended.
+// close writes the last state, once the loop has ended.
 func (k *persistence) close() {
 	if k.persister == nil || k.loop.failure != nil {
 		return
@@ -280,7 +283,7 @@
 	if raw, err := k.snapshot(); err == nil {
 		k.persister.Submit(k.checkpoints.Final(k.loop.now(), time.Now()), map[string][]byte{snapshotPart: raw})
 	}
-	if err := k.persister.Close(closeTimeout); err != nil {
+	if err := k.persister.Close(stateCloseTimeout); err != nil {
 		slog.Warn("state: the final write failed", "error", err)
 	}
 }
--- a/internal/node/serveranswers.go
+++ b/internal/node/serveranswers.go
@@ -237,7 +237,7 @@
 	b.outcome.streamed = true
 	b.stream = b.attempt.onStreamStart(b.outcome, b.length)
 	b.outcome.body = nil
-	b.outcome.reservation.shrink(streamBufferBytes)
+	b.outcome.reservation.shrinkTo(streamBufferBytes)
 }
 
 // add holds a part of the body or passes it on. It returns an error where nobody reads it any more.
@@ -265,6 +265,6 @@
 
 // fail returns the outcome of an answer that broke.
 func (b *answerBody) fail(reason control.Outcome, err error) (outcome, bool) {
-	b.outcome.reservation.shrink(0)
+	b.outcome.reservation.shrinkTo(0)
 	return outcome{reason: reason, err: err, streamed: b.outcome.streamed}, false
 }
--- a/internal/node/serverconns.go
+++ b/internal/node/serverconns.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	idleKeepaliveFraction = 2.0 / 3     // of the servers' keepalive that a connection may idle here
-	maxIdlePerFleet       = 64          // connections of a whole group that idle to one app server
-	minIdlePerNode        = 2           // and of one node of it, at least
-	idleSweepInterval     = time.Second // how often idle connections are looked at
+	idleKeepaliveFraction = 2.0 / 3     // of the servers' keepalive for which a connection is kept idle here
+	maxIdlePerFleet       = 64          // idle connections of the whole fleet to one server
+	minIdlePerNode        = 2           // of them that a node may keep at least
+	idleSweepInterval     = time.Second // between two looks at idle connections
 	connBufferBytes       = 4 << 10
-	// Between two uses of a connection. A spoilt app server may answer a second time some milliseconds
-	// later: by then that is there to be seen, and else it would be read as the answer to the next request.
+	// idleRestTime is the least time between two uses of a connection. A faulty server may answer a second time some
+	// milliseconds later: by then that is seen, else it would be read as the answer to the next request.
 	idleRestTime = 20 * time.Millisecond
 )
 
-// connCounts tells how connections to app servers begin and end, since the node started.
+// connCounts counts how connections to servers begin and end, since the node started.
 type connCounts struct {
 	dialed, failed, reused atomic.Int64
-	gone                   atomic.Int64 // idle, and closed or spoiled by the app server
+	gone                   atomic.Int64 // idle, and closed or written to by the server
 	aged                   atomic.Int64 // idle for too long
-	broken                 atomic.Int64 // not to be used again after an attempt
-	resting                atomic.Int64 // times that all idle ones had been used just before
+	broken                 atomic.Int64 // not usable again after an attempt
+	resting                atomic.Int64 // how often all idle connections had been used just before
 }
 
-// report gives the counts and the number of idle connections as attributes of a log line.
+// report returns the counts and the number of idle connections as attributes of a log line.
 func (u *upstream) report() []any {
 	n := 0
 	u.mu.Lock()
@@ -43,25 +43,25 @@
 		"gone", c.gone.Load(), "aged", c.aged.Load(), "broken", c.broken.Load(), "resting", c.resting.Load(), "idle", n}
 }
 
-// pool holds the idle connections to one app server at one address. Guards against those
-// of an app server that has gone being used for one that is now at its address.
+// pool holds the idle connections to one server at one address. A server that is replaced by another one at its address
+// has a pool of its own, so that its connections are not used for that one.
 type pool struct {
 	endpoint string
-	idle     []*conn // the most recently used last; nil for good once the pool is retired
+	idle     []*conn // the most recently used last; nil once the pool is retired
 }
 
-// conn is a connection to an app server.
+// conn is a connection to a server.
 type conn struct {
 	countedConn
 	raw        syscall.RawConn
 	answers    answerReader
 	r          *bufio.Reader
 	w          *bufio.Writer
-	since      time.Time // of the end of its last use
-	restsUntil time.Time // until when it is not used; zero for one that never was
+	since      time.Time // end of its last use
+	restsUntil time.Time // not used again before; zero for a new one
 }
 
-// pool makes a pool of connections to an address.
+// pool returns a new pool of connections to an address.
 func (u *upstream) pool(endpoint string) *pool {
 	p := &pool{endpoint: endpoint}
 	u.mu.Lock()
@@ -81,10 +81,10 @@
 	p.idle = nil
 }
 
-// get gives the most recently used idle connection that has rested and is still good, else a new one.
+// get returns the most recently used idle connection that has rested and is usable, else a new one.
 func (u *upstream) get(ctx context.Context, p *pool) (*conn, error) {
 	for {
-		c := u.pop(p)
+		c := u.popRested(p)
 		if c == nil {
 			return u.open(ctx, p.endpoint)
 		}
@@ -96,10 +96,10 @@
 	}
 }
 
-// good tells whether an idle connection can be used, and counts why not.
+// usable reports whether an idle connection can be used, and counts why not.
 func (u *upstream) usable(c *conn) bool {
 	switch {
-	case !c.quiet():
+	case !c.isQuiet():
 		u.count.gone.Add(1)
 	case time.Since(c.since) >= u.maxIdle:
 		u.count.aged.Add(1)
@@ -109,6 +109,7 @@
 	return false
 }
 
+// open opens a connection.
 func (u *upstream) open(ctx context.Context, endpoint string) (*conn, error) {
 	if !u.sockets.reservePlace(0) {
 		return nil, errNoDescriptor
@@ -130,10 +131,9 @@
 	return c, nil
 }
 
-// quiet tells whether an idle connection is open and has nothing to read. Guards
-// against writing to one that the app server has closed, which would be a reset, and
-// against taking what came behind the last answer for the next one.
-func (c *conn) quiet() bool {
+// isQuiet reports whether an idle connection is open and has nothing to read. Writing to one that the server has closed
+// would be a reset, and what came after the last answer could be taken for the next one.
+func (c *conn) isQuiet() bool {
 	quiet := false
 	err := c.raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -143,7 +143,8 @@
 	return err == nil && quiet
 }
 
-func (u *upstream) pop(p *pool) *conn {
+// popRested removes and returns the most recently used idle connection that has rested, or nil.
+func (u *upstream) popRested(p *pool) *conn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
@@ -159,10 +160,11 @@
 	return nil
 }
 
+// put returns a connection to its pool.
 func (u *upstream) put(p *pool, c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	// Guards against many nodes that together keep more connections than an app server holds.
+	// The bound keeps many nodes together within the connections that a server holds.
 	if _, ok := u.pools[p]; !ok || len(p.idle) >= u.maxIdlePerServer {
 		_ = c.Close()
 		return
@@ -170,8 +172,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// sweep closes idle connections that are old or that the app server has closed,
-// until ctx ends.
+// sweep closes idle connections that are old or that the server has closed, until ctx ends.
 func (u *upstream) sweep(ctx context.Context) {
 	t := time.NewTicker(idleSweepInterval)
 	defer t.Stop()
@@ -185,7 +186,7 @@
 	}
 }
 
-// drop closes the idle connections of which is tells so.
+// closeIdleWhere closes the idle connections for which a predicate holds.
 func (u *upstream) closeIdleWhere(is func(*conn) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -203,8 +204,8 @@
 	}
 }
 
-// evict closes the connection that has been idle for the longest time, where there are more
-// than some.
+// evict closes the connection that has been idle for the longest time, where there are more than keep. It reports whether
+// it closed one.
 func (u *upstream) evict(keep int) bool {
 	var oldest *conn
 	n := 0
--- a/internal/node/serverconns_test.go
+++ b/internal/node/serverconns_test.go
@@ -47,7 +47,7 @@
 	}
 	idle := p.idle[0]
 	_ = conns[from[1]].Close()
-	for end := time.Now().Add(patience); idle.quiet() && time.Now().Before(end); {
+	for end := time.Now().Add(patience); idle.isQuiet() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	hangUp = false
--- a/internal/node/serverrequests.go
+++ b/internal/node/serverrequests.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// requestWriter writes a request. The body of one that streams goes out as it comes, for as long
-// as the app server takes it.
+// requestWriter writes a request. A streamed body is written as it comes, for as long as the server reads it.
 type requestWriter struct {
 	*conn
 	ctx     context.Context // of the sending
@@ -22,7 +21,7 @@
 		return w.w.Write(b)
 	}
 	_ = w.SetWriteDeadline(time.Now().Add(streamIdleTimeout))
-	// Guards against undoing the end of the sending that comes at this moment.
+	// The sending may have ended at this moment: its deadline must not be undone.
 	if w.ctx.Err() != nil {
 		_ = w.SetWriteDeadline(deadlinePassed)
 	}
@@ -33,7 +32,7 @@
 	return n, err
 }
 
-// longBody gives a long body to the request's writer, which it tells where the head has ended.
+// longBody is a streamed body for http.Request.Write. The first read tells the writer that the head has ended.
 type longBody struct {
 	to    *requestWriter
 	first []byte
@@ -53,7 +52,7 @@
 
 func (b *longBody) Close() error { return nil }
 
-// send writes a request. Whoever ends ctx ends a write that waits by the connection's deadline.
+// send writes a request. A write that waits ends by the connection's deadline, which whoever ends ctx must set.
 func (c *conn) send(ctx context.Context, a *attempt) error {
 	w := &requestWriter{conn: c, ctx: ctx}
 	if a.rest != nil {
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -15,31 +15,29 @@
 )
 
 const (
-	ownDescriptors     = 24 // listener, discovery, log, poller and what the runtime opens
-	serverPlacesAhead  = 64 // left to upstream connections when clients fill the rest
-	placeRetryInterval = 20 * time.Millisecond
+	ownDescriptors     = 24                    // for listener, discovery, log, poller and what the runtime opens
+	serverPlacesAhead  = 64                    // left to connections to servers when clients use the rest
+	placeRetryInterval = 20 * time.Millisecond // while a client waits for a place
 )
 
-// sockets holds the connections of all sides together under the limit on
-// descriptors. Where it is reached, idle connections are closed for new ones.
+// sockets keeps the connections to clients and servers together under the limit on descriptors. At the limit, idle
+// connections are closed for new ones.
 type sockets struct {
 	open      atomic.Int64
 	limit     atomic.Int64
-	fullLimit int64       // most, of a process alone
-	reserved  int64       // descriptors of a process beside these
-	shared    atomic.Bool // another process has half of the descriptors
+	fullLimit int64       // of a process that runs alone
+	reserved  int64       // descriptors for other uses
+	shared    atomic.Bool // another process uses half of the descriptors
 
-	waits atomic.Int64 // times that a client had to wait for a place, for the log
+	waits atomic.Int64 // how often a client had to wait for a place, for the log
 
-	// Each closes one connection that nothing waits on, if there is one. That of the app
-	// servers keeps some.
+	// Each closes one idle connection, if there is one. That of the servers keeps some.
 	evictClient func() bool
 	evictServer func(keep int) bool
 }
 
-// listen takes clients at the address of the configuration, or on the inherited socket where one
-// is named. That one is never shut down: closing a copy leaves it to the other processes. Its error
-// is a ListenError.
+// listen listens for clients at the address of the configuration, or on the inherited socket where one is named. That one
+// is never shut down: closing a copy leaves it to the other processes. Its error is a *ListenError.
 func listen(cfg config.Config) (l net.Listener, inherited bool, err error) {
 	if cfg.SocketFD == 0 {
 		if l, err = net.Listen("tcp", cfg.Listen); err != nil {
@@ -64,7 +62,7 @@
 	return l, true, nil
 }
 
-// newSockets holds connections to what a limit on descriptors leaves beside those set apart.
+// newSockets returns sockets for a limit on descriptors, of which some are reserved for other uses.
 func newSockets(limit, apart int) *sockets {
 	limit -= apart
 	s := &sockets{reserved: int64(apart), evictClient: func() bool { return false }, evictServer: func(int) bool { return false }}
@@ -73,8 +71,7 @@
 	return s
 }
 
-// share gives half of the places to another process, or takes them back. Connections that
-// nothing waits on go where more are open.
+// share leaves half of the places to another process, or takes them back. Idle connections beyond the half are closed.
 func (s *sockets) share(on bool) {
 	if s.shared.Swap(on) == on {
 		return
@@ -83,17 +80,17 @@
 		s.limit.Store(s.fullLimit)
 		return
 	}
-	s.limit.Store(s.fullLimit/2 - s.reserved/2) // the other one sets as many apart
+	s.limit.Store(s.fullLimit/2 - s.reserved/2) // the other process reserves as many
 	for s.open.Load() > s.limit.Load() && (s.evictServer(0) || s.evictClient()) {
 	}
 }
 
-// take books a place for one more connection and leaves some free.
+// reservePlace reserves a place for one more connection and leaves some free.
 func (s *sockets) reservePlace(leave int64) bool {
 	for s.open.Add(1) > s.limit.Load()-leave {
 		s.open.Add(-1)
-		// Guards against silent clients that cost app servers handshakes: a client's place is
-		// given up first, and for a client the idle connections to app servers stay.
+		// An idle client's place goes first, so that silent clients do not cost handshakes with servers; and for a client
+		// some idle connections to servers stay.
 		if !s.evictClient() && !s.evictServer(int(leave)) {
 			return false
 		}
@@ -101,10 +98,10 @@
 	return true
 }
 
-// ahead is what clients leave free for connections to app servers.
+// reservedForServers returns how many places clients leave free for connections to servers.
 func (s *sockets) reservedForServers() int64 { return min(serverPlacesAhead, s.limit.Load()/3) }
 
-// wait books a place as soon as there is one.
+// awaitPlace reserves a place as soon as there is one.
 func (s *sockets) awaitPlace(ctx context.Context, leave func() int64) error {
 	for !s.reservePlace(leave()) {
 		s.waits.Add(1)
@@ -117,7 +114,7 @@
 	return nil
 }
 
-// counted is a connection that gives its place back when it is closed.
+// countedConn is a connection that frees its place when it is closed.
 type countedConn struct {
 	net.Conn
 	sockets *sockets
@@ -129,10 +126,10 @@
 	return c.Conn.Close()
 }
 
-// countedListener takes connections only while there is room for them.
+// countedListener accepts connections only while there are places for them.
 type countedListener struct {
 	net.Listener
-	ctx     context.Context // ends the waiting for room
+	ctx     context.Context // ends the waiting for a place
 	sockets *sockets
 }
 
--- a/internal/node/stragglers.go
+++ b/internal/node/stragglers.go
@@ -7,18 +7,18 @@
 	"sloestile/fleet/straggler"
 )
 
-// watching tells those who ask of attempts that take far longer than is usual. It belongs to the loop.
+// stragglerWatch notices attempts that take far longer than usual. It is owned by the event loop.
 type stragglerWatch struct {
 	loop    *loop
 	watch   *straggler.Watch[uint32]
-	lastID  uint64        // number of an attempt
-	timerAt time.Duration // when the timer rings; zero is not
+	lastID  uint64        // number given to an attempt
+	timerAt time.Duration // when the timer fires; zero is no timer
 	onLate  []func(server uint32)
-	// Told of attempts that were not late: took is below zero for one that failed.
+	// onOutcome is called for attempts that ended and were not late; took is below zero for one that failed.
 	onOutcome []func(server uint32, took time.Duration)
 }
 
-// watch gives the loop's watch, which is made when it is first asked for.
+// stragglerWatch returns the loop's watch and makes it at the first call.
 func (l *loop) stragglerWatch() *stragglerWatch {
 	if l.stragglers == nil {
 		l.stragglers = &stragglerWatch{loop: l, watch: straggler.New[uint32]()}
@@ -26,7 +26,7 @@
 	return l.stragglers
 }
 
-// began watches an attempt and gives its number.
+// began starts to watch an attempt and returns its number.
 func (w *stragglerWatch) began(server uint32) uint64 {
 	w.lastID++
 	w.watch.Began(w.loop.now(), w.lastID, server)
@@ -34,11 +34,11 @@
 	return w.lastID
 }
 
-// failing are the ends that speak against a server. One that is full speaks of its load; one that was
-// called off says nothing.
+// serverFailures are the outcomes that count against a server. An overloaded server reports its load, and a cancelled
+// attempt says nothing.
 var serverFailures = map[control.Outcome]bool{control.Errored: true, control.TimedOut: true, control.ConnectFailed: true, control.ResetByPeer: true}
 
-// ended takes how an attempt ended.
+// ended takes the outcome of an attempt.
 func (w *stragglerWatch) ended(number uint64, how control.Outcome) {
 	server, took, late, ok := w.watch.Ended(w.loop.now(), number, how == control.OK)
 	switch {
@@ -56,13 +56,14 @@
 	}
 }
 
+// notifyLate calls those that wait for late attempts.
 func (w *stragglerWatch) notifyLate(server uint32) {
 	for _, f := range w.onLate {
 		f(server)
 	}
 }
 
-// arm has look called when the oldest attempt becomes late.
+// scheduleCheck has check called when the oldest attempt becomes late.
 func (w *stragglerWatch) scheduleCheck() {
 	when, ok := w.watch.Next()
 	if !ok || w.timerAt != 0 && w.timerAt <= when {
@@ -78,6 +79,7 @@
 	})
 }
 
+// check notices the attempts that have become late.
 func (w *stragglerWatch) check() {
 	w.timerAt = 0
 	for _, server := range w.watch.Late(w.loop.now()) {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -173,7 +173,7 @@
 		return o, keep && !early && err == nil
 	}
 	// What breaks before the last byte of the request has not run.
-	o.reservation.shrink(0)
+	o.reservation.shrinkTo(0)
 	a.rest.mu.Lock()
 	defer a.rest.mu.Unlock()
 	if a.rest.fault != nil { // the client's: says nothing about the server
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -292,7 +292,7 @@
 		idle := pooled(u)[0]
 		_, _ = io.WriteString(c, noise)
 		// quiet reads a byte; there has to be one left for try to find.
-		for end := time.Now().Add(patience); idle.quiet() && time.Now().Before(end); {
+		for end := time.Now().Add(patience); idle.isQuiet() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	zoneCheckInterval = 100 * time.Millisecond // at the zones, while there is something to see
-	zoneOrderTimeout  = time.Second            // for the loop to take an order
+	zoneCheckInterval = 100 * time.Millisecond // while there is evidence or a zone is evacuated
+	zoneOrderTimeout  = time.Second            // for the loop to take an operator's order
 )
 
-// zoning is the node's part in leaving zones and returning to them. It belongs to the loop.
+// zoneEvacuation evacuates zones that fail and returns to them by a recovery ramp. It is owned by the event loop.
 type zoneEvacuation struct {
 	loop           *loop
 	policy         *zone.Policy
@@ -30,7 +30,7 @@
 	views          atomic.Pointer[[]zone.View]
 }
 
-// newZoning makes the policy of the zones that the fleet file names.
+// newZoneEvacuation makes the policy for the zones that the fleet file names.
 func newZoneEvacuation(cfg config.Config, l *loop) *zoneEvacuation {
 	own := cfg.Settings.Zone
 	zones := []zone.Zone{{Name: own}}
@@ -56,7 +56,7 @@
 	return z
 }
 
-// listed takes an entry of the list, or that one is gone.
+// updateServer takes an entry of the endpoint list; nil is that the server is no longer listed.
 func (z *zoneEvacuation) updateServer(id uint32, t *discovery.Target) {
 	if t == nil {
 		delete(z.zoneByServer, id)
@@ -65,13 +65,14 @@
 	z.zoneByServer[id] = t.Zone
 }
 
-// saw takes how an attempt went; took is below zero for one that failed or is late.
+// observe takes how an attempt ended; took is below zero for one that failed or is late.
 func (z *zoneEvacuation) observe(server uint32, took time.Duration) {
 	z.lastEvidence = z.loop.now()
 	z.policy.Saw(z.lastEvidence, z.zoneByServer[server], uint64(server), 1, took >= 0, max(0, took.Seconds()))
 	z.scheduleCheck()
 }
 
+// scheduleCheck has check called soon.
 func (z *zoneEvacuation) scheduleCheck() {
 	if !z.checkScheduled {
 		z.checkScheduled = true
@@ -79,7 +80,7 @@
 	}
 }
 
-// look decides anew, and goes on while there is evidence or a zone is not whole.
+// check decides anew, and goes on while there is evidence or a zone is not healthy.
 func (z *zoneEvacuation) check() {
 	z.checkScheduled = false
 	now := z.loop.now()
@@ -89,8 +90,8 @@
 	}
 }
 
-// publish tells the module, the log and the console of what has changed. It tells whether a zone is
-// not whole.
+// publish tells the decision module, the log and the console what has changed. cut reports whether a zone is not
+// healthy.
 func (z *zoneEvacuation) publish() (cut bool) {
 	before, views := z.views.Load(), z.policy.Views()
 	away := map[string]float64{}
@@ -117,17 +118,17 @@
 
 var zonePart = prometheus.NewDesc("node_zone_part", "Part of its usual traffic that a zone may have.", []string{"zone", "state"}, nil)
 
-// Describe names the figures.
+// Describe implements prometheus.Collector.
 func (z *zoneEvacuation) Describe(to chan<- *prometheus.Desc) { to <- zonePart }
 
-// Collect gives the figures.
+// Collect implements prometheus.Collector.
 func (z *zoneEvacuation) Collect(to chan<- prometheus.Metric) {
 	for _, v := range *z.views.Load() {
 		to <- prometheus.MustNewConstMetric(zonePart, prometheus.GaugeValue, v.Part, v.Zone, v.State.String())
 	}
 }
 
-// show answers what the node does with each zone, and why.
+// handleShow answers what the node does with each zone, and why. The JSON keys are the field names of line.
 func (z *zoneEvacuation) handleShow(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	type line struct {
@@ -141,7 +142,7 @@
 	_ = json.NewEncoder(w).Encode(lines)
 }
 
-// names gives the zones that orders may name.
+// names returns the zones that orders may name.
 func (z *zoneEvacuation) names() (names []string) {
 	for _, v := range *z.views.Load() {
 		names = append(names, v.Zone)
@@ -149,7 +150,7 @@
 	return names
 }
 
-// order takes the operators' word on a zone: leave, hold, return or none.
+// handleOrder takes an operator's order on a zone: leave, hold, return or none.
 func (z *zoneEvacuation) handleOrder(w http.ResponseWriter, r *http.Request) {
 	o, err := zone.ParseOrder(r.URL.Query().Get("order"))
 	if err != nil {
