--- a/fleet/maintenance/command.go
+++ b/fleet/maintenance/command.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
+	"sloestile/internal/canonical"
 )
 
 // Bounds of commands and of what they hold.
@@ -182,18 +182,10 @@
 }
 
 var (
-	encoder = must(cbor.CanonicalEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{MaxArrayElements: MachinesMost, MaxMapPairs: 64, MaxNestedLevels: 8,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	encoder = canonical.Encoder
+	decoder = canonical.Limits{ArrayElements: MachinesMost, MapPairs: 64, NestedLevels: 8}.Decoder()
 )
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options of the program's own
-	}
-	return v
-}
-
 // Encode gives a command's bytes, in canonical form.
 func (c *Command) Encode() ([]byte, error) {
 	if err := c.check(); err != nil {
--- a/fleet/maintenance/forecast.go
+++ b/fleet/maintenance/forecast.go
@@ -91,6 +91,38 @@
 		return f
 	}
 	y := s.yard.clone()
+	ends := s.expectedReturns(f)
+	queue := s.waiting(f)
+	at := s.wall
+	for {
+		queue = s.start(f, &y, &ends, queue, at)
+		if ends.Len() == 0 {
+			break
+		}
+		for at = ends[0].at; ends.Len() > 0 && ends[0].at == at; {
+			e := heap.Pop(&ends).(back)
+			if e.m == nil {
+				continue
+			}
+			y.away(e.m, s.members(e.m.Host), -1)
+			if e.again != nil {
+				queue = append(queue, *e.again)
+				s.order(queue)
+			}
+		}
+	}
+	for _, q := range queue {
+		b := s.barred(&y, q.m, false, s.need(q.length), at)
+		f.keep(q.host, q.due, s.boundError(q.host, b))
+	}
+	slices.SortFunc(f.Late, func(a, b *LateError) int {
+		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Host, b.Host))
+	})
+	return f
+}
+
+// expectedReturns returns, as a heap by time, when the machines that are away come back and when windows of uplinks end.
+func (s *State) expectedReturns(f *Forecast) backs {
 	var ends backs
 	for _, t := range s.held() {
 		e := back{at: s.wall + s.left(t), m: s.fleet[t.Host]}
@@ -108,6 +140,11 @@
 		ends = append(ends, back{at: max(u.To, s.wall)})
 	}
 	heap.Init(&ends)
+	return ends
+}
+
+// waiting returns, in order, the hosts that still have to go.
+func (s *State) waiting(f *Forecast) []rank {
 	var queue []rank
 	for _, host := range s.plan.hosts {
 		t := s.turns[host]
@@ -121,32 +158,7 @@
 		}
 	}
 	s.order(queue)
-	at := s.wall
-	for {
-		queue = s.start(f, &y, &ends, queue, at)
-		if ends.Len() == 0 {
-			break
-		}
-		for at = ends[0].at; ends.Len() > 0 && ends[0].at == at; {
-			e := heap.Pop(&ends).(back)
-			if e.m == nil {
-				continue
-			}
-			y.away(e.m, s.members(e.m.Host), -1)
-			if e.again != nil {
-				queue = append(queue, *e.again)
-				s.order(queue)
-			}
-		}
-	}
-	for _, q := range queue {
-		b := s.barred(&y, q.m, false, s.need(q.length), at)
-		f.keep(q.host, q.due, s.boundError(q.host, b))
-	}
-	slices.SortFunc(f.Late, func(a, b *LateError) int {
-		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Host, b.Host))
-	})
-	return f
+	return queue
 }
 
 // start lets out all that the bounds let go at a time, in order, and gives those that stay.
--- a/fleet/ratelimit/message.go
+++ b/fleet/ratelimit/message.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 
-	"github.com/fxamacker/cbor/v2"
+	"sloestile/internal/canonical"
 )
 
 const (
@@ -90,18 +90,10 @@
 }
 
 var (
-	encoder = must(cbor.CanonicalEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	encoder = canonical.Encoder
+	decoder = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
 )
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options of the program's own
-	}
-	return v
-}
-
 // Encode returns a message's bytes, in canonical form.
 func (m *Message) Encode() ([]byte, error) {
 	raw, err := encoder.Marshal(m)
--- a/fleet/rules/command.go
+++ b/fleet/rules/command.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 
-	"github.com/fxamacker/cbor/v2"
+	"sloestile/internal/canonical"
 )
 
 const (
@@ -75,23 +75,13 @@
 }
 
 var (
-	encoder = must(cbor.CanonicalEncOptions().EncMode())
+	encoder = canonical.Encoder
 	// strict reads commands and snapshots: a registry must not skip what it does not know.
-	strict = must(cbor.DecOptions{MaxArrayElements: 2 * maxVersions, MaxMapPairs: 16, MaxNestedLevels: 8,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
-		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField}.DecMode())
+	strict = canonical.Limits{ArrayElements: 2 * maxVersions, MapPairs: 16, NestedLevels: 8, RejectUnknownFields: true}.Decoder()
 	// lenient reads messages, which come from nodes with other programs too.
-	lenient = must(cbor.DecOptions{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	lenient = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
 )
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options of the program's own
-	}
-	return v
-}
-
 // decodeCanonical decodes bytes that must be the canonical form of their content.
 func decodeCanonical(what string, limit int, raw []byte, into any) error {
 	if len(raw) > limit {
--- a/internal/consensus/learner/messages.go
+++ b/internal/consensus/learner/messages.go
@@ -3,9 +3,8 @@
 import (
 	"log/slog"
 
-	"github.com/fxamacker/cbor/v2"
-
 	"sloestile/fleet/rules"
+	"sloestile/internal/canonical"
 )
 
 // Kinds of messages, by their first byte. None is the first byte of a CBOR map, with which other messages begin.
@@ -46,18 +45,10 @@
 }
 
 var (
-	encoder = must(cbor.CanonicalEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{MaxArrayElements: 64, MaxMapPairs: 16, MaxNestedLevels: 4,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	encoder = canonical.Encoder
+	decoder = canonical.Limits{ArrayElements: 64, MapPairs: 16, NestedLevels: 4}.Decoder()
 )
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options of the program's own
-	}
-	return v
-}
-
 // decode reads a message; nil is that it is corrupt.
 func decode[T any](raw []byte) *T {
 	v := new(T)
--- a/internal/consensus/raftlog/meta.go
+++ b/internal/consensus/raftlog/meta.go
@@ -12,8 +12,7 @@
 	"path/filepath"
 	"sync"
 
-	"github.com/fxamacker/cbor/v2"
-
+	"sloestile/internal/canonical"
 	"sloestile/internal/store/disk"
 )
 
@@ -26,18 +25,10 @@
 
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	encoder    = must(cbor.CanonicalEncOptions().EncMode())
-	decoder    = must(cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 6,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	encoder    = canonical.Encoder
+	decoder    = canonical.Limits{ArrayElements: 1 << 16, MapPairs: 64, NestedLevels: 6}.Decoder()
 )
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options of the program's own
-	}
-	return v
-}
-
 // Seal returns a value's bytes behind a magic and a checksum.
 func Seal(magic string, v any) ([]byte, error) {
 	raw, err := encoder.Marshal(v)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,8 +17,7 @@
 	"strings"
 	"syscall"
 
-	"github.com/fxamacker/cbor/v2"
-
+	"sloestile/internal/canonical"
 	"sloestile/internal/store/disk"
 )
 
@@ -61,19 +60,11 @@
 }
 
 var (
-	encoder = must(cbor.CanonicalEncOptions().EncMode())
-	decoder = must(cbor.DecOptions{MaxArrayElements: maxCheckpoints, MaxMapPairs: 64, MaxNestedLevels: 6,
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden}.DecMode())
+	encoder    = canonical.Encoder
+	decoder    = canonical.Limits{ArrayElements: maxCheckpoints, MapPairs: 64, NestedLevels: 6}.Decoder()
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-func must[T any](v T, err error) T {
-	if err != nil {
-		panic(err) // options of the program's own
-	}
-	return v
-}
-
 // encode returns the file's content for a state.
 func encode(s *State) ([]byte, error) {
 	raw, err := encoder.Marshal(s)
