--- a/cmd/edgenode/councilfleet_test.go
+++ b/cmd/edgenode/councilfleet_test.go
@@ -39,6 +39,7 @@
 // citizen is a node of a council's fleet.
 type citizen struct {
 	name    string
+	bin     string // its program
 	dir     string // of its council's part
 	drive   string // by which its disk is driven
 	env     []string
@@ -52,7 +53,6 @@
 // councilFleet is nodes as processes, the first of which vote.
 type councilFleet struct {
 	t     *testing.T
-	bin   string
 	block string // of addresses
 	nodes []*citizen
 	paths [][]*faultlink.Path // from a node to another
@@ -82,10 +82,10 @@
 
 func (f *councilFleet) address(i, port int) string { return fmt.Sprint(f.block, i+1, ":", port) }
 
-func newCouncilFleet(t *testing.T, voters, nodes int) *councilFleet {
+func newCouncilFleet(t *testing.T, voters, nodes int, peersKeys ...string) *councilFleet {
 	bin, err := councilBin()
 	require.NoError(t, err)
-	f := &councilFleet{t: t, bin: bin, block: block(t)}
+	f := &councilFleet{t: t, block: block(t)}
 	raw, err := os.ReadFile(testConfig)
 	require.NoError(t, err)
 	var votes, seeds []string
@@ -98,7 +98,7 @@
 	f.seen = newAttempts(t)
 	top := t.TempDir()
 	for i := range nodes {
-		n := &citizen{name: fmt.Sprint("n", i), console: f.address(i, atConsole), listen: f.address(i, atClients)}
+		n := &citizen{name: fmt.Sprint("n", i), bin: bin, console: f.address(i, atConsole), listen: f.address(i, atClients)}
 		at := filepath.Join(top, n.name)
 		n.dir, n.drive, n.log = filepath.Join(at, "council"), filepath.Join(at, "drive"), filepath.Join(at, "log")
 		require.NoError(t, os.MkdirAll(at, 0o700))
@@ -113,8 +113,8 @@
 		require.NoError(t, err)
 		config, file := filepath.Join(at, "config.json"), filepath.Join(at, "fleet.toml")
 		require.NoError(t, os.WriteFile(config, out, 0o600))
-		require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "[regions]\nr = ['z1', 'z2', 'z3']\n[council]\ndir = %q\nheader = 'X-Rules'\nvoters = [%s]\n[peers]\nlabel = 'test'\nport = %d\nseeds = [%s]\n[peers.via]\n%s",
-			n.dir, strings.Join(votes, ", "), atPeers, strings.Join(seeds, ", "), f.ways(i, voters, nodes)), 0o600))
+		require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "[regions]\nr = ['z1', 'z2', 'z3']\n[council]\ndir = %q\nheader = 'X-Rules'\nvoters = [%s]\n[peers]\nlabel = 'test'\nport = %d\nseeds = [%s]\n%s\n[peers.via]\n%s",
+			n.dir, strings.Join(votes, ", "), atPeers, strings.Join(seeds, ", "), strings.Join(peersKeys, "\n"), f.ways(i, voters, nodes)), 0o600))
 		n.env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_FLEET="+file, "NODE_LISTEN="+n.listen, "NODE_CONSOLE="+n.console, faulty.Variable+"="+n.drive)
 		f.nodes = append(f.nodes, n)
 		f.start(i)
@@ -182,7 +182,7 @@
 	log, err := os.OpenFile(n.log, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	require.NoError(f.t, err)
 	defer func() { _ = log.Close() }()
-	n.cmd = exec.Command(f.bin)
+	n.cmd = exec.Command(n.bin)
 	n.cmd.Env, n.cmd.Stdout, n.cmd.Stderr = n.env, log, log
 	require.NoError(f.t, n.cmd.Start())
 	n.done = make(chan struct{})
--- /dev/null
+++ b/cmd/edgenode/otherversion_test.go
@@ -0,0 +1,169 @@
+package main
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// other is the program of another version, built with the tag lab. Without it the tests of this file run two processes of
+// this version.
+var other = flag.String("other", "", "program of another version to run beside this one, built with -tags lab")
+
+// versions are this program and the other one in both orders.
+func versions(t *testing.T) map[string][2]string {
+	t.Helper()
+	own := build(t)
+	if *other == "" {
+		return map[string][2]string{"one version": {own, own}}
+	}
+	return map[string][2]string{"from the other": {*other, own}, "to the other": {own, *other}}
+}
+
+// Nodes of two versions share limits and outlier reports, agree on rule versions and go by them.
+func TestFleetOfTwoVersions(t *testing.T) {
+	t.Parallel()
+	f := newCouncilFleet(t, 3, 5, "limits = true", "verdicts = true")
+	if *other != "" {
+		for _, i := range []int{1, 3} {
+			f.kill(i)
+			f.nodes[i].bin = *other
+			f.start(i)
+		}
+	}
+	all := []int{0, 1, 2, 3, 4}
+	one := f.publish(4, 1)
+	f.activate(3, one, "overlap")
+	f.acting(one, 10*time.Second, all...)
+	two := f.publish(1, 2)
+	f.activate(2, two, "exclusive")
+	f.acting(two, 10*time.Second, all...)
+	ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
+	defer stop()
+	var work sync.WaitGroup
+	for i := range f.nodes {
+		work.Go(func() { f.askShared(ctx, i) })
+	}
+	work.Wait()
+	for i, n := range f.nodes {
+		m := f.metrics(i)
+		t.Logf("%s: %v of %v buckets known, %v messages received", n.name, m["node_share_known_total"],
+			m["node_share_known_total"]+m["node_share_unknown_total"], m["node_share_heard_total"])
+		assert.Positive(t, m["node_share_known_total"], n.name)
+		assert.Positive(t, m["node_share_heard_total"], n.name)
+		assert.EqualValues(t, 4, m["node_peers"], n.name)
+		for _, name := range []string{"node_share_spoilt_total", "node_rules_spoilt_total", "node_peer_spoilt_total"} {
+			assert.Zero(t, m[name], "%s: %s", n.name, name)
+		}
+	}
+}
+
+// askShared sends requests of one tenant, which all nodes share, to a node until ctx ends.
+func (f *councilFleet) askShared(ctx context.Context, i int) {
+	for n := 0; ctx.Err() == nil; n++ {
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.nodes[i].listen+"/roster-read?account=00000000b4d65521", nil)
+		if err != nil {
+			return
+		}
+		for k, v := range map[string]string{"X-Correlation-Id": fmt.Sprintf("shared-%d-%d", i, n), "X-Tariff": "basic",
+			"X-Time-Left": "900m", "X-Weight": "units=1,spread=5,first=0"} {
+			req.Header.Set(k, v)
+		}
+		if resp, err := councilClient.Do(req); err == nil {
+			_ = resp.Body.Close()
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+}
+
+// metrics reads the metrics of a node that have no labels.
+func (f *councilFleet) metrics(i int) map[string]float64 {
+	f.t.Helper()
+	resp, err := councilClient.Get("http://" + f.nodes[i].console + "/metrics")
+	require.NoError(f.t, err)
+	defer func() { _ = resp.Body.Close() }()
+	raw, err := io.ReadAll(resp.Body)
+	require.NoError(f.t, err)
+	values := map[string]float64{}
+	for line := range strings.Lines(string(raw)) {
+		if name, text, ok := strings.Cut(strings.TrimSpace(line), " "); ok && !strings.HasPrefix(name, "#") {
+			if v, err := strconv.ParseFloat(text, 64); err == nil {
+				values[name] = v
+			}
+		}
+	}
+	return values
+}
+
+// A process takes over socket and state of one of another version, and both keep the quota together.
+func TestTakeoverFromAnotherVersion(t *testing.T) {
+	for name, bin := range versions(t) {
+		t.Run(name, func(t *testing.T) {
+			app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+			t.Cleanup(app.Close)
+			socket, dir := clientSocket(t), "TMPDIR="+t.TempDir()
+			list := discovery(t, "s-1", app).Listener.Addr().String()
+			begun := time.Now()
+			before := startWith(t, bin[0], testConfig, list, socket, dir)
+			granted := before.granted("before-", 20)
+			after := startWith(t, bin[1], testConfig, list, socket, dir)
+			require.Contains(t, strings.Join(after.seen, "\n"), "taken over")
+			before.signal(syscall.SIGTERM)
+			before.until("drained")
+			require.NoError(t, before.Wait())
+			granted += after.granted("after-", 20)
+			most := 8 + int(time.Since(begun).Seconds()/2) + 1
+			require.Positive(t, granted)
+			require.LessOrEqual(t, granted, most, "a burst of 8 and half a token a second over both processes")
+			after.signal(syscall.SIGTERM)
+			after.until("drained")
+			require.NoError(t, after.Wait())
+		})
+	}
+}
+
+// A process restores the state folder of one of another version that was killed.
+func TestStateFolderOfAnotherVersion(t *testing.T) {
+	for name, bin := range versions(t) {
+		t.Run(name, func(t *testing.T) {
+			app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+			t.Cleanup(app.Close)
+			list := discovery(t, "s-1", app).Listener.Addr().String()
+			dir := t.TempDir()
+			fleet := filepath.Join(dir, "fleet.toml")
+			require.NoError(t, os.WriteFile(fleet, fmt.Appendf(nil, "[state]\ndir = %q\n", filepath.Join(dir, "state")), 0o600))
+			begun := time.Now()
+			before := startWith(t, bin[0], testConfig, list, nil, "NODE_FLEET="+fleet)
+			granted := before.granted("before-", 20)
+			require.Eventually(t, func() bool {
+				info, err := os.Stat(filepath.Join(dir, "state", "state"))
+				return err == nil && info.Size() > 0
+			}, 5*time.Second, 10*time.Millisecond)
+			time.Sleep(time.Second) // two of its writes
+			require.NoError(t, before.Process.Kill())
+			_ = before.Wait()
+			after := startWith(t, bin[1], testConfig, list, nil, "NODE_FLEET="+fleet)
+			log := strings.Join(after.seen, "\n")
+			require.True(t, strings.Contains(log, "state: restored") || strings.Contains(log, "state: taken"), log)
+			granted += after.granted("after-", 20)
+			require.LessOrEqual(t, granted, 8+int(time.Since(begun).Seconds()/2)+1, "a burst of 8 and half a token a second over both processes")
+			after.signal(syscall.SIGTERM)
+			after.until("drained")
+			require.NoError(t, after.Wait())
+		})
+	}
+}
