--- a/control/admission.go
+++ b/control/admission.go
@@ -22,7 +22,7 @@
 	filledFraction = 0.08
 	// minLevelFraction is the fraction of a request's tokens that the bucket must hold at least.
 	minLevelFraction = 0.5
-	// A bucket of which many nodes are told holds sharedMargin times a request's tokens more than those, or
+	// A bucket that is reported to many nodes holds sharedMargin times a request's tokens more than those, or
 	// sharedFilledFraction of the burst: each node may send one by the same report.
 	sharedMargin         = 2.5
 	sharedFilledFraction = 0.7
@@ -84,11 +84,11 @@
 
 // admits decides on a request of some tokens whose client has waited for a time. A request is rejected if
 //   - its answer can only be late and too little is known of the tenant's use,
-//   - its answer can only be late, or its class has a low priority, while turns or tokens are scarce,
+//   - its answer can only be late, or its class has a low priority, while slots or tokens are scarce,
 //   - the tenant's ceiling or quota is used up, or the metered rejection chance hits it: hasQuota.
 func (a *admission) admits(t *tenant, class *Class, tokens float64, waited time.Duration) bool {
 	late := waited+seconds(a.traffic.latency) >= class.LatencyObjective
-	t.asked.add(1)
+	t.requested.add(1)
 	t.request(a.env.now, tokens)
 	a.counts.requests++
 	yields := late || class.PriorityWeight < lowPriorityFraction*a.topWeight
@@ -104,7 +104,7 @@
 
 // isScarce reports whether the in-flight bound is reached or the tenant's bucket is low.
 func (a *admission) isScarce(t *tenant) bool {
-	if !a.concurrency.hasRoom() {
+	if !a.concurrency.hasCapacity() {
 		return true
 	}
 	return t.plan.Rate > 0 && t.level-t.queuedTokens < scarceFraction*t.plan.Burst
@@ -149,7 +149,7 @@
 }
 
 // SharedBucketMinimum returns what a bucket must hold, by its owner's report, for a request of some
-// tokens to be admitted. Visibility is 1 where few nodes are told, and falls with their number.
+// tokens to be admitted. Visibility is 1 where few nodes share the tenant, and falls with their number.
 func SharedBucketMinimum(burst, tokens, visibility float64) float64 {
 	return min(tokens*(1+sharedMargin*(1-visibility)), sharedFilledFraction*burst)
 }
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -30,7 +30,7 @@
 // attempt loads no server.
 func (c *Controller) recordStart(r *request, s *server) {
 	if s.working() == 0 {
-		s.lastHeard = c.env.now
+		s.lastActivity = c.env.now
 	}
 	key := attemptKey{r.id, r.attempts}
 	c.attempts[key] = &attempt{
@@ -63,7 +63,7 @@
 		return
 	}
 	if a.server.working() == 0 {
-		a.server.lastHeard = c.env.now
+		a.server.lastActivity = c.env.now
 	}
 	a.sending = false
 	a.server.inFlight++
@@ -85,7 +85,7 @@
 	a.request.streaming = true
 	c.concurrency.responding++
 	a.server.responding++
-	a.server.lastHeard = c.env.now
+	a.server.lastActivity = c.env.now
 	c.meter.read(a.tenant, e.MeterReading, a.request.tokens)
 	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
 	c.observeAnswer(a, e.Delay)
@@ -98,7 +98,7 @@
 		return
 	}
 	r := a.request
-	a.server.lastHeard = c.env.now
+	a.server.lastActivity = c.env.now
 	c.concurrency.restFraction()
 	if a.tenant.plan.MaxConcurrent > 0 {
 		a.tenant.pause(c.env.now, c.env.now-a.started)
@@ -135,7 +135,7 @@
 	return a
 }
 
-// learn takes what an outcome says of the server, the in-flight bound and the request.
+// learn applies an outcome to the server, the in-flight bound and the request.
 func (c *Controller) learn(a *attempt, e AttemptEnded) {
 	s, r := a.server, a.request
 	took := c.env.since(a.started)
@@ -149,7 +149,7 @@
 		c.outliers.recordFailure(s, ejectionFailures)
 	case ResetByPeer, Errored:
 		c.outliers.recordError(s)
-	case NeverSent: // says nothing of the server
+	case NeverSent: // no evidence about the server
 		s.trial = false
 	case TimedOut:
 		// A client that gives up before its answer is due speaks neither against the server nor for a
--- a/control/balancer.go
+++ b/control/balancer.go
@@ -33,7 +33,7 @@
 
 // pick returns the usable server of least cost that may take an attempt now, or nil where the request has to
 // wait. While servers warm up, a large fleet spreads its attempts by chance, each server in proportion to its
-// speed and warmth: as each node knows little of how busy a server is, all would take the same few.
+// speed and warm-up: as each node knows little of how busy a server is, all would take the same few.
 func (b *balancer) pick(r *request) *server {
 	var best *server
 	bestCost := math.Inf(1)
@@ -93,8 +93,8 @@
 func (b *balancer) cost(s *server) float64 {
 	attempts := float64(s.working() + s.abandoned)
 	cost := b.expectedLatency(s) * (attempts + 1)
-	if s.warmingUp && !b.env.largeFleet() { // in a large fleet slowStart.admits goes by the warmth
-		cost /= b.slowStart.warmth(s)
+	if s.warmingUp && !b.env.largeFleet() { // in a large fleet slowStart.admits goes by the warm-up
+		cost /= b.slowStart.warmupFraction(s)
 	}
 	if !s.warmingUp && !s.preferred {
 		cost *= nonPreferredCost
@@ -120,12 +120,12 @@
 		latency = mean + (s.latency-mean)*weight
 	}
 	if s.working() > 0 {
-		latency = max(latency, b.env.since(s.lastHeard))
+		latency = max(latency, b.env.since(s.lastActivity))
 	}
 	return latency
 }
 
-// zonePenalty returns the wait, in seconds, that costs as much as the rules say an attempt in the server's
+// zonePenalty returns the wait, in seconds, that costs as much as, by the rules, an attempt in the server's
 // zone does: an answer that is late by its latency objective has lost its value.
 func (b *balancer) zonePenalty(r *request, s *server) float64 {
 	if len(r.rules.CrossZoneCost) == 0 || s.Zone == b.env.settings.Zone {
--- a/control/classify.go
+++ b/control/classify.go
@@ -66,7 +66,7 @@
 
 // isImpatient reports whether an attempt with an unusual time left is the first one of a client that
 // gives up sooner than most. The times of retries vary with the answers before them, except where a
-// rejection, at once or after the wait for a turn, advised when to come back.
+// rejection, at once or after the wait for a dispatch slot, advised when to come back.
 func (c *attemptClassifier) isImpatient(usual *usualTimeLeft, timeLeft time.Duration, class *Class) bool {
 	sinceAdvised := class.Deadline - timeLeft - c.env.retryAfter()
 	longestQueueTime := time.Duration(slotQueueFraction * float64(class.LatencyObjective))
--- a/control/concurrency.go
+++ b/control/concurrency.go
@@ -67,14 +67,14 @@
 
 // floor returns the least that the bound may be: this node's part of what keeps all servers at work.
 // Without its second limit many nodes would overload the servers by their floors alone. Ejected servers
-// don't count, and in a large fleet a server that is warming up counts by its warmth.
+// don't count, and in a large fleet a server that is warming up counts by its warm-up fraction.
 func (l *concurrencyLimit) floor() float64 {
 	servers := 0.0
 	for _, s := range l.servers.ordered {
 		switch {
 		case !s.usable() || s.consecutiveFailures >= ejectionFailures:
 		case s.warmingUp && l.env.largeFleet():
-			servers += l.slowStart.warmth(s)
+			servers += l.slowStart.warmupFraction(s)
 		default:
 			servers++
 		}
@@ -83,7 +83,7 @@
 }
 
 // hasRoom reports whether another attempt may start.
-func (l *concurrencyLimit) hasRoom() bool {
+func (l *concurrencyLimit) hasCapacity() bool {
 	busy := l.busy()
 	bound := min(l.bound, l.rulesBound)
 	return busy+1 <= bound || busy < bound && l.env.now >= l.restsUntil
--- a/control/controller.go
+++ b/control/controller.go
@@ -144,9 +144,9 @@
 	c.env.act(SetTimer{After: tick, Label: tickLabel})
 }
 
-// dispatch sends queued requests while the in-flight bound has room.
+// dispatch sends queued requests while the in-flight bound has capacity.
 func (c *Controller) dispatch() {
-	for c.concurrency.hasRoom() {
+	for c.concurrency.hasCapacity() {
 		r, s := c.scheduler.next()
 		if r == nil {
 			return
--- a/control/demand.go
+++ b/control/demand.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// tenantDemand is what is known of what a tenant asks for: by readings of the meter, and by requests here.
+// tenantDemand is what is known of a tenant's demand: by readings of the meter, and by requests here.
 type tenantDemand struct {
-	requestedTokens float64 // asked for at this node, decaying
+	requestedTokens float64 // of requests at this node, decaying
 	requestedAt     time.Duration
 	readTokens      float64 // used by the readings, decaying
 	readSeconds     float64 // of full demand that readTokens stand for, decaying
@@ -23,7 +23,7 @@
 	readingLifetimeTokens = 8.0
 
 	// The prior belief about a tenant's demand: a gamma distribution with this shape, and a mean in parts
-	// of the tenant's rate. Few tenants ask for far more than their rate.
+	// of the tenant's rate. Few tenants request much more than their rate.
 	demandShape = 0.5
 	demandMean  = 0.8
 	// unseenDemandMean is the mean where many nodes each know little and use beyond the quota costs its
--- a/control/doc.go
+++ b/control/doc.go
@@ -22,7 +22,7 @@
 //   - Rejection or failure? Controller.finish (rejection.go): a rejection promises that nothing ran.
 //
 // Why did it wait? concurrencyLimit.hasRoom (concurrency.go) bounds the attempts in flight,
-// scheduler.next (scheduler.go) gives plans their turns, scheduler.firstDispatchable skips requests
+// scheduler.next (scheduler.go) gives plans their dispatch slots, scheduler.firstDispatchable skips requests
 // of tenants without a free slot (tenant.hasFreeSlot, slots.go).
 //
 // Why did it go to that server? balancer.pick (balancer.go) takes the server with the least expected wait;
@@ -37,7 +37,7 @@
 // raise its cost: outlierDetector.onReport.
 //
 // What may a server get that is warming up? slowStart.admits (slowstart.go): this node's part of a token
-// bucket that grows with the server's warmth.
+// bucket that grows with the server's warm-up.
 //
 // Why did the shares move? shareController.update (shares.go): at the end of each control interval, by the
 // lateness of each plan's answers and its price.
--- a/control/environment.go
+++ b/control/environment.go
@@ -22,7 +22,7 @@
 const (
 	// largeFleetNodes is the fleet size from which each node knows little of how busy a server is.
 	largeFleetNodes = 8
-	// retryAfterAdvice is when a rejected client is asked to come back, if the settings allow as long.
+	// retryAfterAdvice is the Retry-After of a rejection, if the settings allow as long.
 	retryAfterAdvice = time.Second
 	// epsilon keeps quotients finite.
 	epsilon = 1e-9
@@ -36,7 +36,7 @@
 // largeFleet reports whether so many nodes share the load that each knows little of it.
 func (e *environment) largeFleet() bool { return e.settings.FleetSize >= largeFleetNodes }
 
-// retryAfter returns when a rejected client is asked to come back.
+// retryAfter returns the Retry-After of a rejection.
 func (e *environment) retryAfter() time.Duration {
 	return min(retryAfterAdvice, e.settings.MaxRetryAfter)
 }
--- a/control/events.go
+++ b/control/events.go
@@ -29,7 +29,7 @@
 	HasStartedAt bool          // false: long ago
 }
 
-// UpdateKind says what an EndpointUpdate holds.
+// UpdateKind is what an EndpointUpdate holds.
 type UpdateKind int
 
 // The kinds of endpoint updates.
@@ -40,7 +40,7 @@
 	Failed                     // a fetch failed or a watch ended; no entries
 )
 
-// Outcome says how an attempt, a health check or a call of the counter ended.
+// Outcome is how an attempt, a health check or a call of the counter ended.
 type Outcome int
 
 // The outcomes.
@@ -81,7 +81,7 @@
 	FirstNode    int           // index of the first of them
 	Retry        bool          // the client marked it as a retry
 	Write        bool
-	StreamedBody bool          // its body is passed on while it comes: BodySent tells when it is complete
+	StreamedBody bool          // its body is passed on while it comes: BodySent follows when it is complete
 	Bucket       *SharedBucket // nil is nothing known
 }
 
@@ -92,14 +92,14 @@
 	Age     time.Duration // since it was true
 }
 
-// BodySent says that an attempt of a request with a streamed body is written completely. Only now its
+// BodySent reports that an attempt of a request with a streamed body is written completely. Only now its
 // server begins the work, and the client's time runs.
 type BodySent struct {
 	ID      string
 	Attempt int
 }
 
-// ResponseStarted says that a streamed answer has begun. What its header reports comes here, as the rest
+// ResponseStarted reports that a streamed answer has begun. What its header reports comes here, as the rest
 // may take long.
 type ResponseStarted struct {
 	ID           string
@@ -110,7 +110,7 @@
 	MeterReading int     // as in AttemptEnded
 }
 
-// AttemptEnded says how an attempt ended.
+// AttemptEnded reports how an attempt ended.
 type AttemptEnded struct {
 	ID           string
 	Attempt      int
@@ -124,13 +124,13 @@
 	LoadReport   *LoadReport
 }
 
-// ClientGone says that the client has left.
+// ClientGone reports that the client has left.
 type ClientGone struct{ ID string }
 
-// Timer says that a timer is due.
+// Timer reports that a timer is due.
 type Timer struct{ Label uint64 }
 
-// HealthCheckResult says how a health check ended.
+// HealthCheckResult reports how a health check ended.
 type HealthCheckResult struct {
 	Server     uint32
 	Outcome    Outcome
@@ -152,7 +152,7 @@
 	Outcome Outcome
 }
 
-// OutlierReport says that enough other nodes, each by attempts of its own, found a server's process far
+// OutlierReport reports that enough other nodes, each by attempts of its own, found a server's process far
 // slower than is usual.
 type OutlierReport struct {
 	Server    uint32
@@ -160,8 +160,8 @@
 	Until     time.Duration // time at which the report expires
 }
 
-// ZoneEvacuation says which fraction of its usual traffic is to stay away from each zone that is not to have
-// all of it; 1 is to send there only where nothing else is.
+// ZoneEvacuation reports which fraction of its usual traffic is to stay away from each zone that is not
+// to have all of it; 1 is to send there only where nothing else is.
 type ZoneEvacuation struct{ Evacuated map[string]float64 }
 
 // Rules puts a version of the operators' rules in force, in place of the one before. What it does not
--- a/control/handover.go
+++ b/control/handover.go
@@ -98,7 +98,7 @@
 	ReadEnd             int64
 	Sent                [][2]float64 `json:"Own"` // bin and amount
 	Charged             [][2]float64
-	Asked               [][2]float64
+	Requested           [][2]float64 `json:"Asked"`
 	Rejected            [][2]float64 `json:"Refused"`
 }
 
--- a/control/interval.go
+++ b/control/interval.go
@@ -9,7 +9,7 @@
 
 	// controlInterval is the interval in which the in-flight bound and the shares are set. It lasts
 	// longer, by intervalExtension at most, while it has fewer outcomes than minIntervalOutcomes: their
-	// mean says little.
+	// mean means little.
 	controlInterval     = time.Second
 	intervalExtension   = 4 * time.Second
 	minIntervalOutcomes = 5
--- a/control/meter.go
+++ b/control/meter.go
@@ -23,8 +23,8 @@
 	allTokens        float64 // through all nodes, decaying with readings
 	meanRate         float64 // tokens per second through all nodes, average
 
-	// By bin: tokens of attempts, tokens taken from the bucket, requests asked and rejected.
-	sent, charged, asked, rejected history
+	// By bin: tokens of attempts, tokens taken from the bucket, requests received and rejected.
+	sent, charged, requested, rejected history
 }
 
 const (
@@ -45,7 +45,7 @@
 	surgeShape = 0.5
 	// unmeteredSeconds is how much use the meter has not reported yet.
 	unmeteredSeconds = 2.0
-	// levelCorrection is the fraction by which a reading moves the bucket's level towards what it says,
+	// levelCorrection is the fraction by which a reading moves the bucket's level towards its value,
 	// where the nodes are many.
 	levelCorrection = 0.4
 )
@@ -69,11 +69,11 @@
 	}
 	t.metered = true
 	t.readEnd = end
-	asked := t.asked.inPeriodBefore(end)
+	requested := t.requested.inPeriodBefore(end)
 	rejected := m.rejectedFraction(t, end)
 	t.read(m.env.now, used, rejected, period, t.plan.Rate, t.visibility())
 	if t.plan.Rate == 0 {
-		t.adjustSlots(percent, rejected, asked)
+		t.adjustSlots(percent, rejected, requested)
 		return
 	}
 	m.updateUsage(t, used, period, end)
@@ -85,7 +85,7 @@
 // quota: a node would else take what it rejects itself to be rejected everywhere, and its belief would
 // run away.
 func (m *usageMeter) rejectedFraction(t *tenant, end int64) float64 {
-	asked := t.asked.inPeriodBefore(end)
+	asked := t.requested.inPeriodBefore(end)
 	rejected := m.tenants.rejectionChance(t)
 	if asked > 0 {
 		rejected = t.rejected.inPeriodBefore(end) / asked
@@ -108,7 +108,7 @@
 
 // correctLevel takes what the period really used from the bucket in place of what was charged. Where the
 // nodes are many, charges for use elsewhere that no reading has reported yet are guesses, and the reading
-// says how far the bucket is from empty.
+// shows how far the bucket is from empty.
 func (m *usageMeter) correctLevel(t *tenant, used, percent float64, end int64) {
 	burst := m.env.quotaFraction() * t.plan.Burst
 	t.level = min(burst, max(-t.plan.Burst/2, t.level-used+t.charged.inPeriodBefore(end)))
@@ -119,7 +119,7 @@
 func (u *tenantUsage) advance(bin int64) {
 	u.sent.advance(bin)
 	u.charged.advance(bin)
-	u.asked.advance(bin)
+	u.requested.advance(bin)
 	u.rejected.advance(bin)
 }
 
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -22,7 +22,7 @@
 	asks := func(n, refused int) { // what was asked and refused in the second to come
 		g.c.env.now = g.now
 		g.c.tenants.refill(q)
-		q.asked.add(float64(n))
+		q.requested.add(float64(n))
 		q.rejected.add(float64(refused))
 		g.now += 1100 * ms
 	}
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -15,7 +15,7 @@
 	consecutiveFailures int
 	ejectedUntil        time.Duration
 	ejectionTime        time.Duration // length of the last ejection; 0 once an attempt succeeds
-	trial               bool          // an attempt is out that tries an ejected server
+	trial               bool          // an attempt at an ejected server is in flight
 	failureRate         float64       // average of attempts that failed
 	failureRateAt       time.Duration
 	rejectsPlanUntil    map[*planQueue]time.Duration // rejected an attempt of the plan: taken last until then
--- a/control/preferred.go
+++ b/control/preferred.go
@@ -14,7 +14,7 @@
 	goldenRatio = 0.6180339887
 )
 
-// isPreferred reports whether this node turns to a server before others. Each server is preferred by a part
+// isPreferred reports whether this node prefers a server to others. Each server is preferred by a part
 // of the nodes, chosen by its number, so that loads are even and a change of the list moves no other server.
 // It keeps many nodes from opening connections to every server and knowing next to nothing of any.
 func (set *serverSet) isPreferred(s *server) bool {
@@ -23,8 +23,8 @@
 		key = s.HashKey // the same at all nodes, so that as many prefer each server that is warming up
 	}
 	position := float64(set.env.settings.NodeIndex) / float64(set.env.settings.FleetSize)
-	_, turn := math.Modf(position + float64(key)*goldenRatio)
-	return turn < set.preferredFraction(s)
+	_, fraction := math.Modf(position + float64(key)*goldenRatio)
+	return fraction < set.preferredFraction(s)
 }
 
 // preferredFraction returns the fraction of the nodes that prefer a server, which is also the fraction of
--- a/control/rejection.go
+++ b/control/rejection.go
@@ -16,7 +16,7 @@
 	c.forget(r)
 }
 
-// mayBeRejected reports whether a client that is told to retry the request does no harm: it surely did
+// mayBeRejected reports whether a retry of the request by the client does no harm: it surely did
 // not run, or it may run again anywhere.
 func (r *request) mayBeRejected() bool {
 	switch {
--- a/control/report.go
+++ b/control/report.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// reportInterval is how often the operators' log says what became of requests.
+// reportInterval is how often the outcomes of requests go to the operators' log.
 const reportInterval = 5 * time.Second
 
 // rejectionCounts counts, between two lines of the operators' log, why requests were rejected. Without it a
-// rejection for want of a dispatch turn looks like one for want of quota.
+// rejection for want of a dispatch slot looks like one for want of quota.
 type rejectionCounts struct {
 	requests int // that admission decided on
 	late     int // rejected: could only be answered late, or yield to others
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -1,7 +1,7 @@
 package control
 
-// scheduler queues requests by plan and dispatches them by weighted round robin: each plan gets turns in
-// proportion to its share.
+// scheduler queues requests by plan and dispatches them by weighted round robin: each plan gets dispatch
+// slots in proportion to its share.
 type scheduler struct {
 	env      *environment
 	balancer *balancer
@@ -14,14 +14,14 @@
 	Plan
 	index    int // in the settings
 	requests []*request
-	share    float64 // of the turns
-	credit   float64 // turns that it is owed
+	share    float64 // of the dispatch slots
+	credit   float64 // dispatch slots that it is owed
 
 	latenessSum float64 // of latency over objective, in this control interval
 	latenesses  float64 // number of values in latenessSum
 	lateness    float64 // mean of the last interval that had any
 
-	candidate       *request // that may be dispatched now, during one turn
+	candidate       *request // that may be dispatched now, during one dispatch slot
 	candidateServer *server
 }
 
@@ -45,7 +45,7 @@
 	return prices
 }
 
-// next returns the request to be dispatched now and its server, or nil. It is one turn of the round
+// next returns the request to be dispatched now and its server, or nil. It is one slot of the round
 // robin: the plan with the most credit among those with a request that can be dispatched. Other plans
 // lose nothing by it.
 func (s *scheduler) next() (*request, *server) {
--- a/control/server.go
+++ b/control/server.go
@@ -11,10 +11,10 @@
 	listed    bool
 	preferred bool // see serverSet.isPreferred
 
-	inFlight   int           // attempts at work
-	responding int           // those of them whose answer has begun
-	abandoned  int           // attempts given up whose work is assumed to go on
-	lastHeard  time.Duration // last outcome, or first attempt since it had none
+	inFlight     int           // attempts at work
+	responding   int           // those of them whose answer has begun
+	abandoned    int           // attempts given up whose work is assumed to go on
+	lastActivity time.Duration // last outcome, or first attempt since it had none
 
 	latency   float64 // s: average of its answers; 0 is none yet
 	latencyAt time.Duration
--- a/control/settings.go
+++ b/control/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Idempotency says what a second run of a request would do.
+// Idempotency is what a second run of a request would do.
 type Idempotency int
 
 // The kinds of idempotency that a class can have.
@@ -16,7 +16,7 @@
 	NonIdempotent                      // must not run twice
 )
 
-// KeyScope says which servers drop duplicates of an IdempotentByKey request together.
+// KeyScope is which servers drop duplicates of an IdempotentByKey request together.
 type KeyScope int
 
 // The scopes of an idempotency key.
@@ -87,7 +87,7 @@
 	MaxTenants            int     // remembered, beyond which idle ones are forgotten sooner
 }
 
-// maxFleetSize keeps what is computed for a whole fleet far from overflow.
+// maxFleetSize keeps what is computed for a whole fleet from overflowing.
 const maxFleetSize = 1 << 20
 
 // setting is a number of the settings by the name that operators know it by.
--- a/control/shares.go
+++ b/control/shares.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/mat"
 )
 
-// shareController sets the plans' shares of the dispatch turns. It estimates y(k+1) = X [u(k); y(k)] by
+// shareController sets the plans' shares of the dispatch slots. It estimates y(k+1) = X [u(k); y(k)] by
 // recursive least squares, where u are the shares and y the lateness of each plan, and chooses the next
 // shares by law (14) of the adaptive optimal controller on which the operators' DESIGN page is based.
 type shareController struct {
--- a/control/slots.go
+++ b/control/slots.go
@@ -37,11 +37,11 @@
 func (t *tenant) minSlots() float64 { return float64(t.plan.MaxConcurrent) / t.nodes / 2 }
 
 // adjustSlots moves the limit by a reading of the most slots in use, in percent of the quota, while a
-// fraction of the asked requests was rejected. The chance of rejection comes last.
-func (t *tenant) adjustSlots(percent, rejected, asked float64) {
+// fraction of the requests was rejected. The chance of rejection comes last.
+func (t *tenant) adjustSlots(percent, rejected, requested float64) {
 	if t.slotLimit > t.minSlots() {
 		t.slotRejectionChance = 0
-	} else if asked > 0 || percent <= 100 {
+	} else if requested > 0 || percent <= 100 {
 		t.slotRejectionChance = min(maxRejectionChance, max(0, 1-(1-rejected)*100/max(percent, 1)))
 	}
 	if percent > 100 || t.slotsExhausted {
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// slowStart limits what this node sends to servers that are warming up. A server's warmth is the fraction
-// of its capacity that it has reached; what all nodes together send must stay under OverloadFactor times
-// that capacity over any OverloadWindow. Each node has a token bucket for each such server with its part
-// of that.
+// slowStart limits what this node sends to servers that are warming up. A server's warm-up fraction is
+// the fraction of its capacity that it has reached; what all nodes together send must stay under
+// OverloadFactor times that capacity over any OverloadWindow. Each node has a token bucket for each such
+// server with its part of that.
 type slowStart struct {
 	env     *environment
 	servers *serverSet
@@ -25,9 +25,9 @@
 }
 
 const (
-	minWarmth = 0.1 // least warmth that is reckoned with
+	minWarmupFraction = 0.1 // least warm-up fraction that is assumed
 	// maxInFlightWarm is the number of attempts that a node has in flight at a server at the end of its slow
-	// start; earlier its warmth's part of that, one at least.
+	// start; earlier its warm-up fraction of that, one at least.
 	maxInFlightWarm = 2.0
 	// slowStartSafety is the fraction of what a server bears that all nodes together use.
 	slowStartSafety = 0.5
@@ -46,7 +46,7 @@
 // usableWarmingUp reports whether the server is usable and warming up.
 func (s *server) usableWarmingUp() bool { return s.usable() && s.warmingUp }
 
-// begin puts a server into slow start if its list entry says that it has started lately.
+// begin puts a server into slow start if it has started lately by its list entry.
 func (w *slowStart) begin(s *server, listed Endpoint) {
 	if !listed.HasStartedAt || w.env.now >= listed.StartedAt+w.env.settings.SlowStartDuration {
 		return
@@ -60,14 +60,15 @@
 	}
 }
 
-// warmth returns the fraction of its capacity that a server has reached at least.
-func (w *slowStart) warmth(s *server) float64 {
+// warmupFraction returns the fraction of its capacity that a server has reached at least.
+func (w *slowStart) warmupFraction(s *server) float64 {
 	settings := &w.env.settings
 	if settings.SlowStartDuration <= 0 {
 		return 1
 	}
 	elapsed := w.env.since(s.warmingSince) / settings.SlowStartDuration.Seconds()
-	return min(1, max(minWarmth, settings.SlowStartInitial)+(1-settings.SlowStartInitial)*max(0, elapsed))
+	initial := settings.SlowStartInitial
+	return min(1, max(minWarmupFraction, initial)+(1-initial)*max(0, elapsed))
 }
 
 // admits reports whether a server may get a request of some tokens now. A server that is not warming up may
@@ -81,14 +82,14 @@
 		s.preferred = w.servers.isPreferred(s)
 		return true
 	}
-	warmth := w.warmth(s)
-	if float64(s.working()+s.abandoned) >= max(1, math.Floor(warmth*maxInFlightWarm)) {
+	fraction := w.warmupFraction(s)
+	if float64(s.working()+s.abandoned) >= max(1, math.Floor(fraction*maxInFlightWarm)) {
 		return false
 	}
 	if w.env.largeFleet() {
-		return w.admitsOfLargeFleet(s, w.rateOfLargeFleet(s, warmth))
+		return w.admitsOfLargeFleet(s, w.rateOfLargeFleet(s, fraction))
 	}
-	rate := max(slowStartSafety*w.observedCapacity(warmth), 1/w.servers.nodesPerServer)
+	rate := max(slowStartSafety*w.observedCapacity(fraction), 1/w.servers.nodesPerServer)
 	s.tokens += rate * w.env.since(s.refilledAt)
 	s.refilledAt = w.env.now
 	s.tokens = min(s.tokens, max(tokens, w.burst(rate)))
@@ -100,23 +101,23 @@
 	return rate * w.env.settings.OverloadWindow.Seconds() / 2
 }
 
-// observedCapacity returns the tokens per second that a server with a warmth bears of this node, by what warm
-// servers do for it.
-func (w *slowStart) observedCapacity(warmth float64) float64 {
+// observedCapacity returns the tokens per second that a server with a warm-up fraction can take from this
+// node, by what warm servers do for it.
+func (w *slowStart) observedCapacity(fraction float64) float64 {
 	warm := w.servers.count(func(s *server) bool { return s.usable() && !s.warmingUp })
-	return w.env.settings.OverloadFactor * warmth * w.traffic.servedRate / max(1, warm)
+	return w.env.settings.OverloadFactor * fraction * w.traffic.servedRate / max(1, warm)
 }
 
 // rateOfLargeFleet returns the tokens per second that a node of a large fleet may send to a server. Too
-// little passes through each node to tell what a server does, so its capacity is reckoned from the idle
+// little passes through each node to measure what a server does, so its capacity is reckoned from the idle
 // latency. Most of it is for the nodes that prefer the server.
-func (w *slowStart) rateOfLargeFleet(s *server, warmth float64) float64 {
+func (w *slowStart) rateOfLargeFleet(s *server, fraction float64) float64 {
 	requestsPerSecond := assumedConcurrency / max(w.traffic.idleLatency, minIdleLatency) // of all nodes
-	capacity := w.env.settings.OverloadFactor * warmth * w.traffic.meanTokens * requestsPerSecond
+	capacity := w.env.settings.OverloadFactor * fraction * w.traffic.meanTokens * requestsPerSecond
 	part := capacity / w.servers.nodesPerServer
 	preferring := w.servers.preferredFraction(s)
 	reserved := preferredReserve * (1 - preferring)
-	rate := (1 - reserved) * max(w.observedCapacity(warmth), part)
+	rate := (1 - reserved) * max(w.observedCapacity(fraction), part)
 	if s.preferred {
 		rate += reserved * part / preferring
 	}
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -136,7 +136,7 @@
 		ReadEnd:             t.readEnd,
 		Sent:                t.sent.save(),
 		Charged:             t.charged.save(),
-		Asked:               t.asked.save(),
+		Requested:           t.requested.save(),
 		Rejected:            t.rejected.save(),
 	}
 }
@@ -170,7 +170,7 @@
 	t.meanRate = saved.MeanRate
 	t.sent.load(saved.Sent, lastBin)
 	t.charged.load(saved.Charged, lastBin)
-	t.asked.load(saved.Asked, lastBin)
+	t.requested.load(saved.Requested, lastBin)
 	t.rejected.load(saved.Rejected, lastBin)
 	return t
 }
--- a/control/tenant.go
+++ b/control/tenant.go
@@ -32,7 +32,7 @@
 	// initialCeilingFraction is the fraction of the overdraft with which a ceiling's bucket starts: what a
 	// process before this one granted is not known.
 	initialCeilingFraction = 0.5
-	// wellObservedNodes is the number of nodes of a tenant up to which each is told of most of its use.
+	// wellObservedNodes is the number of nodes of a tenant up to which each sees most of its use.
 	wellObservedNodes = 4.0
 
 	// An idle tenant with full buckets is forgotten after tenantRetention. Beyond half of maxTenants idle
@@ -56,7 +56,7 @@
 func tenantKey(plan, tenant string) string { return plan + " " + tenant }
 
 // get returns a tenant with its buckets refilled, and makes it where it is new. Its number of nodes is
-// the largest that was told.
+// the largest that was reported.
 func (table *tenantTable) get(plan *planQueue, id string, nodes int) *tenant {
 	key := tenantKey(plan.Name, id)
 	t := table.byKey[key]
@@ -163,7 +163,7 @@
 	}
 }
 
-// visibility is 1 for a tenant that comes through so few nodes that each is told of most of its use, and
+// visibility is 1 for a tenant that comes through so few nodes that each sees most of its use, and
 // falls with their number. Where it is low, little is known of a tenant's use: readings, own observations
 // and the bucket's level then count less.
 func (t *tenant) visibility() float64 { return min(1, wellObservedNodes/t.nodes) }
