--- a/internal/consensus/admission.go
+++ b/internal/consensus/admission.go
@@ -15,11 +15,11 @@
 )
 
 // A voter with nothing on its disk makes an identity that nobody knows. Where all voters report the same, the first by name
-// founds the group. Else the leader takes it in: it hears the log without a vote, then the identity that had its name is
+// founds the group. Else the leader admits it: it receives the log without a vote, then the identity that had its name is
 // removed, and it votes.
 
 const (
-	aliveAfterContact    = 2 * time.Second // in which nobody takes a voter's place after it was heard
+	aliveAfterContact    = 2 * time.Second // after contact, in which nobody takes a voter's place
 	admissionStepTimeout = time.Second     // for the leader to begin a step
 )
 
@@ -30,7 +30,7 @@
 		return
 	}
 	for {
-		heard := v.reportsOfOthers(ctx, identity)
+		reports := v.reportsOfOthers(ctx, identity)
 		if isVoter(r.GetConfiguration().Configuration(), identity) {
 			v.mu.Lock()
 			v.phase = PhaseVoting
@@ -38,14 +38,14 @@
 			slog.Info("consensus: voter votes", "identity", identity)
 			return
 		}
-		if c, ok := v.initialConfiguration(heard, identity); ok && r.LastIndex() == 0 {
+		if c, ok := v.initialConfiguration(reports, identity); ok && r.LastIndex() == 0 {
 			slog.Info("consensus: group founded", "voters", len(c.Servers))
 			if err := r.BootstrapCluster(c).Error(); err != nil {
 				slog.Error("consensus: founding the group failed", "error", err)
 			}
 			continue
 		}
-		v.requestAdmission(ctx, heard, body)
+		v.requestAdmission(ctx, reports, body)
 		select {
 		case <-time.After(reportInterval):
 		case <-ctx.Done():
@@ -54,9 +54,9 @@
 	}
 }
 
-// requestAdmission asks a leader that one of the others knows to be taken in.
-func (v *Voter) requestAdmission(ctx context.Context, heard map[string]*voterReport, body []byte) {
-	for _, report := range heard {
+// requestAdmission requests admission of a leader that one of the others knows.
+func (v *Voter) requestAdmission(ctx context.Context, reports map[string]*voterReport, body []byte) {
+	for _, report := range reports {
 		leader, ok := v.peers[nameOf(raft.ServerID(report.Leader))]
 		if !ok || leader.Name == v.config.Name {
 			continue
@@ -69,16 +69,16 @@
 	}
 }
 
-// initialConfiguration returns the group's first voters where all are heard and have agreed to nothing, and this one is the
+// initialConfiguration returns the group's first voters where all have reported and have agreed to nothing, and this one is the
 // first of them.
-func (v *Voter) initialConfiguration(heard map[string]*voterReport, identity raft.ServerID) (c raft.Configuration, ok bool) {
-	if len(heard) != len(v.peers)-1 {
+func (v *Voter) initialConfiguration(reports map[string]*voterReport, identity raft.ServerID) (c raft.Configuration, ok bool) {
+	if len(reports) != len(v.peers)-1 {
 		return c, false
 	}
 	for _, peer := range v.config.Voters {
 		id := identity
 		if peer.Name != v.config.Name {
-			report := heard[peer.Name]
+			report := reports[peer.Name]
 			if !report.Empty || strings.Compare(peer.Name, v.config.Name) < 0 {
 				return c, false
 			}
@@ -128,7 +128,7 @@
 	return nextStep(r.AddVoter(identity, address, 0, admissionStepTimeout).Error(), "it votes from now on")
 }
 
-// replacedBy returns the other identities of a name. It is an error if one of them was heard lately.
+// replacedBy returns the other identities of a name. It is an error if one of them was in contact lately.
 func (v *Voter) replacedBy(c raft.Configuration, name string, identity raft.ServerID) ([]raft.ServerID, error) {
 	var replaced []raft.ServerID
 	for _, server := range c.Servers {
--- a/internal/consensus/errors.go
+++ b/internal/consensus/errors.go
@@ -6,21 +6,21 @@
 	"sloestile/internal/oneline"
 )
 
-// NotLeaderError says that another voter has to be asked.
+// NotLeaderError is a call that another voter has to answer.
 type NotLeaderError struct{ Leader Peer }
 
 func (e *NotLeaderError) Error() string {
 	return fmt.Sprintf("council: this node: it does not lead; ask %s at %s", e.Leader.Name, e.Leader.Address)
 }
 
-// NoMajorityError says that nothing can be agreed now; nodes go on by what they have.
+// NoMajorityError means that nothing can be agreed now; nodes go on by what they have.
 type NoMajorityError struct{ Reason string } // the phase of the voter that was asked, or why none was reached
 
 func (e *NoMajorityError) Error() string {
 	return "council: no majority: " + e.Reason + "; start the voters that are down and look at the links between them"
 }
 
-// OutcomeUnknownError says that a proposal may have been agreed or not.
+// OutcomeUnknownError is a proposal that may have been agreed or not.
 type OutcomeUnknownError struct{ Err error }
 
 func (e *OutcomeUnknownError) Error() string {
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -25,7 +25,7 @@
 	heardAt time.Time
 }
 
-// maxPeerRecords is the number of identities that are remembered; those heard longest ago are dropped.
+// maxPeerRecords is the number of identities that are remembered; those in contact longest ago are dropped.
 const maxPeerRecords = 64
 
 // peerRecords holds what others have sent this voter. It is safe for concurrent use.
@@ -64,7 +64,7 @@
 	}
 }
 
-// makeRoom drops the record that was heard longest ago where there are as many as are remembered.
+// makeRoom drops the record that was in contact longest ago where there are as many as are remembered.
 func (p *peerRecords) makeRoom() {
 	if len(p.byIdentity) < maxPeerRecords {
 		return
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -12,7 +12,7 @@
 	"sloestile/internal/consensus/raftlog"
 )
 
-// A voter with an identity on its disk asks the others before it takes part, each time, as a faulty disk may bring back any
+// A voter with an identity on its disk requests reports of the others before it takes part, each time, as a faulty disk may bring back any
 // mark of a clean end. It needs reports of a majority of all (itself not counted; one that has lost its disk counts once,
 // as one disk is taken to be faulty). If it has acknowledged more to one of them than its disk has, or another one has its
 // place, it begins with another identity. Else it bars itself from the terms that the others know of, and from electing
@@ -47,34 +47,34 @@
 	return d, err
 }
 
-// rejoin asks the others until enough have answered. renew is why this voter can't go by its disk; minimum is what the
+// rejoin requests reports of the others until enough have answered. renew is why this voter can't go by its disk; minimum is what the
 // others have, where that is more than this voter has.
 func (v *Voter) rejoin(ctx context.Context, log *raftlog.Log) (renew error, minimum logPosition, err error) {
 	have, err := v.readDiskState(log)
 	if err != nil {
 		return nil, minimum, err
 	}
-	heard := make(map[string]*voterReport)
+	reports := make(map[string]*voterReport)
 	var quorumAt time.Time
 	for {
 		for name, report := range v.reportsOfOthers(ctx, have.identity) {
-			heard[name] = report
+			reports[name] = report
 		}
 		if ctx.Err() != nil {
 			return nil, minimum, ctx.Err()
 		}
-		if renew := have.contradiction(heard); renew != nil {
+		if renew := have.contradiction(reports); renew != nil {
 			return renew, minimum, nil
 		}
-		all := len(heard) == len(v.peers)-1
-		if have.empty && (all || anyLeaderKnown(heard)) {
+		all := len(reports) == len(v.peers)-1
+		if have.empty && (all || anyLeaderKnown(reports)) {
 			return nil, minimum, nil
 		}
-		if quorumAt.IsZero() && v.hasQuorum(heard, have.configuration) {
+		if quorumAt.IsZero() && v.hasQuorum(reports, have.configuration) {
 			quorumAt = time.Now()
 		}
 		waited := !quorumAt.IsZero() && (all || time.Since(quorumAt) > quorumGrace)
-		if v.isDiskTrusted() || waited && leadersHeard(heard) {
+		if v.isDiskTrusted() || waited && leadersReached(reports) {
 			break
 		}
 		select {
@@ -84,7 +84,7 @@
 		}
 	}
 	term := have.term
-	for _, report := range heard {
+	for _, report := range reports {
 		term = max(term, report.Term)
 		if report.Last.isAfter(minimum) {
 			minimum = report.Last
@@ -93,7 +93,7 @@
 	if !minimum.isAfter(have.last) {
 		minimum = logPosition{}
 	}
-	slog.Info("consensus: voter goes by its disk", "index", have.last.Index, "term", term, "heard", len(heard), "behind", minimum.Index)
+	slog.Info("consensus: voter goes by its disk", "index", have.last.Index, "term", term, "reports", len(reports), "behind", minimum.Index)
 	return nil, minimum, log.BarVotes(term)
 }
 
@@ -107,8 +107,8 @@
 }
 
 // contradiction returns what the others know that the disk does not have; nil is nothing.
-func (d *diskState) contradiction(heard map[string]*voterReport) error {
-	for name, report := range heard {
+func (d *diskState) contradiction(reports map[string]*voterReport) error {
+	for name, report := range reports {
 		if less := report.Witnessed.contradicts(d.last, d.term, d.votedTerm); less != "" {
 			return fmt.Errorf("%s has heard %s", name, less)
 		}
@@ -133,12 +133,12 @@
 	return ""
 }
 
-// hasQuorum reports whether those heard are a majority. One that has agreed to nothing counts if its identity is known; of
+// hasQuorum reports whether those that reported are a majority. One that has agreed to nothing counts if its identity is known; of
 // those that have lost what they had, one.
-func (v *Voter) hasQuorum(heard map[string]*voterReport, known raft.Configuration) bool {
+func (v *Voter) hasQuorum(reports map[string]*voterReport, known raft.Configuration) bool {
 	count := 0
 	lost := 0
-	for _, report := range heard {
+	for _, report := range reports {
 		if report.Empty && !isListed(known.Servers, raft.ServerID(report.Identity)) {
 			lost = 1
 			continue
@@ -148,14 +148,14 @@
 	return count+lost >= v.quorum
 }
 
-// leadersHeard reports whether each leader that one of them knows was heard itself: what this voter had acknowledged to it
+// leadersReached reports whether each leader that one of them knows has reported itself: what this voter had acknowledged to it
 // counts there.
-func leadersHeard(heard map[string]*voterReport) bool {
-	for _, report := range heard {
+func leadersReached(reports map[string]*voterReport) bool {
+	for _, report := range reports {
 		if report.Leader == "" {
 			continue
 		}
-		leader := heard[nameOf(raft.ServerID(report.Leader))]
+		leader := reports[nameOf(raft.ServerID(report.Leader))]
 		if leader == nil || leader.Identity != report.Leader {
 			return false
 		}
@@ -163,8 +163,8 @@
 	return true
 }
 
-func anyLeaderKnown(heard map[string]*voterReport) bool {
-	for _, report := range heard {
+func anyLeaderKnown(reports map[string]*voterReport) bool {
+	for _, report := range reports {
 		if report.Leader != "" {
 			return true
 		}
--- a/internal/consensus/report.go
+++ b/internal/consensus/report.go
@@ -135,7 +135,7 @@
 func (v *Voter) requestReport(ctx context.Context, p Peer, body []byte) *voterReport {
 	raw, err := v.Call(ctx, p, callVoter, body)
 	if err != nil {
-		slog.Debug("consensus: voter not heard", "peer", p.Name, "error", err)
+		slog.Debug("consensus: voter not reached", "peer", p.Name, "error", err)
 		return nil
 	}
 	report := &voterReport{}
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -79,7 +79,7 @@
 type Voter struct {
 	config      Config
 	peers       map[string]Peer // by name
-	quorum      int             // of all voters, itself not counted, that have to be heard before it votes
+	quorum      int             // of all voters, itself not counted, that have to report before it votes
 	leadingTerm atomic.Uint64   // in which it leads with all before it applied; 0 is none
 
 	mu               sync.Mutex
@@ -258,7 +258,7 @@
 	return false
 }
 
-// TrustDisk has a voter go by its disk that waits for others which can't be heard: the way out of an operator who knows
+// TrustDisk has a voter go by its disk that waits for others which can't be reached: the way out of an operator who knows
 // that the disk was not lost.
 func (v *Voter) TrustDisk() {
 	v.mu.Lock()
--- a/internal/store/disk/faulty/faulty.go
+++ b/internal/store/disk/faulty/faulty.go
@@ -1,6 +1,6 @@
 // Package faulty is a file system that fails as disks do, for plays of the stand-in platform: the
 // program that is built with the tag lab puts it under what a node keeps, and the platform drives it
-// by a folder that the process is told of. The deployed program has none of it.
+// by a folder that an environment variable names. The deployed program has none of it.
 //
 // Since the end of a process loses nothing that it wrote, the layer notes beforehand how to undo each
 // step. What a loss of power leaves is made by Lose, once the process is dead: it undoes all that no
@@ -54,7 +54,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// FS is a file system that fails as it is told. Folders that are made are not undone.
+// FS is a file system that fails as its faults say. Folders that are made are not undone.
 type FS struct {
 	under   disk.FS
 	dir     string // by which it is driven
@@ -107,7 +107,7 @@
 	return f, nil
 }
 
-// draw tells by chance, of a part.
+// draw returns true for a fraction of its calls, by chance.
 func (d *FS) draw(f Faults, part float64) bool {
 	if part <= 0 {
 		return false
--- a/internal/store/disk/faulty/file.go
+++ b/internal/store/disk/faulty/file.go
@@ -27,7 +27,7 @@
 	}
 	n, err := f.File.Read(b)
 	f.at += int64(n)
-	f.turn(now, b[:n])
+	f.flipBit(now, b[:n])
 	return n, err
 }
 
@@ -37,12 +37,12 @@
 		return 0, err
 	}
 	n, err := f.File.ReadAt(b, at)
-	f.turn(now, b[:n])
+	f.flipBit(now, b[:n])
 	return n, err
 }
 
-// turn turns one bit of what was read, in a part of the reads.
-func (f *file) turn(now Faults, b []byte) {
+// flipBit flips one bit of what was read, in a fraction of the reads.
+func (f *file) flipBit(now Faults, b []byte) {
 	if len(b) > 0 && f.fs.draw(now, now.Turned) {
 		bit := f.fs.random(now, func(r *rand.Rand) int { return r.IntN(8 * len(b)) })
 		b[bit/8] ^= 1 << (bit % 8)
--- a/internal/store/disk/faulty/undo.go
+++ b/internal/store/disk/faulty/undo.go
@@ -19,7 +19,7 @@
 	UndoName = "undo"
 
 	stepsMost = 2000     // steps that can be undone; of more the older half has come to the disk
-	bytesMost = 64 << 20 // of the notes and of the files put aside
+	bytesMost = 64 << 20 // of the records and of the kept copies of files
 )
 
 // Kinds of steps that can be undone, and the mark of an honest sync.
@@ -37,7 +37,7 @@
 	Kind  string
 	Name  string `json:",omitempty"`
 	To    string `json:",omitempty"` // of a file that was moved
-	Kept  int    `json:",omitempty"` // number of the file that was put aside; 0 is none
+	Kept  int    `json:",omitempty"` // number of the kept copy; 0 is none
 	At    int64  `json:",omitempty"` // where Old stood
 	Size  int64  `json:",omitempty"` // of the file before
 	Wrote int64  `json:",omitempty"` // bytes of a write
@@ -67,7 +67,7 @@
 	return j, j.rewrite(all)
 }
 
-func aside(dir string, n int) string { return filepath.Join(dir, "kept-"+strconv.Itoa(n)) }
+func keptFile(dir string, n int) string { return filepath.Join(dir, "kept-"+strconv.Itoa(n)) }
 
 // notes reads the notes of a folder; what is cut at the end is left out.
 func notes(dir string) (all []undo, err error) {
@@ -100,7 +100,7 @@
 	j.file, j.steps, j.bytes = f, 0, 0
 	for _, u := range all {
 		if u.Kept > 0 {
-			s, err := os.Stat(aside(j.dir, u.Kept))
+			s, err := os.Stat(keptFile(j.dir, u.Kept))
 			if err != nil {
 				return err
 			}
@@ -115,7 +115,7 @@
 
 // add notes a step that is about to be made.
 func (j *journal) add(u undo) error {
-	if err := j.room(); err != nil {
+	if err := j.discardOldest(); err != nil {
 		return err
 	}
 	return j.append(u)
@@ -134,9 +134,9 @@
 	return err
 }
 
-// keep notes a step, and puts a copy of a file aside that it does away with, where there is one.
+// keep records a step, with a copy of the file that it removes, where there is one.
 func (j *journal) keep(u undo, name string) error {
-	if err := j.room(); err != nil {
+	if err := j.discardOldest(); err != nil {
 		return err
 	}
 	old, err := os.ReadFile(name)
@@ -148,7 +148,7 @@
 	}
 	j.kept++
 	u.Kept, j.bytes = j.kept, j.bytes+int64(len(old))
-	if err := os.WriteFile(aside(j.dir, u.Kept), old, 0o600); err != nil {
+	if err := os.WriteFile(keptFile(j.dir, u.Kept), old, 0o600); err != nil {
 		return err
 	}
 	return j.append(u)
@@ -164,8 +164,8 @@
 	return err
 }
 
-// room forgets the older half where there are too many.
-func (j *journal) room() error {
+// discardOldest forgets the older half of the steps where there are too many.
+func (j *journal) discardOldest() error {
 	if j.steps < stepsMost && j.bytes < bytesMost {
 		return nil
 	}
@@ -176,7 +176,7 @@
 	half := len(all) / 2
 	for _, u := range all[:half] {
 		if u.Kept > 0 {
-			_ = os.Remove(aside(j.dir, u.Kept))
+			_ = os.Remove(keptFile(j.dir, u.Kept))
 		}
 	}
 	return j.rewrite(all[half:])
@@ -189,7 +189,7 @@
 }
 
 // Lose makes of the disk that is driven by a folder what it holds after its power went, once the
-// process is dead. It tells how many steps are undone.
+// process is dead. It returns how many steps were undone.
 func Lose(dir string, l Loss) (steps int, err error) {
 	all, err := notes(dir)
 	if err != nil {
@@ -217,7 +217,7 @@
 	}
 	for _, u := range all[end:] {
 		if u.Kept > 0 {
-			_ = os.Remove(aside(dir, u.Kept))
+			_ = os.Remove(keptFile(dir, u.Kept))
 		}
 	}
 	return steps, write(dir, all[:end])
@@ -243,7 +243,7 @@
 		if u.Kept == 0 {
 			return nil
 		}
-		raw, err := os.ReadFile(aside(dir, u.Kept))
+		raw, err := os.ReadFile(keptFile(dir, u.Kept))
 		if err != nil {
 			return err
 		}
