--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -30,7 +30,7 @@
 
 func (e *BindError) Unwrap() error { return e.Err }
 
-// StartError is a membership that can't begin.
+// StartError is a membership that can't start.
 type StartError struct {
 	Name, Address string
 	Err           error
@@ -42,7 +42,7 @@
 
 func (e *StartError) Unwrap() error { return e.Err }
 
-// JoinError is that no seed could be joined. It is tried again.
+// JoinError means that no seed could be joined. Joining is tried again.
 type JoinError struct {
 	Seeds int
 	Err   error // of the first
@@ -54,7 +54,7 @@
 
 func (e *JoinError) Unwrap() error { return e.Err }
 
-// LeaveError is a leave that others may not have heard of.
+// LeaveError is a leave that may not have reached the others.
 type LeaveError struct {
 	Name string
 	Err  error
@@ -73,12 +73,12 @@
 	return fmt.Sprintf("peers: no member has index %d; see in node_peers and the log whether it runs", e.Index)
 }
 
-// FullError is a member beyond those that are remembered.
-type FullError struct {
+// TooManyMembersError is a member beyond maxMembers.
+type TooManyMembersError struct {
 	Member, Address string
 	Most            int
 }
 
-func (e *FullError) Error() string {
+func (e *TooManyMembersError) Error() string {
 	return fmt.Sprintf("peers: member %s at %s: refused, %d are the most; give fleets that share a network labels of their own", e.Member, e.Address, e.Most)
 }
--- a/internal/membership/errors_test.go
+++ b/internal/membership/errors_test.go
@@ -10,7 +10,7 @@
 	oncall.Check(t,
 		&BindError{Address: "127.0.0.1:7946", Err: oncall.ErrCause},
 		&ConfigError{Key: "bind", Err: oncall.ErrCause},
-		&FullError{Member: "n-1", Address: "127.0.0.1:7946", Most: 1024},
+		&TooManyMembersError{Member: "n-1", Address: "127.0.0.1:7946", Most: 1024},
 		&JoinError{Seeds: 3, Err: oncall.ErrCause},
 		&LeaveError{Name: "n-1", Err: oncall.ErrCause},
 		&MemberError{Index: 3},
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -14,128 +14,132 @@
 	Index         int // in the group
 	Zone, Region  string
 	Program       string
-	State         int    // version of what it tells
-	Kinds         bool   // it takes messages by kind
+	MetaVersion   int    // of the state that it sends
+	TakesKinds    bool   // it takes messages by kind
 	Incarnation   uint64 // of its process: ms of Unix time at its start
 }
 
-// meta is what a member says of itself, at most 512 bytes. Fields that are not known are skipped.
+// meta is what a member publishes of itself, at most 512 bytes, as CBOR by the numbers in its tags. Unknown fields are
+// skipped.
 type meta struct {
 	Zone        string `cbor:"1,keyasint,omitempty"`
 	Region      string `cbor:"2,keyasint,omitempty"`
 	Program     string `cbor:"3,keyasint,omitempty"`
-	State       int    `cbor:"4,keyasint"`
+	Version     int    `cbor:"4,keyasint"`
 	Incarnation uint64 `cbor:"5,keyasint"`
 	Leaving     bool   `cbor:"6,keyasint,omitempty"`
 	Index       int    `cbor:"7,keyasint"`
-	Kinds       bool   `cbor:"8,keyasint,omitempty"`
+	TakesKinds  bool   `cbor:"8,keyasint,omitempty"`
 }
 
-// member reads what a node says of itself; what can't be read is counted and left empty.
-func (p *Peers) member(n *memberlist.Node) (m Member, leaving bool) {
+// readMeta reads what a node publishes of itself. Metadata that can't be read is counted and left empty.
+func (p *Peers) readMeta(n *memberlist.Node) (m Member, leaving bool) {
 	m = Member{Name: n.Name, Address: n.Address()}
 	var said meta
 	if err := cbor.Unmarshal(n.Meta, &said); err != nil {
-		p.Counts.Spoilt.Add(1)
+		p.Counts.Corrupt.Add(1)
 		p.log.Warn("peers: metadata of a member is corrupt", "peer", n.Name, "error", err)
 		return m, false
 	}
-	m.Zone, m.Region, m.Program, m.State, m.Incarnation = said.Zone, said.Region, said.Program, said.State, said.Incarnation
-	m.Index, m.Kinds = said.Index, said.Kinds
+	m.Zone, m.Region, m.Program, m.MetaVersion, m.Incarnation = said.Zone, said.Region, said.Program, said.Version, said.Incarnation
+	m.Index, m.TakesKinds = said.Index, said.TakesKinds
 	return m, said.Leaving
 }
 
-// The library calls what follows; none of it waits.
+// The library calls the methods that follow. None of them blocks.
 
-// NodeMeta is what this node says of itself; nothing where that is too long.
+// NodeMeta returns what this node publishes of itself, or nothing where that is too long.
 func (p *Peers) NodeMeta(most int) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	raw, err := cbor.Marshal(p.said)
+	raw, err := cbor.Marshal(p.meta)
 	if err != nil || len(raw) > most {
 		return nil
 	}
 	return raw
 }
 
-// NotifyMsg takes a message of another member; the bytes are the library's after it.
+// NotifyMsg takes a message of another member and does not keep raw.
 func (p *Peers) NotifyMsg(raw []byte) {
 	switch {
-	case len(raw) > 0 && raw[0] < KindsEnd:
-		if p.cfg.Kinds != nil {
-			p.cfg.Kinds(raw)
+	case len(raw) > 0 && raw[0] < KindLimit:
+		if p.cfg.OnMessage != nil {
+			p.cfg.OnMessage(raw)
 		}
-	case p.cfg.Receive != nil:
-		p.cfg.Receive(raw)
+	case p.cfg.OnState != nil:
+		p.cfg.OnState(raw)
 	}
 }
 
-// GetBroadcasts has nothing to add to gossip.
+// GetBroadcasts adds nothing to gossip.
 func (p *Peers) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState has nothing to add to an exchange of states.
+// LocalState adds nothing to an exchange of member lists.
 func (p *Peers) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState takes nothing from it.
+// MergeRemoteState takes nothing from such an exchange.
 func (p *Peers) MergeRemoteState([]byte, bool) {}
 
-// NotifyAlive refuses members beyond what is remembered.
+// NotifyAlive rejects members beyond maxMembers.
 func (p *Peers) NotifyAlive(n *memberlist.Node) error {
 	p.mu.Lock()
 	_, known := p.live[n.Name]
-	full := len(p.live) >= membersMost
+	full := len(p.live) >= maxMembers
 	p.mu.Unlock()
 	if full && !known && n.Name != p.cfg.Name {
-		p.Counts.Refused.Add(1)
-		return &FullError{n.Name, n.Address(), membersMost}
+		p.Counts.Rejected.Add(1)
+		return &TooManyMembersError{n.Name, n.Address(), maxMembers}
 	}
 	return nil
 }
 
-// NotifyJoin takes a member in. One that comes back under its old name supersedes its dead self.
+// NotifyJoin adds a member. One that comes back under its old name replaces its dead predecessor.
 func (p *Peers) NotifyJoin(n *memberlist.Node) { p.put(n, "peers: joined", &p.Counts.Joins) }
 
-// NotifyUpdate takes what a member says anew.
+// NotifyUpdate takes changed metadata of a member.
 func (p *Peers) NotifyUpdate(n *memberlist.Node) { p.put(n, "peers: changed", nil) }
 
+// put adds or replaces a member, or removes one that is leaving.
 func (p *Peers) put(n *memberlist.Node, what string, count *atomic.Int64) {
 	if n.Name == p.cfg.Name {
 		return
 	}
-	m, leaving := p.member(n)
+	m, leaving := p.readMeta(n)
 	if leaving {
 		p.remove(n.Name, "left", &p.Counts.Leaves)
 		return
 	}
 	p.mu.Lock()
 	p.live[n.Name] = m
-	if to := *n; m.State >= StateVersion || m.Kinds {
-		p.nodes[m.Index] = &to
+	if to := *n; m.MetaVersion >= MetaVersion || m.TakesKinds {
+		p.reachable[m.Index] = &to
 	}
 	p.epoch++
 	p.Counts.Live.Store(int64(len(p.live)))
 	p.mu.Unlock()
-	p.changed()
+	p.notifyChange()
 	if count != nil {
 		count.Add(1)
 	}
 	p.log.Info(what, "peer", m.Name, "zone", m.Zone, "program", m.Program, "incarnation", m.Incarnation)
 }
 
-// NotifyLeave takes a member out that is dead; one that has left is out already.
+// NotifyLeave removes a member that is dead. One that announced its leave has been removed before.
 func (p *Peers) NotifyLeave(n *memberlist.Node) {
 	p.mu.Lock()
-	maps.DeleteFunc(p.nodes, func(_ int, o *memberlist.Node) bool { return o.Name == n.Name })
+	maps.DeleteFunc(p.reachable, func(_ int, o *memberlist.Node) bool { return o.Name == n.Name })
 	p.mu.Unlock()
 	p.remove(n.Name, "dead", &p.Counts.Deaths)
 }
 
-func (p *Peers) changed() {
-	if p.cfg.Changed != nil {
-		p.cfg.Changed()
+// notifyChange calls OnChange.
+func (p *Peers) notifyChange() {
+	if p.cfg.OnChange != nil {
+		p.cfg.OnChange()
 	}
 }
 
+// remove removes a live member.
 func (p *Peers) remove(name, how string, count *atomic.Int64) {
 	p.mu.Lock()
 	_, known := p.live[name]
@@ -146,13 +150,13 @@
 	}
 	p.mu.Unlock()
 	if known {
-		p.changed()
+		p.notifyChange()
 		count.Add(1)
 		p.log.Info("peers: gone", "peer", name, "how", how)
 	}
 }
 
-// NotifyConflict is told of a name that two nodes use; the first stays.
+// NotifyConflict takes a name that two nodes use; the first stays.
 func (p *Peers) NotifyConflict(existing, other *memberlist.Node) {
 	p.Counts.Conflicts.Add(1)
 	p.log.Error("peers: name conflict", "peer", existing.Name, "first", existing.Address(), "other", other.Address())
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -1,5 +1,6 @@
-// Package peer is the membership of a fleet's edge nodes: who is there, told by SWIM. It keeps a
-// list of the live members and tells when it changes; what is done with it is decided elsewhere.
+// Package membership is the membership of a fleet's edge nodes and the transport of messages between them, by SWIM with
+// Lifeguard (hashicorp/memberlist). It keeps the list of live members and notifies its user of changes and messages; it
+// decides nothing.
 package membership
 
 import (
@@ -21,70 +22,79 @@
 )
 
 const (
-	// StateVersion is the version of what members tell each other. Those of version 1 tell nothing but
-	// that they are there; one that is newer may tell more, which is skipped.
-	StateVersion = 2
+	// MetaVersion is the version of the state that members send each other. Members of version 1 take none; a later
+	// version may send more, which is skipped.
+	MetaVersion = 2
 
-	aloneVersion = 1 // of one that takes nothing but kinds
+	metaVersionWithoutState = 1 // of a member that takes messages by kind only
 
-	// KindsEnd ends the first bytes that name a kind of message. Those without begin with a CBOR map's.
-	KindsEnd = 0x20
+	// KindLimit is above the first bytes that name a kind of message. State messages have none: they begin with the
+	// first byte of a CBOR map.
+	KindLimit = 0x20
+)
+
+const (
+	maxMembers = 1024 // beyond it new members are rejected
 
-	membersMost  = 1024                   // remembered; beyond it new ones are refused
-	joinFirst    = 375 * time.Millisecond // between two tries to join while alone; it doubles
-	joinMost     = 3 * time.Second
-	rejoin       = 11 * time.Second // between two looks for seeds that are not live: a healed partition
-	joinSpread   = 1. / 3           // by which each of these is more or less, so that nodes don't join in step
-	reclaim      = 5 * time.Second  // after which a name may come back from another address
-	leaveWithin  = time.Second      // for the word of a graceful leave to go out
-	streamWithin = 3 * time.Second  // of a peer's stream; the library gives 10 s, improper peers are owed a close in 3 s
+	// The library's timings are for one site and are used as they are, but for these.
+	initialJoinBackoff = 375 * time.Millisecond // between two tries to join while alone; it doubles
+	maxJoinBackoff     = 3 * time.Second
+	rejoinInterval     = 11 * time.Second // between two looks for seeds that are not live, after a partition
+	joinJitter         = 1. / 3           // fraction by which these vary, so that nodes don't join in step
+	nameReclaimTime    = 5 * time.Second  // after which a name may come back from another address
+	leaveTimeout       = time.Second      // for sending a graceful leave
+	streamTimeout      = 3 * time.Second  // of a peer's stream; peers with bad input get a close within 3 s
 )
 
 // Config is how a node takes part.
 type Config struct {
-	Label        string // of the fleet; others are not heard
-	Name         string // the same after a restart
-	Index        int    // in the group
-	Zone, Region string
-	Program      string // its version
-	Bind         string // address for TCP and UDP, the one that others are told
-	Seeds        []string
-	Via          map[string]string // addresses to be reached by others, where links stand between
-	Seed         uint64            // of the choice of seeds
-	Receive      func(raw []byte)  // takes what another sends, and does not wait; nil is nothing taken
-	Kinds        func(raw []byte)  // takes those whose first byte is below KindsEnd, as Receive does
-	Changed      func()            // is told that Live has changed, and does not wait; nil is nobody
+	Label         string // of the fleet; members with another label are ignored
+	Name          string // of the node, the same after a restart
+	Index         int    // of the node in the fleet
+	Zone, Region  string
+	Program       string            // version of the program
+	Bind          string            // host:port for TCP and UDP, which others get as this node's address
+	Seeds         []string          // host:port of nodes by which the fleet is joined
+	DialAddresses map[string]string // from a member's address to the one that reaches it, where they differ
+	Seed          uint64            // of the random choice of seeds
+
+	// OnState gets the state messages of other nodes, OnMessage those whose first byte is below KindLimit. Both must not
+	// block or keep raw; nil takes none.
+	OnState   func(raw []byte)
+	OnMessage func(raw []byte)
+	// OnChange is called after Live has changed. It must not block; nil is no call.
+	OnChange func()
 }
 
-// Counts are figures for the operators. All are safe to read at any time.
+// Counts are counters for the operators' metrics. They may be read at any time.
 type Counts struct {
 	Live                            atomic.Int64 // other members that are live
 	Joins, Deaths, Leaves           atomic.Int64
-	Refused, Conflicts, Spoilt      atomic.Int64
+	Rejected, Conflicts, Corrupt    atomic.Int64
 	SentBytes, SentPackets, Streams atomic.Int64
 }
 
-// Peers takes part in the membership until Leave or Close.
+// Peers is this node's part in the membership, until Leave or Close.
 type Peers struct {
 	Counts Counts
 	cfg    Config
 	list   *memberlist.Memberlist
 	log    *slog.Logger
-	said   meta
+	meta   meta
 	rng    *rand.Rand
 	life   context.Context
-	end    context.CancelFunc
+	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	mu    sync.Mutex
-	seeds []string
-	live  map[string]Member
-	epoch uint64                   // grows with each change of live
-	nodes map[int]*memberlist.Node // that can be sent to, by index: live, or leaving
+	mu        sync.Mutex
+	seeds     []string
+	live      map[string]Member
+	epoch     uint64                   // grows with each change of live
+	reachable map[int]*memberlist.Node // that can be sent to, by index: live, or leaving
 }
 
-// Start begins to take part. It does not wait for others: joining goes on beside. Its error is a
-// ConfigError, a BindError or a StartError.
+// Start takes part in the membership. It does not wait for others: a goroutine joins the seeds until Leave or Close. Its
+// error is a *ConfigError, *BindError or *StartError.
 func Start(cfg Config, l *slog.Logger) (*Peers, error) {
 	host, port, err := net.SplitHostPort(cfg.Bind)
 	if err != nil {
@@ -94,49 +104,61 @@
 	if err != nil {
 		return nil, &ConfigError{"bind", err}
 	}
-	p := &Peers{cfg: cfg, log: l, seeds: cfg.Seeds, live: make(map[string]Member), nodes: make(map[int]*memberlist.Node), rng: rand.New(rand.NewPCG(cfg.Seed, 0x70656572))}
-	state := StateVersion
-	if cfg.Receive == nil {
-		state = aloneVersion
+	p := &Peers{cfg: cfg, log: l, seeds: cfg.Seeds, live: make(map[string]Member), reachable: make(map[int]*memberlist.Node), rng: rand.New(rand.NewPCG(cfg.Seed, 0x70656572))}
+	state := MetaVersion
+	if cfg.OnState == nil {
+		state = metaVersionWithoutState
 	}
-	p.said = meta{cfg.Zone, cfg.Region, cfg.Program, state, uint64(time.Now().UnixMilli()), true, cfg.Index, cfg.Kinds != nil}
+	p.meta = meta{cfg.Zone, cfg.Region, cfg.Program, state, uint64(time.Now().UnixMilli()), true, cfg.Index, cfg.OnMessage != nil}
 	if n := len(p.NodeMeta(memberlist.MetaMaxSize)); n == 0 {
 		return nil, &ConfigError{"zone, region and program", errors.New("their names are too long together")}
 	}
-	p.said.Leaving = false
-	std := log.New(&lines{l, &p.Counts}, "", 0)
-	// The library does not tell which error it was.
-	probe, err := net.Listen("tcp", cfg.Bind)
+	p.meta.Leaving = false
+	if err := p.startList(host, number); err != nil {
+		return nil, err
+	}
+	p.done.Go(p.joinSeeds)
+	return p, nil
+}
+
+// startList starts the library's part.
+func (p *Peers) startList(host string, port int) error {
+	std := log.New(&lines{p.log, &p.Counts}, "", 0)
+	// The library does not tell which error a failed bind was.
+	probe, err := net.Listen("tcp", p.cfg.Bind)
 	if err != nil {
-		return nil, &BindError{cfg.Bind, err}
+		return &BindError{p.cfg.Bind, err}
 	}
 	_ = probe.Close()
-	net, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: number, Logger: std})
+	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: std})
 	if err != nil {
-		return nil, &BindError{cfg.Bind, err}
+		return &BindError{p.cfg.Bind, err}
 	}
-	// The timings are the library's for one site.
 	c := memberlist.DefaultLANConfig()
-	c.Name, c.Label, c.BindAddr, c.BindPort = cfg.Name, cfg.Label, host, net.GetAutoBindPort()
-	c.AdvertiseAddr, c.AdvertisePort = host, c.BindPort
-	c.Transport = &transport{net, cfg.Via, &p.Counts}
-	c.EnableCompression = false // CPU is scarce, and what is told is small
-	c.TCPTimeout = streamWithin
-	c.DeadNodeReclaimTime = reclaim
-	c.Logger, c.Delegate, c.Events, c.Conflict, c.Alive = std, p, p, p, p
-	p.life, p.end = context.WithCancel(context.Background())
+	c.Name = p.cfg.Name
+	c.Label = p.cfg.Label
+	c.BindAddr = host
+	c.BindPort = sockets.GetAutoBindPort()
+	c.AdvertiseAddr = host
+	c.AdvertisePort = c.BindPort
+	c.Transport = &transport{sockets, p.cfg.DialAddresses, &p.Counts}
+	c.EnableCompression = false // CPU is scarce, and messages are small
+	c.TCPTimeout = streamTimeout
+	c.DeadNodeReclaimTime = nameReclaimTime
+	c.Logger = std
+	c.Delegate, c.Events, c.Conflict, c.Alive = p, p, p, p
+	p.life, p.cancel = context.WithCancel(context.Background())
 	if p.list, err = memberlist.Create(c); err != nil {
-		_ = net.Shutdown()
-		return nil, &StartError{cfg.Name, cfg.Bind, err}
+		_ = sockets.Shutdown()
+		return &StartError{p.cfg.Name, p.cfg.Bind, err}
 	}
-	p.done.Go(p.join)
-	return p, nil
+	return nil
 }
 
-// Address is where others reach this node.
+// Address returns the address that others have of this node.
 func (p *Peers) Address() string { return p.list.LocalNode().Address() }
 
-// Live gives the live members but this one, by name, and an epoch that grows with each change.
+// Live returns the live members without this one, sorted by name, and an epoch that grows with each change.
 func (p *Peers) Live() (members []Member, epoch uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,14 +169,14 @@
 	return members, p.epoch
 }
 
-// Incarnation is this process's, as others see it.
-func (p *Peers) Incarnation() uint64 { return p.said.Incarnation }
+// Incarnation returns the incarnation of this process, as others see it.
+func (p *Peers) Incarnation() uint64 { return p.meta.Incarnation }
 
-// Send sends a message to the member of an index, once: it may be lost. Where there is none its error
-// is a MemberError.
+// Send sends a message to the member with an index, once: it may be lost. Where there is none the error is a
+// *MemberError.
 func (p *Peers) Send(index int, raw []byte) error {
 	p.mu.Lock()
-	to := p.nodes[index]
+	to := p.reachable[index]
 	p.mu.Unlock()
 	if to == nil {
 		return &MemberError{index}
@@ -162,11 +184,11 @@
 	return p.list.SendBestEffort(to, raw)
 }
 
-// Meet exchanges all that is known of members with that of an index: one that has started anew may not
-// know this node yet, while this node goes on seeing it. It waits for the exchange.
-func (p *Peers) Meet(index int) error {
+// Introduce exchanges the lists of members with the member that has an index: one that has restarted may not know this
+// node yet, while this node goes on seeing it. It waits for the exchange.
+func (p *Peers) Introduce(index int) error {
 	p.mu.Lock()
-	to := p.nodes[index]
+	to := p.reachable[index]
 	p.mu.Unlock()
 	if to == nil {
 		return &MemberError{index}
@@ -184,41 +206,42 @@
 	p.seeds = seeds
 }
 
-// Part tells the others that this node goes: they don't count on it any more. It goes on hearing
-// and telling until Leave or Close.
-func (p *Peers) Part() error {
+// AnnounceLeave tells the others that this node leaves, so that they do not rely on it any more. It still receives and
+// sends until Leave or Close.
+func (p *Peers) AnnounceLeave() error {
 	p.mu.Lock()
-	p.said.Leaving = true
+	p.meta.Leaving = true
 	p.mu.Unlock()
-	return p.left(p.list.UpdateNode(leaveWithin))
+	return p.leaveError(p.list.UpdateNode(leaveTimeout))
 }
 
-func (p *Peers) left(err error) error {
+func (p *Peers) leaveError(err error) error {
 	if err == nil {
 		return nil
 	}
 	return &LeaveError{p.cfg.Name, err}
 }
 
-// Leave ends after a Part. The library tells those who hear of a leave that it is a death; the word
-// has gone before it.
-func (p *Peers) Leave() error { return p.left(errors.Join(p.list.Leave(leaveWithin), p.Close())) }
+// Leave leaves the membership, after AnnounceLeave. By itself the library's leave would look like a death to others.
+func (p *Peers) Leave() error {
+	return p.leaveError(errors.Join(p.list.Leave(leaveTimeout), p.Close()))
+}
 
-// Close ends without a word, as a death does.
+// Close ends without telling the others, as a crash does.
 func (p *Peers) Close() error {
-	p.end()
+	p.cancel()
 	err := p.list.Shutdown()
 	p.done.Wait()
 	return err
 }
 
-// join joins by the seeds until another member is there, with pauses that grow, and looks again now
-// and then for seeds that are not live: what a partition has made two is joined again.
-func (p *Peers) join() {
-	alone := &backoff.ExponentialBackOff{InitialInterval: joinFirst, MaxInterval: joinMost, Multiplier: 2, RandomizationFactor: joinSpread}
-	joined := &backoff.ExponentialBackOff{InitialInterval: rejoin, MaxInterval: rejoin, Multiplier: 1, RandomizationFactor: joinSpread}
+// joinSeeds joins the seeds until another member is live, with exponential backoff, and then looks at intervals for seeds
+// that are not live, so that the parts of a partition join again.
+func (p *Peers) joinSeeds() {
+	alone := &backoff.ExponentialBackOff{InitialInterval: initialJoinBackoff, MaxInterval: maxJoinBackoff, Multiplier: 2, RandomizationFactor: joinJitter}
+	joined := &backoff.ExponentialBackOff{InitialInterval: rejoinInterval, MaxInterval: rejoinInterval, Multiplier: 1, RandomizationFactor: joinJitter}
 	for {
-		if seeds := p.missing(); len(seeds) > 0 {
+		if seeds := p.seedsToJoin(); len(seeds) > 0 {
 			if _, err := p.list.Join(seeds); err != nil && p.Counts.Live.Load() == 0 {
 				if first := errors.Unwrap(err); first != nil { // of a list with a line for each
 					err = first
@@ -239,9 +262,9 @@
 	}
 }
 
-// missing gives seeds to join by: all while alone, else one that is not live.
-func (p *Peers) missing() []string {
-	// The library tells of members under its own lock, so it is never asked for anything under ours.
+// seedsToJoin returns the seeds to join: all while alone, else one of those that are not live.
+func (p *Peers) seedsToJoin() []string {
+	// The library notifies under its own lock, so it must not be called under this one.
 	own := p.Address()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -50,7 +50,7 @@
 	t.Parallel()
 	var all []*Peers
 	for i := range 4 {
-		cfg := Config{Name: fmt.Sprintf("n%d", i), Zone: "hall-a", Region: "gulf", Seed: uint64(i), Receive: func([]byte) {}}
+		cfg := Config{Name: fmt.Sprintf("n%d", i), Zone: "hall-a", Region: "gulf", Seed: uint64(i), OnState: func([]byte) {}}
 		if i > 0 {
 			cfg.Seeds = []string{all[0].Address()}
 		}
@@ -60,10 +60,10 @@
 		until(t, "all to see all", sees(p, 3))
 	}
 	members, epoch := all[1].Live()
-	if m := members[0]; m.Name != "n0" || m.Zone != "hall-a" || m.Region != "gulf" || m.State != StateVersion || m.Incarnation == 0 {
+	if m := members[0]; m.Name != "n0" || m.Zone != "hall-a" || m.Region != "gulf" || m.MetaVersion != MetaVersion || m.Incarnation == 0 {
 		t.Errorf("n1 sees n0 as %+v", m)
 	}
-	if err := errors.Join(all[3].Part(), all[3].Leave()); err != nil {
+	if err := errors.Join(all[3].AnnounceLeave(), all[3].Leave()); err != nil {
 		t.Error(err)
 	}
 	until(t, "a leave", func() bool { return all[0].Counts.Leaves.Load() == 1 && all[1].Counts.Leaves.Load() == 1 })
@@ -100,7 +100,7 @@
 	for _, text := range []string{"", "\x00", "\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n"} {
 		_, _ = c.Write([]byte(text))
 	}
-	until(t, "spoilt messages to be counted", func() bool { return a.Counts.Spoilt.Load() >= 2 })
+	until(t, "spoilt messages to be counted", func() bool { return a.Counts.Corrupt.Load() >= 2 })
 	s, err := net.Dial("tcp", a.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -108,7 +108,7 @@
 	defer func() { _ = s.Close() }()
 	from := time.Now()
 	_ = s.SetReadDeadline(from.Add(patience))
-	if _, err := s.Read(make([]byte, 1)); err == nil || time.Since(from) > streamWithin+time.Second {
+	if _, err := s.Read(make([]byte, 1)); err == nil || time.Since(from) > streamTimeout+time.Second {
 		t.Errorf("a silent stream is ended after %v: %v", time.Since(from), err)
 	}
 	if n := a.Counts.Live.Load(); n != 0 {
@@ -130,7 +130,7 @@
 		}
 		defer f.Close()
 		all[i] = start(t, Config{Name: fmt.Sprintf("n%d", i), Bind: ports[i], Seeds: []string{ports[1-i]},
-			Via: map[string]string{ports[1-i]: f.Address()}, Seed: uint64(i), Receive: func([]byte) {}})
+			DialAddresses: map[string]string{ports[1-i]: f.Address()}, Seed: uint64(i), OnState: func([]byte) {}})
 		defer func() { _ = all[i].Close() }()
 	}
 	both := func(n int) func() bool { return func() bool { return sees(all[0], n)() && sees(all[1], n)() } }
@@ -149,12 +149,12 @@
 // under ours. Here a look for seeds waits for our lock, and behind it the word of a new member.
 func TestNoLockIsTakenAgainstTheLibrarys(t *testing.T) {
 	t.Parallel()
-	a := start(t, Config{Name: "n0", Seed: 1, Receive: func([]byte) {}})
+	a := start(t, Config{Name: "n0", Seed: 1, OnState: func([]byte) {}})
 	a.mu.Lock()
 	looked := make(chan []string, 1)
-	go func() { looked <- a.missing() }()
+	go func() { looked <- a.seedsToJoin() }()
 	time.Sleep(50 * time.Millisecond) // only for the order; any other one passes too
-	b := start(t, Config{Name: "n1", Seed: 2, Seeds: []string{a.Address()}, Receive: func([]byte) {}})
+	b := start(t, Config{Name: "n1", Seed: 2, Seeds: []string{a.Address()}, OnState: func([]byte) {}})
 	time.Sleep(500 * time.Millisecond)
 	a.mu.Unlock()
 	select {
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -11,13 +11,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport reaches others by the addresses that this node has for them, and counts.
+// transport reaches other members by their dial addresses, and counts what it sends.
 type transport struct {
 	*memberlist.NetTransport
 	via    map[string]string
 	counts *Counts
 }
 
+// to returns the address by which a member is reached.
 func (t *transport) to(a memberlist.Address) memberlist.Address {
 	if v, ok := t.via[a.Addr]; ok {
 		a.Addr = v
@@ -38,7 +39,7 @@
 	return t.NetTransport.DialAddressTimeout(t.to(a), timeout)
 }
 
-// lines takes the library's log. Its word of packets it can't read is counted.
+// lines passes the library's log on. Lines about packets that can't be read are counted.
 type lines struct {
 	to     *slog.Logger
 	counts *Counts
@@ -46,6 +47,7 @@
 
 var _ io.Writer = (*lines)(nil)
 
+// Write takes one line of the log.
 func (l *lines) Write(b []byte) (int, error) {
 	level, text := slog.LevelDebug, strings.TrimSpace(string(b))
 	for prefix, x := range map[string]slog.Level{"[ERR] ": slog.LevelError, "[WARN] ": slog.LevelWarn, "[INFO] ": slog.LevelInfo} {
@@ -53,9 +55,9 @@
 			level, text = x, rest
 		}
 	}
-	// What others send that is nothing, or another fleet's, is theirs, and may come often.
+	// Packets of other fleets or programs may come often: they are counted, and logged for debugging only.
 	if level >= slog.LevelWarn && (strings.Contains(text, "label") || strings.Contains(text, "ecode") || strings.Contains(text, "not supported") || strings.Contains(text, "CRC")) {
-		l.counts.Spoilt.Add(1)
+		l.counts.Corrupt.Add(1)
 		level = slog.LevelDebug
 	}
 	l.to.Log(context.Background(), level, text)
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -149,7 +149,7 @@
 	var out []learner.Member
 	live, _ := p.Live()
 	for _, m := range live {
-		if m.Kinds {
+		if m.TakesKinds {
 			out = append(out, learner.Member{Index: m.Index, Name: m.Name, Zone: m.Zone})
 		}
 	}
@@ -167,7 +167,7 @@
 // introduce has the membership meet the node with an index.
 func (c *consensusMember) introduce(to int) error {
 	if p := c.peers.Load(); p != nil {
-		return p.Meet(to)
+		return p.Introduce(to)
 	}
 	return &membership.MemberError{Index: to}
 }
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -182,7 +182,7 @@
 	var nodes []ratelimit.Peer
 	live, _ := s.peers.Load().Live()
 	for _, m := range live {
-		if m.State >= membership.StateVersion {
+		if m.MetaVersion >= membership.MetaVersion {
 			nodes = append(nodes, ratelimit.Peer{Index: m.Index, Incarnation: m.Incarnation})
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -307,7 +307,7 @@
 		if n.loop.limitSharing != nil {
 			n.loop.post(n.loop.limitSharing.leave)
 		}
-		if err := p.Part(); err != nil {
+		if err := p.AnnounceLeave(); err != nil {
 			slog.Warn("peers: leaving failed", "error", err)
 		}
 		end = p.Leave
--- a/internal/node/peering.go
+++ b/internal/node/peering.go
@@ -49,15 +49,15 @@
 	}
 	var changed []func()
 	if l.limitSharing != nil {
-		member.Receive = l.limitSharing.receive
+		member.OnState = l.limitSharing.receive
 		changed = append(changed, l.limitSharing.membershipChanged)
 	}
 	if l.consensus != nil {
-		member.Kinds = l.consensus.learner.Receive
+		member.OnMessage = l.consensus.learner.Receive
 		changed = append(changed, l.consensus.updateMembers)
 	}
 	if changed != nil {
-		member.Changed = func() {
+		member.OnChange = func() {
 			for _, notify := range changed {
 				notify()
 			}
@@ -85,16 +85,16 @@
 	peers := cfg.Fleet.Peers
 	settings := &cfg.Settings
 	return membership.Config{
-		Label:   peers.Label,
-		Name:    cfg.Name,
-		Index:   settings.NodeIndex,
-		Zone:    settings.Zone,
-		Region:  cfg.Fleet.Region(settings.Zone),
-		Program: program(),
-		Bind:    net.JoinHostPort(host, strconv.Itoa(peers.Port)),
-		Seeds:   peers.Seeds,
-		Via:     peers.DialAddresses,
-		Seed:    cfg.Seed,
+		Label:         peers.Label,
+		Name:          cfg.Name,
+		Index:         settings.NodeIndex,
+		Zone:          settings.Zone,
+		Region:        cfg.Fleet.Region(settings.Zone),
+		Program:       program(),
+		Bind:          net.JoinHostPort(host, strconv.Itoa(peers.Port)),
+		Seeds:         peers.Seeds,
+		DialAddresses: peers.DialAddresses,
+		Seed:          cfg.Seed,
 	}, nil
 }
 
@@ -122,9 +122,9 @@
 		{"node_peer_joins_total", "counter", "Members that joined.", &c.Joins},
 		{"node_peer_deaths_total", "counter", "Members found dead.", &c.Deaths},
 		{"node_peer_leaves_total", "counter", "Members that left.", &c.Leaves},
-		{"node_peer_refused_total", "counter", "Members refused beyond the most remembered.", &c.Refused},
+		{"node_peer_refused_total", "counter", "Members refused beyond the most remembered.", &c.Rejected},
 		{"node_peer_conflicts_total", "counter", "Names used by two nodes.", &c.Conflicts},
-		{"node_peer_spoilt_total", "counter", "Messages that could not be used.", &c.Spoilt},
+		{"node_peer_spoilt_total", "counter", "Messages that could not be used.", &c.Corrupt},
 		{"node_peer_sent_bytes_total", "counter", "Bytes of packets sent to others.", &c.SentBytes},
 		{"node_peer_streams_total", "counter", "Streams opened to others.", &c.Streams},
 	} {
--- a/internal/testbed/scale/exchange/member.go
+++ b/internal/testbed/scale/exchange/member.go
@@ -104,7 +104,7 @@
 // are told of is handed to it by a hollow member.
 func startPeers() (*membership.Peers, error) {
 	return membership.Start(membership.Config{Label: netLabel, Name: memberName(0), Zone: memberZone(0), Region: memberRegion(0), Program: memberProgram,
-		Bind: "127.0.0.1:0", Receive: func([]byte) {}, Kinds: func([]byte) {}}, slog.New(slog.DiscardHandler))
+		Bind: "127.0.0.1:0", OnState: func([]byte) {}, OnMessage: func([]byte) {}}, slog.New(slog.DiscardHandler))
 }
 
 func memberZone(index int) string { return fmt.Sprintf("zone-%02d", index%memberZones) }
--- a/internal/testbed/scale/process/hollow.go
+++ b/internal/testbed/scale/process/hollow.go
@@ -49,7 +49,7 @@
 	for i := range size {
 		p, err := membership.Start(membership.Config{Label: peerLabel, Name: fmt.Sprintf("hollow-%d", i+1), Index: i + 1,
 			Zone: zoneNames[i%len(zoneNames)], Region: fmt.Sprintf("region-%d", i%len(zoneNames)), Program: hollowProgram, Bind: b.address(hostsMembers, i, portPeer),
-			Seeds: []string{b.hollowSeed()}, Seed: seed + uint64(i), Receive: func([]byte) {}}, slog.New(slog.DiscardHandler))
+			Seeds: []string{b.hollowSeed()}, Seed: seed + uint64(i), OnState: func([]byte) {}}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			return nil, err
 		}
@@ -68,7 +68,7 @@
 // meetFirst has each member exchange all states with the first, which knows all: the gossip of so many
 // joins alone takes long.
 func (h *hollow) meetFirst() error {
-	return each(h.members[1:], func(p *membership.Peers) error { return p.Meet(1) })
+	return each(h.members[1:], func(p *membership.Peers) error { return p.Introduce(1) })
 }
 
 // each does something with all members, a few at a time, and gives one of the errors.
--- a/internal/testbed/scale/process/members.go
+++ b/internal/testbed/scale/process/members.go
@@ -210,7 +210,7 @@
 		return exchanged{}, err
 	}
 	for i := range exchanges {
-		if err := p.hollow.members[i%len(p.hollow.members)].Meet(0); err != nil {
+		if err := p.hollow.members[i%len(p.hollow.members)].Introduce(0); err != nil {
 			return exchanged{}, err
 		}
 		if err := wait(ctx, settleLook); err != nil {
--- a/internal/testbed/scale/process/members_test.go
+++ b/internal/testbed/scale/process/members_test.go
@@ -50,7 +50,7 @@
 		assert.True(t, costs[c.Name], c.Name)
 	}
 	assert.Len(t, costs, len(memberSweep(b.deploy).Costs))
-	require.NoError(t, p.hollow.members[size-1].Part())
+	require.NoError(t, p.hollow.members[size-1].AnnounceLeave())
 	p.lag = &lagMeter{}
 	require.Eventually(t, func() bool {
 		figures, err := p.real.nodes[0].metrics(t.Context())
