--- a/internal/discovery/bulk.go
+++ b/internal/discovery/bulk.go
@@ -11,9 +11,9 @@
 // is that low because many nodes may share discovery's bandwidth: a deadline that they can't keep together
 // would end every transfer before its last byte, again and again.
 const (
-	ProgressBytes  = 16 << 10               // that a message brings at least in each ProgressEach, until it is complete
-	ProgressEach   = 500 * time.Millisecond // the progress deadline within a message
-	TransferWithin = 10 * time.Minute       // from the first byte of a message to its last
+	MinProgressBytes = 16 << 10               // that a message brings at least in each ProgressEach, until it is complete
+	ProgressInterval = 500 * time.Millisecond // the progress deadline within a message
+	TransferTimeout  = 10 * time.Minute       // from the first byte of a message to its last
 )
 
 // bulkReader reads the body of a watch, as messages does, for lists of any length: a message has to make
@@ -33,7 +33,7 @@
 
 func newBulkReader(from io.Reader, end context.CancelCauseFunc, emit func(event) bool) *bulkReader {
 	stalled := func() { end(errStalled) }
-	b := &bulkReader{from: from, emit: emit, deadline: time.AfterFunc(ProgressEach, stalled), within: time.AfterFunc(TransferWithin, stalled)}
+	b := &bulkReader{from: from, emit: emit, deadline: time.AfterFunc(ProgressInterval, stalled), within: time.AfterFunc(TransferTimeout, stalled)}
 	b.stop()
 	return b
 }
@@ -46,7 +46,7 @@
 // Read passes bytes on.
 func (b *bulkReader) Read(to []byte) (int, error) {
 	if b.passed >= b.most {
-		return 0, &EntrySizeError{Most: entryMost}
+		return 0, &EntrySizeError{Most: maxEntryBytes}
 	}
 	to = to[:min(int64(len(to)), b.most-b.passed)]
 	for {
@@ -67,24 +67,24 @@
 	}
 }
 
-// progress takes bytes of a message, its first ones too.
+// progress counts bytes of a message, its first ones too.
 func (b *bulkReader) progress(n int) {
 	if !b.begun {
 		b.begun, b.got = true, n
-		b.deadline.Reset(ProgressEach)
-		b.within.Reset(TransferWithin)
+		b.deadline.Reset(ProgressInterval)
+		b.within.Reset(TransferTimeout)
 		return
 	}
-	if b.got += n; b.got < ProgressBytes {
+	if b.got += n; b.got < MinProgressBytes {
 		return
 	}
 	b.got = 0
 	b.deadline.Stop() // while the session is busy
 	b.emit(event{progress: true})
-	b.deadline.Reset(ProgressEach)
+	b.deadline.Reset(ProgressInterval)
 }
 
-// completed notes that a message has ended; rest is what was read after it.
+// completed takes the end of a message; rest is what was read after it.
 func (b *bulkReader) completed(rest []byte) {
 	b.stop()
 	b.begun = false
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	messageMost     = 4 << 20                // bytes of one message
+	maxMessageBytes = 4 << 20                // bytes of one message
 	messageDeadline = 500 * time.Millisecond // from the first byte of a message to its last
 )
 
 // errStalled ends a call whose message was begun and not completed in time.
 var errStalled = errors.New("a message was begun and not ended")
 
-// uselessError is an answer that holds no usable update: discovery is reachable and may have news.
-type uselessError struct{ error }
+// unusableError is an answer without a usable update: discovery is reachable and may have newer data.
+type unusableError struct{ error }
 
-func (e uselessError) Unwrap() error { return e.error }
+func (e unusableError) Unwrap() error { return e.error }
 
 // call is one watch request that is open.
 type call struct {
-	begun  time.Time
-	heard  bool // it has brought an update or a heartbeat
-	cancel context.CancelCauseFunc
+	startedAt time.Time
+	received  bool // it has brought an update or a heartbeat
+	cancel    context.CancelCauseFunc
 }
 
 // event is what a call reports: an update, progress within one, its end, or else a heartbeat.
@@ -51,7 +51,7 @@
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	in := &messages{from: resp.Body, left: messageMost, heartbeat: func() { emit(event{}) },
+	in := &messages{from: resp.Body, bytesLeft: maxMessageBytes, heartbeat: func() { emit(event{}) },
 		deadline: time.AfterFunc(messageDeadline, func() { end(errStalled) })}
 	in.deadline.Stop()
 	defer in.deadline.Stop()
@@ -71,7 +71,7 @@
 	}
 }
 
-// open makes the request of a watch. An answer that is not 200 is a uselessError.
+// open makes the request of a watch. An answer that is not 200 is an unusableError.
 func open(ctx context.Context, client *http.Client, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -83,18 +83,18 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, uselessError{fmt.Errorf("discovery answered %s", resp.Status)}
+		return nil, unusableError{fmt.Errorf("discovery answered %s", resp.Status)}
 	}
 	return resp, nil
 }
 
-// readError classifies an error of reading a message: ended tells that the connection has ended.
+// readError classifies an error of reading a message. ended reports that the connection has ended.
 func readError(ctx context.Context, ended bool, err error) error {
 	if cause := context.Cause(ctx); errors.Is(cause, errStalled) {
-		return uselessError{cause}
+		return unusableError{cause}
 	}
 	if !ended {
-		return uselessError{err}
+		return unusableError{err}
 	}
 	return err
 }
@@ -107,7 +107,7 @@
 	deadline  *time.Timer // runs while a message is incomplete
 	begun     bool        // a message is incomplete
 	ended     bool        // the connection has ended
-	left      int         // bytes that the message may still have
+	bytesLeft int         // bytes that the message may still have
 }
 
 // Read passes bytes on. An empty line within a message is no heartbeat.
@@ -119,8 +119,8 @@
 	case !blank && !m.begun:
 		m.begin(n)
 	case m.begun:
-		if m.left -= n; m.left < 0 {
-			return 0, fmt.Errorf("a message has over %d bytes", messageMost)
+		if m.bytesLeft -= n; m.bytesLeft < 0 {
+			return 0, fmt.Errorf("a message has over %d bytes", maxMessageBytes)
 		}
 	default:
 		m.heartbeat()
@@ -129,11 +129,11 @@
 }
 
 func (m *messages) begin(n int) {
-	m.begun, m.left = true, messageMost-n
+	m.begun, m.bytesLeft = true, maxMessageBytes-n
 	m.deadline.Reset(messageDeadline)
 }
 
-// completed notes that a message has ended; rest is what was read after it.
+// completed takes the end of a message; rest is what was read after it.
 func (m *messages) completed(rest []byte) {
 	m.deadline.Stop()
 	m.begun = false
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -40,14 +40,14 @@
 
 // StalledError reports a message that made too little progress or took too long.
 type StalledError struct {
-	Bytes  int           // that a message brings at least in Each until it is complete
-	Each   time.Duration // the watch progress deadline within a message
-	Within time.Duration // for the whole message
+	Bytes    int           // that a message brings at least in Each until it is complete
+	Interval time.Duration // the watch progress deadline within a message
+	Timeout  time.Duration // for the whole message
 }
 
 func (e *StalledError) Error() string {
 	return fmt.Sprintf("server list: it brought less than %d bytes in %v or was not complete within %v; look at discovery's load and the link to it",
-		e.Bytes, e.Each, e.Within)
+		e.Bytes, e.Interval, e.Timeout)
 }
 
 // MalformedError reports a message that is not of the list's form.
--- a/internal/discovery/group_test.go
+++ b/internal/discovery/group_test.go
@@ -123,7 +123,7 @@
 				h.inForce[n] = h.now()
 			})
 			w.polled = h.asked
-			w.degraded = func(on bool) {
+			w.onDegraded = func(on bool) {
 				h.mu.Lock()
 				defer h.mu.Unlock()
 				if delete(h.degraded, n); on {
@@ -202,8 +202,8 @@
 				for n := range group {
 					late = max(late, h.inForce[n]-h.last[n])
 				}
-				require.LessOrEqual(t, late, updateBinds)
-				if group >= groupLeast {
+				require.LessOrEqual(t, late, progressDeadline)
+				if group >= minSpreadNodes {
 					// No more than two in a node's turn, evenly by chance.
 					require.LessOrEqual(t, h.most(100*time.Millisecond), group/4+8)
 					require.LessOrEqual(t, h.most(time.Second), 3*group/2)
@@ -278,7 +278,7 @@
 			require.Equal(t, x.degraded, len(h.degraded) > 0)
 			require.True(t, len(h.degraded) == 0 || len(h.degraded) == 40)
 			for n, at := range h.degraded {
-				require.InDelta(t, (h.last[n] + updateBinds).Seconds(), at.Seconds(), 0.01)
+				require.InDelta(t, (h.last[n] + progressDeadline).Seconds(), at.Seconds(), 0.01)
 			}
 		})
 	}
@@ -313,7 +313,7 @@
 		{"cut off", cutOff, still, 0, false},
 		{"unanswered", unanswered, still, 0, false},
 	} {
-		for _, group := range []int{3, groupLeast} {
+		for _, group := range []int{3, minSpreadNodes} {
 			t.Run(fmt.Sprint(x.name, " ", group), func(t *testing.T) {
 				h := &fleet{quiet: quiet, moves: x.moves}
 				h.answer = func(int, int) (int, time.Duration) {
@@ -326,7 +326,7 @@
 				require.Equal(t, x.degraded, len(h.degraded) == group)
 				require.True(t, len(h.degraded) == 0 || len(h.degraded) == group)
 				for n, at := range h.degraded {
-					require.InDelta(t, (h.last[n] + updateBinds).Seconds(), at.Seconds(), 0.01)
+					require.InDelta(t, (h.last[n] + progressDeadline).Seconds(), at.Seconds(), 0.01)
 				}
 			})
 		}
@@ -336,7 +336,7 @@
 // Where lists are pushed, what the agent has counts at once: after calls that were refused, or cut off with
 // no answer, the next comes within the grace, however short the settings have it.
 func TestRefusedCallsComeAgainWithinTheGrace(t *testing.T) {
-	for _, group := range []int{3, groupLeast, 300} {
+	for _, group := range []int{3, minSpreadNodes, 300} {
 		for _, grace := range []time.Duration{500 * time.Millisecond, 2 * time.Second} {
 			h := &fleet{quiet: 10 * time.Second, breaks: true}
 			back := h.quiet + 3*time.Second
@@ -361,19 +361,19 @@
 // A discovery whose machine drops all that comes is called again as soon as a connection to it has not
 // come up in its time: when it is back, the rest of one such wait and a short pause go by at most.
 func TestUnansweredCallsComeAgainSoon(t *testing.T) {
-	for _, group := range []int{3, groupLeast, 300} {
+	for _, group := range []int{3, minSpreadNodes, 300} {
 		h := &fleet{quiet: 10 * time.Second, breaks: true}
 		back := h.quiet + 20*time.Second
 		h.answer = func(int, int) (int, time.Duration) {
 			if h.now() < back {
-				return unanswered, answerLate
+				return unanswered, lateAnswerTimeout
 			}
 			return 200, 0
 		}
 		h.run(t, group, 2*time.Second, back+10*time.Second)
 		for n := range group {
 			require.Contains(t, h.inForce, n)
-			require.LessOrEqual(t, h.inForce[n]-back, answerLate+500*time.Millisecond, "group %d", group)
+			require.LessOrEqual(t, h.inForce[n]-back, lateAnswerTimeout+500*time.Millisecond, "group %d", group)
 		}
 	}
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -2,99 +2,102 @@
 
 import "time"
 
-// Deadlines and pauses of a watch. What a node could have received counts as received updateBinds after the
-// last update or heartbeat.
+// Deadlines and delays of a watch. What a node could have received counts as received progressDeadline after the last
+// update or heartbeat.
 const (
-	updateBinds  = 6 * time.Second         // after the last update or heartbeat, what was missed since counts as received
-	movedBinds   = 4 * time.Second         // after a change of address, what the new address has counts as received
-	watchSilence = 3 * time.Second         // a heartbeat and a half: the watch is stalled
-	answerSoon   = 1500 * time.Millisecond // an unanswered call has another beside it, before due
-	answerLate   = 3 * time.Second         // and later
-	backoffFirst = 100 * time.Millisecond
-	backoffMost  = 500 * time.Millisecond // of a small group
-	groupLeast   = 8                      // nodes from which calls to discovery are spread
-	nodeShare    = 100 * time.Millisecond // of discovery's time for each node of such a group
-	spreadMost   = 4 * time.Second
-	callEvery    = time.Second            // before due, each node of such a group calls once in this at least
-	callSpread   = 750 * time.Millisecond // part of it over which the calls spread; the rest is for the answer
-	firstMost    = time.Second            // before a new process's first call
+	progressDeadline = 6 * time.Second // after the last update or heartbeat
+	movedDeadline    = 4 * time.Second // after a change of address, for what the new address has
+	stallTimeout     = 3 * time.Second // without a heartbeat, which come every 2 s: the watch is stalled
+
+	answerTimeout     = 1500 * time.Millisecond // of a call before the deadline: then another one is made beside it
+	lateAnswerTimeout = 3 * time.Second         // of a call after the deadline
+
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond // of a small fleet
+
+	minSpreadNodes  = 8                      // nodes of a fleet from which calls are spread
+	callTimePerNode = 100 * time.Millisecond // of discovery's time for each node of such a fleet
+	maxSpread       = 4 * time.Second
+	callInterval    = time.Second            // least interval of each node's calls before the deadline in such a fleet
+	callSpread      = 750 * time.Millisecond // part of the interval over which calls spread; the rest is for answers
+	maxFirstDelay   = time.Second            // before the first call of a new process
 )
 
-// pace computes when discovery is called. It has no clock of its own. Silence, pauses and answers come
-// out of one budget, which ends at due: see "One clock for the list" in docs/design.md.
+// pace computes when discovery is called. It has no clock of its own. Stalls, delays and answers come out of one budget,
+// which ends at the deadline: see "One clock for the list" in docs/design.md.
 type pace struct {
-	group  int           // nodes that share discovery
-	grace  time.Duration // for sends to a server that is told to drain
-	jitter func(most time.Duration) time.Duration
+	fleetSize int           // nodes that share discovery
+	grace     time.Duration // for sends to a server that is told to drain
+	jitter    func(most time.Duration) time.Duration
 
-	due   time.Time     // the watch progress deadline: what is missed now counts as received then
-	binds time.Time     // the same for what any address had since the last progress: no move defers it
-	next  time.Duration // the next pause that doubles
+	deadline    time.Time     // the watch progress deadline: what is missed now counts as received then
+	receivedBy  time.Time     // the same for what any address had since the last progress: no move defers it
+	nextBackoff time.Duration // the next pause that doubles
 }
 
 // spread is how long discovery may take for one call of each node of the group.
 func (p *pace) spread() time.Duration {
-	if p.group < groupLeast {
+	if p.fleetSize < minSpreadNodes {
 		return 0
 	}
-	return min(time.Duration(p.group)*nodeShare, spreadMost)
+	return min(time.Duration(p.fleetSize)*callTimePerNode, maxSpread)
 }
 
-// progress notes an update or a heartbeat.
+// progress takes an update or a heartbeat.
 func (p *pace) progress(now time.Time) {
-	p.due, p.next = now.Add(updateBinds), 0
-	p.binds = p.due
+	p.deadline, p.nextBackoff = now.Add(progressDeadline), 0
+	p.receivedBy = p.deadline
 }
 
-// moved notes that the address has changed.
+// moved takes a change of address.
 func (p *pace) moved(now time.Time) {
-	if p.due, p.next = now.Add(movedBinds), 0; p.due.Before(p.binds) {
-		p.binds = p.due
+	if p.deadline, p.nextBackoff = now.Add(movedDeadline), 0; p.deadline.Before(p.receivedBy) {
+		p.receivedBy = p.deadline
 	}
 }
 
-// first is how long a new process waits that has a list. What a node would have received, had it called
-// at its start, binds it as if it were received then.
-func (p *pace) first() time.Duration {
-	return p.jitter(min(p.spread(), firstMost, p.grace/2))
+// firstDelay returns how long a new process with a cached list waits. What it would have received, had it called at its
+// start, counts as received then.
+func (p *pace) firstDelay() time.Duration {
+	return p.jitter(min(p.spread(), maxFirstDelay, p.grace/2))
 }
 
-// silent is how long after progress the watch counts as stalled and another is opened.
-func (p *pace) silent() time.Duration {
-	return watchSilence + p.jitter(min(p.spread(), callSpread))
+// stallDelay returns how long after progress the watch counts as stalled and another one is opened.
+func (p *pace) stallDelay() time.Duration {
+	return stallTimeout + p.jitter(min(p.spread(), callSpread))
 }
 
-// beside is how long a call may stay unanswered before another is made beside it.
-func (p *pace) beside(now time.Time) time.Duration {
-	if p.due.Sub(now) > answerSoon {
-		return answerSoon
+// parallelCallDelay returns how long a call may stay unanswered before another one is made beside it.
+func (p *pace) parallelCallDelay(now time.Time) time.Duration {
+	if p.deadline.Sub(now) > answerTimeout {
+		return answerTimeout
 	}
-	return answerLate + p.jitter(p.spread())
+	return lateAnswerTimeout + p.jitter(p.spread())
 }
 
-// broken is the pause after the end of a watch that was answered. What discovery has counts as received at
-// once, so the pause is a small part of the grace.
-func (p *pace) broken() time.Duration {
-	most := max(backoffFirst, min(p.spread()/8, p.grace/4))
+// reconnectDelay returns the delay after the end of a watch that was answered. What discovery has counts as received at
+// once, so the delay is a small part of the grace.
+func (p *pace) reconnectDelay() time.Duration {
+	most := max(initialBackoff, min(p.spread()/8, p.grace/4))
 	return most/4 + p.jitter(most*3/4)
 }
 
-// again is the pause after a call that brought nothing. What discovery has by its end counts at once,
-// so within the budget the pause is a part of the grace too.
-func (p *pace) again(now time.Time) time.Duration {
-	first, most := backoffFirst, max(backoffFirst, min(backoffMost, p.grace/4))
+// retryDelay returns the delay after a call without a usable update. What discovery has by its end counts as received at
+// once, so within the budget the delay is a part of the grace too.
+func (p *pace) retryDelay(now time.Time) time.Duration {
+	first, most := initialBackoff, max(initialBackoff, min(maxBackoff, p.grace/4))
 	if spread := p.spread(); spread > 0 {
-		// The last calls that begin before due leave time for their answers.
-		left, every := p.due.Sub(now), max(backoffFirst, min(callEvery, p.grace/2))
+		// The last calls that start before the deadline leave time for their answers.
+		left, every := p.deadline.Sub(now), max(initialBackoff, min(callInterval, p.grace/2))
 		if calls := (left - 1).Truncate(every); calls >= every {
-			return left - calls + p.jitter(every*callSpread/callEvery)
+			return left - calls + p.jitter(every*callSpread/callInterval)
 		}
 		first, most = max(first, spread/2), max(most, 2*spread)
 	}
-	if p.next == 0 {
-		p.next = first
+	if p.nextBackoff == 0 {
+		p.nextBackoff = first
 	}
-	pause := p.next/4 + p.jitter(p.next*3/4)
-	p.next = min(2*p.next, most)
+	pause := p.nextBackoff/4 + p.jitter(p.nextBackoff*3/4)
+	p.nextBackoff = min(2*p.nextBackoff, most)
 	return pause
 }
--- a/internal/discovery/progress_test.go
+++ b/internal/discovery/progress_test.go
@@ -54,8 +54,8 @@
 	pieces := 25
 	pause := 200 * time.Millisecond
 	piece := len(text)/pieces + 1
-	require.Greater(t, piece, ProgressBytes)
-	require.Greater(t, time.Duration(pieces)*pause, watchSilence+callSpread)
+	require.Greater(t, piece, MinProgressBytes)
+	require.Greater(t, time.Duration(pieces)*pause, stallTimeout+callSpread)
 	addr, calls := slowDiscovery(t, text, piece, pause)
 	s := startSubset(t, addr, cfg, Update{})
 	s.next(t)
@@ -77,8 +77,8 @@
 			err := next(t, s.dropped)
 			took := time.Since(begun)
 			require.True(t, is[*StalledError](err), "%v", err)
-			require.GreaterOrEqual(t, took, ProgressEach)
-			require.Less(t, took, answerSoon, "it was not cut by its own deadline")
+			require.GreaterOrEqual(t, took, ProgressInterval)
+			require.Less(t, took, answerTimeout, "it was not cut by its own deadline")
 			require.Eventually(t, func() bool { return calls.Load() > 1 }, patience, time.Millisecond)
 			require.Empty(t, s.told)
 		})
@@ -90,11 +90,11 @@
 	a := discoverytest.NewAgent(t)
 	s := startSubset(t, a.Addr(), small, Update{})
 	for range 3 {
-		a.Tell <- strings.Repeat("\n", 2*entryMost)
+		a.Tell <- strings.Repeat("\n", 2*maxEntryBytes)
 	}
 	a.Tell <- list(t, Update{Rev: 7, All: true, Targets: servers(30)}, "  ")
 	s.next(t)
-	a.Tell <- strings.Repeat("\n", 2*entryMost) + list(t, Update{Rev: 8, All: true, Targets: servers(5)}, "")
+	a.Tell <- strings.Repeat("\n", 2*maxEntryBytes) + list(t, Update{Rev: 8, All: true, Targets: servers(5)}, "")
 	require.Equal(t, int64(8), s.next(t).Rev)
 	require.Equal(t, 5, len(s.shown))
 	require.Empty(t, s.dropped)
@@ -105,17 +105,17 @@
 func TestProgressDefersNoDeadline(t *testing.T) {
 	w := newWatcher("127.0.0.1:9", Update{}, 2, time.Second, 1, func(Update) {})
 	w.pace.progress(time.Now().Add(-4 * time.Second))
-	due, binds := w.pace.due, w.pace.binds
+	due, binds := w.pace.deadline, w.pace.receivedBy
 	s := newSession(t.Context(), w, time.Hour)
 	older, newer := &call{cancel: func(error) {}}, &call{cancel: func(error) {}}
 	s.open, s.latest = []*call{older, newer}, newer
-	w.useless = true
+	w.unusable = true
 	s.handle(event{from: newer, progress: true})
 	require.Equal(t, []*call{newer}, s.open)
-	require.Equal(t, due, w.pace.due)
-	require.Equal(t, binds, w.pace.binds)
-	require.True(t, w.useless)
+	require.Equal(t, due, w.pace.deadline)
+	require.Equal(t, binds, w.pace.receivedBy)
+	require.True(t, w.unusable)
 	s.handle(event{from: newer})
-	require.True(t, w.pace.binds.After(binds))
-	require.False(t, w.useless)
+	require.True(t, w.pace.receivedBy.After(binds))
+	require.False(t, w.unusable)
 }
--- a/internal/discovery/selection.go
+++ b/internal/discovery/selection.go
@@ -18,11 +18,11 @@
 // selection holds the whole list and chooses the node's subset of it. Calls stage lists while the session
 // applies updates, so that the set is locked.
 type selection struct {
-	config   subset.Config
-	group    int
-	keepMost int // entries of a whole list that are kept as they came, in case the whole of it is used
-	listMost int // entries of a message
-	counts   Counts
+	config         subset.Config
+	fleetSize      int
+	maxKeptEntries int // entries of a whole list that are kept as they came, in case the whole of it is used
+	maxListed      int // entries of a message
+	counts         Counts
 
 	mu      sync.Mutex
 	set     *subset.Set
@@ -34,8 +34,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &selection{config: cfg, group: group, set: set, keepMost: 2 * cmp.Or(cfg.Most, subset.DefaultMost),
-		listMost: cmp.Or(cfg.ListMost, subset.DefaultListMost)}, nil
+	return &selection{config: cfg, fleetSize: group, set: set, maxKeptEntries: 2 * cmp.Or(cfg.Most, subset.DefaultMost),
+		maxListed: cmp.Or(cfg.ListMost, subset.DefaultListMost)}, nil
 }
 
 // stage begins a whole list. It changes nothing until choose takes it.
@@ -70,7 +70,7 @@
 	if s.set.Whole() && unchanged && (u.Targets != nil || list == nil) {
 		return u, true, nil // as discovery sent it
 	}
-	needed := Update{Rev: u.Rev, All: s.partial || s.set.Whole(), Sharers: s.sharers()}
+	needed := Update{Rev: u.Rev, All: s.partial || s.set.Whole(), NodesPerServer: s.sharers()}
 	if s.partial = false; needed.All {
 		change = subset.Change{Updated: s.set.Chosen()}
 	}
@@ -78,7 +78,7 @@
 	return needed, needed.All || len(needed.Targets) > 0, nil
 }
 
-// count takes the figures after a change.
+// count updates the counts after a change.
 func (s *selection) count(change subset.Change) {
 	s.counts.Listed.Store(int64(s.set.Len()))
 	if len(change.Updated)+len(change.Removed) > 0 {
@@ -114,18 +114,18 @@
 	if s.set.Whole() {
 		return 0
 	}
-	return s.set.Sharers(s.group)
+	return s.set.Sharers(s.fleetSize)
 }
 
-// adopt begins with a list that another process held, and returns what the node shows of it. Of a partial
-// list nothing but that is known.
+// adopt starts with a list that another process had, and returns what the node shows of it. Of a partial list only that is
+// known.
 func (s *selection) adopt(held Update) (Update, error) {
 	set, err := subset.New(s.config)
 	if err != nil {
 		return Update{}, err
 	}
 	s.mu.Lock()
-	s.set, s.partial = set, held.Sharers > 0
+	s.set, s.partial = set, held.NodesPerServer > 0
 	s.mu.Unlock()
 	if s.partial || len(held.Targets) == 0 {
 		return held, nil
--- a/internal/discovery/selection_test.go
+++ b/internal/discovery/selection_test.go
@@ -19,7 +19,7 @@
 		&ListError{Address: "127.0.0.1:9", Entries: 3, Err: oncall.ErrCause},
 		&EntrySizeError{Most: 4096},
 		&TruncatedError{Err: oncall.ErrCause},
-		&StalledError{Bytes: ProgressBytes, Each: ProgressEach, Within: TransferWithin},
+		&StalledError{Bytes: MinProgressBytes, Interval: ProgressInterval, Timeout: TransferTimeout},
 		&MalformedError{Err: oncall.ErrCause},
 		&VersionError{Have: 7, Got: 3},
 		&PartialError{Rev: 7},
@@ -89,7 +89,7 @@
 	a.Tell <- list(t, Update{Rev: 10, Targets: all[22:]}, "") // 23 of 20
 	u := s.next(t)
 	require.False(t, u.All)
-	require.Positive(t, u.Sharers)
+	require.Positive(t, u.NodesPerServer)
 	require.Len(t, s.shown, 21, "20 and the one that drains")
 	gone := slices.Clone(all[10:20])
 	for i := range gone {
@@ -98,7 +98,7 @@
 	a.Tell <- list(t, Update{Rev: 11, Targets: gone}, "")
 	s.next(t)
 	require.Len(t, s.shown, 14)
-	require.Zero(t, s.last.Sharers)
+	require.Zero(t, s.last.NodesPerServer)
 	a.Tell <- list(t, Update{Rev: 12, Targets: gone[:1]}, "")
 	require.Equal(t, Update{Rev: 12, Targets: gone[:1]}, s.next(t))
 }
@@ -111,7 +111,7 @@
 	before := startSubset(t, a.Addr(), cfg, Update{})
 	a.Tell <- list(t, Update{Rev: 7, All: true, Targets: servers(60)}, "")
 	before.next(t)
-	held := Update{Rev: 7, All: true, Sharers: before.last.Sharers}
+	held := Update{Rev: 7, All: true, NodesPerServer: before.last.NodesPerServer}
 	for _, x := range before.shown {
 		held.Targets = append(held.Targets, x)
 	}
@@ -119,7 +119,7 @@
 	b := discoverytest.NewAgent(t)
 	after := startSubset(t, b.Addr(), cfg, held)
 	require.Equal(t, before.uids(), after.uids(), "what was held is not shown")
-	require.Equal(t, held.Sharers, after.last.Sharers)
+	require.Equal(t, held.NodesPerServer, after.last.NodesPerServer)
 	require.NotContains(t, next(t, b.Asked), "from=")
 	b.Tell <- list(t, Update{Rev: 8, Targets: servers(61)[60:]}, "") // changes of a list that it does not have
 	require.True(t, is[*PartialError](next(t, after.dropped)))
@@ -142,20 +142,20 @@
 
 // A long list that can't be used is not read again at once, one that was cut off is.
 func TestPauseAfterAMessageThatCanNotBeUsed(t *testing.T) {
-	dropped := func(err error) error { return uselessError{&ListError{Entries: 100_000, Err: err}} }
-	require.Equal(t, 10*time.Second, uselessPause(dropped(&MalformedError{})))
-	require.Zero(t, uselessPause(dropped(&TruncatedError{})))
-	require.Zero(t, uselessPause(dropped(&StalledError{})))
-	require.Zero(t, uselessPause(errStalled))
+	dropped := func(err error) error { return unusableError{&ListError{Entries: 100_000, Err: err}} }
+	require.Equal(t, 10*time.Second, unusablePause(dropped(&MalformedError{})))
+	require.Zero(t, unusablePause(dropped(&TruncatedError{})))
+	require.Zero(t, unusablePause(dropped(&StalledError{})))
+	require.Zero(t, unusablePause(errStalled))
 }
 
 // A process without a subset that begins with one asks for the whole list, and shows what it has.
 func TestWholeListAfterASubset(t *testing.T) {
 	w := newWatcher("127.0.0.1:9", Update{}, 2, time.Second, 1, func(Update) {})
-	held := Update{Rev: 7, Targets: servers(3), Sharers: 13.6}
+	held := Update{Rev: 7, Targets: servers(3), NodesPerServer: 13.6}
 	require.Equal(t, held, w.Adopt(held, true))
 	require.Equal(t, int64(noRev), w.rev)
-	held.Sharers = 0
+	held.NodesPerServer = 0
 	require.Equal(t, held, w.Adopt(held, true))
 	require.Equal(t, int64(7), w.rev)
 	w.Adopt(held, false)
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -16,8 +16,8 @@
 
 // Bounds of a message that is read entry by entry.
 const (
-	entryMost = 4 << 10 // bytes of an entry, with what is before it
-	yieldEach = 64      // entries after which the processor is offered to others
+	maxEntryBytes = 4 << 10 // bytes of an entry, with what is before it
+	yieldInterval = 64      // entries after which the processor is offered to others
 )
 
 // stream reads the messages of one watch entry by entry into a selection.
@@ -66,13 +66,13 @@
 	dropped := func(err error) error { return &ListError{Address: address, Entries: r.entries, Err: err} }
 	switch {
 	case errors.Is(context.Cause(ctx), errStalled):
-		return uselessError{dropped(&StalledError{Bytes: ProgressBytes, Each: ProgressEach, Within: TransferWithin})}
+		return unusableError{dropped(&StalledError{Bytes: MinProgressBytes, Interval: ProgressInterval, Timeout: TransferTimeout})}
 	case r.in.ended && r.in.begun:
 		return dropped(&TruncatedError{Err: err})
 	case r.in.ended || ctx.Err() != nil:
 		return err
 	}
-	return uselessError{dropped(err)}
+	return unusableError{dropped(err)}
 }
 
 // message reads one message. The order of its fields is free.
@@ -104,7 +104,7 @@
 			return err
 		}
 	}
-	if len(m.update.Targets) > r.selection.keepMost {
+	if len(m.update.Targets) > r.selection.maxKeptEntries {
 		m.update.Targets = nil
 	}
 	return nil
@@ -174,17 +174,17 @@
 	if err := t.check(); err != nil {
 		return &MalformedError{err}
 	}
-	if r.entries++; r.entries > r.selection.listMost {
-		return &subset.TooManyError{What: "entries", Have: r.entries, Most: r.selection.listMost}
+	if r.entries++; r.entries > r.selection.maxListed {
+		return &subset.TooManyError{What: "entries", Have: r.entries, Most: r.selection.maxListed}
 	}
-	if r.entries%yieldEach == 0 {
+	if r.entries%yieldInterval == 0 {
 		runtime.Gosched() // a long list would hold up requests on a machine of few cores
 	}
 	if m.list == nil {
 		m.update.Targets = append(m.update.Targets, t)
 		return nil
 	}
-	if r.entries <= r.selection.keepMost {
+	if r.entries <= r.selection.maxKeptEntries {
 		m.update.Targets = append(m.update.Targets, t)
 	} else {
 		m.update.Targets = nil
@@ -201,7 +201,7 @@
 	return err
 }
 
-// token, more and decode read on, each at most entryMost bytes.
+// token, more and decode read on, each at most maxEntryBytes.
 func (r *stream) token() (json.Token, error) {
 	r.allow()
 	t, err := r.dec.Token()
@@ -218,7 +218,7 @@
 	return r.malformed(r.dec.Decode(v))
 }
 
-func (r *stream) allow() { r.in.most = r.dec.InputOffset() + entryMost }
+func (r *stream) allow() { r.in.most = r.dec.InputOffset() + maxEntryBytes }
 
 // malformed tells errors of a message's form from those of reading it.
 func (r *stream) malformed(err error) error {
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -37,8 +37,8 @@
 	t.Helper()
 	cfg.Node = 3
 	s := &subsetWatch{told: make(chan Update, 100), dropped: make(chan *ListError, 100), shown: map[string]Target{}}
-	w, err := New(Config{Address: addr, Group: 5800, DrainGrace: time.Second, Seed: 1, Subset: &cfg,
-		Updated: func(u Update) { s.told <- u }, Degraded: func(bool) {}, Dropped: func(err *ListError) { s.dropped <- err }})
+	w, err := New(Config{Address: addr, FleetSize: 5800, DrainGrace: time.Second, Seed: 1, Subset: &cfg,
+		OnUpdate: func(u Update) { s.told <- u }, OnDegraded: func(bool) {}, OnDropped: func(err *ListError) { s.dropped <- err }})
 	require.NoError(t, err)
 	s.Watcher = w
 	s.show(w.Adopt(held, true), true)
@@ -129,7 +129,7 @@
 	all := servers(85_000)
 	for _, indent := range []string{"", "  "} {
 		text := list(t, Update{Rev: 7, All: true, Targets: all}, indent)
-		require.Greater(t, len(text), messageMost)
+		require.Greater(t, len(text), maxMessageBytes)
 		d := &body{}
 		addr := d.start(t)
 		s := startSubset(t, addr, cfg, Update{})
@@ -141,7 +141,7 @@
 		require.Equal(t, chosen(t, cfg, all), s.uids())
 		s.bounded(t, cfg)
 		require.GreaterOrEqual(t, len(s.shown), 200)
-		require.InDelta(t, 13.6, u.Sharers, 1.5)
+		require.InDelta(t, 13.6, u.NodesPerServer, 1.5)
 		require.Equal(t, int64(85_000), s.Counts().Listed.Load())
 		require.Equal(t, int64(len(s.shown)), s.Counts().Chosen.Load())
 
@@ -229,7 +229,7 @@
 		as   func(error) bool
 	}{
 		"too many entries":    {whole(func(all []Target) []Target { return servers(101) }), is[*subset.TooManyError]},
-		"an entry too long":   {whole(func(all []Target) []Target { all[9].Model = strings.Repeat("m", entryMost); return all }), is[*EntrySizeError]},
+		"an entry too long":   {whole(func(all []Target) []Target { all[9].Model = strings.Repeat("m", maxEntryBytes); return all }), is[*EntrySizeError]},
 		"a field too long":    {whole(func(all []Target) []Target { all[9].Model = strings.Repeat("m", 300); return all }), is[*subset.EntryError]},
 		"contradictory":       {whole(other), is[*subset.EntryError]},
 		"contradictory delta": {strings.Replace(whole(other), `"all":true`, `"all":false`, 1), is[*subset.EntryError]},
@@ -243,7 +243,7 @@
 		"no targets":          {`{"rev":8,"all":true}`, is[error]},
 		"no array":            {`{"rev":8,"all":true,"targets":7}`, is[*MalformedError]},
 		"a version back":      {`{"rev":3,"targets":[]}`, is[*VersionError]},
-		"never ending":        {`{"rev":8,"x":"` + strings.Repeat("y", 3*entryMost), is[*EntrySizeError]},
+		"never ending":        {`{"rev":8,"x":"` + strings.Repeat("y", 3*maxEntryBytes), is[*EntrySizeError]},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -5,8 +5,8 @@
 	"net"
 )
 
-// bootMost is the latest accepted server start in ms of Unix time (the year 2255); later ones overflow time.Duration.
-const bootMost = 9e12
+// maxBootMS is the latest accepted server start in ms of Unix time (the year 2255); later ones overflow time.Duration.
+const maxBootMS = 9e12
 
 // Update is one message of discovery: the whole server list or the changes of one version.
 type Update struct {
@@ -14,9 +14,9 @@
 	All     bool     `json:"all"`     // Targets is the whole list
 	Targets []Target `json:"targets"` // nil if the message has none
 
-	// Sharers is how many nodes use each target, in the mean, where Targets are a subset of what discovery
+	// NodesPerServer is how many nodes use each target, in the mean, where Targets are a subset of what discovery
 	// lists; 0 is all nodes.
-	Sharers float64 `json:"-"`
+	NodesPerServer float64 `json:"-"`
 }
 
 // Target is one server as discovery lists it.
@@ -76,7 +76,7 @@
 	if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && t.Status() != Removed {
 		return fmt.Errorf("target %s: %w", t.UID, err)
 	}
-	if t.BootMS < 0 || t.BootMS > bootMost {
+	if t.BootMS < 0 || t.BootMS > maxBootMS {
 		return fmt.Errorf("target %s: boot_ms: %g is no time", t.UID, t.BootMS)
 	}
 	return nil
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -20,38 +20,38 @@
 // Config is what a watcher is made with.
 type Config struct {
 	Address    string         // host:port of discovery
-	Group      int            // nodes that share discovery
+	FleetSize  int            // nodes that share discovery
 	DrainGrace time.Duration  // for which sends to a server that is told to drain are allowed
-	Seed       uint64         // of the random parts of pauses
+	Seed       uint64         // of the random parts of delays
 	Subset     *subset.Config // the part of a long list that the node uses; nil is the whole of any list
-	Polled     bool           // lists are asked for, not pushed: an unanswered call counts as received too
+	Polled     bool           // lists are polled, not pushed: an unanswered call counts as received too
 
-	Updated  func(Update)     // is called for each usable update, in order, by Run's goroutine
-	Degraded func(on bool)    // is called when the list that is held becomes stale or is current again
-	Dropped  func(*ListError) // is called for each message that was dropped whole; with Subset only
+	OnUpdate   func(Update)     // called for each usable update, in order, by Run's goroutine
+	OnDegraded func(on bool)    // called when the cached list becomes stale or is current again
+	OnDropped  func(*ListError) // called for each message that was dropped whole; with Subset only
 }
 
 // Watcher keeps a watch on the server list across failures of its connections.
 type Watcher struct {
-	client    *http.Client
-	url       string
-	rev       int64                                                                                        // of the list that is held; noRev is none
-	read      func(context.Context, *http.Client, string, context.CancelCauseFunc, func(event) bool) error // a call's part
-	selection *selection                                                                                   // nil is that whole lists are used
-	updated   func(Update)
-	degraded  func(on bool)
-	dropped   func(*ListError)
-	polled    bool
-	pace      pace
-
-	refused bool // the latest call ended with nothing of use, and was not just unanswered
-	useless bool // since the last progress, discovery has answered without a usable update: what it had counts
-	stale   bool // what degraded was last called with
-
-	mu    sync.Mutex
-	at    string             // the address in force, or to move to
-	next  string             // the address to move to; "" is none
-	leave context.CancelFunc // ends the session at the present address
+	client     *http.Client
+	url        string
+	rev        int64                                                                                        // of the cached list; noRev is none
+	read       func(context.Context, *http.Client, string, context.CancelCauseFunc, func(event) bool) error // a call's part
+	selection  *selection                                                                                   // nil is that whole lists are used
+	onUpdate   func(Update)
+	onDegraded func(on bool)
+	onDropped  func(*ListError)
+	polled     bool
+	pace       pace
+
+	rejected    bool // the latest call ended without a usable update, and not by a time-out
+	unusable    bool // discovery has answered without a usable update since the last progress
+	degradedNow bool // what onDegraded was last called with
+
+	mu          sync.Mutex
+	address     string             // the address in force, or to move to
+	nextAddress string             // the address to move to; "" is none
+	endSession  context.CancelFunc // ends the session at the present address
 }
 
 const noRev = -1
@@ -62,17 +62,17 @@
 // New makes a watcher; Run starts it. Its error is one of Config.Subset.
 func New(cfg Config) (*Watcher, error) {
 	rng := rand.New(rand.NewPCG(cfg.Seed, watchStream))
-	w := &Watcher{url: watchURL(cfg.Address), at: cfg.Address, rev: noRev, read: follow, updated: cfg.Updated,
-		degraded: cfg.Degraded, dropped: cfg.Dropped, polled: cfg.Polled, leave: func() {},
-		pace: pace{group: cfg.Group, grace: cfg.DrainGrace,
+	w := &Watcher{url: watchURL(cfg.Address), address: cfg.Address, rev: noRev, read: follow, onUpdate: cfg.OnUpdate,
+		onDegraded: cfg.OnDegraded, onDropped: cfg.OnDropped, polled: cfg.Polled, endSession: func() {},
+		pace: pace{fleetSize: cfg.FleetSize, grace: cfg.DrainGrace,
 			jitter: func(most time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(most) + 1)) }},
 		// There is no time-out but that on dialing: while discovery is down a call stays open, and
 		// is answered when it is back.
-		client: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: answerLate}).DialContext,
+		client: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: lateAnswerTimeout}).DialContext,
 			DisableKeepAlives: true, DisableCompression: true}}}
 	if cfg.Subset != nil {
 		var err error
-		if w.selection, err = newSelection(*cfg.Subset, cfg.Group); err != nil {
+		if w.selection, err = newSelection(*cfg.Subset, cfg.FleetSize); err != nil {
 			return nil, err
 		}
 		w.read = w.selection.follow
@@ -92,14 +92,14 @@
 func (w *Watcher) Address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.at
+	return w.address
 }
 
-// Adopt takes a list that was held before, by this node's configuration or by another process, and returns
-// what the node can use of it. Where it is current, as of this discovery, and complete, the watch asks for
-// changes since then, else for the whole list. It is not to be called once Run has begun.
+// Adopt takes a cached list, of this node's configuration or of another process, and returns what the node can use of it.
+// Where it is current, of this discovery and complete, the watch requests changes since then, else the whole list. It must
+// not be called once Run has started.
 func (w *Watcher) Adopt(held Update, current bool) Update {
-	if w.rev = held.Rev; !current || held.Sharers > 0 || held.Rev == 0 && len(held.Targets) == 0 {
+	if w.rev = held.Rev; !current || held.NodesPerServer > 0 || held.Rev == 0 && len(held.Targets) == 0 {
 		w.rev = noRev
 	}
 	if w.selection == nil {
@@ -109,33 +109,33 @@
 	if err != nil {
 		w.rev = noRev
 		slog.Warn("discovery: cached list not used", "error", err)
-		w.dropped(&ListError{Address: w.Address(), Entries: len(held.Targets), Err: err})
+		w.onDropped(&ListError{Address: w.Address(), Entries: len(held.Targets), Err: err})
 	}
 	return shown
 }
 
 func watchURL(addr string) string { return "http://" + addr + "/v1/servers?watch=1" }
 
-// Move has the watch go on at another address, at once.
+// Move continues the watch at another address, at once.
 func (w *Watcher) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next, w.at = addr, addr
-	w.leave()
+	w.nextAddress, w.address = addr, addr
+	w.endSession()
 }
 
-// arrive takes the address that is in force and returns the context of the session there.
-func (w *Watcher) arrive(ctx context.Context) (context.Context, context.CancelFunc) {
+// startSession returns the context of a session at the address in force.
+func (w *Watcher) startSession(ctx context.Context) (context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next != "" {
-		// Versions of one discovery can't be compared with those of another: the new one is asked
-		// for its whole list.
-		w.url, w.rev, w.next = watchURL(w.next), noRev, ""
+	if w.nextAddress != "" {
+		// Revisions of one discovery can't be compared with those of another: the whole list is
+		// requested of the new one.
+		w.url, w.rev, w.nextAddress = watchURL(w.nextAddress), noRev, ""
 		w.pace.moved(time.Now())
 	}
-	ctx, w.leave = context.WithCancel(ctx)
-	return ctx, w.leave
+	ctx, w.endSession = context.WithCancel(ctx)
+	return ctx, w.endSession
 }
 
 // Run watches until ctx ends.
@@ -144,24 +144,24 @@
 	first := time.Duration(0)
 	// A process that has a list waits a random time, so that nodes started together do not all call at once.
 	if w.rev != noRev {
-		first = w.pace.first()
+		first = w.pace.firstDelay()
 	}
 	for ; ctx.Err() == nil; first = 0 {
-		stay, leave := w.arrive(ctx)
+		stay, leave := w.startSession(ctx)
 		newSession(stay, w, first).run()
 		leave()
 	}
 }
 
-// weigh tells whether the list that is held has become stale. What was missed counts as received when
-// it binds; but where lists are pushed, a discovery that stays silent has nothing to send, beyond what
-// it may have had when it last answered.
-func (w *Watcher) weigh() {
-	on := (w.useless || w.refused || w.polled) && !time.Now().Before(w.pace.binds)
-	if on != w.stale {
-		w.stale = on
-		slog.Warn("discovery: degraded, the cached list is stale", "on", on, "rev", w.rev, "rejected", w.refused)
-		w.degraded(on)
+// updateDegraded notifies the user when the cached list has become stale or is current again. What was missed counts as
+// received by receivedBy; but where lists are pushed, a discovery that stays silent has nothing to send, beyond what it may
+// have had when it last answered.
+func (w *Watcher) updateDegraded() {
+	on := (w.unusable || w.rejected || w.polled) && !time.Now().Before(w.pace.receivedBy)
+	if on != w.degradedNow {
+		w.degradedNow = on
+		slog.Warn("discovery: degraded, the cached list is stale", "on", on, "rev", w.rev, "rejected", w.rejected)
+		w.onDegraded(on)
 	}
 }
 
@@ -173,15 +173,14 @@
 	return &ListError{Address: w.Address(), Entries: e.entries, Err: err}
 }
 
-func (w *Watcher) tellDropped(err error) {
+func (w *Watcher) notifyDropped(err error) {
 	if dropped, ok := errors.AsType[*ListError](err); ok {
-		w.dropped(dropped)
+		w.onDropped(dropped)
 	}
 }
 
-// take hands on an update. After one that can't be used, a new watch asks again from the last version
-// that was complete.
-func (w *Watcher) take(u Update, list *subset.List) error {
+// apply passes an update on. After one that can't be used, a new watch requests changes from the last complete revision.
+func (w *Watcher) apply(u Update, list *subset.List) error {
 	if err := u.Check(); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
@@ -190,7 +189,7 @@
 		return fmt.Errorf("discovery: rev %d: a whole list names no targets", u.Rev)
 	}
 	if !u.All && u.Rev < w.rev {
-		// Discovery has begun to count anew: its changes don't fit the list that is held.
+		// Discovery has begun to count anew: its changes don't fit the cached list.
 		err := &VersionError{Have: w.rev, Got: u.Rev}
 		w.rev = noRev
 		return err
@@ -204,7 +203,7 @@
 	}
 	w.rev = u.Rev
 	if needed {
-		w.updated(u)
+		w.onUpdate(u)
 	}
 	return nil
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -18,7 +18,7 @@
 const patience = 30 * time.Second
 
 func newWatcher(addr string, known Update, group int, grace time.Duration, seed uint64, updated func(Update)) *Watcher {
-	w, err := New(Config{Address: addr, Group: group, DrainGrace: grace, Seed: seed, Updated: updated, Degraded: func(bool) {}})
+	w, err := New(Config{Address: addr, FleetSize: group, DrainGrace: grace, Seed: seed, OnUpdate: updated, OnDegraded: func(bool) {}})
 	if err != nil {
 		panic(err)
 	}
@@ -164,7 +164,7 @@
 		now := time.Now()
 		p := &w.pace
 		for range 20 {
-			for _, d := range []time.Duration{p.first(), p.silent(), p.beside(now), p.broken(), p.again(now)} {
+			for _, d := range []time.Duration{p.firstDelay(), p.stallDelay(), p.parallelCallDelay(now), p.reconnectDelay(), p.retryDelay(now)} {
 				require.GreaterOrEqual(t, d, time.Duration(0))
 			}
 		}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -22,14 +22,14 @@
 func (n *Node) follow(cfg config.Config) error {
 	n.degraded = newDegradedDiscovery(cfg.Settings, n.loop)
 	n.onUpdate = n.listUpdated
-	watch := discovery.Config{Address: cfg.Discovery, Group: cfg.Settings.FleetSize, DrainGrace: cfg.Settings.DrainGrace,
+	watch := discovery.Config{Address: cfg.Discovery, FleetSize: cfg.Settings.FleetSize, DrainGrace: cfg.Settings.DrainGrace,
 		Seed: cfg.Seed, Polled: cfg.Settings.PollDiscovery, Subset: cfg.Fleet.SubsetOf(cfg.Settings.NodeIndex),
-		Updated:  func(u discovery.Update) { n.onUpdate(u) },
-		Degraded: func(on bool) { n.loop.post(func() { n.degraded.setActive(on) }) }}
+		OnUpdate:   func(u discovery.Update) { n.onUpdate(u) },
+		OnDegraded: func(on bool) { n.loop.post(func() { n.degraded.setActive(on) }) }}
 	var dropped prometheus.Counter
 	if watch.Subset != nil {
 		dropped = newSubsetDropped()
-		watch.Dropped = func(*discovery.ListError) { dropped.Inc() }
+		watch.OnDropped = func(*discovery.ListError) { dropped.Inc() }
 	}
 	w, err := discovery.New(watch)
 	if err != nil {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -122,7 +122,7 @@
 	}
 	n.loop.lastServerID = max(n.loop.lastServerID, from.LastID)
 	if len(from.List.Targets) > 0 {
-		from.List.Sharers = from.NodesPerServer
+		from.List.NodesPerServer = from.NodesPerServer
 		n.knownServers = n.discovery.Adopt(from.List, current && from.Discovery == n.discoveryAddress)
 	}
 }
@@ -255,5 +255,5 @@
 			l.endpoints[t.UID] = t
 		}
 	}
-	l.listRevision, l.nodesPerServer = news.Rev, news.Sharers
+	l.listRevision, l.nodesPerServer = news.Rev, news.NodesPerServer
 }
--- a/internal/testbed/scale/outage/reconnect.go
+++ b/internal/testbed/scale/outage/reconnect.go
@@ -14,10 +14,10 @@
 // A node's reader of the server list gives a fetch up that brings less than fetchChunk in fetchWindow, or that
 // is not whole within fetchMost. A bulk fetch has this budget of its own, beside that for control.
 const (
-	fetchChunk     = discovery.ProgressBytes
-	fetchWindow    = discovery.ProgressEach
+	fetchChunk     = discovery.MinProgressBytes
+	fetchWindow    = discovery.ProgressInterval
 	fetchLeastRate = float64(fetchChunk) * float64(time.Second) / float64(fetchWindow) // bytes a second
-	fetchMost      = discovery.TransferWithin
+	fetchMost      = discovery.TransferTimeout
 )
 
 // The simulated discovery, and the nodes' retries.
