--- a/fleet/zone/evidence.go
+++ b/fleet/zone/evidence.go
@@ -13,16 +13,15 @@
 	servers   map[uint64][2]float64
 }
 
-// Saw takes how attempts at a server of a zone ended: n of them, good or not, in the mean time of
-// good ones in seconds. Others' word counts like one's own where it comes with its own age: at is
-// when they ended.
-func (p *Policy) Saw(at time.Duration, zone string, server uint64, n float64, good bool, seconds float64) {
-	z := p.of[zone]
+// Observe takes the outcome of n attempts at a server of a zone that ended at a time: whether they succeeded, and in how
+// many seconds in the mean. Reports of other nodes count like own attempts where at is when those ended.
+func (p *Policy) Observe(at time.Duration, zone string, server uint64, n float64, good bool, seconds float64) {
+	z := p.byName[zone]
 	if z == nil || !(n > 0) {
 		return
 	}
-	b := int64(at / bin)
-	c := &z.seen[((b%bins)+bins)%bins]
+	b := int64(at / evidenceBin)
+	c := &z.evidenceByBin[((b%evidenceBins)+evidenceBins)%evidenceBins]
 	if c.at > b {
 		return // older than what is counted there
 	}
@@ -41,21 +40,21 @@
 	c.servers[server] = s
 }
 
-// evidence is what the last second says of a zone.
+// evidence is the outcome of the attempts in the window.
 type evidence struct {
-	n, failing float64 // attempts, and the part that failed
-	low, high  float64 // bounds of that part
+	n, failing float64 // attempts, and the fraction that failed
+	low, high  float64 // bounds of that fraction
 	servers    float64
-	failed     float64 // part of the servers seen that fail mostly
+	failed     float64 // fraction of the servers seen that mostly fail
 	answer     float64 // s, mean; 0 is none
 }
 
 func (z *Zone) evidence(now time.Duration) (e evidence) {
 	var good, bad, seconds float64
 	by := map[uint64][2]float64{}
-	for i := range z.seen {
-		c := &z.seen[i]
-		if c.servers == nil || c.at <= int64(now/bin)-bins {
+	for i := range z.evidenceByBin {
+		c := &z.evidenceByBin[i]
+		if c.servers == nil || c.at <= int64(now/evidenceBin)-evidenceBins {
 			continue
 		}
 		good, bad, seconds = good+c.good, bad+c.bad, seconds+c.seconds
@@ -81,19 +80,19 @@
 	return e
 }
 
-// bounds are Wilson's of a part seen in n.
+// bounds returns the Wilson score interval of a fraction that was observed n times.
 func bounds(part, n float64) (low, high float64) {
-	z2 := confident * confident
+	z2 := confidenceDeviations * confidenceDeviations
 	mid := (part + z2/(2*n)) / (1 + z2/n)
-	half := confident / (1 + z2/n) * math.Sqrt(part*(1-part)/n+z2/(4*n*n))
+	half := confidenceDeviations / (1 + z2/n) * math.Sqrt(part*(1-part)/n+z2/(4*n*n))
 	return math.Max(0, mid-half), math.Min(1, mid+half)
 }
 
-// rest is what the other zones that are not left say together; n is 0 where there is none.
-func (p *Policy) rest(seen []evidence, but int) (e evidence) {
+// evidenceElsewhere returns the evidence of all zones but one, without those that are evacuated; n is 0 where there is none.
+func (p *Policy) evidenceElsewhere(seen []evidence, but int) (e evidence) {
 	var bad, seconds, answers float64
 	for i, z := range p.zones {
-		if i == but || z.state == Left || seen[i].n == 0 {
+		if i == but || z.state == Evacuated || seen[i].n == 0 {
 			continue
 		}
 		e.n += seen[i].n
@@ -113,8 +112,8 @@
 	return e
 }
 
-// elsewhere tells whether the others do so much better that leaving a zone helps. Where nothing is
-// seen of them, or they fail as well, what is seen speaks of this node, or of all.
+// elsewhere reports whether the other zones fail so much less that an evacuation helps. Without evidence of them, or where
+// they fail too, the fault may be this node's or everywhere.
 func elsewhere(e, rest evidence) bool {
-	return rest.n >= enough && e.failing-rest.failing >= better && rest.high < e.low
+	return rest.n >= minAttempts && e.failing-rest.failing >= minFailureRateGap && rest.high < e.low
 }
--- a/fleet/zone/zone_test.go
+++ b/fleet/zone/zone_test.go
@@ -17,17 +17,17 @@
 // play lets a node send to three zones of ten servers each, by the parts that its policy gives.
 func play(p *Policy, rng *rand.Rand, from, to time.Duration, rate float64, state func(now time.Duration, zone int) hall) {
 	for now := from; now < to; now += 20 * time.Millisecond {
-		parts := p.Parts(0)
+		parts := p.TrafficFractions(0)
 		for z := range 3 {
 			name := fmt.Sprint("z", z)
 			h := state(now, z)
 			for n := rate / 50 * parts[name]; rng.Float64() < n; n-- {
 				server := rng.IntN(10)
 				bad := float64(server) < 10*h.failing || rng.Float64() < h.errors
-				p.Saw(now, name, uint64(server), 1, !bad, 0.1*max(1, h.slow)*(0.5+rng.Float64()))
+				p.Observe(now, name, uint64(server), 1, !bad, 0.1*max(1, h.slow)*(0.5+rng.Float64()))
 			}
 		}
-		p.Look(now)
+		p.Update(now)
 	}
 }
 
@@ -82,7 +82,7 @@
 				p, rng := three(), rand.New(rand.NewPCG(seed, 0))
 				play(p, rng, 0, 5*time.Second, 150, func(time.Duration, int) hall { return whole })
 				play(p, rng, 5*time.Second, 7*time.Second, 150, func(_ time.Duration, z int) hall { return x.trouble(z) })
-				parts := p.Parts(0)
+				parts := p.TrafficFractions(0)
 				if got := parts["z1"]; got < x.low || got > x.top {
 					t.Errorf("seed %d: the zone has %.2f of its traffic, wanted %.2f to %.2f", seed, got, x.low, x.top)
 				}
@@ -107,11 +107,11 @@
 				}
 				return hall{}
 			})
-			part := p.Parts(0)["z1"]
+			part := p.TrafficFractions(0)["z1"]
 			if left < 0 && now >= 5*time.Second && part == 0 {
 				left = now - 5*time.Second
 			}
-			if now >= 12*time.Second && part > 2*before+stepFirst {
+			if now >= 12*time.Second && part > 2*before+initialRampFraction {
 				t.Errorf("seed %d: from %.2f to %.2f at once", seed, before, part)
 			}
 			if before = part; whole < 0 && now > 12*time.Second && part == 1 {
@@ -136,7 +136,7 @@
 			}
 			return hall{}
 		})
-		if s := p.of["z1"].state; s == Left && was != Left {
+		if s := p.byName["z1"].state; s == Evacuated && was != Evacuated {
 			turns++
 			was = s
 		} else {
@@ -151,17 +151,17 @@
 // The rest is never filled beyond what it bears; operators' orders go before what is seen.
 func TestSpillAndOrders(t *testing.T) {
 	p := New("a", []Zone{{Name: "a", Capacity: 100}, {Name: "b", Distance: 1, Capacity: 100}, {Name: "c", Distance: 2, Capacity: 100}})
-	if !p.Tell(0, "b", Leave) || p.Tell(0, "x", Leave) {
+	if !p.SetOrder(0, "b", Leave) || p.SetOrder(0, "x", Leave) {
 		t.Error("orders")
 	}
-	if got := p.Parts(150); got["b"] != 0 || got["a"] != 1 {
+	if got := p.TrafficFractions(150); got["b"] != 0 || got["a"] != 1 {
 		t.Errorf("150 asked of 160: %v", got)
 	}
-	if got := p.Parts(180); got["b"] < 0.2 || got["b"] > 0.3 {
+	if got := p.TrafficFractions(180); got["b"] < 0.2 || got["b"] > 0.3 {
 		t.Errorf("180 asked of 160: %v", got)
 	}
-	p.Tell(0, "b", Return)
-	if v := p.Views()[1]; v.State != Returning || v.Part != stepFirst {
+	p.SetOrder(0, "b", Return)
+	if v := p.Views()[1]; v.State != Returning || v.Fraction != initialRampFraction {
 		t.Errorf("on return %+v", v)
 	}
 }
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -68,7 +68,7 @@
 // observe takes how an attempt ended; took is below zero for one that failed or is late.
 func (z *zoneEvacuation) observe(server uint32, took time.Duration) {
 	z.lastEvidence = z.loop.now()
-	z.policy.Saw(z.lastEvidence, z.zoneByServer[server], uint64(server), 1, took >= 0, max(0, took.Seconds()))
+	z.policy.Observe(z.lastEvidence, z.zoneByServer[server], uint64(server), 1, took >= 0, max(0, took.Seconds()))
 	z.scheduleCheck()
 }
 
@@ -84,7 +84,7 @@
 func (z *zoneEvacuation) check() {
 	z.checkScheduled = false
 	now := z.loop.now()
-	z.policy.Look(now)
+	z.policy.Update(now)
 	if z.publish() || now < z.lastEvidence+time.Second {
 		z.scheduleCheck()
 	}
@@ -95,18 +95,18 @@
 func (z *zoneEvacuation) publish() (cut bool) {
 	before, views := z.views.Load(), z.policy.Views()
 	away := map[string]float64{}
-	for name, part := range z.policy.Parts(0) {
+	for name, part := range z.policy.TrafficFractions(0) {
 		if part < 1 {
 			away[name] = 1 - part
 		}
 	}
 	changed := false
 	for i, v := range views {
-		cut = cut || v.State != zone.Healthy || v.Part < 1
+		cut = cut || v.State != zone.Healthy || v.Fraction < 1
 		o := (*before)[i]
 		changed = changed || o != v
 		if o.State != v.State {
-			slog.Info("zones: state of a zone changed", "zone", v.Zone, "state", v.State.String(), "part", v.Part, "why", v.Why, "hold", v.Hold)
+			slog.Info("zones: state of a zone changed", "zone", v.Zone, "state", v.State.String(), "part", v.Fraction, "why", v.Reason, "hold", v.EvacuationTime)
 		}
 	}
 	if changed {
@@ -124,7 +124,7 @@
 // Collect implements prometheus.Collector.
 func (z *zoneEvacuation) Collect(to chan<- prometheus.Metric) {
 	for _, v := range *z.views.Load() {
-		to <- prometheus.MustNewConstMetric(zonePart, prometheus.GaugeValue, v.Part, v.Zone, v.State.String())
+		to <- prometheus.MustNewConstMetric(zonePart, prometheus.GaugeValue, v.Fraction, v.Zone, v.State.String())
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	var lines []line
 	for _, v := range *z.views.Load() {
-		lines = append(lines, line{v.Zone, v.State.String(), v.Order.String(), v.Why, v.Part})
+		lines = append(lines, line{v.Zone, v.State.String(), v.Order.String(), v.Reason, v.Fraction})
 	}
 	_ = json.NewEncoder(w).Encode(lines)
 }
@@ -159,7 +159,7 @@
 	}
 	name, known := r.URL.Query().Get("zone"), make(chan bool, 1)
 	z.loop.post(func() {
-		ok := z.policy.Tell(z.loop.now(), name, o)
+		ok := z.policy.SetOrder(z.loop.now(), name, o)
 		if ok {
 			slog.Info("zones: operator's order taken", "zone", name, "order", o.String())
 		}
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -41,7 +41,7 @@
 	for i := range 60 {
 		r.do(r.call(http.MethodGet, "/roster-read", fmt.Sprint(i)))
 	}
-	r.wait("the zone to be left", state(zone.Left))
+	r.wait("the zone to be left", state(zone.Evacuated))
 	n := bad.count()
 	for i := range 20 {
 		if resp, _ := r.do(r.call(http.MethodGet, "/roster-read", fmt.Sprint("x", i))); resp.StatusCode != http.StatusOK {
