--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -1,9 +1,14 @@
 package node
 
 import (
+	"context"
+	"errors"
 	"log/slog"
+	"net"
 	"sync"
 	"time"
+
+	"sloestile/control"
 )
 
 const (
@@ -14,6 +19,17 @@
 	idlePollInterval  = 50 * time.Millisecond  // between two closings of idle connections
 )
 
+// Times of a drain. The platform gives a node 0.7 s more than the longest deadline of its classes.
+const (
+	maxDrainDeadline  = 3 * time.Second         // longest class deadline that a drain waits for
+	drainMargin       = 300 * time.Millisecond  // after it: what is open then is answered with 502
+	drainLetGo        = 1200 * time.Millisecond // before the end of the drain: answers close their connections
+	drainCloseDelay   = 200 * time.Millisecond  // from then until idle connections are closed and no new ones accepted
+	drainListenTime   = 400 * time.Millisecond  // for which new connections may come, by the protocol
+	drainWriteTime    = 300 * time.Millisecond  // for the last answers
+	drainPollInterval = 20 * time.Millisecond   // between two looks for an early end
+)
+
 // drainer is the state of a drain, by an operator or by SIGTERM. In stage 0 only /healthz says no, in stage 1 each answer
 // closes its connection, in stage 2 idle connections are closed.
 type drainer struct {
@@ -121,3 +137,81 @@
 	}
 	d.cancel = make(chan struct{}) // none begins any more
 }
+
+// maxDrainOf returns how long a drain lasts at most.
+func maxDrainOf(classes []control.Class) time.Duration {
+	longest := time.Duration(0)
+	for _, k := range classes {
+		longest = max(longest, k.Deadline)
+	}
+	return min(longest, maxDrainDeadline) + drainMargin
+}
+
+// drain ends the process. Clients see it by /healthz but may use their open connections on, and while another node
+// restarts too, some tenants have no other node. So the node serves as before for a while, then each answer closes its
+// connection, and the node ends when all requests are answered. Where another process shares the socket, that one gets
+// all new connections: this one accepts none and lets go at once.
+func (n *Node) drain(stopLoop context.CancelFunc) error {
+	begun := time.Now()
+	serve := max(n.maxDrain-drainLetGo, 0)
+	slog.Info("draining", "shared", n.inherited)
+	if n.inherited {
+		n.stopListening()
+		if err := n.listener.Close(); err != nil {
+			slog.Warn("closing the listener for clients failed", "error", err)
+		}
+		n.drainer.beginFinal(0, serve, true)
+	} else {
+		n.drainer.beginFinal(serve, drainCloseDelay, false)
+	}
+	if !n.awaitDrainEnd(max(serve+drainCloseDelay, min(n.maxDrain, drainListenTime))) {
+		n.finish(drainWriteTime)
+		return n.loop.failure
+	}
+	n.finish(n.maxDrain - time.Since(begun))
+	stopLoop() // answers what is still open with 502
+	<-n.loop.ended
+	n.finish(drainWriteTime)
+	slog.Info("drained", "took", time.Since(begun).Round(time.Millisecond))
+	return n.loop.failure
+}
+
+// awaitDrainEnd waits until the time for new requests is over, or until no connection is left where another process
+// takes new ones. It returns false where the loop ended before.
+func (n *Node) awaitDrainEnd(wait time.Duration) bool {
+	poll := time.NewTicker(drainPollInterval)
+	defer poll.Stop()
+	over := time.After(wait)
+	for {
+		select {
+		case <-poll.C:
+			if n.inherited && n.front.conns.Load() <= 0 {
+				return true
+			}
+		case <-over:
+			return true
+		case <-n.loop.ended:
+			return false
+		}
+	}
+}
+
+// finish stops listening and gives open answers some time. http.Server's Shutdown is not used: it closes connections
+// that seem idle to it while a request arrives on them, and drops requests that it has just read.
+func (n *Node) finish(within time.Duration) {
+	n.stopListening()
+	if err := n.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		slog.Warn("closing the listener for clients failed", "error", err)
+	}
+	n.front.closing.Store(true)
+	poll := time.NewTicker(drainPollInterval)
+	defer poll.Stop()
+	for over := time.After(within); n.front.conns.Load() > 0; {
+		n.front.closeIdle()
+		select {
+		case <-poll.C:
+		case <-over:
+			return
+		}
+	}
+}
--- a/internal/node/peering.go
+++ b/internal/node/peering.go
@@ -1,18 +1,23 @@
 package node
 
 import (
+	"context"
 	"io"
 	"log/slog"
 	"net"
 	"runtime/debug"
 	"strconv"
 	"sync/atomic"
+	"time"
 
 	"sloestile/internal/config"
 	"sloestile/internal/membership"
 )
 
-const peerDescriptors = 16 // descriptors reserved for the membership
+const (
+	peerDescriptors   = 16          // descriptors reserved for the membership
+	joinRetryInterval = time.Second // between two tries to start while the previous process has the address
+)
 
 // startPeersFunc returns the function that starts the membership, where the fleet file has it and the settings allow it;
 // else nil. It makes the loop's parts that use the membership.
@@ -98,6 +103,52 @@
 	}, nil
 }
 
+// joinPeers returns the membership once it has started, or nil where ctx ends before.
+func (n *Node) joinPeers(ctx context.Context) *membership.Peers {
+	for n.peers.Load() == nil {
+		select {
+		case <-time.After(joinRetryInterval):
+		case <-ctx.Done():
+			return nil
+		}
+		p, err := n.startPeers()
+		if err != nil {
+			slog.Debug("peers: starting failed, trying again", "error", err)
+			continue
+		}
+		n.peers.Store(p)
+	}
+	return n.peers.Load()
+}
+
+// leavePeers announces this node's end to the others when ctx ends, and leaves the membership when life ends. Until then
+// the node serves and reports to them what it admits.
+func (n *Node) leavePeers(ctx, life context.Context) {
+	p := n.joinPeers(ctx)
+	if p == nil {
+		return
+	}
+	end := p.Close
+	select {
+	case <-ctx.Done():
+		if n.loop.limitSharing != nil {
+			n.loop.post(n.loop.limitSharing.leave)
+		}
+		if err := p.AnnounceLeave(); err != nil {
+			slog.Warn("peers: leaving failed", "error", err)
+		}
+		end = p.Leave
+		<-life.Done()
+	case <-life.Done():
+	}
+	if n.loop.limitSharing != nil {
+		n.loop.limitSharing.waitForSender()
+	}
+	if err := end(); err != nil {
+		slog.Warn("peers: leaving failed", "error", err)
+	}
+}
+
 // program returns the version of this program: the commit that it was built from, where known.
 func program() string {
 	info, ok := debug.ReadBuildInfo()
