--- a/control/concurrency.go
+++ b/control/concurrency.go
@@ -82,7 +82,7 @@
 	return min(boundPerServer, minBoundPerServer/l.servers.nodesPerServer) * max(1, servers)
 }
 
-// hasRoom reports whether another attempt may start.
+// hasCapacity reports whether another attempt may start.
 func (l *concurrencyLimit) hasCapacity() bool {
 	busy := l.busy()
 	bound := min(l.bound, l.rulesBound)
--- a/control/doc.go
+++ b/control/doc.go
@@ -21,7 +21,7 @@
 //   - After a failed attempt: Controller.retryOrFinish (retry.go); counted as "ended".
 //   - Rejection or failure? Controller.finish (rejection.go): a rejection promises that nothing ran.
 //
-// Why did it wait? concurrencyLimit.hasRoom (concurrency.go) bounds the attempts in flight,
+// Why did it wait? concurrencyLimit.hasCapacity (concurrency.go) bounds the attempts in flight,
 // scheduler.next (scheduler.go) gives plans their dispatch slots, scheduler.firstDispatchable skips requests
 // of tenants without a free slot (tenant.hasFreeSlot, slots.go).
 //
--- a/internal/testbed/scale/outage/sharefleet.go
+++ b/internal/testbed/scale/outage/sharefleet.go
@@ -23,7 +23,7 @@
 	shareHeader  = packetHeader - 1
 )
 
-// shareFleet runs the exchange of shared limits of a whole fleet in virtual time: ratelimit.Exchange at each
+// shareFleet runs the exchange of shared limits of a whole fleet in virtual time: ratelimit.Limiter at each
 // node. Links and membership are simulated. All tenants have the same owner.
 type shareFleet struct {
 	eventqueue.Agenda
