--- a/fleet/maintenance/plan.go
+++ b/fleet/maintenance/plan.go
@@ -1,4 +1,4 @@
-// Package turns is the pure part of taking machines out for work in an order that the nodes settle:
+// Package maintenance is the pure part of taking machines out for work in an order that the nodes settle:
 // a work plan, and the state machine that gives turns by it. The machine lives in a replicated log:
 // commands go in, the same at each replica, and states come out. It has no clock, no socket and no
 // goroutine, and reckons in whole numbers, so that all replicas come to the same.
--- a/fleet/prefetch/doc.go
+++ b/fleet/prefetch/doc.go
@@ -1,4 +1,4 @@
-// Package provision is the pure part of getting an edge ready for a time in which it is alone. Some
+// Package prefetch is the pure part of getting an edge ready for a time in which it is alone. Some
 // sites lose the link to the rest of the fleet at known times: a satellite passes, a leased line has
 // windows. Their own hall's rating servers stay; peers, owners of customers' stores and the council
 // are gone. What is fetched ahead is what a node needs to go on deciding well alone.
--- a/fleet/straggler/watch.go
+++ b/fleet/straggler/watch.go
@@ -1,4 +1,4 @@
-// Package watch tells attempts that take far longer than is usual, when they do and not when they
+// Package straggler tells attempts that take far longer than is usual, when they do and not when they
 // end: a server that is silent, or ten times slower, says nothing by its answers for as long. It
 // has no clock, no socket and no goroutine.
 package straggler
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,4 +1,4 @@
-// Package wire turns the operators' wire text into the types of package
+// Package simwire turns the operators' wire text into the types of package
 // control and back. It decides nothing.
 package simwire
 
--- a/internal/testbed/delayedref/late.go
+++ b/internal/testbed/delayedref/late.go
@@ -1,4 +1,4 @@
-// Package late plays a day against a policy that sees the true state of all rating servers, late: the
+// Package delayedref plays a day against a policy that sees the true state of all rating servers, late: the
 // reference by which the gate says what each class and plan is owed. One place decides for all nodes;
 // it knows each customer's store, and what it has sent itself. Servers, clients, links and faults are
 // those of the day; there are no processes and no sockets, and a day takes as long as its arithmetic.
--- a/internal/testbed/eventqueue/agenda.go
+++ b/internal/testbed/eventqueue/agenda.go
@@ -1,4 +1,4 @@
-// Package agenda is virtual time: what is to happen, in order.
+// Package eventqueue is virtual time: what is to happen, in order.
 package eventqueue
 
 import (
--- a/internal/testbed/faultlink/path.go
+++ b/internal/testbed/faultlink/path.go
@@ -1,4 +1,4 @@
-// Package link is the network between the parties of a play. Whatever passes between two parties
+// Package faultlink is the network between the parties of a play. Whatever passes between two parties
 // crosses a Path, whose conditions can be changed while connections are open: delay, loss, silence
 // in one direction or both, resets, stalls, a trickle. The kernel is left as it is.
 package faultlink
--- a/internal/testbed/lab.go
+++ b/internal/testbed/lab.go
@@ -1,4 +1,4 @@
-// Package lab is the stand-in platform: it plays a scenario's day against real processes of the
+// Package testbed is the stand-in platform: it plays a scenario's day against real processes of the
 // edge node, with links between all parties that fail as the timetable says, and has the judge say
 // what came of it. The node never imports it.
 package testbed
--- a/internal/testbed/maintenanceday/day.go
+++ b/internal/testbed/maintenanceday/day.go
@@ -1,4 +1,4 @@
-// Package workday plays the work of a fleet in virtual time: the state machine of fleet/maintenance and
+// Package maintenanceday plays the work of a fleet in virtual time: the state machine of fleet/maintenance and
 // its agents, against machines, links and zones that are drawn. A judge of its own looks at each
 // moment whether a bound is broken, and a search looks for the best order that there would have been.
 package maintenanceday
--- a/internal/testbed/ratingserver/server.go
+++ b/internal/testbed/ratingserver/server.go
@@ -1,4 +1,4 @@
-// Package origin is the rating servers of a play: machines that share their cores among the
+// Package ratingserver is the rating servers of a play: machines that share their cores among the
 // requests in work, start cold, fall over when pushed, slow down, fail and turn away.
 package ratingserver
 
--- a/internal/testbed/refbucket/ledger.go
+++ b/internal/testbed/refbucket/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger keeps the true stores of the customers' quotas and the meter that reads them: the
+// Package refbucket keeps the true stores of the customers' quotas and the meter that reads them: the
 // platform's own account, of which nodes hear only what the meter tells.
 package refbucket
 
