--- a/cmd/edgenode/otherversion_test.go
+++ b/cmd/edgenode/otherversion_test.go
@@ -34,9 +34,12 @@
 	return map[string][2]string{"from the other": {*other, own}, "to the other": {own, *other}}
 }
 
-// Nodes of two versions share limits and outlier reports, agree on rule versions and go by them.
+// Nodes of two versions share limits and outlier reports, agree on rule versions and go by them. They have a discovery:
+// without one they send to no server once their list is stale, 6 s after the start.
 func TestFleetOfTwoVersions(t *testing.T) {
-	t.Parallel()
+	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+	t.Cleanup(app.Close)
+	t.Setenv("NODE_DISCOVERY", discovery(t, "s-1", app).Listener.Addr().String())
 	f := newCouncilFleet(t, 3, 5, "limits = true", "verdicts = true")
 	if *other != "" {
 		for _, i := range []int{1, 3} {
@@ -52,12 +55,21 @@
 	two := f.publish(1, 2)
 	f.activate(2, two, "exclusive")
 	f.acting(two, 10*time.Second, all...)
-	ctx, stop := context.WithTimeout(t.Context(), 4*time.Second)
-	defer stop()
+	ctx, stop := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	for i := range f.nodes {
 		work.Go(func() { f.askShared(ctx, i) })
 	}
+	time.Sleep(4 * time.Second)
+	assert.Eventually(t, func() bool {
+		for i := range f.nodes {
+			if m := f.metrics(i); m["node_share_known_total"] == 0 || m["node_share_heard_total"] == 0 {
+				return false
+			}
+		}
+		return true
+	}, 20*time.Second, 100*time.Millisecond, "a node knows no shared bucket")
+	stop()
 	work.Wait()
 	for i, n := range f.nodes {
 		m := f.metrics(i)
