--- a/control/fleetquota_test.go
+++ b/control/admissionfleet_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// asker is one customer of a day of many gateways, and the true store of its quota.
-type asker struct {
+// asker is one tenant of a day of many nodes, and the true store of its quota.
+type tenantLoad struct {
 	name    string
 	use     float64   // units asked, in parts of the rate
 	weights []float64 // by gateway, summed up
@@ -19,14 +19,14 @@
 	used    map[int]float64 // units sent on, by meter period
 }
 
-// fill is a step's refill of a store.
+// fill is a step's refill of a bucket.
 func fill(level float64, p Plan, step time.Duration) float64 {
 	return min(p.Burst, level+p.Rate*step.Seconds())
 }
 
-// newAsker draws the i-th customer, of whom one in ten asks for more than its quota.
-func newAsker(i, gateways int, p Plan, rng *rand.Rand) *asker {
-	a := &asker{name: fmt.Sprint(i), use: 0.33, level: p.Burst, used: map[int]float64{}}
+// newAsker draws the i-th tenant, of whom one in ten asks for more than its quota.
+func newTenantLoad(i, gateways int, p Plan, rng *rand.Rand) *tenantLoad {
+	a := &tenantLoad{name: fmt.Sprint(i), use: 0.33, level: p.Burst, used: map[int]float64{}}
 	if i%10 == 0 {
 		a.use = 3.5
 	}
@@ -38,8 +38,8 @@
 	return a
 }
 
-// drawGateway draws the gateway of a request by the customer's weights.
-func (a *asker) drawGateway(rng *rand.Rand) int {
+// drawGateway draws the node of a request by the tenant's weights.
+func (a *tenantLoad) drawGateway(rng *rand.Rand) int {
 	x := rng.Float64() * a.weights[len(a.weights)-1]
 	n := 0
 	for a.weights[n] < x {
@@ -48,13 +48,14 @@
 	return n
 }
 
-// meterReading is what the meter tells of the last period that ended by a time, in percent of the rate and one more.
-func (a *asker) meterReading(at time.Duration, rate float64) int {
+// meterReading is what the meter tells of the last period that ended by a time, in percent of the rate
+// and one more.
+func (a *tenantLoad) meterReading(at time.Duration, rate float64) int {
 	return 1 + int(100*a.used[int(at/time.Second)-1]/rate)
 }
 
 // take takes units from the true store where it holds them.
-func (a *asker) take(units float64) bool {
+func (a *tenantLoad) take(units float64) bool {
 	if a.level < units {
 		return false
 	}
@@ -65,12 +66,13 @@
 // meteredAttempt is an attempt in flight that is answered at a time, with a reading of the meter.
 type meteredAttempt struct {
 	at time.Duration
-	g  *gate
+	g  *harness
 	id string
-	a  *asker
+	a  *tenantLoad
 }
 
-// answerMetered answers the attempts that are due, in order, and returns the others. The meter's reading lags a second.
+// answerMetered answers the attempts that are due, in order, and returns the others. The meter's reading
+// lags a second.
 func answerMetered(out []meteredAttempt, at time.Duration, metered bool, rate float64) []meteredAttempt {
 	const lag = time.Second
 	for len(out) > 0 && out[0].at <= at {
@@ -78,17 +80,17 @@
 		if metered && at >= lag+time.Second {
 			reading = o.a.meterReading(at-lag, rate)
 		}
-		o.g.reply(o.id, OK, reading)
+		o.g.answer(o.id, OK, reading)
 		out = out[1:]
 	}
 	return out
 }
 
-// blindDay plays 20 s of customers, of whom one in ten asks for three and a half times its quota and the
-// rest for a third, through so many gateways that most tries are the first of their customer at their
-// gateway. It gives the units inside the quotas and those beyond, in parts of what one gateway that saw
+// blindDay plays 20 s of tenants, of whom one in ten asks for three and a half times its quota and the
+// rest for a third, through so many nodes that most tries are the first of their tenant at their
+// node. It gives the units inside the quotas and those beyond, in parts of what one node that saw
 // all would let in.
-func blindDay(t *testing.T, gateways int, seed uint64, metered bool, cost float64) (inside, beyond float64) {
+func runUnseenTenants(t *testing.T, gateways int, seed uint64, metered bool, cost float64) (inside, beyond float64) {
 	const step, customers = 100 * ms, 80
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := large()
@@ -97,17 +99,17 @@
 		s.MeterPeriod = 0
 	}
 	p := s.Plans[0]
-	gates, askers := make([]*gate, gateways), make([]*asker, customers)
+	gates, askers := make([]*harness, gateways), make([]*tenantLoad, customers)
 	servers := make([]uint32, gateways) // so that a gateway's part of the group's bound lets each try go at once
 	for i := range servers {
 		servers[i] = uint32(i + 1)
 	}
 	for i := range gates {
-		gates[i] = newGate(t, s, on(servers...)...)
+		gates[i] = newHarness(t, s, endpoints(servers...)...)
 		gates[i].c.env.random = rand.New(rand.NewPCG(seed, uint64(i))) // else all draw alike
 	}
 	for i := range askers {
-		askers[i] = newAsker(i, gateways, p, rng)
+		askers[i] = newTenantLoad(i, gateways, p, rng)
 	}
 	var out []meteredAttempt
 	ideal, all := make([]float64, customers), 0.0
@@ -127,7 +129,7 @@
 				}
 				g := gates[a.drawGateway(rng)]
 				id := fmt.Sprint(at, i, rng.Uint64())
-				g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: a.name, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: gateways})
+				g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: a.name, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: gateways})
 				if g.n[id] == 0 {
 					continue
 				}
@@ -141,24 +143,24 @@
 			}
 		}
 		for _, g := range gates {
-			g.pass(step)
+			g.advance(step)
 		}
 	}
 	return inside / all, beyond / all
 }
 
-// One customer in ten asks for 2.5 times its rate beyond its quota, the rest for a third of theirs: 0.63 of
+// One tenant in ten asks for 2.5 times its rate beyond its quota, the rest for a third of theirs: 0.63 of
 // what is offered is asked beyond. Three tenths of that may pass, and half of what fits has to. The gate's
 // own bound, 0.1 over a policy that sees all, is of a milder day on which clients come again.
 const beyondMost, insideLeast = 0.3 * 0.63, 0.5
 
-// Guards against gateways that each pass the first try of a heavy customer as that of a calm one: where
+// Guards against nodes that each pass the first try of a heavy tenant as that of a calm one: where
 // hundreds do, most of what it asks goes through, quota or not.
 func TestManyGatewaysKeepQuotasTheyCannotSee(t *testing.T) {
 	for _, gateways := range []int{60, 300} {
 		for _, metered := range []bool{true, false} {
 			for seed := range uint64(3) {
-				inside, beyond := blindDay(t, gateways, seed, metered, 1)
+				inside, beyond := runUnseenTenants(t, gateways, seed, metered, 1)
 				t.Logf("%d gateways, metered %v: %.3f inside, %.3f beyond", gateways, metered, inside, beyond)
 				assert.Less(t, beyond, beyondMost, "%d gateways, metered %v, seed %d: units beyond quotas", gateways, metered, seed)
 				assert.Greater(t, inside, insideLeast, "%d gateways, metered %v, seed %d: units inside", gateways, metered, seed)
@@ -170,8 +172,8 @@
 // Where what goes beyond a quota costs half of its worth, more of it may pass, and more is served.
 func TestManyGatewaysServeMoreWhereItCostsLess(t *testing.T) {
 	for _, gateways := range []int{60, 300} {
-		dear, _ := blindDay(t, gateways, 1, true, 1)
-		cheap, beyond := blindDay(t, gateways, 1, true, 0.5)
+		dear, _ := runUnseenTenants(t, gateways, 1, true, 1)
+		cheap, beyond := runUnseenTenants(t, gateways, 1, true, 0.5)
 		assert.Greater(t, cheap, dear+0.1, "%d gateways: units inside", gateways)
 		assert.Less(t, beyond, 2*beyondMost, "%d gateways: units beyond quotas", gateways)
 	}
--- a/control/attempts_test.go
+++ b/control/attempt_test.go
@@ -26,10 +26,10 @@
 		s := settings()
 		k.class.Name, k.class.LatencyObjective, k.class.Deadline = "job", 2*time.Second, 6*time.Second
 		s.Classes = []Class{k.class}
-		g := newGate(t, s, on(1, 2, 3, 4)...)
-		g.ask("a", "job", "low", "x")
+		g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
+		g.request("a", "job", "low", "x")
 		g.now += 10 * ms
-		g.reply("a", k.why, 0)
+		g.answer("a", k.why, 0)
 		if again := g.n["a"] == 2; again != k.again {
 			t.Errorf("%s: sent %d times", k.name, g.n["a"])
 		}
@@ -55,11 +55,11 @@
 	} {
 		s := settings()
 		s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = k.effect, 100*ms
-		g := newGate(t, s, on(1, 2, 3, 4)...)
-		g.ask("a", "job", "low", "x")
+		g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
+		g.request("a", "job", "low", "x")
 		begun := g.now
 		g.now += 10 * ms
-		g.reply("a", k.why, 0)
+		g.answer("a", k.why, 0)
 		if len(g.sends) != 2 || g.sends[0].NotAfter != 0 {
 			t.Fatalf("%s: %+v", k.name, g.sends)
 		}
@@ -80,31 +80,31 @@
 	} {
 		s := settings()
 		s.Classes[0].Idempotency, s.Classes[0].KeyScope, s.Classes[0].IdempotencyWindow = IdempotentByKey, scope, time.Minute
-		list := on(1, 2, 3, 4, 5, 6)
-		g := newGate(t, s, list...)
+		list := endpoints(1, 2, 3, 4, 5, 6)
+		g := newHarness(t, s, list...)
 		for i := 0; i < 30; i++ {
 			id := fmt.Sprint(scope, "-", i)
-			g.ask(id, "job", "low", "x")
-			g.reply(id, TimedOut, 0)
+			g.request(id, "job", "low", "x")
+			g.answer(id, TimedOut, 0)
 			if g.n[id] == 2 {
 				a, b := g.sends[len(g.sends)-2].Server, g.sends[len(g.sends)-1].Server
 				if !same(list[a-1], list[b-1]) {
 					t.Fatalf("scope %v: from server %d to %d", scope, a, b)
 				}
-				g.reply(id, OK, 0)
+				g.answer(id, OK, 0)
 			}
 		}
 	}
 }
 
 func TestAttemptLimitAndOneAtATime(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3, 4)...)
-	g.ask("a", "job", "low", "x")
+	g := newHarness(t, settings(), endpoints(1, 2, 3, 4)...)
+	g.request("a", "job", "low", "x")
 	for i := 0; i < 3; i++ {
 		if g.n["a"] != i+1 {
 			t.Fatalf("%d attempts after %d failures", g.n["a"], i)
 		}
-		g.reply("a", Overloaded, 0)
+		g.answer("a", Overloaded, 0)
 	}
 	if _, ok := g.ends["a"].(Reject); !ok || g.n["a"] != 3 {
 		t.Errorf("%d attempts, ended with %v", g.n["a"], g.ends["a"])
@@ -116,7 +116,7 @@
 func TestStormOfFastErrorsIsRiddenOut(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 6
-	g := newGate(t, s, on(1, 2, 3, 4)...)
+	g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
 	rng := rand.New(rand.NewPCG(1, 2))
 	type outcome struct {
 		at  time.Duration
@@ -127,7 +127,7 @@
 	tries, seen, asked, failed := make(map[uint32]int), 0, 0, 0
 	for len(g.ends) < 2000 {
 		for ; asked-len(g.ends) < 12; asked++ {
-			g.ask(fmt.Sprint(asked), "job", "low", "x")
+			g.request(fmt.Sprint(asked), "job", "low", "x")
 		}
 		for ; seen < len(g.sends); seen++ {
 			o := outcome{g.now + 50*ms, g.sends[seen].ID, OK}
@@ -145,8 +145,8 @@
 		}
 		o := due[first]
 		due = slices.Delete(due, first, first+1)
-		g.pass(o.at - g.now)
-		g.reply(o.id, o.why, 0)
+		g.advance(o.at - g.now)
+		g.answer(o.id, o.why, 0)
 	}
 	for _, end := range g.ends {
 		if _, ok := end.(Send); !ok {
@@ -170,15 +170,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &gate{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
-			g.do(EndpointUpdate{Kind: Cached, Endpoints: on(1, 2, 3, 4, 5, 6)})
+			g := &harness{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
+			g.handle(EndpointUpdate{Kind: Cached, Endpoints: endpoints(1, 2, 3, 4, 5, 6)})
 			c.concurrency.bound, c.traffic.latency = 50, 0.2
 			for j := 0; j < 10; j++ { // each fails after as long as an answer takes
-				g.ask(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
+				g.request(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
 			}
 			for told := 0; told < len(g.sends); told++ {
 				g.now += 200 * ms
-				g.reply(g.sends[told].ID, Errored, 0)
+				g.answer(g.sends[told].ID, Errored, 0)
 			}
 			sum += len(g.sends) - 10
 		}
@@ -190,25 +190,25 @@
 }
 
 // Clients that give up before an answer is due make time-outs that tell nothing: neither is the bound
-// cut by them nor a server put aside, while time-outs of those who waited as long as they want an
+// cut by them nor a server ejected, while time-outs of those who waited as long as they want an
 // answer within do both.
 func TestTimeOutsOfHastyClientsSpeakAgainstNobody(t *testing.T) {
 	for _, k := range []struct {
 		ttl   time.Duration
 		blame bool
 	}{{250 * ms, false}, {3 * time.Second, true}} {
-		g := newGate(t, settings(), on(1, 2)...)
+		g := newHarness(t, settings(), endpoints(1, 2)...)
 		g.run(10*time.Second, 100*ms, func(uint32) time.Duration { return 200 * ms })
 		g.c.concurrency.bound, g.c.interval.saturated = 8, false
 		cuts, aside := g.c.counts.cuts, false
 		for i := 0; i < 40; i++ {
 			id := fmt.Sprint("hasty", i)
-			g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: k.ttl, Tokens: 1, TenantNodes: 2})
+			g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: k.ttl, Tokens: 1, TenantNodes: 2})
 			if g.n[id] == 0 {
 				continue // kept out by the cut bound
 			}
-			g.pass(k.ttl)
-			g.reply(id, TimedOut, 0)
+			g.advance(k.ttl)
+			g.answer(id, TimedOut, 0)
 			aside = aside || g.c.AvoidedServers(g.now) > 0
 		}
 		if blamed := g.c.counts.cuts > cuts || g.c.concurrency.bound < 8; blamed != k.blame {
--- a/control/choice_test.go
+++ b/control/balancer_test.go
@@ -7,13 +7,13 @@
 )
 
 func TestNothingGoesToADrainingServer(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2)...)
-	g.do(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 1, Condition: Draining}}})
+	g := newHarness(t, settings(), endpoints(1, 2)...)
+	g.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 1, Condition: Draining}}})
 	for i := 0; i < 4; i++ {
-		g.ask(fmt.Sprint(i), "job", "low", "x")
+		g.request(fmt.Sprint(i), "job", "low", "x")
 	}
-	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(3)})
-	g.ask("x", "job", "low", "x")
+	g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(3)})
+	g.request("x", "job", "low", "x")
 	for _, s := range g.sends {
 		if s.Server == 1 || s.ID == "x" && s.Server != 3 {
 			t.Errorf("%s went to %d", s.ID, s.Server)
@@ -22,18 +22,18 @@
 }
 
 func TestDeadServerIsLeftAlone(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3, 4)...)
+	g := newHarness(t, settings(), endpoints(1, 2, 3, 4)...)
 	bad := 0
 	for i := 0; i < 200; i++ {
 		id := fmt.Sprint(i)
-		g.ask(id, "job", "low", "x")
+		g.request(id, "job", "low", "x")
 		for g.ends[id] == nil {
 			if g.sends[len(g.sends)-1].Server == 2 {
 				bad++
-				g.reply(id, ConnectFailed, 0)
+				g.answer(id, ConnectFailed, 0)
 			} else {
 				g.now += 50 * ms
-				g.reply(id, OK, 0)
+				g.answer(id, OK, 0)
 			}
 		}
 	}
@@ -44,19 +44,19 @@
 
 // Guards against a server that fails at once, looks idle and draws all traffic.
 func TestServerThatFailsFastDoesNotDrawTheTraffic(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3, 4)...)
+	g := newHarness(t, settings(), endpoints(1, 2, 3, 4)...)
 	bad := 0
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
-		g.ask(id, "job", "low", "x")
+		g.request(id, "job", "low", "x")
 		for g.ends[id] == nil {
 			if g.sends[len(g.sends)-1].Server == 2 {
 				bad++
 				g.now += ms
-				g.reply(id, Errored, 0)
+				g.answer(id, Errored, 0)
 			} else {
 				g.now += 50 * ms
-				g.reply(id, OK, 0)
+				g.answer(id, OK, 0)
 			}
 		}
 	}
@@ -65,22 +65,22 @@
 	}
 }
 
-// Guards against servers that fail every second request at once: never put aside, they look
+// Guards against servers that fail every second request at once: never ejected, they look
 // idle and draw the traffic.
 func TestServerThatFailsHalfIsChosenLess(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3, 4)...)
+	g := newHarness(t, settings(), endpoints(1, 2, 3, 4)...)
 	tries := make(map[uint32]int)
 	for i := 0; i < 400; i++ {
 		id := fmt.Sprint(i)
-		g.ask(id, "job", "low", "x")
+		g.request(id, "job", "low", "x")
 		for g.ends[id] == nil {
 			s := g.sends[len(g.sends)-1].Server
 			if tries[s]++; s == 2 && tries[s]%2 == 0 {
 				g.now += ms
-				g.reply(id, Errored, 0)
+				g.answer(id, Errored, 0)
 			} else {
 				g.now += 50 * ms
-				g.reply(id, OK, 0)
+				g.answer(id, OK, 0)
 			}
 		}
 	}
@@ -91,16 +91,16 @@
 
 // Guards against a server that takes requests and never answers.
 func TestSilentServerIsLeftAlone(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3, 4)...)
+	g := newHarness(t, settings(), endpoints(1, 2, 3, 4)...)
 	silent := 0
 	for i := 0; i < 200; i++ {
 		id := fmt.Sprint(i)
-		g.ask(id, "job", "low", "x")
-		g.pass(20 * ms)
+		g.request(id, "job", "low", "x")
+		g.advance(20 * ms)
 		if g.sends[len(g.sends)-1].Server == 2 {
 			silent++
 		} else if g.n[id] > 0 {
-			g.reply(id, OK, 0)
+			g.answer(id, OK, 0)
 		}
 	}
 	if silent == 0 || silent > 6 {
@@ -108,22 +108,22 @@
 	}
 }
 
-// A slow server is still known for slow when a gateway of many comes round to it again; one that
+// A slow server is still known for slow when a node of many comes round to it again; one that
 // sees each server often forgets sooner, as before.
 func TestSlowServerIsRememberedForSomeVisits(t *testing.T) {
 	var members []uint32
 	for id := uint32(1); id <= 60; id++ {
 		members = append(members, id)
 	}
-	g := newGate(t, fleet(80), on(members...)...)
+	g := newHarness(t, fleet(80), endpoints(members...)...)
 	g.run(30*time.Second, 200*ms, func(uint32) time.Duration { return 200 * ms })
 	slow := g.c.servers.ordered[6]
 	slow.observeLatency(g.c.env.now, 2)
-	g.pass(12 * time.Second) // in which it sends to each server once
+	g.advance(12 * time.Second) // in which it sends to each server once
 	if ratio := g.c.balancer.cost(slow) / g.c.balancer.cost(g.c.servers.ordered[7]); ratio < 2 {
 		t.Errorf("a server that took ten times as long costs %.1f times as much at the next visit", ratio)
 	}
-	few := newGate(t, fleet(3), on(members[:9]...)...)
+	few := newHarness(t, fleet(3), endpoints(members[:9]...)...)
 	few.run(30*time.Second, 50*ms, func(uint32) time.Duration { return 200 * ms })
 	if r := few.c.traffic.observationLifetime(few.c.servers.usable); r != minObservationLifetime {
 		t.Errorf("it is remembered for %.1f s where each server answers often", r)
@@ -134,8 +134,8 @@
 // speaks for it; no more than a third of all are taken so. A zone that is left gets nothing while
 // another is there, and all where it is the only one.
 func TestOthersWordAndZones(t *testing.T) {
-	fresh := func() *gate {
-		g := newGate(t, settings(), on(1, 2, 3, 4, 5, 6)...)
+	fresh := func() *harness {
+		g := newHarness(t, settings(), endpoints(1, 2, 3, 4, 5, 6)...)
 		g.sentTo(60)
 		return g
 	}
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// requests gives a function that asks a gateway of a full fleet and answers it.
+// requests gives a function that asks a node of a full fleet and answers it.
 func requests(t testing.TB, servers uint32) (one func()) {
 	var ids []uint32
 	for id := uint32(1); id <= servers; id++ {
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	now, i := time.Hour, 0
-	c.Handle(now, EndpointUpdate{Kind: Cached, Endpoints: on(ids...)})
+	c.Handle(now, EndpointUpdate{Kind: Cached, Endpoints: endpoints(ids...)})
 	return func() {
 		now, i = now+80*ms, i+1
 		id := fmt.Sprint(i)
@@ -31,7 +31,7 @@
 	}
 }
 
-// What a request and its answer cost a gateway of a full fleet among 200 servers.
+// What a request and its answer cost a node of a full fleet among 200 servers.
 func BenchmarkRequestAmongManyServers(b *testing.B) {
 	one := requests(b, 200)
 	for b.Loop() {
@@ -39,7 +39,7 @@
 	}
 }
 
-// A request is decided on without an allocation for each server or customer: a node has a sixth of
+// A request is decided on without an allocation for each server or tenant: a node has a sixth of
 // a core, and what it allocates it also collects.
 func TestRequestAllocatesTheSameAmongManyServers(t *testing.T) {
 	cost := func(servers uint32) float64 {
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 	"sloestile/control"
 )
 
-// A gateway hands over what happens and does what it is told.
+// A node hands over what happens and does what it is told.
 func Example() {
 	c, err := control.New(control.Settings{
 		FleetSize: 1, MaxAttempts: 3, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// alone is a gateway without others whose customers have 20 units at once and 1 a second.
+// alone is a node without others whose tenants have 20 units at once and 1 a second.
 func aloneSettings() Settings {
 	s := settings()
 	s.FleetSize, s.MeterPeriod = 1, 0
@@ -18,22 +18,22 @@
 }
 
 // sent asks n times for one unit and tells how many were sent on; each is answered soon.
-func (g *gate) sent(prefix string, n int) int {
+func (g *harness) sent(prefix string, n int) int {
 	g.t.Helper()
 	sent := 0
 	for i := range n {
 		id := fmt.Sprint(prefix, i)
-		g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: "c", TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1})
+		g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: "c", TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1})
 		if g.n[id] > 0 {
 			sent++
-			g.reply(id, OK, 0)
+			g.answer(id, OK, 0)
 		}
 	}
 	return sent
 }
 
 // successor is the gate of the process that takes over from g's.
-func (g *gate) successor(s Settings) *gate {
+func (g *harness) successor(s Settings) *harness {
 	g.t.Helper()
 	raw, err := g.c.Handover(g.now)
 	if err != nil {
@@ -46,7 +46,7 @@
 	if err := c.Adopt(g.now, raw); err != nil {
 		g.t.Fatal(err)
 	}
-	return &gate{t: g.t, c: c, now: g.now, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
+	return &harness{t: g.t, c: c, now: g.now, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
 }
 
 // Two processes side by side grant together what one would have granted, and what the old one
@@ -54,16 +54,16 @@
 func TestNoQuotaIsGrantedTwice(t *testing.T) {
 	for _, rest := range []bool{true, false} {
 		s := aloneSettings()
-		old := newGate(t, s, on(1)...)
+		old := newHarness(t, s, endpoints(1)...)
 		granted := old.sent("a", 4)
 		fresh := old.successor(s)
-		fresh.do(EndpointUpdate{Kind: Complete, Endpoints: on(1)})
+		fresh.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(1)})
 		granted += fresh.sent("b", 100)
 		if granted != 4+8 {
 			t.Errorf("%d units granted, not 4 and half of the other 16", granted)
 		}
-		fresh.pass(2 * time.Second)
-		old.pass(2 * time.Second)
+		fresh.advance(2 * time.Second)
+		old.advance(2 * time.Second)
 		granted += old.sent("c", 3) + fresh.sent("d", 100)
 		var left []byte
 		if rest {
@@ -83,7 +83,7 @@
 		if granted < want-1 || granted > want {
 			t.Errorf("with the rest handed over %v: %d units granted, not %d", rest, granted, want)
 		}
-		fresh.pass(5 * time.Second)
+		fresh.advance(5 * time.Second)
 		if n := fresh.sent("f", 100); n < 4 || n > 6 {
 			t.Errorf("%d units granted in 5 s alone, not 5", n)
 		}
@@ -93,38 +93,38 @@
 // A process whose successor has gone takes the whole again.
 func TestSuccessorGone(t *testing.T) {
 	s := aloneSettings()
-	old := newGate(t, s, on(1)...)
+	old := newHarness(t, s, endpoints(1)...)
 	old.successor(s)
 	bound := old.c.concurrency.bound
 	if err := old.c.EndSharing(old.now, nil); err != nil {
 		t.Fatal(err)
 	}
-	old.pass(30 * time.Second)
+	old.advance(30 * time.Second)
 	if n := old.sent("a", 100); n != 20 || old.c.concurrency.bound < 2*bound {
 		t.Errorf("%d units granted, a bound of %g after %g", n, old.c.concurrency.bound, bound)
 	}
 }
 
-// What was learnt of servers, customers, the meter and the shares is there at once.
+// What was learnt of servers, tenants, the meter and the shares is there at once.
 func TestHandoverKeepsWhatWasLearnt(t *testing.T) {
 	s := settings()
-	g := newGate(t, s, on(1, 2)...)
+	g := newHarness(t, s, endpoints(1, 2)...)
 	for i := range 60 {
 		id := fmt.Sprint(i)
-		g.ask(id, "job", "high", fmt.Sprint("c", i%3))
-		g.pass(70 * ms)
+		g.request(id, "job", "high", fmt.Sprint("c", i%3))
+		g.advance(70 * ms)
 		if g.n[id] > 0 && g.ends[id] == nil {
-			g.reply(id, OK, 1+i%40)
+			g.answer(id, OK, 1+i%40)
 		}
 	}
-	g.ask("dead", "job", "high", "c0")
-	g.reply("dead", ConnectFailed, 0)
+	g.request("dead", "job", "high", "c0")
+	g.answer("dead", ConnectFailed, 0)
 	dead := g.sends[len(g.sends)-2].Server
 	if g.c.AvoidedServers(g.now) != 1 {
 		t.Fatalf("%d avoided", g.c.AvoidedServers(g.now))
 	}
 	f := g.successor(s)
-	f.do(EndpointUpdate{Kind: Complete, Endpoints: on(1, 2)})
+	f.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(1, 2)})
 	if f.c.AvoidedServers(f.now) != 1 || !f.c.outliers.ejected(f.c.servers.byID[dead]) {
 		t.Error("the server that takes no connections is forgotten")
 	}
@@ -161,8 +161,8 @@
 // What is of another version, cut off or can't be changes nothing.
 func TestSpoiltHandover(t *testing.T) {
 	s := settings()
-	g := newGate(t, s, on(1)...)
-	g.ask("a", "job", "low", "c")
+	g := newHarness(t, s, endpoints(1)...)
+	g.request("a", "job", "low", "c")
 	good, err := g.c.Handover(g.now)
 	if err != nil {
 		t.Fatal(err)
--- a/control/gate_test.go
+++ b/control/harness_test.go
@@ -28,7 +28,7 @@
 }
 
 // gate drives one controller by hand and keeps what it was told to do.
-type gate struct {
+type harness struct {
 	t     *testing.T
 	c     *Controller
 	now   time.Duration
@@ -39,26 +39,26 @@
 	acts  []Action
 }
 
-func newGate(t *testing.T, s Settings, servers ...Endpoint) *gate {
+func newHarness(t *testing.T, s Settings, servers ...Endpoint) *harness {
 	t.Helper()
-	return newGateOfSeed(t, s, 7, servers...)
+	return newHarnessOfSeed(t, s, 7, servers...)
 }
 
 // newGateOfSeed is newGate with a seed of its own for the controller's draws.
-func newGateOfSeed(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *gate {
+func newHarnessOfSeed(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *harness {
 	t.Helper()
 	c, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &gate{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{},
+	g := &harness{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{},
 		due: map[uint64]time.Duration{}}
-	g.do(EndpointUpdate{Kind: Cached, Endpoints: servers})
+	g.handle(EndpointUpdate{Kind: Cached, Endpoints: servers})
 	return g
 }
 
 // do hands over one event and checks what holds for all actions.
-func (g *gate) do(e Event) {
+func (g *harness) handle(e Event) {
 	g.t.Helper()
 	acts := append([]Action{}, g.c.Handle(g.now, e)...)
 	for _, a := range acts {
@@ -80,7 +80,7 @@
 	g.acts = append(g.acts, acts...)
 }
 
-func (g *gate) end(id string, a Action) {
+func (g *harness) end(id string, a Action) {
 	g.t.Helper()
 	if g.ends[id] != nil {
 		g.t.Fatalf("%s has two final answers", id)
@@ -89,7 +89,7 @@
 }
 
 // pass lets time go by, with the timers that come due in it.
-func (g *gate) pass(d time.Duration) {
+func (g *harness) advance(d time.Duration) {
 	g.t.Helper()
 	for end := g.now + d; ; {
 		var label uint64
@@ -105,21 +105,21 @@
 		}
 		delete(g.due, label)
 		g.now = max(g.now, at)
-		g.do(Timer{Label: label})
+		g.handle(Timer{Label: label})
 	}
 }
 
-func (g *gate) ask(id, class, plan, customer string) {
+func (g *harness) request(id, class, plan, customer string) {
 	g.t.Helper()
-	g.do(Request{ID: id, Class: class, Plan: plan, Tenant: customer, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2})
+	g.handle(Request{ID: id, Class: class, Plan: plan, Tenant: customer, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2})
 }
 
 // reply answers the latest send of a request.
-func (g *gate) reply(id string, why Outcome, used int) {
+func (g *harness) answer(id string, why Outcome, used int) {
 	g.t.Helper()
 	for i := len(g.sends) - 1; i >= 0; i-- {
 		if g.sends[i].ID == id {
-			g.do(AttemptEnded{ID: id, Attempt: g.n[id] - 1, Server: g.sends[i].Server, Outcome: why, Done: why == OK, MeterReading: used})
+			g.handle(AttemptEnded{ID: id, Attempt: g.n[id] - 1, Server: g.sends[i].Server, Outcome: why, Done: why == OK, MeterReading: used})
 			if why == OK {
 				g.ends[id] = Send{}
 			}
@@ -130,7 +130,7 @@
 }
 
 // run asks every gap for a time and answers each send after what its server takes.
-func (g *gate) run(d, gap time.Duration, takes func(server uint32) time.Duration) {
+func (g *harness) run(d, gap time.Duration, takes func(server uint32) time.Duration) {
 	g.t.Helper()
 	type due struct {
 		at time.Duration
@@ -140,7 +140,7 @@
 	step, told := 10*ms, len(g.sends)
 	for i, end, next := 0, g.now+d, g.now; g.now < end || len(out) > 0; {
 		if g.now >= next && g.now < end {
-			g.ask(fmt.Sprintf("%d-%d", g.now, i), "job", "low", fmt.Sprint(i))
+			g.request(fmt.Sprintf("%d-%d", g.now, i), "job", "low", fmt.Sprint(i))
 			i, next = i+1, next+gap
 		}
 		for ; told < len(g.sends); told++ {
@@ -149,18 +149,18 @@
 		kept := out[:0]
 		for _, o := range out {
 			if o.at <= g.now {
-				g.reply(o.id, OK, 0)
+				g.answer(o.id, OK, 0)
 			} else {
 				kept = append(kept, o)
 			}
 		}
 		out = kept
-		g.pass(step)
+		g.advance(step)
 	}
 }
 
 // sentTo counts to which servers some requests go, each answered at once.
-func (g *gate) sentTo(n int) map[uint32]int {
+func (g *harness) sentTo(n int) map[uint32]int {
 	got := map[uint32]int{}
 	for i := range n {
 		id := fmt.Sprint("to", g.now, i)
@@ -175,7 +175,7 @@
 	return got
 }
 
-func on(ids ...uint32) []Endpoint {
+func endpoints(ids ...uint32) []Endpoint {
 	var m []Endpoint
 	for i, id := range ids {
 		m = append(m, Endpoint{Server: id, Zone: fmt.Sprintf("z%d", i%2+1), Cell: i / 2, Size: 1})
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -10,7 +10,7 @@
 func TestChanceFollowsTheFormulaAndReadsAPeriodOnce(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 1000, 20 // enough units for a reading to outweigh the prior
-	g := newGate(t, s, on(1, 2, 3)...)
+	g := newHarness(t, s, endpoints(1, 2, 3)...)
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", wellObservedNodes)
 	read := func(pct int) float64 {
 		g.c.env.now, g.c.tenants.observingSince = g.now, g.now // own tries tell nothing
@@ -53,7 +53,7 @@
 func TestClockLearnsTheLateness(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 1000
-	g := newGate(t, s, on(1, 2, 3)...)
+	g := newHarness(t, s, endpoints(1, 2, 3)...)
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 1)
 	const late = 1300 * ms
 	var sent []time.Duration
@@ -85,15 +85,15 @@
 func TestOpenQuotaHoldsBack(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst, s.Plans[0].MaxConcurrent = 0, 0, 4
-	g := newGate(t, s, on(1, 2, 3, 4)...)
+	g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
 	for i := 0; i < 4; i++ {
-		g.ask(fmt.Sprint(i), "job", "low", "x")
+		g.request(fmt.Sprint(i), "job", "low", "x")
 	}
-	g.ask("y", "job", "low", "y")
+	g.request("y", "job", "low", "y")
 	if g.c.tenants.get(g.c.scheduler.plans[0], "x", 2).inFlight != 2 || g.n["y"] != 1 {
 		t.Fatalf("sends %v: two of x are its part of four, y is not held up", g.sends)
 	}
-	g.reply("0", OK, 0)
+	g.answer("0", OK, 0)
 	if g.n["2"] != 1 {
 		t.Error("the next of x did not follow")
 	}
@@ -102,22 +102,22 @@
 func TestTrueUnitsAreSettled(t *testing.T) {
 	s := settings()
 	s.CostWithAnswer = true
-	g := newGate(t, s, on(1)...)
-	g.ask("a", "job", "low", "x")
+	g := newHarness(t, s, endpoints(1)...)
+	g.request("a", "job", "low", "x")
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 2)
 	before := q.level
-	g.do(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true, Tokens: 4})
+	g.handle(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true, Tokens: 4})
 	if got := before - q.level; math.Abs(got-3) > 1e-9 {
 		t.Errorf("settled %g units, guessed 1, true 4", got)
 	}
 }
 
-// What a customer uses elsewhere is charged once: under steady use within the quota, half of it
-// through this gateway, no more is charged in a period than is used by all.
+// What a tenant uses elsewhere is charged once: under steady use within the quota, half of it
+// through this node, no more is charged in a period than is used by all.
 func TestUseElsewhereIsChargedOnce(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 22, 10
-	g := newGate(t, s, on(1, 2)...)
+	g := newHarness(t, s, endpoints(1, 2)...)
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 2)
 	g.c.meter.phase.lag = 10 // each period is told a second after its end
 	for i := range 200 {
@@ -134,11 +134,11 @@
 	}
 }
 
-// One large request says little of how a customer's use is spread over the gateways.
+// One large request says little of how a tenant's use is spread over the nodes.
 func TestOneRequestHardlyMovesTheLearnedPart(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 20
-	g := newGate(t, s, on(1, 2)...)
+	g := newHarness(t, s, endpoints(1, 2)...)
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 4)
 	g.c.meter.phase.lag = 0
 	g.now += time.Second
--- a/control/sharers_test.go
+++ b/control/nodesperserver_test.go
@@ -52,12 +52,12 @@
 	require.Equal(t, 5800.0, c.servers.nodesPerServer)
 	now := time.Hour
 	for _, x := range []struct{ told, want float64 }{{13.6, 13.6}, {20, 20}, {0, 5800}, {-1, 5800}} {
-		c.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: on(1), NodesPerServer: x.told})
+		c.Handle(now, EndpointUpdate{Kind: Delta, Endpoints: endpoints(1), NodesPerServer: x.told})
 		require.Equal(t, x.want, c.servers.nodesPerServer)
 	}
 }
 
-// sharedFloor gives the first bound and the floor of a gateway among 200 servers.
+// sharedFloor gives the first bound and the floor of a node among 200 servers.
 func sharedFloor(t *testing.T, group int, sharers float64) (first, floor float64) {
 	t.Helper()
 	var ids []uint32
@@ -66,12 +66,12 @@
 	}
 	c, err := New(fleet(group), 1)
 	require.NoError(t, err)
-	c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: on(ids...), NodesPerServer: sharers})
+	c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: endpoints(ids...), NodesPerServer: sharers})
 	return c.concurrency.bound, c.concurrency.floor()
 }
 
-// A gateway of 5,800 with 200 servers that each 13.6 of them share has the bounds of a fleet with 13.6
-// gateways to a server; by its group alone it could keep none of its servers at work.
+// A node of 5,800 with 200 servers that each 13.6 of them share has the bounds of a fleet with 13.6
+// nodes to a server; by its group alone it could keep none of its servers at work.
 func TestBoundsOfAGatewayWithAPartOfTheServers(t *testing.T) {
 	first, floor := sharedFloor(t, 5800, 13.6)
 	assert.InDelta(t, 200*initialBoundPerServer/13.6, first, 1e-9)
@@ -83,44 +83,44 @@
 	assert.Less(t, strangled, 1.0)
 }
 
-// The gateways that share a cold server stay within its formula together, also where there are a quarter
-// more of them than the list tells, and use the room: by the count of the whole group they would leave
-// nearly all of it. A group of as many as the sharers does the same.
+// The nodes that share a server that is warming up stay within its formula together, also where there are
+// a quarter more of them than the list tells, and use the room: by the count of the whole group they
+// would leave nearly all of it. A group of as many as the sharers does the same.
 func TestSharersStayWithinTheColdFormula(t *testing.T) {
 	s := fleet(5800)
 	for _, from := range []float64{0.1, 0.3, 0.9} {
 		for seed := uint64(1); seed <= 3; seed++ {
 			for _, gateways := range []int{11, 14, 17} {
-				worst, mean := coldSumOf(t, s, gateways, 13.6, 200, from, 0.7, seed)
+				worst, mean := warmupSumOf(t, s, gateways, 13.6, 200, from, 0.7, seed)
 				assert.Less(t, worst, 1.0, "%d sharers, from %.2f, seed %d", gateways, from, seed)
 				assert.Greater(t, mean, 0.35, "%d sharers, from %.2f, seed %d", gateways, from, seed)
 			}
-			_, alike := coldSum(t, 14, 200, from, 0.7, seed)
-			_, mean := coldSumOf(t, s, 14, 13.6, 200, from, 0.7, seed)
+			_, alike := warmupSum(t, 14, 200, from, 0.7, seed)
+			_, mean := warmupSumOf(t, s, 14, 13.6, 200, from, 0.7, seed)
 			assert.InEpsilon(t, alike, mean, 0.1, "from %.2f, seed %d", from, seed)
 		}
-		_, strangled := coldSumOf(t, s, 14, 0, 200, from, 0.7, 1)
+		_, strangled := warmupSumOf(t, s, 14, 0, 200, from, 0.7, 1)
 		assert.Less(t, strangled, 0.2, "from %.2f", from)
 	}
 }
 
-// Whole controllers of the gateways that share some servers send to cold ones, in the sum, what a group of
-// that size sends, whatever comes with these. Single runs have a tail that is that of the group too: in
-// 16 seeds of a zone's servers among 60, at a load of 1.1, the group's worst is 1.21 of the formula and the sharers'
-// 1.22, the other 15 of each at most 0.88. So the medians over seeds are compared; each of these seeds
-// stays within the formula.
+// Whole controllers of the nodes that share some servers send to ones that are warming up, in the sum,
+// what a group of that size sends, whatever comes with these. Single runs have a tail that is that of the
+// group too: in 16 seeds of a zone's servers among 60, at a load of 1.1, the group's worst is 1.21 of the
+// formula and the sharers' 1.22, the other 15 of each at most 0.88. So the medians over seeds are
+// compared; each of these seeds stays within the formula.
 func TestSumOfSharersSendsToColdServers(t *testing.T) {
-	for name, x := range coldRows(14, 30) {
+	for name, x := range warmupCases(14, 30) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			x.load = 1.1
 			var group, sharers, uses []float64
 			for seed := uint64(1); seed <= 5; seed++ {
 				x.size, x.sharers = 0, 0
-				worst, _ := playCold(t, x, seed)
+				worst, _ := runWarmup(t, x, seed)
 				group = append(group, worst)
 				x.size, x.sharers = 5800, 13.6
-				worst, use := playCold(t, x, seed)
+				worst, use := runWarmup(t, x, seed)
 				sharers = append(sharers, worst)
 				uses = append(uses, use)
 			}
--- a/control/rules_test.go
+++ b/control/overrides_test.go
@@ -34,7 +34,7 @@
 }
 
 // ruled holds a send to the rules that its request began under, and to the bound of those in force.
-func (w *world) ruled(r *ask, a Send) {
+func (w *world) checkRules(r *issuedRequest, a Send) {
 	require.Equal(w.t, r.rules.Version, w.c.RuleVersion(a.ID), "%s goes by another version than it began under", a.ID)
 	if w.rules == nil {
 		return
@@ -87,25 +87,25 @@
 	assert.Greater(t, differ, 5, "rules that hold a gateway to one request at a time change nothing")
 }
 
-// What rules multiply a quota by holds for its rate over time, for one customer in place of its plan's;
+// What rules multiply a quota by holds for its rate over time, for one tenant in place of its plan's;
 // nothing lets nothing through. What the meter tells is a part of the settings' quota.
 func TestRulesMultiplyQuotas(t *testing.T) {
 	s := settings()
 	s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst = 1, 10, 10
-	g := newGate(t, s, on(1, 2, 3, 4)...)
-	g.do(Rules{Version: 1, QuotaFactor: []float64{0.5, 1}, TenantQuotaFactor: map[string]float64{"low double": 2, "low none": 0}})
+	g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
+	g.handle(Rules{Version: 1, QuotaFactor: []float64{0.5, 1}, TenantQuotaFactor: map[string]float64{"low double": 2, "low none": 0}})
 	sent := map[string]int{}
 	const secs = 40
 	for i := range secs * 25 {
 		for _, name := range []string{"half", "double", "none"} {
 			id := fmt.Sprint(name, i)
-			g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: name, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1})
+			g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: name, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1})
 			if g.n[id] > 0 {
 				sent[name]++
-				g.reply(id, OK, 0)
+				g.answer(id, OK, 0)
 			}
 		}
-		g.pass(40 * ms)
+		g.advance(40 * ms)
 	}
 	assert.InDelta(t, 5*secs, sent["half"], 0.2*5*secs)
 	assert.InDelta(t, 20*secs, sent["double"], 0.2*20*secs)
@@ -119,7 +119,7 @@
 	assert.InDelta(t, 15, q.lastPeriodTokens, 1e-9)
 	units, rate, depth, _, _ := g.c.TenantLevel("low", "double")
 	assert.Equal(t, []float64{20, 20}, []float64{rate, depth})
-	g.do(Rules{})
+	g.handle(Rules{})
 	g.now += time.Second
 	g.c.env.now = g.now
 	g.c.tenants.refill(q)
@@ -129,8 +129,8 @@
 // Prices set W; a price that is no number leaves the settings'. What a zone costs counts as the wait
 // that takes as much of an answer's worth, from other zones only.
 func TestRulesSetPricesAndCosts(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3, 4, 5, 6)...)
-	g.do(Rules{Version: 1, PriceFactor: []float64{4.5, math.NaN()}})
+	g := newHarness(t, settings(), endpoints(1, 2, 3, 4, 5, 6)...)
+	g.handle(Rules{Version: 1, PriceFactor: []float64{4.5, math.NaN()}})
 	assert.Equal(t, []float64{1.5, 0.5}, []float64{g.c.shares.weights.At(0, 0), g.c.shares.weights.At(1, 1)})
 	for name, x := range map[string]struct {
 		cost  map[string]float64
@@ -142,21 +142,21 @@
 		"little":  {map[string]float64{"z2": 0.00001}, 20, 50},
 		"much":    {map[string]float64{"z2": 0.5}, 60, 60},
 	} {
-		g := newGate(t, settings(), on(1, 2, 3, 4, 5, 6)...)
+		g := newHarness(t, settings(), endpoints(1, 2, 3, 4, 5, 6)...)
 		g.sentTo(60)
-		g.do(Rules{Version: 1, CrossZoneCost: x.cost})
+		g.handle(Rules{Version: 1, CrossZoneCost: x.cost})
 		got := g.sentTo(60)
 		assert.GreaterOrEqual(t, got[1]+got[3]+got[5], x.least, name)
 		assert.LessOrEqual(t, got[1]+got[3]+got[5], x.most, name)
 	}
 }
 
-// A gateway hands its customers' stores to one that begins without rules.
+// A node hands its tenants' buckets to one that begins without rules.
 func TestHandoverUnderRules(t *testing.T) {
 	s := settings()
-	old := newGate(t, s, on(1, 2)...)
-	old.do(Rules{Version: 1, QuotaFactor: []float64{10, 10}})
-	old.ask("a", "job", "low", "x")
+	old := newHarness(t, s, endpoints(1, 2)...)
+	old.handle(Rules{Version: 1, QuotaFactor: []float64{10, 10}})
+	old.request("a", "job", "low", "x")
 	raw, err := old.c.Handover(old.now)
 	require.NoError(t, err)
 	c, err := New(s, 1)
--- a/control/homes_test.go
+++ b/control/preferred_test.go
@@ -7,7 +7,7 @@
 )
 
 // Each server has an even part of a large group that turns to it first; a change of the list moves
-// no other; a small group turns to all. A gateway then uses few servers, but leaves slow ones.
+// no other; a small group turns to all. A node then uses few servers, but leaves slow ones.
 func TestGatewaysTurnToTheirOwnServersFirst(t *testing.T) {
 	var ids []uint32
 	for id := uint32(1); id <= 60; id++ {
@@ -17,7 +17,7 @@
 	for i := 0; i < 80; i++ {
 		s := fleet(80)
 		s.NodeIndex = i
-		g := newGate(t, s, on(ids...)...)
+		g := newHarness(t, s, endpoints(ids...)...)
 		zones, before := map[string]int{}, map[uint32]bool{}
 		for _, x := range g.c.servers.ordered {
 			if before[x.Server] = g.c.servers.isPreferred(x); before[x.Server] {
@@ -28,7 +28,7 @@
 		if len(zones) < 2 {
 			t.Errorf("gateway %d turns to servers of one zone only", i)
 		}
-		g.do(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 7, Condition: Removed}, {Server: 61, Zone: "z1"}}})
+		g.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 7, Condition: Removed}, {Server: 61, Zone: "z1"}}})
 		for _, x := range g.c.servers.ordered {
 			if x.Server <= 60 && g.c.servers.isPreferred(x) != before[x.Server] {
 				t.Errorf("gateway %d: server %d moved with the list", i, x.Server)
@@ -42,20 +42,21 @@
 	}
 }
 
-// A gateway of a small group prefers all servers, and one of a large group leaves its preferred servers where they are slow.
+// A node of a small group prefers all servers, and one of a large group leaves its preferred servers
+// where they are slow.
 func TestPreferredServersOfASmallGroupAndSlowOnes(t *testing.T) {
 	var ids []uint32
 	for id := uint32(1); id <= 60; id++ {
 		ids = append(ids, id)
 	}
-	few := newGate(t, fleet(3), on(ids...)...)
+	few := newHarness(t, fleet(3), endpoints(ids...)...)
 	for _, x := range few.c.servers.ordered {
 		if !few.c.servers.isPreferred(x) {
 			t.Error("a gateway of three turns to some servers only")
 			break
 		}
 	}
-	g := newGate(t, fleet(80), on(ids...)...)
+	g := newHarness(t, fleet(80), endpoints(ids...)...)
 	slow, draw := map[uint32]bool{}, 0
 	g.run(20*time.Second, 150*ms, func(server uint32) time.Duration {
 		x := g.c.servers.byID[server]
@@ -83,7 +84,7 @@
 	}
 }
 
-// However the keys of the servers lie, each gateway has as many warm ones that it turns to first: who
+// However the keys of the servers lie, each node has as many warm ones that it turns to first: who
 // had two of them would jam these, and who had twelve would know little of any.
 func TestEachGatewayHasAsManyHomes(t *testing.T) {
 	var warm []Endpoint
@@ -94,7 +95,7 @@
 		s := fleet(300)
 		s.NodeIndex = i
 		n := 0
-		for _, x := range newGate(t, s, warm...).c.servers.ordered {
+		for _, x := range newHarness(t, s, warm...).c.servers.ordered {
 			if x.preferred {
 				n++
 			}
@@ -106,34 +107,34 @@
 }
 
 // An empty list, a list of one and one wholly replaced: each request has its final answer in time,
-// and the gateway serves again by itself.
+// and the node serves again by itself.
 func TestListsThatAreOddAreLivedThrough(t *testing.T) {
-	g := newGate(t, fleet(80), on(1, 2, 3)...)
-	g.do(EndpointUpdate{Kind: Complete})
-	g.ask("a", "job", "low", "x")
+	g := newHarness(t, fleet(80), endpoints(1, 2, 3)...)
+	g.handle(EndpointUpdate{Kind: Complete})
+	g.request("a", "job", "low", "x")
 	if len(g.sends) != 0 {
 		t.Fatal("sent to a server that is not listed")
 	}
-	g.pass(3 * time.Second)
+	g.advance(3 * time.Second)
 	if _, refused := g.ends["a"].(Reject); !refused {
 		t.Errorf("with no server a request ends as %T", g.ends["a"])
 	}
-	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(9)})
-	g.ask("b", "job", "low", "y")
+	g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(9)})
+	g.request("b", "job", "low", "y")
 	if len(g.sends) != 1 || g.sends[0].Server != 9 {
 		t.Fatalf("with one server: %v", g.sends)
 	}
-	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(11, 12)})
-	g.reply("b", OK, 0)
+	g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(11, 12)})
+	g.answer("b", OK, 0)
 	g.now += time.Second
-	g.ask("c", "job", "low", "z")
+	g.request("c", "job", "low", "z")
 	if len(g.sends) != 2 || g.sends[1].Server < 11 {
 		t.Errorf("after a list wholly replaced: %v", g.sends)
 	}
-	g.do(EndpointUpdate{Kind: Failed})
-	g.reply("c", OK, 0)
+	g.handle(EndpointUpdate{Kind: Failed})
+	g.answer("c", OK, 0)
 	g.now += time.Second
-	g.ask("d", "job", "low", "w")
+	g.request("d", "job", "low", "w")
 	if len(g.sends) != 3 {
 		t.Error("without news the last list is not used")
 	}
@@ -142,7 +143,7 @@
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
 	s := settings()
 	s.PollDiscovery, s.PollWithin = true, 10*time.Second
-	g := newGate(t, s, on(1)...)
+	g := newHarness(t, s, endpoints(1)...)
 	follows := func() (n int) {
 		for _, a := range g.acts {
 			if f, ok := a.(Watch); ok && f.Active {
@@ -151,18 +152,18 @@
 		}
 		return n
 	}
-	g.pass(200 * ms)
+	g.advance(200 * ms)
 	if follows() != 1 {
 		t.Fatalf("%d askings at start", follows())
 	}
-	g.do(EndpointUpdate{Kind: Failed})
-	g.pass(5 * time.Second)
+	g.handle(EndpointUpdate{Kind: Failed})
+	g.advance(5 * time.Second)
 	if follows() < 2 {
 		t.Error("no second asking after the first failed")
 	}
-	g.do(EndpointUpdate{Kind: Complete, Endpoints: on(1)})
+	g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(1)})
 	n := follows()
-	g.pass(20 * time.Second)
+	g.advance(20 * time.Second)
 	if follows() != n {
 		t.Error("asked again while subscribed")
 	}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -19,8 +19,8 @@
 	log      []string
 	members  map[uint32]*Endpoint
 	toldBad  map[uint32]bool
-	open     map[string]*ask
-	out      []flight
+	open     map[string]*issuedRequest
+	out      []worldAttempt
 	timers   []Timer
 	due      []time.Duration
 	next     int
@@ -37,7 +37,7 @@
 	e  Event
 }
 
-type ask struct {
+type issuedRequest struct {
 	class    Class
 	plan     string
 	customer string
@@ -51,7 +51,7 @@
 	rules    Rules // in force when it began
 }
 
-type flight struct {
+type worldAttempt struct {
 	id   string
 	n    int
 	srv  uint32
@@ -89,7 +89,7 @@
 		case Send:
 			w.send(a)
 		case Reject:
-			w.refused(a)
+			w.rejected(a)
 		case Fail:
 			w.finished(a.ID)
 		case SetTimer:
@@ -130,7 +130,7 @@
 			w.t.Fatalf("%s may have run and was sent again outside its group or window", a.ID)
 		}
 	}
-	w.ruled(r, a)
+	w.checkRules(r, a)
 	if r.sends == 0 && r.plan == "ceil" {
 		w.drawCeiling(r)
 	}
@@ -138,13 +138,13 @@
 	if a.Timeout > 0 {
 		till = min(till, w.now+a.Timeout)
 	}
-	w.out = append(w.out, flight{a.ID, r.sends, a.Server, w.now, till})
+	w.out = append(w.out, worldAttempt{a.ID, r.sends, a.Server, w.now, till})
 	r.sends++
 	r.out++
 }
 
-// drawCeiling holds this gateway to its part of the ceiling with part of the slack.
-func (w *world) drawCeiling(r *ask) {
+// drawCeiling holds this node to its part of the ceiling with part of the slack.
+func (w *world) drawCeiling(r *issuedRequest) {
 	p := w.set.Plans[3]
 	if _, known := w.ceilings[r.customer]; !known {
 		w.ceilings[r.customer], w.ceilAt[r.customer] = p.CeilingOverdraft/2, time.Hour
@@ -156,7 +156,7 @@
 	}
 }
 
-func (w *world) refused(a Reject) {
+func (w *world) rejected(a Reject) {
 	if r := w.open[a.ID]; r != nil && (r.mayRun || r.out > 0) {
 		if r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != KeyScopeAll {
 			w.t.Fatalf("%s may have run and was refused", a.ID)
@@ -269,7 +269,7 @@
 func (w *world) arrive() {
 	w.next++
 	k := w.set.Classes[w.rng.IntN(len(w.set.Classes))]
-	r := &ask{class: k, plan: w.set.Plans[w.rng.IntN(4)].Name, customer: fmt.Sprint("k", w.rng.IntN(6)),
+	r := &issuedRequest{class: k, plan: w.set.Plans[w.rng.IntN(4)].Name, customer: fmt.Sprint("k", w.rng.IntN(6)),
 		units: float64(1 + w.rng.IntN(3)), end: w.now + time.Duration(300+w.rng.IntN(3000))*ms}
 	if w.rules != nil {
 		r.rules = *w.rules
@@ -284,7 +284,7 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	w := &world{t: t, rng: rng, set: varied(rng), now: time.Hour, members: map[uint32]*Endpoint{},
-		toldBad: map[uint32]bool{}, open: map[string]*ask{}, ceilings: map[string]float64{},
+		toldBad: map[uint32]bool{}, open: map[string]*issuedRequest{}, ceilings: map[string]float64{},
 		ceilAt: map[string]time.Duration{}}
 	c, err := New(w.set, seed)
 	if err != nil {
@@ -319,20 +319,20 @@
 	}
 }
 
-// Memory for customers, requests and servers stays bounded.
+// Memory for tenants, requests and servers stays bounded.
 func TestMemoryIsBounded(t *testing.T) {
 	s := settings()
 	s.MaxTenants = 1500 // as on a machine of 26 MB
-	g := newGate(t, s, on(1, 2, 3)...)
+	g := newHarness(t, s, endpoints(1, 2, 3)...)
 	for i := 0; i < 30000; i++ {
 		id := fmt.Sprint("r", i)
-		g.ask(id, "job", "low", fmt.Sprint("once", i))
+		g.request(id, "job", "low", fmt.Sprint("once", i))
 		if g.n[id] > 0 {
-			g.reply(id, OK, 0)
+			g.answer(id, OK, 0)
 		}
-		g.pass(2 * ms)
+		g.advance(2 * ms)
 		if i%100 == 0 {
-			g.do(EndpointUpdate{Kind: Complete, Endpoints: on(uint32(i+1), uint32(i+2))})
+			g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(uint32(i+1), uint32(i+2))})
 			g.sends, g.acts = nil, nil
 		}
 	}
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -109,10 +109,10 @@
 	e  Event
 }
 
-// events draws the requests of 20 s and adds the events from outside: endpoint lists, an outlier report, rules and a
-// zone evacuation.
+// events draws the requests of 20 s and adds the events from outside: endpoint lists, an outlier report,
+// rules and a zone evacuation.
 func (w recordedWorkload) events(rng *rand.Rand, now time.Duration) (due []timedEvent) {
-	list := on(1, 2, 3, 4, 5, 6, 7, 8)
+	list := endpoints(1, 2, 3, 4, 5, 6, 7, 8)
 	due = append(due, timedEvent{now, EndpointUpdate{Kind: Complete, Endpoints: list}})
 	list[2].StartedAt, list[2].HasStartedAt = now+6*time.Second, true
 	due = append(due, timedEvent{now + 6*time.Second, EndpointUpdate{Kind: Delta, Endpoints: list[2:3]}})
@@ -138,7 +138,8 @@
 	return text.String()
 }
 
-// request draws a request. Without marks, the time that is left tells a client's retry from its first attempt.
+// request draws a request. Without marks, the time that is left tells a client's retry from its first
+// attempt.
 func (w recordedWorkload) request(rng *rand.Rand, i int) Request {
 	class := w.settings.Classes[rng.IntN(len(w.settings.Classes))]
 	plan := w.settings.Plans[rng.IntN(len(w.settings.Plans))].Name
@@ -250,7 +251,7 @@
 		}
 		var out bytes.Buffer
 		rng := rand.New(rand.NewPCG(5, 5))
-		c.Handle(now, EndpointUpdate{Kind: Cached, Endpoints: on(1, 2, 3, 4, 5, 6, 7, 8)})
+		c.Handle(now, EndpointUpdate{Kind: Cached, Endpoints: endpoints(1, 2, 3, 4, 5, 6, 7, 8)})
 		for i := range 600 {
 			now += time.Duration(rng.ExpFloat64() * float64(12*ms))
 			for _, a := range c.Handle(now, w.request(rng, i)) {
--- a/control/requests_test.go
+++ b/control/request_test.go
@@ -7,27 +7,27 @@
 )
 
 func TestUnknownClassOrPlanIsRefusedOnce(t *testing.T) {
-	g := newGate(t, settings(), on(1)...)
-	g.ask("a", "other", "low", "x")
-	g.ask("b", "job", "other", "x")
+	g := newHarness(t, settings(), endpoints(1)...)
+	g.request("a", "other", "low", "x")
+	g.request("b", "job", "other", "x")
 	for _, id := range []string{"a", "b"} {
 		if _, ok := g.ends[id].(Reject); !ok {
 			t.Errorf("%s ended with %v", id, g.ends[id])
 		}
 	}
-	g.do(ClientGone{ID: "z"})
-	g.do(AttemptEnded{ID: "z", Server: 9, Outcome: OK})
-	g.do(Timer{Label: 999})
-	g.do(HealthCheckResult{Server: 77})
-	g.do(CounterResult{Name: 4})
-	g.do(PeerMessage{From: 1})
-	g.do(ResponseStarted{ID: "z"})
+	g.handle(ClientGone{ID: "z"})
+	g.handle(AttemptEnded{ID: "z", Server: 9, Outcome: OK})
+	g.handle(Timer{Label: 999})
+	g.handle(HealthCheckResult{Server: 77})
+	g.handle(CounterResult{Name: 4})
+	g.handle(PeerMessage{From: 1})
+	g.handle(ResponseStarted{ID: "z"})
 }
 
 func TestQueuedRequestsAreAnsweredInTime(t *testing.T) {
-	g := newGate(t, settings()) // no server at all
-	g.ask("a", "job", "low", "x")
-	g.pass(5 * time.Second)
+	g := newHarness(t, settings()) // no server at all
+	g.request("a", "job", "low", "x")
+	g.advance(5 * time.Second)
 	r, ok := g.ends["a"].(Reject)
 	if !ok || r.RetryAfter != time.Second {
 		t.Errorf("ended with %#v", g.ends["a"])
@@ -36,34 +36,34 @@
 
 // Guards against a further attempt that waits beyond the client's time.
 func TestRequeuedRequestIsAnsweredInTime(t *testing.T) {
-	g := newGate(t, settings(), on(1)...)
-	g.ask("a", "job", "low", "x")
-	g.pass(4 * time.Second)
-	g.do(EndpointUpdate{Kind: Complete})
-	g.reply("a", Errored, 0)
-	g.pass(990 * ms)
+	g := newHarness(t, settings(), endpoints(1)...)
+	g.request("a", "job", "low", "x")
+	g.advance(4 * time.Second)
+	g.handle(EndpointUpdate{Kind: Complete})
+	g.answer("a", Errored, 0)
+	g.advance(990 * ms)
 	if g.ends["a"] != nil {
 		return
 	}
-	g.pass(10 * ms)
+	g.advance(10 * ms)
 	if g.ends["a"] == nil {
 		t.Error("no answer by the client's time")
 	}
 }
 
 // Clients that give a try up soon are served like others; a later try that can only be late is
-// still refused where the customer's use is not known.
+// still rejected where the tenant's use is not known.
 func TestHastyClientsAreNotTakenForLateOnes(t *testing.T) {
-	ask := func(g *gate, n int, ttl func(i int) time.Duration) (refused int) {
+	ask := func(g *harness, n int, ttl func(i int) time.Duration) (refused int) {
 		for i := range n {
 			id := fmt.Sprint("x", g.now, i)
-			g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: fmt.Sprint(i), TimeLeft: ttl(i), Tokens: 1, TenantNodes: 2})
+			g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: fmt.Sprint(i), TimeLeft: ttl(i), Tokens: 1, TenantNodes: 2})
 			if _, ok := g.ends[id].(Reject); ok {
 				refused++
 			} else {
-				g.reply(id, OK, 0)
+				g.answer(id, OK, 0)
 			}
-			g.pass(10 * ms)
+			g.advance(10 * ms)
 		}
 		return refused
 	}
@@ -80,7 +80,7 @@
 	} {
 		s := settings()
 		s.MaxRetryAfter, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = time.Second, 900*ms, 4*time.Second
-		g := newGate(t, s, on(1, 2)...)
+		g := newHarness(t, s, endpoints(1, 2)...)
 		ask(g, 40, func(int) time.Duration { return 3500 * ms })
 		if n := ask(g, 40, k.ttl); n > k.most || n < k.min {
 			t.Errorf("%s: %d of 40 were refused, want %d to %d", k.name, n, k.min, k.most)
@@ -89,19 +89,19 @@
 }
 
 // A try whose client leaves soon waits for a turn only as long as an answer could still be there in
-// its time: else it is refused at once, and takes neither units nor a place.
+// its time: else it is rejected at once, and takes neither units nor a place.
 func TestHastyTryDoesNotWaitForATurnInVain(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3)...)
+	g := newHarness(t, settings(), endpoints(1, 2, 3)...)
 	g.run(10*time.Second, 300*ms, func(uint32) time.Duration { return 200 * ms })
 	ask := func(id string, ttl time.Duration) {
-		g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: ttl, Tokens: 1, TenantNodes: 2})
+		g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: ttl, Tokens: 1, TenantNodes: 2})
 	}
 	const hasty = 300 * ms
 	for i := 0; i < 8; i++ { // by which such clients are known
 		id := fmt.Sprint(i)
 		ask(id, hasty)
 		if g.n[id] > 0 {
-			g.reply(id, OK, 0)
+			g.answer(id, OK, 0)
 		}
 	}
 	g.c.concurrency.bound = 1
@@ -111,14 +111,14 @@
 	}
 	ask("hasty", hasty)
 	ask("patient", 5*time.Second)
-	g.pass(10 * ms)
+	g.advance(10 * ms)
 	if _, refused := g.ends["hasty"].(Reject); !refused {
 		t.Errorf("a try with 300 ms left, where answers take 200 ms, ends as %T", g.ends["hasty"])
 	}
 	if g.ends["patient"] != nil {
 		t.Errorf("a try with 5 s left ends as %T without a wait", g.ends["patient"])
 	}
-	g.reply("out", OK, 0)
+	g.answer("out", OK, 0)
 	if g.n["patient"] != 1 || g.n["hasty"] != 0 {
 		t.Errorf("sent: patient %d, hasty %d", g.n["patient"], g.n["hasty"])
 	}
--- a/control/turns_test.go
+++ b/control/scheduler_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestTurnsFollowShares(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2)...)
+	g := newHarness(t, settings(), endpoints(1, 2)...)
 	g.c.scheduler.plans[0].share, g.c.scheduler.plans[1].share = 0.25, 0.75
 	for i := 0; i < 80; i++ {
-		g.ask(fmt.Sprint("l", i), "job", "low", "a")
-		g.ask(fmt.Sprint("h", i), "job", "high", "b")
+		g.request(fmt.Sprint("l", i), "job", "low", "a")
+		g.request(fmt.Sprint("h", i), "job", "high", "b")
 	}
 	for i := 0; i < 80; i++ { // keep the bound full
-		g.reply(g.sends[i].ID, OK, 0)
+		g.answer(g.sends[i].ID, OK, 0)
 	}
 	high := 0
 	for _, s := range g.sends[4:84] {
@@ -28,18 +28,18 @@
 }
 
 func TestAnEmptyQueuePassesItsTurn(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2)...)
+	g := newHarness(t, settings(), endpoints(1, 2)...)
 	g.c.scheduler.plans[0].share, g.c.scheduler.plans[1].share = 0, 1
-	g.ask("a", "job", "low", "x")
+	g.request("a", "job", "low", "x")
 	if len(g.sends) != 1 {
 		t.Errorf("%d sends for the only request", len(g.sends))
 	}
 }
 
 func TestBoundStartsAtTwiceTheServersAndHalvesOnce(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2, 3)...)
+	g := newHarness(t, settings(), endpoints(1, 2, 3)...)
 	for i := 0; i < 20; i++ {
-		g.ask(fmt.Sprint(i), "job", "low", "x")
+		g.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if len(g.sends) != 6 {
 		t.Fatalf("%d in flight with three servers at start", len(g.sends))
@@ -60,7 +60,7 @@
 
 // Guards against a few long requests that pin the bound to its floor.
 func TestOneTimeOutDoesNotCutTheBound(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2)...)
+	g := newHarness(t, settings(), endpoints(1, 2)...)
 	g.c.concurrency.bound, g.c.interval.overloaded, g.c.interval.answers = 40, 1, 99
 	g.c.endInterval(1)
 	if g.c.concurrency.bound < 40 {
@@ -73,13 +73,13 @@
 	}
 }
 
-// Guards against many gateways that jam the fleet by their floors alone.
+// Guards against many nodes that jam the fleet by their floors alone.
 func TestFloorsOfALargeGroupAreShared(t *testing.T) {
 	s := settings()
 	s.FleetSize = 16
-	g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8)...)
+	g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
 	for i := 0; i < 50; i++ {
-		g.ask(fmt.Sprint(i), "job", "low", "x")
+		g.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if per := float64(16*len(g.sends)) / 8; per > 8 {
 		t.Errorf("a group of 16 starts with %g requests in each server", per)
@@ -92,7 +92,7 @@
 	for _, group := range []int{3, 4} {
 		s := settings()
 		s.FleetSize = group
-		g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8, 9)...)
+		g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9)...)
 		for range 10 {
 			g.c.interval.overloaded, g.c.interval.answers = 5, 5
 			g.c.endInterval(1)
@@ -104,7 +104,7 @@
 }
 
 // requireQuiet checks that the controller asked for no health check and at most once for the endpoint list.
-func (g *gate) requireQuiet(deployment string) {
+func (g *harness) requireQuiet(deployment string) {
 	g.t.Helper()
 	asked := 0
 	for _, a := range g.acts {
@@ -120,7 +120,7 @@
 	}
 }
 
-// What all gateways together have in flight at the start, and so the connections that they can open
+// What all nodes together have in flight at the start, and so the connections that they can open
 // at that moment, is bounded by the servers and not by the size of the group, but for one request
 // each; nobody probes or asks for lists beyond its watch.
 func TestSumOfSendsAtTheStart(t *testing.T) {
@@ -134,12 +134,12 @@
 			for i := 0; i < group; i++ {
 				s := fleet(group)
 				s.NodeIndex, s.HealthChecks, s.PollDiscovery = i, true, true
-				g := newGateOfSeed(t, s, uint64(i), on(ids...)...)
+				g := newHarnessOfSeed(t, s, uint64(i), endpoints(ids...)...)
 				for j := 0; j < 2*int(initialBoundPerServer)*servers/group+10; j++ {
-					g.ask(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
+					g.request(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
 				}
 				sum += len(g.sends)
-				g.pass(time.Second)
+				g.advance(time.Second)
 				g.requireQuiet(fmt.Sprintf("%d gateways, %d servers", group, servers))
 			}
 			if most := int(initialBoundPerServer)*servers + group; sum > most || sum == 0 {
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -11,7 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The deploy file names each file of the package that decides, and no line of the package is over 110 characters.
+// The deploy file names each file of the package that decides, and no line of the package is over 110
+// characters.
 func TestPolicyNamesTheDecisions(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	require.NoError(t, err)
--- a/control/law_test.go
+++ b/control/shares_test.go
@@ -86,7 +86,7 @@
 }
 
 func TestSharesStayWithFewAnswers(t *testing.T) {
-	g := newGate(t, settings(), on(1)...)
+	g := newHarness(t, settings(), endpoints(1)...)
 	g.c.scheduler.plans[0].lateness, g.c.scheduler.plans[1].lateness, g.c.interval.answers = 3, 0.1, minShareAnswers-1
 	g.c.endInterval(1)
 	if g.c.scheduler.plans[0].share != 0.5 {
--- a/control/cold_test.go
+++ b/control/slowstart_test.go
@@ -9,14 +9,14 @@
 
 func TestColdServerIsHeldUnderItsBudget(t *testing.T) {
 	s := settings()
-	list := on(1, 2, 3, 4)
+	list := endpoints(1, 2, 3, 4)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-100*ms, true
-	g := newGate(t, s, list...)
+	g := newHarness(t, s, list...)
 	cold, busy := 0, 0
 	for i := 0; i < 100; i++ {
 		from := len(g.sends)
 		for k := 0; k < 8; k++ {
-			g.ask(fmt.Sprint(i, "-", k), "job", "low", "x")
+			g.request(fmt.Sprint(i, "-", k), "job", "low", "x")
 		}
 		here := 0
 		for _, a := range g.sends[from:] {
@@ -25,10 +25,10 @@
 			}
 		}
 		cold, busy = cold+here, max(busy, here)
-		g.pass(20 * ms)
+		g.advance(20 * ms)
 		for k := 0; k < 8; k++ {
 			if id := fmt.Sprint(i, "-", k); g.ends[id] == nil {
-				g.reply(id, OK, 0)
+				g.answer(id, OK, 0)
 			}
 		}
 	}
@@ -37,21 +37,21 @@
 	}
 }
 
-// Guards against a just-started server that every gateway of a large group tries at once.
+// Guards against a just-started server that every node of a large group tries at once.
 func TestColdServerIsSharedByALargeGroup(t *testing.T) {
 	s := settings()
 	s.FleetSize = 12
-	list := on(1, 2)
+	list := endpoints(1, 2)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-ms, true
-	g := newGate(t, s, list...)
+	g := newHarness(t, s, list...)
 	cold := 0
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
-		g.ask(id, "job", "low", "x")
-		g.pass(10 * ms)
+		g.request(id, "job", "low", "x")
+		g.advance(10 * ms)
 		if g.n[id] > 0 && g.sends[len(g.sends)-1].Server == 1 {
 			cold++
-			g.reply(id, OK, 0)
+			g.answer(id, OK, 0)
 		} // the warm server answers nothing, so its rate is not known
 	}
 	if cold > 1 {
@@ -59,8 +59,8 @@
 	}
 }
 
-// Cold servers that answer at once are used beside warm ones that are slow: what a gateway of many
-// has seen of a few cold ones tells of the others.
+// Servers that are warming up that answer at once are used beside warm ones that are slow: what a node of
+// many has seen of a few ones that are warming up tells of the others.
 func TestColdServersThatAnswerFastAreUsed(t *testing.T) {
 	s := fleet(80)
 	s.SlowStartDuration = 40 * time.Second
@@ -68,7 +68,7 @@
 	for id := uint32(1); id <= 24; id++ {
 		warm = append(warm, id)
 	}
-	g := newGate(t, s, on(warm...)...)
+	g := newHarness(t, s, endpoints(warm...)...)
 	takes := func(server uint32) time.Duration {
 		if server > 24 {
 			return 200 * ms
@@ -80,7 +80,7 @@
 	for id := uint32(25); id <= 60; id++ {
 		cold = append(cold, Endpoint{Server: id, Zone: "z1", Size: 1, StartedAt: g.now - 10*time.Second, HasStartedAt: true})
 	}
-	g.do(EndpointUpdate{Kind: Delta, Endpoints: cold})
+	g.handle(EndpointUpdate{Kind: Delta, Endpoints: cold})
 	g.run(10*time.Second, 200*ms, takes)
 	from, n := len(g.sends), 0
 	g.run(15*time.Second, 200*ms, takes)
@@ -94,8 +94,8 @@
 	}
 }
 
-// Small requests do not keep a cold server from large ones: a request takes its units from a store
-// that may go into debt, and no request sets how much the store may hold.
+// Small requests do not keep a server that is warming up from large ones: a request takes its units from
+// a bucket that may go into debt, and no request sets how much the bucket may hold.
 func TestSmallRequestsLeaveRoomAtColdServers(t *testing.T) {
 	s := fleet(80)
 	s.SlowStartDuration = 40 * time.Second
@@ -103,7 +103,7 @@
 	for id := uint32(1); id <= 30; id++ {
 		cold = append(cold, Endpoint{Server: id, Zone: "z1", Size: 1, StartedAt: time.Hour - 20*time.Second, HasStartedAt: true})
 	}
-	g := newGate(t, s, cold...)
+	g := newHarness(t, s, cold...)
 	g.c.concurrency.bound, g.c.traffic.idleLatency, g.c.traffic.latency, g.c.traffic.answers, g.c.traffic.meanTokens = 4, 0.2, 0.2, 100, 2
 	large := map[string]bool{}
 	for i := 0; i < 200; i++ {
@@ -111,11 +111,11 @@
 		if i%4 == 0 {
 			units, large[id] = 6, true
 		}
-		g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: 2})
-		g.pass(100 * ms)
+		g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: 2})
+		g.advance(100 * ms)
 		for n, x := range g.sends {
 			if _, ended := g.ends[x.ID]; !ended && n >= len(g.sends)-4 {
-				g.reply(x.ID, OK, 0)
+				g.answer(x.ID, OK, 0)
 			}
 		}
 	}
@@ -130,9 +130,9 @@
 	}
 }
 
-// sendsToAColdServer drives the gateways with 100 requests a second in all until 18 s after a cold server has
-// started, and returns the times of the sends to it.
-func sendsToAColdServer(gates []*gate, up time.Duration) (at []time.Duration) {
+// sendsToAColdServer drives the nodes with 100 requests a second in all until 18 s after a server that is
+// warming up has started, and returns the times of the sends to it.
+func sendsWhileWarmingUp(gates []*harness, up time.Duration) (at []time.Duration) {
 	const cold = 99
 	var open []openAttempt
 	seen := make([]int, len(gates)) // sends by gateway
@@ -140,15 +140,15 @@
 	for now := time.Hour; now < up+18*time.Second; now += 10 * ms {
 		if now == up {
 			for _, g := range gates {
-				g.do(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: cold, Zone: "z1", Size: 1, StartedAt: up, HasStartedAt: true}}})
+				g.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: cold, Zone: "z1", Size: 1, StartedAt: up, HasStartedAt: true}}})
 			}
 		}
 		g := gates[asked*7%len(gates)]
-		g.ask(fmt.Sprint(asked), "job", "low", fmt.Sprint(asked))
+		g.request(fmt.Sprint(asked), "job", "low", fmt.Sprint(asked))
 		asked++
 		open = answerDue(open, now)
 		for i, g := range gates {
-			g.pass(now + 10*ms - g.now)
+			g.advance(now + 10*ms - g.now)
 			for ; seen[i] < len(g.sends); seen[i]++ {
 				took := 300 * ms
 				if g.sends[seen[i]].Server == cold {
@@ -165,7 +165,7 @@
 // openAttempt is an attempt in flight that is answered at a time.
 type openAttempt struct {
 	at time.Duration
-	g  *gate
+	g  *harness
 	id string
 }
 
@@ -174,7 +174,7 @@
 	left := open[:0]
 	for _, o := range open {
 		if o.at <= now {
-			o.g.reply(o.id, OK, 0)
+			o.g.answer(o.id, OK, 0)
 		} else {
 			left = append(left, o)
 		}
@@ -182,19 +182,19 @@
 	return left
 }
 
-// Whatever the group's size, all gateways together stay within what a cold server bears in any span
-// that counts, though it answers faster than the rest and each would have it to itself.
+// Whatever the group's size, all nodes together stay within what a server that is warming up bears in any
+// span that counts, though it answers faster than the rest and each would have it to itself.
 func TestSumOfSendsToAColdServer(t *testing.T) {
 	const warmDoes = 12.0 // requests a second
 	up := time.Hour + 4*time.Second
 	for _, group := range []int{1, 3, 10, 40, 100, 300} {
 		s := fleet(group)
 		s.SlowStartDuration, s.OverloadWindow = 16*time.Second, 1500*ms
-		gates := make([]*gate, group)
+		gates := make([]*harness, group)
 		for i := range gates {
-			gates[i] = newGateOfSeed(t, s, uint64(i+1), on(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...)
+			gates[i] = newHarnessOfSeed(t, s, uint64(i+1), endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...)
 		}
-		at := sendsToAColdServer(gates, up)
+		at := sendsWhileWarmingUp(gates, up)
 		for i, from := range at {
 			n, warmth := 0, 0.2+0.8*(from-up).Seconds()/16
 			for _, x := range at[i:] {
@@ -202,7 +202,7 @@
 					n++
 				}
 			}
-			if most := coldFormula(s.OverloadFactor * warmth * warmDoes * s.OverloadWindow.Seconds()); from+s.OverloadWindow <= up+s.SlowStartDuration && float64(n) > most {
+			if most := overloadBound(s.OverloadFactor * warmth * warmDoes * s.OverloadWindow.Seconds()); from+s.OverloadWindow <= up+s.SlowStartDuration && float64(n) > most {
 				t.Errorf("%d gateways: %d sends to a cold server %v after its start, it bears %.1f", group, n, from-up, most)
 				break
 			}
@@ -213,9 +213,9 @@
 	}
 }
 
-// A gateway of many turns to a part of the cold servers, and uses its connections to them again: its
-// part of all that they bear is for few of them. Which ones goes by the key that all gateways know a
-// server by, so that each is home to as many.
+// A node of many turns to a part of the servers that are warming up, and uses its connections to them
+// again: its part of all that they bear is for few of them. Which ones goes by the key that all nodes
+// know a server by, so that each is home to as many.
 func TestFewOfTheColdServersAreHome(t *testing.T) {
 	s := fleet(300)
 	s.SlowStartDuration = 40 * time.Second
@@ -227,7 +227,7 @@
 			id := 1 + (key*37+uint32(i))%100
 			cold = append(cold, Endpoint{Server: id, HashKey: key * 2654435761, Zone: "z1", Size: 1, StartedAt: time.Hour - 4*time.Second, HasStartedAt: true})
 		}
-		g := newGate(t, s, cold...)
+		g := newHarness(t, s, cold...)
 		for _, x := range g.c.servers.ordered {
 			if x.preferred {
 				homes[x.HashKey]++
--- a/control/coldgroup_test.go
+++ b/control/slowstartfleet_test.go
@@ -14,7 +14,7 @@
 )
 
 // coldRow is a fleet in virtual time before which servers start cold.
-type coldRow struct {
+type warmupCase struct {
 	group, servers, cold int
 	from                 float64       // part of its capacity that a cold server starts with
 	uneven               float64       // sigma of the logarithms of the gateways' loads
@@ -34,9 +34,9 @@
 
 // coldFleet is a row in play: whole controllers, servers that work through what comes in order, and
 // requests whose work is exponential with mean 1, asked in units that guess at it.
-type coldFleet struct {
+type warmupFleet struct {
 	eventqueue.Agenda
-	coldRow
+	warmupCase
 	t       *testing.T
 	set     Settings
 	seed    uint64
@@ -45,13 +45,13 @@
 	members []Endpoint
 	told    []bool
 	busy    []time.Duration // until then, by server
-	sends   [][]coldSend    // of the last span, by cold server
+	sends   [][]warmupSend  // of the last span, by cold server
 	n       int
 	worst   float64 // most work that came to one in the settings' time, as a part of the formula
 	sent    float64 // to all cold servers
 }
 
-type coldSend struct {
+type warmupSend struct {
 	at   time.Duration
 	work float64
 }
@@ -61,10 +61,10 @@
 	coldFor = 16 * time.Second
 )
 
-func playCold(t *testing.T, x coldRow, seed uint64) (worst, mean float64) {
+func runWarmup(t *testing.T, x warmupCase, seed uint64) (worst, mean float64) {
 	t.Helper()
-	f := &coldFleet{coldRow: x, t: t, set: fleet(x.group), seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(x.group))),
-		busy: make([]time.Duration, x.servers), sends: make([][]coldSend, x.cold), told: make([]bool, x.group)}
+	f := &warmupFleet{warmupCase: x, t: t, set: fleet(x.group), seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(x.group))),
+		busy: make([]time.Duration, x.servers), sends: make([][]warmupSend, x.cold), told: make([]bool, x.group)}
 	f.set.SlowStartDuration, f.set.SlowStartInitial, f.set.OverloadWindow = coldFor, x.from, 1500*ms
 	f.set.FleetSize = max(x.group, x.size)
 	for i := range x.servers {
@@ -98,24 +98,24 @@
 		}
 	}
 	for i := range f.gates {
-		f.ask(i, f.load*coldDoes*float64(x.servers-x.cold)*loads[i]/all)
+		f.sendRequests(i, f.load*coldDoes*float64(x.servers-x.cold)*loads[i]/all)
 	}
 	f.Run()
 	n := f.allows(coldUp+coldFor/2) / f.set.OverloadWindow.Seconds() // a second, in the mean over the ramp
 	return f.worst, f.sent / (n * coldFor.Seconds() * float64(x.cold))
 }
 
-// allows is what the settings allow a cold server at a time.
-func (f *coldFleet) allows(now time.Duration) float64 {
-	return settings().OverloadFactor * f.warmth(now) * coldDoes * f.set.OverloadWindow.Seconds()
+// allows is what the settings allow a server that is warming up at a time.
+func (f *warmupFleet) allows(now time.Duration) float64 {
+	return settings().OverloadFactor * f.warmupFraction(now) * coldDoes * f.set.OverloadWindow.Seconds()
 }
 
-func (f *coldFleet) warmth(now time.Duration) float64 {
+func (f *warmupFleet) warmupFraction(now time.Duration) float64 {
 	return min(1, f.from+(1-f.from)*(now-coldUp).Seconds()/coldFor.Seconds())
 }
 
-// begin starts a gateway, also anew.
-func (f *coldFleet) begin(i int, kind UpdateKind, members []Endpoint) {
+// begin starts a node, also anew.
+func (f *warmupFleet) begin(i int, kind UpdateKind, members []Endpoint) {
 	f.n++
 	s := f.set
 	s.NodeIndex = i * s.FleetSize / f.group
@@ -125,8 +125,8 @@
 	f.do(i, EndpointUpdate{Kind: kind, Endpoints: members, NodesPerServer: f.sharers})
 }
 
-// ask has requests come to a gateway.
-func (f *coldFleet) ask(i int, rate float64) {
+// ask has requests come to a node.
+func (f *warmupFleet) sendRequests(i int, rate float64) {
 	f.After(seconds(f.rng.ExpFloat64()/rate), func() {
 		if f.Now >= coldUp+coldFor {
 			return
@@ -135,12 +135,12 @@
 		work := f.rng.ExpFloat64()
 		f.do(i, Request{ID: fmt.Sprint(f.n, " ", work), Class: "job", Plan: "high", Tenant: fmt.Sprint(f.n), TimeLeft: 5 * time.Second,
 			Tokens: min(8, max(1, math.Round(3*work*math.Exp(0.5*f.rng.NormFloat64())))), TenantNodes: 2})
-		f.ask(i, rate)
+		f.sendRequests(i, rate)
 	})
 }
 
-// do hands a gateway an event and has done what it answers.
-func (f *coldFleet) do(i int, e Event) {
+// do hands a node an event and has done what it answers.
+func (f *warmupFleet) do(i int, e Event) {
 	c := f.gates[i]
 	for _, a := range append([]Action{}, c.Handle(f.Now, e)...) {
 		switch a := a.(type) {
@@ -157,14 +157,14 @@
 }
 
 // send brings an attempt to its server, which does it after what came before.
-func (f *coldFleet) send(i int, a Send) {
+func (f *warmupFleet) send(i int, a Send) {
 	var n int
 	var work float64
 	_, _ = fmt.Sscan(a.ID, &n, &work)
 	s, does := int(a.Server)-1, coldDoes
 	if s < f.cold && f.Now < coldUp+coldFor {
-		f.come(s, work)
-		does *= f.warmth(f.Now)
+		f.arrive(s, work)
+		does *= f.warmupFraction(f.Now)
 	}
 	f.busy[s] = max(f.busy[s], f.Now) + seconds(work/does)
 	c := f.gates[i]
@@ -175,10 +175,10 @@
 	})
 }
 
-// come counts what comes to a cold server.
-func (f *coldFleet) come(s int, work float64) {
+// come counts what comes to a server that is warming up.
+func (f *warmupFleet) arrive(s int, work float64) {
 	f.sent++
-	in := append(f.sends[s], coldSend{f.Now, work})
+	in := append(f.sends[s], warmupSend{f.Now, work})
 	for in[0].at < f.Now-f.set.OverloadWindow {
 		in = in[1:]
 	}
@@ -187,41 +187,42 @@
 	for _, x := range in {
 		sum += x.work
 	}
-	f.worst = max(f.worst, sum/coldFormula(f.allows(f.Now)))
+	f.worst = max(f.worst, sum/overloadBound(f.allows(f.Now)))
 }
 
-// coldRows are what may come together with a cold server in a group of a size.
-func coldRows(group, servers int) map[string]coldRow {
-	x := coldRow{group: group, servers: servers, cold: 1, from: 0.1}
-	with := func(set func(x *coldRow)) coldRow {
+// coldRows are what may come together with a server that is warming up in a group of a size.
+func warmupCases(group, servers int) map[string]warmupCase {
+	x := warmupCase{group: group, servers: servers, cold: 1, from: 0.1}
+	with := func(set func(x *warmupCase)) warmupCase {
 		y := x
 		set(&y)
 		return y
 	}
 	once := 15 * time.Second / time.Duration(group) // each gateway is started anew once in the ramp
-	return map[string]coldRow{
+	return map[string]warmupCase{
 		"one server":         x,
-		"gateways restarted": with(func(x *coldRow) { x.restart = once }),
-		"uneven traffic":     with(func(x *coldRow) { x.uneven = 1 }),
-		"a zone's servers":   with(func(x *coldRow) { x.cold = servers / 3 }),
-		"told 0 to 1 s late": with(func(x *coldRow) { x.apart = time.Second }),
-		"all of these":       with(func(x *coldRow) { x.cold, x.restart, x.uneven, x.apart = servers/3, once, 1, time.Second }),
+		"gateways restarted": with(func(x *warmupCase) { x.restart = once }),
+		"uneven traffic":     with(func(x *warmupCase) { x.uneven = 1 }),
+		"a zone's servers":   with(func(x *warmupCase) { x.cold = servers / 3 }),
+		"told 0 to 1 s late": with(func(x *warmupCase) { x.apart = time.Second }),
+		"all of these":       with(func(x *warmupCase) { x.cold, x.restart, x.uneven, x.apart = servers/3, once, 1, time.Second }),
 	}
 }
 
-// All gateways together stay within the formula at each cold server, in each span of the settings' time; and a group that does not heed the starts is found.
+// All nodes together stay within the formula at each cold server, in each span of the settings' time; and
+// a group that does not heed the starts is found.
 func TestSumOfSendsToColdServersWhateverComesWithThem(t *testing.T) {
 	for _, g := range []struct {
 		group, servers int
 		seeds          uint64
 		loads          []float64
 	}{{3, 10, 3, []float64{0.7, 1.1}}, {20, 20, 3, []float64{0.7, 1.1}}, {30, 30, 3, []float64{0.7, 1.1}}, {300, 60, 1, []float64{1.1}}} {
-		for name, x := range coldRows(g.group, g.servers) {
+		for name, x := range warmupCases(g.group, g.servers) {
 			t.Run(fmt.Sprint(g.group, " gateways, ", name), func(t *testing.T) {
 				t.Parallel()
 				for _, x.load = range g.loads {
 					for seed := range g.seeds {
-						worst, mean := playCold(t, x, seed+1)
+						worst, mean := runWarmup(t, x, seed+1)
 						assert.LessOrEqual(t, worst, 1.0, "seed %d, load %g", seed+1, x.load)
 						assert.Greater(t, mean, 0.05, "seed %d, load %g: of what the settings allow", seed+1, x.load)
 					}
@@ -233,7 +234,7 @@
 			worst := 0.0
 			for seed := uint64(1); seed <= 9 && worst <= 1; seed++ { // a slow server is left soon, also by them
 				for _, cold := range []int{g.servers / 3, 1} {
-					w, _ := playCold(t, coldRow{group: g.group, servers: g.servers, cold: cold, from: 0.1, load: 1.5, unaware: true}, seed)
+					w, _ := runWarmup(t, warmupCase{group: g.group, servers: g.servers, cold: cold, from: 0.1, load: 1.5, unaware: true}, seed)
 					worst = max(worst, w)
 				}
 			}
--- a/control/coldsum_test.go
+++ b/control/slowstartsum_test.go
@@ -10,21 +10,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// coldFormula is what a cold server may get in the settings' time from all gateways, in requests of mean
-// work: n is what the settings allow it then. It is less than the page's n + 3 sqrt(n) + 3.
-func coldFormula(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
+// coldFormula is what a server that is warming up may get in the settings' time from all nodes, in
+// requests of mean work: n is what the settings allow it then. It is less than the page's n + 3 sqrt(n) +
+// 3.
+func overloadBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
 // coldSum has a whole group send to one cold server among warm ones all that each has room for, while
 // it warms from a part of its capacity on. It gives the most that came in the settings' time, as a part
 // of the formula, and the mean as a part of what the settings allow. The work of a request is
 // exponential; a warm server does 18 a second, its answers take 0.17 s.
-func coldSum(t *testing.T, group, servers int, from, load float64, seed uint64) (worst, mean float64) {
-	return coldSumOf(t, fleet(group), group, 0, servers, from, load, seed)
+func warmupSum(t *testing.T, group, servers int, from, load float64, seed uint64) (worst, mean float64) {
+	return warmupSumOf(t, fleet(group), group, 0, servers, from, load, seed)
 }
 
-// coldSumOf is coldSum for the gateways that send to one server, of the group of the settings: sharers is
+// coldSumOf is coldSum for the nodes that send to one server, of the group of the settings: sharers is
 // how many these are as the list tells; 0 is the whole group.
-func coldSumOf(t *testing.T, s Settings, gateways int, sharers float64, servers int, from, load float64, seed uint64) (worst, mean float64) {
+func warmupSumOf(t *testing.T, s Settings, gateways int, sharers float64, servers int, from, load float64, seed uint64) (worst, mean float64) {
 	const does, takes = 18.0, 0.17
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	up, group := time.Hour, s.FleetSize
@@ -76,13 +77,13 @@
 			sum -= sends[0].work
 			sends = sends[1:]
 		}
-		worst = max(worst, sum/coldFormula(n*s.OverloadWindow.Seconds()))
+		worst = max(worst, sum/overloadBound(n*s.OverloadWindow.Seconds()))
 	}
 	return worst, sent / allowed
 }
 
 // Whatever the size of a group, all of it together stay within the formula at a cold
-// server, from any warmth on, even if each sends there all that it may. Nor is the room left unused: they
+// server, from any warm-up on, even if each sends there all that it may. Nor is the room left unused: they
 // may send what the server can do, half of what the settings allow; a group of few what passes there.
 func TestGroupStaysWithinTheColdFormula(t *testing.T) {
 	for _, x := range []struct {
@@ -91,7 +92,7 @@
 	}{{1, 10, 0.15}, {3, 10, 0.3}, {7, 10, 0.3}, {8, 10, 0.5}, {20, 20, 0.5}, {80, 60, 0.5}, {300, 150, 0.5}, {1000, 150, 0.5},
 		{3000, 60, 0.2}} {
 		for _, from := range []float64{0.1, 0.3, 0.9} {
-			worst, mean := coldSum(t, x.group, x.servers, from, 0.7, 1)
+			worst, mean := warmupSum(t, x.group, x.servers, from, 0.7, 1)
 			assert.Less(t, worst, 1.0, "%d gateways, %d servers, from %.2f", x.group, x.servers, from)
 			assert.Greater(t, mean, x.least, "%d gateways, %d servers, from %.2f", x.group, x.servers, from)
 		}
--- a/control/long_test.go
+++ b/control/streamedbody_test.go
@@ -7,22 +7,22 @@
 )
 
 // askLong asks with a body that goes on as it comes.
-func (g *gate) askLong(id string) {
+func (g *harness) requestStreamed(id string) {
 	g.t.Helper()
-	g.do(Request{ID: id, Class: "job", Plan: "low", Tenant: "c", TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2, StreamedBody: true})
+	g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: "c", TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2, StreamedBody: true})
 }
 
 // A body that a slow client still sends takes no place under the bound and speaks against no
 // server; the client's time runs from its end.
 func TestLongRequestLoadsNobodyUntilWritten(t *testing.T) {
-	g := newGate(t, settings(), on(1, 2)...)
+	g := newHarness(t, settings(), endpoints(1, 2)...)
 	for i := range 50 {
-		g.askLong(fmt.Sprint("l", i))
+		g.requestStreamed(fmt.Sprint("l", i))
 	}
 	if len(g.sends) != 50 || g.c.concurrency.busy() != 0 {
 		t.Fatalf("%d sent on, %g at work", len(g.sends), g.c.concurrency.busy())
 	}
-	g.pass(8 * time.Second) // longer than a client waits for an answer
+	g.advance(8 * time.Second) // longer than a client waits for an answer
 	if len(g.ends) > 0 {
 		t.Errorf("ended while their clients send: %v", g.ends)
 	}
@@ -30,17 +30,17 @@
 		t.Errorf("%d servers are avoided for what clients do", n)
 	}
 	for i := range 2 {
-		g.do(BodySent{ID: fmt.Sprint("l", i)})
+		g.handle(BodySent{ID: fmt.Sprint("l", i)})
 	}
 	if g.c.concurrency.busy() != 2 {
 		t.Errorf("%g at work, not the 2 written", g.c.concurrency.busy())
 	}
-	g.pass(100 * ms)
-	g.do(AttemptEnded{ID: "l0", Server: g.sends[0].Server, Outcome: OK, Done: true})
+	g.advance(100 * ms)
+	g.handle(AttemptEnded{ID: "l0", Server: g.sends[0].Server, Outcome: OK, Done: true})
 	if l := g.c.traffic.latency; l < 0.09 || l > 0.2 {
 		t.Errorf("a latency of %g s, not from the last byte", l)
 	}
-	g.do(AttemptEnded{ID: "l2", Server: g.sends[2].Server, Outcome: NeverSent, Done: true})
+	g.handle(AttemptEnded{ID: "l2", Server: g.sends[2].Server, Outcome: NeverSent, Done: true})
 	if g.c.concurrency.busy() != 1 {
 		t.Errorf("%g at work, not 1", g.c.concurrency.busy())
 	}
@@ -49,9 +49,9 @@
 // A request of which a part is gone is not sent again, also where its class would allow it.
 func TestSpentRequestIsNotSentAgain(t *testing.T) {
 	for _, spent := range []bool{false, true} {
-		g := newGate(t, settings(), on(1, 2)...)
-		g.askLong("a")
-		g.do(AttemptEnded{ID: "a", Server: g.sends[0].Server, Outcome: ConnectFailed, BodySpent: spent})
+		g := newHarness(t, settings(), endpoints(1, 2)...)
+		g.requestStreamed("a")
+		g.handle(AttemptEnded{ID: "a", Server: g.sends[0].Server, Outcome: ConnectFailed, BodySpent: spent})
 		if again := len(g.sends) == 2; again == spent {
 			t.Errorf("spent %v: sent again %v", spent, again)
 		}
@@ -66,23 +66,23 @@
 func TestAnswerThatStreamsLoadsNobody(t *testing.T) {
 	s := settings()
 	s.CostWithAnswer = true
-	g := newGate(t, s, on(1)...)
-	g.ask("a", "job", "low", "c")
-	g.pass(50 * ms)
+	g := newHarness(t, s, endpoints(1)...)
+	g.request("a", "job", "low", "c")
+	g.advance(50 * ms)
 	q := g.c.tenants.byKey["low c"]
 	level := q.level
-	g.do(ResponseStarted{ID: "a", Server: 1, Delay: 50 * ms, Tokens: 11, MeterReading: 1})
+	g.handle(ResponseStarted{ID: "a", Server: 1, Delay: 50 * ms, Tokens: 11, MeterReading: 1})
 	if d := level - q.level; d < 7 || d > 11 {
 		t.Errorf("%g units settled, not about 10", d)
 	}
 	if !q.metered {
 		t.Error("the use told in the head is not read")
 	}
-	g.pass(20 * time.Second)
+	g.advance(20 * time.Second)
 	if srv := g.c.servers.byID[1]; g.c.concurrency.busy() != 0 || srv.working() != 0 {
 		t.Errorf("%g at work, %d at the server", g.c.concurrency.busy(), srv.working())
 	}
-	g.do(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true})
+	g.handle(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true})
 	if srv := g.c.servers.byID[1]; g.c.concurrency.inFlight != 0 || g.c.concurrency.responding != 0 || srv.inFlight != 0 || srv.responding != 0 {
 		t.Error("an answer's end is not booked")
 	}
@@ -90,12 +90,12 @@
 
 // A trial that came to nothing leaves its server open to the next one.
 func TestMootTrialIsMadeAnew(t *testing.T) {
-	g := newGate(t, settings(), on(1)...)
-	g.ask("a", "job", "low", "c")
-	g.reply("a", ConnectFailed, 0)
-	g.pass(10 * time.Second)
-	g.ask("b", "job", "low", "c")
-	g.reply("b", NeverSent, 0)
+	g := newHarness(t, settings(), endpoints(1)...)
+	g.request("a", "job", "low", "c")
+	g.answer("a", ConnectFailed, 0)
+	g.advance(10 * time.Second)
+	g.request("b", "job", "low", "c")
+	g.answer("b", NeverSent, 0)
 	if n := g.c.AvoidedServers(g.now); n != 0 {
 		t.Errorf("%d servers avoided for a trial that was not made", n)
 	}
@@ -106,35 +106,35 @@
 	s := settings()
 	s.Classes = append(s.Classes, Class{Name: "post", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1,
 		Idempotency: IdempotentByKey, KeyScope: KeyScopeZone, IdempotencyWindow: 500 * ms})
-	g := newGate(t, s, on(1)...)
-	g.ask("a", "post", "low", "c")
+	g := newHarness(t, s, endpoints(1)...)
+	g.request("a", "post", "low", "c")
 	for i := range 20 { // more than the bound
-		g.ask(fmt.Sprint(i), "job", "low", "c")
+		g.request(fmt.Sprint(i), "job", "low", "c")
 	}
 	g.c.concurrency.bound = 0 // none more for now
-	g.pass(100 * ms)
-	g.reply("a", ResetByPeer, 0)
+	g.advance(100 * ms)
+	g.answer("a", ResetByPeer, 0)
 	if g.ends["a"] != nil || g.n["a"] != 1 {
 		t.Fatalf("ended with %v after %d attempts", g.ends["a"], g.n["a"])
 	}
-	g.pass(500 * ms)
+	g.advance(500 * ms)
 	g.c.concurrency.bound = 100
-	g.pass(100 * ms)
+	g.advance(100 * ms)
 	if _, failed := g.ends["a"].(Fail); !failed || g.n["a"] != 1 {
 		t.Errorf("ended with %v after %d attempts", g.ends["a"], g.n["a"])
 	}
 }
 
-// Gateways of a herd use cold servers for their part, by their warmth, and hold less in flight
+// Nodes of a herd use servers that are warming up for their part, by their warm-up, and hold less in flight
 // while the fleet is cold.
 func TestHerdSharesColdServers(t *testing.T) {
 	s := settings()
 	s.FleetSize = 36
-	members := on(1, 2, 3, 4)
+	members := endpoints(1, 2, 3, 4)
 	for i := range members[1:] {
 		members[i+1].HasStartedAt, members[i+1].StartedAt = true, time.Hour-3*time.Second // 0.2 + 0.8 * 0.3 = 0.44 warm
 	}
-	g := newGate(t, s, members...)
+	g := newHarness(t, s, members...)
 	if f, want := g.c.concurrency.floor(), 4.0/36*(1+3*0.44); f < want-0.01 || f > want+0.01 {
 		t.Errorf("a floor of %g, not %g", f, want)
 	}
@@ -142,17 +142,17 @@
 	n := map[uint32]int{}
 	for i := 0; i < 70; i++ { // 7 s: one request in 100 ms is more than this gateway's part
 		id := fmt.Sprint(i)
-		g.ask(id, "job", "high", "c")
+		g.request(id, "job", "high", "c")
 		if g.n[id] > 0 {
 			n[g.sends[len(g.sends)-1].Server]++
-			g.pass(100 * ms)
-			g.reply(id, OK, 0)
+			g.advance(100 * ms)
+			g.answer(id, OK, 0)
 		} else {
-			g.pass(100 * ms)
+			g.advance(100 * ms)
 		}
 	}
 	cold := n[2] + n[3] + n[4]
-	// Of 4 attempts at a time and 100 ms each, times the warmth, a 36th is 0.5 to 1.1 a second.
+	// Of 4 attempts at a time and 100 ms each, times the warm-up, a 36th is 0.5 to 1.1 a second.
 	if cold < 5 || cold > 40 || n[1] <= cold/3 {
 		t.Errorf("%d attempts at the warm server, %d at three cold ones", n[1], cold)
 	}
--- a/control/customers_test.go
+++ b/control/tenant_test.go
@@ -10,9 +10,9 @@
 func TestRestartedGatewayStartsItsCeilingEmpty(t *testing.T) {
 	s := settings()
 	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst, s.Plans[0].CeilingOverdraft = 10, 40, 4
-	g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
+	g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
 	for i := 0; i < 50; i++ {
-		g.ask(fmt.Sprint("s", i), "job", "low", "x")
+		g.request(fmt.Sprint("s", i), "job", "low", "x")
 	}
 	if len(g.sends) > 2 { // the slack over two gateways
 		t.Errorf("%d units at once from a gateway that knows nothing", len(g.sends))
@@ -20,12 +20,12 @@
 	sent, start := 0, g.now
 	for g.now < start+20*time.Second {
 		id := fmt.Sprint(g.now)
-		g.ask(id, "job", "low", "x")
+		g.request(id, "job", "low", "x")
 		if g.n[id] > 0 {
 			sent++
-			g.reply(id, OK, 0)
+			g.answer(id, OK, 0)
 		}
-		g.pass(10 * ms)
+		g.advance(10 * ms)
 	}
 	if most := 20*5 + 2 + 1; sent > most {
 		t.Errorf("%d units in 20 s, this gateway's part is %d", sent, most)
@@ -38,23 +38,23 @@
 func TestUnseenCustomerMaySendItsPartOfTheBurst(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 1, 20
-	g := newGate(t, s, on(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
+	g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
 	for i := 0; i < 60; i++ {
-		g.ask(fmt.Sprint(i), "job", "low", "x")
+		g.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if n := len(g.sends); n < 8 || n > 20 {
 		t.Errorf("%d of a burst of 20 over two gateways", n)
 	}
 }
 
-// Where a customer comes through many gateways, each is told little and sees single tries. One try
+// Where a tenant comes through many nodes, each is told little and sees single tries. One try
 // next to a low reading is no surge, and who has been told of use beyond the quota refuses more
-// than what would fit if all refused alike; a well filled store here says nothing of it.
+// than what would fit if all rejected alike; a well filled store here says nothing of it.
 func TestThinKnowledgeOfACustomerOfManyGateways(t *testing.T) {
 	chance := func(pct, spread int) float64 {
 		s := settings()
 		s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst = 80, 2, 16
-		g := newGate(t, s, on(1, 2, 3)...)
+		g := newHarness(t, s, endpoints(1, 2, 3)...)
 		g.c.env.now += time.Minute
 		q := g.c.tenants.get(g.c.scheduler.plans[0], "x", spread)
 		g.c.admission.admits(q, g.c.classes["job"], 3, 0)
@@ -85,27 +85,27 @@
 	}
 }
 
-// Guards against memory that grows with customers who come once. One whose stores are not
+// Guards against memory that grows with tenants who come once. One whose buckets are not
 // full again is kept: forgetting it would open its quota or ceiling anew.
 func TestCustomersThatCameOnceAreForgotten(t *testing.T) {
 	s := settings()
 	s.Plans = append(s.Plans, Plan{Name: "slow", PriceFactor: 1, Rate: 0.01, Burst: 10},
 		Plan{Name: "capped", PriceFactor: 1, Rate: 1000, Burst: 1000, CeilingRate: 0.01, CeilingBurst: 10, CeilingOverdraft: 9})
-	g := newGate(t, s, on(1, 2)...)
+	g := newHarness(t, s, endpoints(1, 2)...)
 	for i := 0; i < 100; i++ {
 		for _, plan := range []string{"low", "slow", "capped"} {
 			id := fmt.Sprint(plan, i)
-			g.ask(id, "job", plan, id)
+			g.request(id, "job", plan, id)
 			g.now += ms
-			g.reply(id, OK, 0)
+			g.answer(id, OK, 0)
 		}
 	}
-	g.ask("stays", "job", "low", "stays")
+	g.request("stays", "job", "low", "stays")
 	for range 80 {
-		g.pass(time.Second)
+		g.advance(time.Second)
 		id := fmt.Sprint("on", g.now)
-		g.ask(id, "job", "low", "comes on")
-		g.reply(id, OK, 0)
+		g.request(id, "job", "low", "comes on")
+		g.answer(id, OK, 0)
 	}
 	kept := make(map[string]int)
 	for _, q := range g.c.tenants.byKey {
@@ -121,7 +121,7 @@
 func TestFullStoreIsTrustedSoonAfterTheStart(t *testing.T) {
 	s := settings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 20
-	g := newGate(t, s, on(1, 2)...)
+	g := newHarness(t, s, endpoints(1, 2)...)
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 2)
 	let := func() (n int) {
 		g.c.env.now = g.now
@@ -148,8 +148,8 @@
 	}
 }
 
-// What the store's owner tells goes before what is reckoned here; where it tells nothing, nothing
-// changes. Of a store that many are told of at once more must be there.
+// What the bucket's owner tells goes before what is reckoned here; where it tells nothing, nothing
+// changes. Of a bucket that many are told of at once more must be there.
 func TestSharedStoreDecides(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -188,12 +188,12 @@
 	}
 }
 
-// A gateway of many that refuses most of a customer's tries doesn't take the others to do so too:
-// readings below the quota bring its chance down again, and large requests are refused before small.
+// A node of many that refuses most of a tenant's tries doesn't take the others to do so too:
+// readings below the quota bring its chance down again, and large requests are rejected before small.
 func TestReadingsBelowTheQuotaEndRefusals(t *testing.T) {
 	s := fleet(80)
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 40
-	g := newGate(t, s, on(1, 2, 3)...)
+	g := newHarness(t, s, endpoints(1, 2, 3)...)
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 60)
 	read := func(pct int) {
 		g.c.env.now += 4 * time.Second
