--- a/control/admission.go
+++ b/control/admission.go
@@ -93,7 +93,7 @@
 	a.counts.requests++
 	yields := late || class.PriorityWeight < lowPriorityFraction*a.topWeight
 	switch {
-	case late && !a.tenants.isCovered(t) || yields && a.isScarce(t):
+	case (late && !a.tenants.isCovered(t)) || (yields && a.isScarce(t)):
 		a.counts.late++
 	case a.hasQuota(t, tokens):
 		return true
--- a/control/balancer.go
+++ b/control/balancer.go
@@ -41,7 +41,7 @@
 	avoidClosed := b.avoidsClosedZones(r)
 	spread := b.env.largeFleet() && b.servers.count((*server).usableWarmingUp) > 0
 	for _, s := range b.servers.ordered {
-		if !s.usable() || !dropsDuplicates(r, s) || avoidClosed && r.rules.closes(s) {
+		if !s.usable() || !dropsDuplicates(r, s) || (avoidClosed && r.rules.closes(s)) {
 			continue
 		}
 		if !b.slowStart.admits(s, r.tokens) {
--- a/control/classify.go
+++ b/control/classify.go
@@ -70,7 +70,7 @@
 func (c *attemptClassifier) isImpatient(usual *usualTimeLeft, timeLeft time.Duration, class *Class) bool {
 	sinceAdvised := class.Deadline - timeLeft - c.env.retryAfter()
 	longestQueueTime := time.Duration(slotQueueFraction * float64(class.LatencyObjective))
-	if timeLeft > usual.timeLeft || sinceAdvised >= 0 && sinceAdvised < longestQueueTime+timeLeftTolerance {
+	if timeLeft > usual.timeLeft || (sinceAdvised >= 0 && sinceAdvised < longestQueueTime+timeLeftTolerance) {
 		return false
 	}
 	usual.countRecurring(timeLeft)
--- a/control/concurrency.go
+++ b/control/concurrency.go
@@ -86,7 +86,7 @@
 func (l *concurrencyLimit) hasCapacity() bool {
 	busy := l.busy()
 	bound := min(l.bound, l.rulesBound)
-	return busy+1 <= bound || busy < bound && l.env.now >= l.restsUntil
+	return busy+1 <= bound || (busy < bound && l.env.now >= l.restsUntil)
 }
 
 // busy returns the number of attempts in flight, with abandoned work.
@@ -117,7 +117,7 @@
 func (l *concurrencyLimit) adjust(interval *intervalStats) (cut bool) {
 	overload := interval.overloadFraction()
 	switch {
-	case l.answersAreLate(interval) || overload > cutOverloadFraction && l.serversAreSlow(interval):
+	case l.answersAreLate(interval) || (overload > cutOverloadFraction && l.serversAreSlow(interval)):
 		interval.cut = true
 		if l.env.now >= l.lastCut+seconds(cutSpacing*l.traffic.latency) {
 			l.lastCut = l.env.now
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// outlierDetector ejects servers that fail several times in a row, and makes those dearer that fail often or
-// that other nodes report as slow.
+// outlierDetector ejects servers that fail several times in a row, and raises the cost of those that fail
+// often or that other nodes report as slow.
 type outlierDetector struct {
 	env     *environment
 	servers *serverSet
 	traffic *trafficStats
 }
 
-// outlierState is what speaks against one server.
+// outlierState is the evidence against one server.
 type outlierState struct {
 	consecutiveFailures int
 	ejectedUntil        time.Duration
@@ -18,7 +18,7 @@
 	trial               bool          // an attempt at an ejected server is in flight
 	failureRate         float64       // average of attempts that failed
 	failureRateAt       time.Duration
-	rejectsPlanUntil    map[*planQueue]time.Duration // rejected an attempt of the plan: taken last until then
+	rejectsPlanUntil    map[*planQueue]time.Duration // rejected an attempt of the plan: chosen last until then
 	reportedAt          time.Duration                // when other nodes reported it as slow
 	reportedUntil       time.Duration                // when that report expires
 }
@@ -39,7 +39,7 @@
 	return s.consecutiveFailures >= ejectionFailures && d.env.now < s.ejectedUntil
 }
 
-// recordFailure counts failures that speak against the server as a whole and ejects it where they are enough.
+// recordFailure counts failures of the server as a whole, and ejects it after ejectionFailures in a row.
 func (d *outlierDetector) recordFailure(s *server, count int) {
 	s.consecutiveFailures += count
 	s.trial = false
@@ -57,14 +57,14 @@
 	d.recordOutcome(s, 0)
 }
 
-// recordRejection notes that a server rejected an attempt. Some servers reject one plan only.
+// recordRejection records that a server rejected an attempt. Some servers reject one plan only.
 func (d *outlierDetector) recordRejection(s *server, plan *planQueue) {
 	d.recordFailure(s, 1)
 	s.rejectsPlanUntil[plan] = d.env.now + planRejectionTime
 }
 
-// recordError notes an error or a reset. A server that fails at once would look idle and draw the traffic, so
-// errors raise its cost before they eject it.
+// recordError records an error or a reset. A server that fails at once would look idle and attract traffic,
+// so errors raise its cost before they eject it.
 func (d *outlierDetector) recordError(s *server) {
 	d.recordOutcome(s, 1)
 	if d.failureRate(s) > maxFailureRate {
@@ -81,9 +81,9 @@
 }
 
 // failureRate returns the fraction of a server's attempts that fail. It decays, as a server that is not
-// chosen has no chance to do better.
+// chosen can't improve it.
 func (d *outlierDetector) failureRate(s *server) float64 {
-	if s.failureRate == 0 { // as of most servers, and each choice looks at all
+	if s.failureRate == 0 { // a shortcut: most servers have none, and each choice looks at all
 		return 0
 	}
 	return s.failureRate * decay(d.env.since(s.failureRateAt), d.traffic.observationLifetime(d.servers.usable))
--- a/control/overrides.go
+++ b/control/overrides.go
@@ -77,7 +77,7 @@
 
 // lowerLimit returns the lower of two limits, of which 0 is none.
 func lowerLimit(a, b int) int {
-	if a <= 0 || b > 0 && b < a {
+	if a <= 0 || (b > 0 && b < a) {
 		return b
 	}
 	return a
--- a/control/retry.go
+++ b/control/retry.go
@@ -12,11 +12,12 @@
 
 const (
 	retryBudgetPerRequest = 0.1  // retries earned by each request
-	minRetryCost          = 0.1  // retries that an attempt costs at least which failed at once
-	maxRetryBudget        = 20.0 // retries saved up by each of a few nodes
-	minRetryBudgetLimit   = 3.0  // retries saved up by each of many nodes
-	// fullBudgetNodes is the fleet size up to which each node may save up maxRetryBudget. What a whole
-	// fleet may save up is bounded: many nodes have it at their start, and when a zone is lost.
+	minRetryCost          = 0.1  // least cost, in retries, of an attempt that failed at once
+	maxRetryBudget        = 20.0 // retries that each node of a small fleet may save up
+	minRetryBudgetLimit   = 3.0  // retries that each node of a large fleet may save up
+	// fullBudgetNodes is the fleet size up to which each node may save up maxRetryBudget. What the whole
+	// fleet may save up is bounded, as many nodes spend it at once at their start and when a zone is
+	// lost.
 	fullBudgetNodes = 4.0
 	// retryMargin is the time that must be left to the client for a retry.
 	retryMargin = time.Millisecond
@@ -65,8 +66,8 @@
 	return true
 }
 
-// retryOrFinish queues a request for another attempt where the retry policy allows one, and ends it
-// elsewhere. A retry does not wait beyond the client's time, nor beyond its idempotency window.
+// retryOrFinish queues a request for another attempt where the retry policy allows one, and else ends it.
+// A retry does not wait beyond the client's time, nor beyond its idempotency window.
 func (c *Controller) retryOrFinish(r *request, a *attempt, e AttemptEnded) {
 	cost := c.retries.cost(a, e.Outcome)
 	if !c.retries.allows(r, e, cost) {
--- a/control/shares.go
+++ b/control/shares.go
@@ -163,7 +163,7 @@
 func (l *shareController) load(saved [3][]float64) bool {
 	n := l.plans
 	model, covariance, regressor := saved[0], saved[1], saved[2]
-	if len(model) != 2*n*n || len(covariance) != 4*n*n || len(regressor) != 0 && len(regressor) != 2*n {
+	if len(model) != 2*n*n || len(covariance) != 4*n*n || (len(regressor) != 0 && len(regressor) != 2*n) {
 		return false
 	}
 	l.model = mat.NewDense(n, 2*n, model)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -29,13 +29,13 @@
 	// maxInFlightWarm is the number of attempts that a node has in flight at a server at the end of its slow
 	// start; earlier its warm-up fraction of that, one at least.
 	maxInFlightWarm = 2.0
-	// slowStartSafety is the fraction of what a server bears that all nodes together use.
+	// slowStartSafety is the fraction of a server's capacity that all nodes together use.
 	slowStartSafety = 0.5
 	// assumedConcurrency is how many requests a warm server of a large fleet is taken to work on at a time.
 	assumedConcurrency = 4.0
-	minIdleLatency     = 0.1 // s, with which a large fleet's servers are reckoned
-	// preferredReserve is the fraction of what a server bears that is for the nodes that prefer it: they use
-	// their connections to it again. Without it nearly each attempt would open a new one.
+	minIdleLatency     = 0.1 // s, assumed at least for the servers of a large fleet
+	// preferredReserve is the fraction of a server's capacity that is for the nodes that prefer it: they reuse
+	// their connections to it. Without it nearly each attempt would open a new one.
 	preferredReserve = 0.8
 	// initialAnswerRate is the rate of answers per second that a node is taken to have right after its start.
 	initialAnswerRate = 10.0
@@ -109,7 +109,7 @@
 }
 
 // rateOfLargeFleet returns the tokens per second that a node of a large fleet may send to a server. Too
-// little passes through each node to measure what a server does, so its capacity is reckoned from the idle
+// little passes through each node to measure what a server does, so its capacity is estimated from the idle
 // latency. Most of it is for the nodes that prefer the server.
 func (w *slowStart) rateOfLargeFleet(s *server, fraction float64) float64 {
 	requestsPerSecond := assumedConcurrency / max(w.traffic.idleLatency, minIdleLatency) // of all nodes
@@ -126,7 +126,7 @@
 
 // admitsOfLargeFleet refills the bucket and reports whether it lets a request through. Any request may
 // take the bucket into debt, as small ones would else keep it too low for large ones. A node with a full
-// bucket comes by chance, so that not all nodes come at one moment.
+// bucket sends by chance, so that not all nodes send at one moment.
 func (w *slowStart) admitsOfLargeFleet(s *server, rate float64) bool {
 	s.tokens += rate * w.env.since(s.refilledAt)
 	s.refilledAt = w.env.now
--- a/fleet/maintenance/agent.go
+++ b/fleet/maintenance/agent.go
@@ -41,7 +41,7 @@
 func (a *Agent) Next(now time.Duration) Word {
 	w := Word{Host: a.host, Name: a.name, Fence: a.last.Fence}
 	switch {
-	case !a.asked || a.last.Stage == Waiting && !a.drains:
+	case !a.asked || (a.last.Stage == Waiting && !a.drains):
 		w.Verb, w.Nonce, w.Fence = Ask, a.nonce, 0
 	case a.last.Stage.holds() && a.last.Fence <= a.ended:
 		w.Verb, w.Fence = Here, a.ended
@@ -58,7 +58,7 @@
 // Hear takes the answer to a word that was sent after asked, and says what to do.
 func (a *Agent) Hear(now, asked time.Duration, r Answer) Act {
 	switch {
-	case r.Host == "" || asked < a.heard || now >= asked+r.Left || r.Fence != 0 && r.Fence < a.last.Fence:
+	case r.Host == "" || asked < a.heard || now >= asked+r.Left || (r.Fence != 0 && r.Fence < a.last.Fence):
 		return a.Look(now) // too late, or overtaken
 	case r.Stage.holds() && r.Nonce != a.nonce: // another process of this host has asked since
 		a.asked = false
--- a/fleet/maintenance/command.go
+++ b/fleet/maintenance/command.go
@@ -227,7 +227,7 @@
 	case c.Look != nil:
 		return c.Look.check()
 	case c.Word != nil:
-		if w := c.Word; !nameGood(w.Host) || !nameGood(w.Name) || w.Verb < Ask || w.Verb > Here || w.Verb == Ask && w.Nonce == 0 {
+		if w := c.Word; !nameGood(w.Host) || !nameGood(w.Name) || w.Verb < Ask || w.Verb > Here || (w.Verb == Ask && w.Nonce == 0) {
 			return spoilt("word", "of host %q, %v", w.Host, w.Verb)
 		}
 	case c.Halt != nil && len(c.Halt.Why) > whyMost, c.Resume != nil && len(c.Resume.Why) > whyMost:
--- a/fleet/maintenance/forecast.go
+++ b/fleet/maintenance/forecast.go
@@ -126,9 +126,10 @@
 	var ends backs
 	for _, t := range s.held() {
 		e := back{at: s.wall + s.left(t), m: s.fleet[t.Host]}
-		if w, wanted := s.wanted(t.Host); wanted && (t.Stage == Recalled || t.Stage >= Out && w.job != t.Job) {
+		if w, wanted := s.wanted(t.Host); wanted && (t.Stage == Recalled || (t.Stage >= Out && w.job != t.Job)) {
 			r := s.rank(t.Host, w)
-			if e.again = &r; e.m != nil {
+			e.again = &r
+			if e.m != nil {
 				r.m = &machine{Machine: e.m.Machine}
 				r.m.Phase = Warm // by then
 			}
@@ -150,7 +151,7 @@
 		t := s.turns[host]
 		w, wanted := s.wanted(host)
 		switch {
-		case !wanted || t != nil && t.Stage.holds():
+		case !wanted || (t != nil && t.Stage.holds()):
 		case s.fleet[host] == nil:
 			f.keep(host, w.deadline, &BoundError{Host: host, Bound: ByPhase, Where: "of no machine that is seen"})
 		default:
@@ -171,7 +172,8 @@
 			return false
 		}
 		b := s.barred(y, m, false, s.need(q.length), at)
-		if full[p] = b.bound == ByZone; b.bound != NoBound {
+		full[p] = b.bound == ByZone
+		if b.bound != NoBound {
 			return false
 		}
 		y.away(m, s.members(q.host), 1)
@@ -187,7 +189,8 @@
 	if e.again != nil {
 		return
 	}
-	if f.Done = max(f.Done, e.at); due > 0 && e.at > due {
+	f.Done = max(f.Done, e.at)
+	if due > 0 && e.at > due {
 		f.Late = append(f.Late, &LateError{Host: host, Deadline: due, Expected: e.at, Why: "others go first"})
 	}
 }
--- a/fleet/maintenance/hosts.go
+++ b/fleet/maintenance/hosts.go
@@ -79,7 +79,8 @@
 		if err != nil {
 			return err
 		}
-		if left -= len(hosts); a.Most < 1 || a.Most >= len(hosts) {
+		left -= len(hosts)
+		if a.Most < 1 || a.Most >= len(hosts) {
 			return &PlanError{Key: key + ".most", Why: fmt.Sprintf("%d of %d hosts keeps none apart", a.Most, len(hosts)), Do: "name fewer than the group has, and one at least"}
 		}
 		in := map[string]bool{}
--- a/fleet/maintenance/look.go
+++ b/fleet/maintenance/look.go
@@ -16,7 +16,8 @@
 		return
 	}
 	s.looks++
-	if s.blind = l.Partial; !l.Partial {
+	s.blind = l.Partial
+	if !l.Partial {
 		s.seen = l.From
 	}
 	if l.Group != len(s.yard.ring) {
@@ -49,7 +50,8 @@
 // put takes the evidence of one machine; true is one that the forecast did not reckon with.
 func (s *State) put(m Machine, at time.Duration) (changed bool) {
 	old := s.fleet[m.Host]
-	if changed = old == nil || old.Zone != m.Zone || old.Kind != m.Kind || old.Voter != m.Voter; !changed {
+	changed = old == nil || old.Zone != m.Zone || old.Kind != m.Kind || old.Voter != m.Voter
+	if !changed {
 		t := s.turns[m.Host]
 		changed = (old.Phase == Warm) != (m.Phase == Warm) && (t == nil || !t.Stage.holds())
 	}
--- a/fleet/maintenance/order.go
+++ b/fleet/maintenance/order.go
@@ -30,7 +30,8 @@
 
 func (s *State) rank(host string, w work) rank {
 	r := rank{host: host, length: w.length, due: w.deadline}
-	if r.m = s.fleet[host]; r.m != nil {
+	r.m = s.fleet[host]
+	if r.m != nil {
 		r.load = r.m.Load
 	}
 	return r
--- a/fleet/maintenance/plan.go
+++ b/fleet/maintenance/plan.go
@@ -207,7 +207,7 @@
 }
 
 func checkSpan(key string, s Span, zero bool) error {
-	if s < 0 || s == 0 && !zero || time.Duration(s) > spanMost {
+	if s < 0 || (s == 0 && !zero) || time.Duration(s) > spanMost {
 		return &PlanError{Key: key, Why: fmt.Sprintf("%v is no span up to %v", time.Duration(s), spanMost), Do: "name one, like \"30s\""}
 	}
 	return nil
--- a/fleet/maintenance/status.go
+++ b/fleet/maintenance/status.go
@@ -31,7 +31,7 @@
 	st := Status{Version: s.version, Halted: s.haltWhy(), Done: len(s.done)}
 	if s.plan != nil {
 		st.Hosts = len(s.plan.hosts)
-		st.ByHand = s.halt.hand != "" || s.halt.trouble != "" && s.plan.plan.Trouble.Resume == ByHand
+		st.ByHand = s.halt.hand != "" || (s.halt.trouble != "" && s.plan.plan.Trouble.Resume == ByHand)
 	}
 	for _, t := range s.held() {
 		v := View{Turn: *t, For: s.now - t.Since, Over: s.over(t), Lost: s.fleet[t.Host] == nil}
--- a/fleet/maintenance/trouble.go
+++ b/fleet/maintenance/trouble.go
@@ -28,7 +28,8 @@
 // haltAll lets nothing new out. What was granted is void, what drains comes back, and what is out
 // stays until it has returned.
 func (s *State) haltAll(reason *string, why string, r *Result) {
-	if r.Changed = r.Changed || !s.Halted(); *reason == "" {
+	r.Changed = r.Changed || !s.Halted()
+	if *reason == "" {
 		*reason = why
 	}
 	for _, t := range s.held() {
--- a/fleet/maintenance/turns.go
+++ b/fleet/maintenance/turns.go
@@ -199,7 +199,8 @@
 // took waits longer each time, so that a host that asks and never begins costs the others little.
 func (s *State) giveUp(t *Turn, idle bool) {
 	t.Fence, t.Nonce, t.Said, t.Absent = 0, 0, false, false
-	if t.GivenUp++; !idle {
+	t.GivenUp++
+	if !idle {
 		t.GivenUp = 0
 	}
 	t.Until = s.now
@@ -239,7 +240,8 @@
 	}
 	var c *compiled
 	if l.Plan != nil {
-		if c, r.Err = compile(l.Plan); r.Err != nil {
+		c, r.Err = compile(l.Plan)
+		if r.Err != nil {
 			return
 		}
 	}
@@ -287,10 +289,10 @@
 
 // adopt has a host run under another name, as one that came back from a new disk may.
 func (s *State) adopt(a *Adopt) error {
-	if s.fleet[a.Host] == nil && s.turns[a.Host] == nil || len(s.names) >= namesMost {
+	if (s.fleet[a.Host] == nil && s.turns[a.Host] == nil) || len(s.names) >= namesMost {
 		return &UnknownHostError{Host: a.Host}
 	}
-	if t := s.turns[a.Name]; t != nil && t.Stage.holds() || a.Name == a.Host {
+	if t := s.turns[a.Name]; (t != nil && t.Stage.holds()) || a.Name == a.Host {
 		return &NameTakenError{Host: a.Host, Name: a.Name, By: a.Name}
 	}
 	s.names[a.Name] = a.Host
--- a/fleet/maintenance/words.go
+++ b/fleet/maintenance/words.go
@@ -45,7 +45,7 @@
 	if err := decoder.Unmarshal(raw, a); err != nil {
 		return nil, spoilt("answer", "%s", oneLine(err))
 	}
-	if !nameGood(a.Host) || a.Stage > Done || a.Left < 0 || time.Duration(a.Length) > spanMost || a.Length < 0 || a.Job != "" && !nameGood(a.Job) {
+	if !nameGood(a.Host) || a.Stage > Done || a.Left < 0 || time.Duration(a.Length) > spanMost || a.Length < 0 || (a.Job != "" && !nameGood(a.Job)) {
 		return nil, spoilt("answer", "of host %q, %v", a.Host, a.Stage)
 	}
 	return a, nil
--- a/fleet/prefetch/calendar.go
+++ b/fleet/prefetch/calendar.go
@@ -91,7 +91,7 @@
 				return &CalendarError{name, key("first"), fmt.Sprintf("no time from 1970 to %d", yearMost)}
 			case !(w.ForS > 0) || w.ForS > lengthMost.Seconds():
 				return &CalendarError{name, key("for_s"), fmt.Sprintf("%g is not above 0 and at most %g", w.ForS, lengthMost.Seconds())}
-			case !(w.EachS >= 0) || w.EachS > periodMost.Seconds() || period > 0 && period <= length:
+			case !(w.EachS >= 0) || w.EachS > periodMost.Seconds() || (period > 0 && period <= length):
 				return &CalendarError{name, key("every_s"), fmt.Sprintf("%g is neither 0 nor over for_s and at most %g", w.EachS, periodMost.Seconds())}
 			case !(w.Sure >= 0 && w.Sure <= 1):
 				return &CalendarError{name, key("sure"), fmt.Sprintf("%g is no part of 1", w.Sure)}
--- a/fleet/prefetch/choose.go
+++ b/fleet/prefetch/choose.go
@@ -92,11 +92,13 @@
 	for _, f := range taken[:at] {
 		end -= long(f.Item)
 	}
-	if end -= takes; end < r {
+	end -= takes
+	if end < r {
 		return false
 	}
 	for _, f := range taken[at:] {
-		if end -= long(f.Item); end < release(f.Item) {
+		end -= long(f.Item)
+		if end < release(f.Item) {
 			return false
 		}
 	}
@@ -178,7 +180,8 @@
 		return -1, now + time.Duration(-s.room/s.rate*float64(time.Second)) + time.Millisecond, true
 	}
 	s.room -= float64(q.sizes[0]) // one answer may go into debt, so that a large one goes at all
-	if q.sizes = q.sizes[1:]; len(q.sizes) == 0 {
+	q.sizes = q.sizes[1:]
+	if len(q.sizes) == 0 {
 		delete(s.edges, best)
 	}
 	s.twice, s.last = best == s.last, best
@@ -186,5 +189,5 @@
 }
 
 func less(a *queue, i int, b *queue, j int) bool {
-	return a.from < b.from || a.from == b.from && i < j
+	return a.from < b.from || (a.from == b.from && i < j)
 }
--- a/fleet/prefetch/units.go
+++ b/fleet/prefetch/units.go
@@ -69,7 +69,8 @@
 	if i := slices.IndexFunc(l.loans, func(o owed) bool { return o.ID == id }); i >= 0 {
 		o := l.loans[i]
 		loan = o.Loan
-		if loan.Left = o.Left - (now - o.from); loan.Left <= 0 {
+		loan.Left = o.Left - (now - o.from)
+		if loan.Left <= 0 {
 			return Loan{}, 0, &LoanError{l.customer, "the loan has ended"}
 		}
 		return loan, 0, nil
@@ -98,7 +99,7 @@
 func drift(span time.Duration) time.Duration { return time.Duration(3 * driftMost * float64(span)) }
 
 // later tells whether a loan of one edge is a later one than another of it.
-func later(a, b ID) bool { return a.Life > b.Life || a.Life == b.Life && int32(a.Seq-b.Seq) > 0 }
+func later(a, b ID) bool { return a.Life > b.Life || (a.Life == b.Life && int32(a.Seq-b.Seq) > 0) }
 
 // out is what is lent.
 func (l *Ledger) out() (sum Part) {
@@ -176,7 +177,8 @@
 }
 
 func (p *Purse) refill(now time.Duration) {
-	if now = min(now, p.end); now > p.at {
+	now = min(now, p.end)
+	if now > p.at {
 		p.level = math.Min(p.loan.Depth, p.level+p.loan.Rate*(now-p.at).Seconds())
 		p.at = now
 	}
--- a/fleet/ratelimit/bucket.go
+++ b/fleet/ratelimit/bucket.go
@@ -88,8 +88,8 @@
 	level = b.Level(now)
 	reckoned := b.levelAfter(b.reported, now-b.reportedAt)
 	fresh := b.hasReported && now < b.reportedAt+reportRenewal
-	matters := b.isLow(level) || fresh && b.isLow(reckoned)
-	if !matters || fresh && math.Abs(level-reckoned) < reportStep*b.Burst {
+	matters := b.isLow(level) || (fresh && b.isLow(reckoned))
+	if !matters || (fresh && math.Abs(level-reckoned) < reportStep*b.Burst) {
 		return 0, false
 	}
 	b.reported = level
--- a/fleet/ratelimit/tenant.go
+++ b/fleet/ratelimit/tenant.go
@@ -140,7 +140,7 @@
 // bucket that was low when last reported is low until that report expires, as owners report no small change.
 func (l *Limiter) applyCoverage(t *tenantState, now time.Duration) {
 	covered, ok := l.coveredUntil[t.owner]
-	if !ok || now > covered+ReportLifetime || t.cached.known && covered <= t.cached.validAt {
+	if !ok || now > covered+ReportLifetime || (t.cached.known && covered <= t.cached.validAt) {
 		return
 	}
 	least := lowFraction * t.quota.Burst
--- a/fleet/rules/grantor.go
+++ b/fleet/rules/grantor.go
@@ -133,7 +133,7 @@
 // replaces reports whether a request takes the place of another one of its node. One that came again does not: the other's
 // answer may be under way.
 func (g *LeaseGrantor) replaces(now time.Duration, p, other pendingRequest) bool {
-	return other.incarnation != p.incarnation || p.request.Fresh && !other.request.Fresh ||
+	return other.incarnation != p.incarnation || (p.request.Fresh && !other.request.Fresh) ||
 		now-other.arrived >= g.terms.RenewInterval
 }
 
@@ -165,7 +165,7 @@
 	kept := g.pending[:0]
 	for _, p := range g.pending {
 		later := int32(own.sequence-p.ownSequence) > 0
-		fresh := !p.request.Fresh || later && own.fresh
+		fresh := !p.request.Fresh || (later && own.fresh)
 		switch {
 		case remaining > 0 && fresh, remaining == 0 && later:
 			answerable = append(answerable, p)
--- a/fleet/rules/holder.go
+++ b/fleet/rules/holder.go
@@ -212,7 +212,7 @@
 	if g.State != nil {
 		h.observe(now, *g.State)
 	}
-	if g.Revision != h.state.Revision || !h.hasFreshLease && !request.fresh {
+	if g.Revision != h.state.Revision || (!h.hasFreshLease && !request.fresh) {
 		h.requestSoon(now) // the grant is of a state that has passed, or may have
 		return sentRequest{}
 	}
--- a/fleet/rules/snapshot.go
+++ b/fleet/rules/snapshot.go
@@ -24,7 +24,7 @@
 // check reports whether a registry is one that commands can lead to.
 func (r *Registry) check() error {
 	s := &r.state
-	if len(s.Versions) > maxVersions+maxScheduled+2 || len(s.Scheduled) > maxScheduled || s.Prepared && len(s.Scheduled) == 0 {
+	if len(s.Versions) > maxVersions+maxScheduled+2 || len(s.Scheduled) > maxScheduled || (s.Prepared && len(s.Scheduled) == 0) {
 		return errors.New("more entries than a registry has")
 	}
 	last := uint64(0)
@@ -34,7 +34,7 @@
 		}
 		last = s.Versions[i].Number
 	}
-	if last != s.Newest || s.Previous != 0 && s.Previous >= s.Active {
+	if last != s.Newest || (s.Previous != 0 && s.Previous >= s.Active) {
 		return fmt.Errorf("version %d is missing", s.Newest)
 	}
 	return r.checkInUse()
@@ -66,7 +66,7 @@
 	for i, number := range append([]uint64{r.state.Active}, r.state.Scheduled...) {
 		v := r.find(number)
 		missing := number != 0 && (v == nil || v.Text == nil)
-		disordered := i > 0 && (number == 0 || number <= r.state.Active || i > 1 && number <= previous)
+		disordered := i > 0 && (number == 0 || number <= r.state.Active || (i > 1 && number <= previous))
 		if missing || disordered {
 			return fmt.Errorf("version %d is in use and missing or out of order", number)
 		}
--- a/fleet/subset/choose.go
+++ b/fleet/subset/choose.go
@@ -176,7 +176,7 @@
 			before = before[1:]
 			continue
 		}
-		if order > 0 || before[0] != after[0] && before[0].server() != after[0].server() {
+		if order > 0 || (before[0] != after[0] && before[0].server() != after[0].server()) {
 			change.Updated = append(change.Updated, after[0].server())
 		}
 		if order == 0 {
--- a/fleet/zone/evidence.go
+++ b/fleet/zone/evidence.go
@@ -63,12 +63,14 @@
 		}
 	}
 	for _, n := range by {
-		if e.servers++; n[1] > n[0] {
+		e.servers++
+		if n[1] > n[0] {
 			e.failed++
 		}
 	}
 	e.failed /= math.Max(1, e.servers)
-	if e.n = good + bad; e.n == 0 {
+	e.n = good + bad
+	if e.n == 0 {
 		e.high = 1
 		return e
 	}
--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -192,7 +192,8 @@
 		if z.suspectSince < 0 {
 			z.suspectSince = now
 		}
-		if z.state = Suspect; now >= z.suspectSince+suspectTime {
+		z.state = Suspect
+		if now >= z.suspectSince+suspectTime {
 			p.evacuate(now, z, "a part of it fails")
 			return
 		}
@@ -216,14 +217,15 @@
 	if z.relativeAnswerTime > slowRatio {
 		want = math.Max(minSlowFraction, slowRatio/z.relativeAnswerTime)
 	}
-	if z.fraction += slowSmoothing * (want - z.fraction); z.fraction > 0.99 {
+	z.fraction += slowSmoothing * (want - z.fraction)
+	if z.fraction > 0.99 {
 		z.fraction = 1
 	}
 }
 
 // evacuate stops sending to a zone, for longer at each flap.
 func (p *Policy) evacuate(now time.Duration, z *Zone, why string) {
-	if z.state == Returning || now < z.since+flapMemory && z.since > 0 {
+	if z.state == Returning || (now < z.since+flapMemory && z.since > 0) {
 		z.evacuationTime = min(2*z.evacuationTime, maxEvacuation)
 	}
 	z.setState(now, Evacuated, 0, why)
@@ -236,13 +238,15 @@
 	switch {
 	case e.n >= minAttempts && e.low >= suspectFailureRate && elsewhere(e, rest):
 		z.evacuationTime = min(2*z.evacuationTime, maxEvacuation)
-		if z.fraction /= 4; z.fraction < initialRampFraction {
+		z.fraction /= 4
+		if z.fraction < initialRampFraction {
 			z.setState(now, Evacuated, 0, "failed on return")
 			return
 		}
 		z.since = now
 	case held >= minRampStep && e.n >= minAttempts && e.high < suspectFailureRate, held >= maxRampStepWithoutEvidence && e.low < suspectFailureRate:
-		if z.fraction = math.Min(1, 2*z.fraction); z.fraction == 1 {
+		z.fraction = math.Min(1, 2*z.fraction)
+		if z.fraction == 1 {
 			z.setState(now, Healthy, 1, "")
 			return
 		}
--- a/internal/config/subset.go
+++ b/internal/config/subset.go
@@ -41,7 +41,8 @@
 		s.Most = *c.MaxServers
 	}
 	if c.MinPerZone != nil {
-		if s.ZoneLeast = *c.MinPerZone; s.ZoneLeast == 0 {
+		s.ZoneLeast = *c.MinPerZone
+		if s.ZoneLeast == 0 {
 			s.ZoneLeast = subset.NoZoneFloor
 		}
 	}
--- a/internal/consensus/raftlog/records.go
+++ b/internal/consensus/raftlog/records.go
@@ -53,7 +53,7 @@
 func openRecords(d disk.FS, dir string) (*records, error) {
 	s := &records{disk: d, path: filepath.Join(dir, logName), end: int64(len(logHead))}
 	raw, err := disk.ReadFile(d, s.path, MaxLogBytes)
-	if errors.Is(err, fs.ErrNotExist) || err == nil && !bytes.HasPrefix(raw, []byte(logHead)) {
+	if errors.Is(err, fs.ErrNotExist) || (err == nil && !bytes.HasPrefix(raw, []byte(logHead))) {
 		return nil, &CorruptError{File: logName, Err: errMissing}
 	}
 	if err != nil {
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -14,7 +14,7 @@
 }
 
 func (p logPosition) isAfter(other logPosition) bool {
-	return p.Term > other.Term || p.Term == other.Term && p.Index > other.Index
+	return p.Term > other.Term || (p.Term == other.Term && p.Index > other.Index)
 }
 
 // peerRecord is what another voter has sent this one, which is on its disk unless that is faulty.
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -74,7 +74,7 @@
 			quorumAt = time.Now()
 		}
 		waited := !quorumAt.IsZero() && (all || time.Since(quorumAt) > quorumGrace)
-		if v.isDiskTrusted() || waited && leadersReached(reports) {
+		if v.isDiskTrusted() || (waited && leadersReached(reports)) {
 			break
 		}
 		select {
--- a/internal/discovery/bulk.go
+++ b/internal/discovery/bulk.go
@@ -75,7 +75,8 @@
 		b.within.Reset(TransferTimeout)
 		return
 	}
-	if b.got += n; b.got < MinProgressBytes {
+	b.got += n
+	if b.got < MinProgressBytes {
 		return
 	}
 	b.got = 0
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -119,7 +119,8 @@
 	case !blank && !m.begun:
 		m.begin(n)
 	case m.begun:
-		if m.bytesLeft -= n; m.bytesLeft < 0 {
+		m.bytesLeft -= n
+		if m.bytesLeft < 0 {
 			return 0, fmt.Errorf("a message has over %d bytes", maxMessageBytes)
 		}
 	default:
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -51,7 +51,8 @@
 
 // moved takes a change of address.
 func (p *pace) moved(now time.Time) {
-	if p.deadline, p.nextBackoff = now.Add(movedDeadline), 0; p.deadline.Before(p.receivedBy) {
+	p.deadline, p.nextBackoff = now.Add(movedDeadline), 0
+	if p.deadline.Before(p.receivedBy) {
 		p.receivedBy = p.deadline
 	}
 }
--- a/internal/discovery/selection.go
+++ b/internal/discovery/selection.go
@@ -71,7 +71,8 @@
 		return u, true, nil // as discovery sent it
 	}
 	needed := Update{Rev: u.Rev, All: s.partial || s.set.Whole(), NodesPerServer: s.sharers()}
-	if s.partial = false; needed.All {
+	s.partial = false
+	if needed.All {
 		change = subset.Change{Updated: s.set.Chosen()}
 	}
 	needed.Targets = targets(change)
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -133,7 +133,8 @@
 	}
 	s.updateDegraded()
 	last := i == len(s.open)-1
-	if s.open = slices.Delete(s.open, i, i+1); last {
+	s.open = slices.Delete(s.open, i, i+1)
+	if last {
 		s.wake.Reset(s.pause(e.from, !s.rejected) + unusablePause(e.err))
 	}
 }
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -174,7 +174,8 @@
 	if err := t.check(); err != nil {
 		return &MalformedError{err}
 	}
-	if r.entries++; r.entries > r.selection.maxListed {
+	r.entries++
+	if r.entries > r.selection.maxListed {
 		return &subset.TooManyError{What: "entries", Have: r.entries, Most: r.selection.maxListed}
 	}
 	if r.entries%yieldInterval == 0 {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -99,7 +99,8 @@
 // Where it is current, of this discovery and complete, the watch requests changes since then, else the whole list. It must
 // not be called once Run has started.
 func (w *Watcher) Adopt(held Update, current bool) Update {
-	if w.rev = held.Rev; !current || held.NodesPerServer > 0 || held.Rev == 0 && len(held.Targets) == 0 {
+	w.rev = held.Rev
+	if !current || held.NodesPerServer > 0 || (held.Rev == 0 && len(held.Targets) == 0) {
 		w.rev = noRev
 	}
 	if w.selection == nil {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -76,7 +76,7 @@
 		return ctx, t
 	}
 	left := time.Until(x.deadline)
-	if !hasDeadline || a.Timeout > 0 && a.Timeout < left {
+	if !hasDeadline || (a.Timeout > 0 && a.Timeout < left) {
 		left = a.Timeout
 	}
 	if left <= 0 {
--- a/internal/node/clientbody.go
+++ b/internal/node/clientbody.go
@@ -70,7 +70,8 @@
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.total += int64(n); b.total > maxMessageBytes && err == nil {
+	b.total += int64(n)
+	if b.total > maxMessageBytes && err == nil {
 		err = errMessageTooLong
 	}
 	switch {
@@ -103,7 +104,8 @@
 func (b *clientBody) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stopped = true; !b.ended {
+	b.stopped = true
+	if !b.ended {
 		_ = b.deadlines.SetReadDeadline(deadlinePassed)
 	}
 }
@@ -133,7 +135,7 @@
 func (b *clientBody) discard(r *http.Request) {
 	b.mu.Lock()
 	// A client that waits for 100 Continue has got the final answer instead.
-	over := b.ended || b.fault != nil || b.total == 0 && r.Header.Get("Expect") != ""
+	over := b.ended || b.fault != nil || (b.total == 0 && r.Header.Get("Expect") != "")
 	b.mu.Unlock()
 	if over {
 		return
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -140,7 +140,8 @@
 	if len(c.pipelined) > 0 && !c.closedForWriting {
 		defer c.mu.Unlock()
 		n := copy(p, c.pipelined)
-		if c.pipelined = c.pipelined[n:]; len(c.pipelined) == 0 {
+		c.pipelined = c.pipelined[n:]
+		if len(c.pipelined) == 0 {
 			c.pipelined = nil
 		}
 		c.requestBytes(p[:n])
@@ -239,7 +240,7 @@
 func (c *clientConn) closeIfIdle(part bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closedForWriting || c.requestBegun && (c.headComplete || !part) || len(c.pipelined) > 0 || c.hasUnreadBytes() {
+	if c.closedForWriting || (c.requestBegun && (c.headComplete || !part)) || len(c.pipelined) > 0 || c.hasUnreadBytes() {
 		return false
 	}
 	_ = c.closeWrite()
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -89,7 +89,7 @@
 		return class, newBadRequest(http.StatusNotFound, "unknown class %q", name)
 	}
 	idempotent := class.Idempotency == control.Idempotent
-	if idempotent != (r.Method == http.MethodGet) || !idempotent && r.Method != http.MethodPost {
+	if idempotent != (r.Method == http.MethodGet) || (!idempotent && r.Method != http.MethodPost) {
 		return class, newBadRequest(http.StatusMethodNotAllowed, "%s: not a method of class %s", r.Method, name)
 	}
 	if idempotent && r.ContentLength > 0 {
--- a/internal/node/degradeddiscovery.go
+++ b/internal/node/degradeddiscovery.go
@@ -118,7 +118,8 @@
 		if t.Status() != discovery.Available {
 			continue
 		}
-		if demoted[uid] = d.active && !d.healthy[uid]; demoted[uid] {
+		demoted[uid] = d.active && !d.healthy[uid]
+		if demoted[uid] {
 			t.State = "draining"
 		}
 		if demoted[uid] != d.shownDraining[uid] {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -74,7 +74,7 @@
 		}
 	}
 	for uid, id := range l.serverIDs {
-		if is, told := listed[uid]; told && !is || !told && kind != control.Delta {
+		if is, told := listed[uid]; (told && !is) || (!told && kind != control.Delta) {
 			l.retirePool(id, false)
 			delete(l.serverIDs, uid)
 			l.notifyEndpoint(id, nil)
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -41,7 +41,7 @@
 // tokens returns the true cost of a request, of most at most (0 is no limit); 0 is not given.
 func (o *outcome) tokens(most float64) float64 {
 	v, err := parseNumber(o.header.Get(headerCost))
-	if err != nil || v < 0 || most > 0 && v > most {
+	if err != nil || v < 0 || (most > 0 && v > most) {
 		return 0
 	}
 	return v
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -217,7 +217,7 @@
 // scheduleFlush has flush called when a message is due.
 func (s *limitSharing) scheduleFlush() {
 	when, ok := s.limiter.NextFlush()
-	if !ok || s.timerAt != 0 && s.timerAt <= when {
+	if !ok || (s.timerAt != 0 && s.timerAt <= when) {
 		return
 	}
 	s.timerAt = when
--- a/internal/node/serverconns.go
+++ b/internal/node/serverconns.go
@@ -210,7 +210,8 @@
 	var oldest *conn
 	n := 0
 	u.closeIdleWhere(func(c *conn) bool {
-		if n++; oldest == nil || c.since.Before(oldest.since) {
+		n++
+		if oldest == nil || c.since.Before(oldest.since) {
 			oldest = c
 		}
 		return false
--- a/internal/node/stragglers.go
+++ b/internal/node/stragglers.go
@@ -66,7 +66,7 @@
 // scheduleCheck has check called when the oldest attempt becomes late.
 func (w *stragglerWatch) scheduleCheck() {
 	when, ok := w.watch.Next()
-	if !ok || w.timerAt != 0 && w.timerAt <= when {
+	if !ok || (w.timerAt != 0 && w.timerAt <= when) {
 		return
 	}
 	w.timerAt = when
--- a/internal/store/disk/faulty/faulty.go
+++ b/internal/store/disk/faulty/faulty.go
@@ -86,7 +86,8 @@
 func (d *FS) now() (f Faults) {
 	for {
 		raw, err := os.ReadFile(filepath.Join(d.dir, faultsName))
-		if f = (Faults{}); err != nil || json.Unmarshal(raw, &f) != nil || !f.Stalled {
+		f = (Faults{})
+		if err != nil || json.Unmarshal(raw, &f) != nil || !f.Stalled {
 			return f
 		}
 		time.Sleep(look)
--- a/internal/store/disk/faulty/file.go
+++ b/internal/store/disk/faulty/file.go
@@ -154,7 +154,8 @@
 func (f *file) Close() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if f.inode.refs--; f.inode.refs == 0 && f.inode.name != "" {
+	f.inode.refs--
+	if f.inode.refs == 0 && f.inode.name != "" {
 		delete(f.fs.open, f.inode.name)
 	}
 	return f.File.Close()
--- a/internal/store/disk/faulty/undo.go
+++ b/internal/store/disk/faulty/undo.go
@@ -205,7 +205,8 @@
 	for left := l.Syncs; !l.Torn && end > 0; end-- {
 		u := all[end-1]
 		if u.Kind == synced {
-			if left--; left < 0 {
+			left--
+			if left < 0 {
 				break
 			}
 			continue
