--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net"
 	"net/http"
 	"net/http/httptest"
 	"strconv"
@@ -55,7 +56,13 @@
 				a := newApp(t, served)
 				known := discovery.Update{Rev: 7, All: true, Targets: []discovery.Target{a.target("s-1", 0)}}
 				tell := make(chan string, 1)
-				agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serveList(w, r, tell) }))
+				agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serveList(w, r, tell) }))
+				_ = agent.Listener.Close()
+				// On a host of its own: a port that is free again could go to another test's discovery, which would get this node's calls.
+				var err error
+				agent.Listener, err = net.Listen("tcp", ownHost()+":0")
+				require.NoError(t, err)
+				agent.Start()
 				t.Cleanup(agent.Close)
 				if serveList == nil {
 					agent.Close()
