--- /dev/null
+++ b/fleet/prefetch/golden_test.go
@@ -0,0 +1,71 @@
+package prefetch
+
+import (
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/stretchr/testify/require"
+
+	"sloestile/internal/canonical"
+	"sloestile/internal/golden"
+)
+
+func encodeAs[T any](v *T) ([]byte, error) { return canonical.Encoder.Marshal(v) }
+
+func decodeAs[T any](raw []byte) (*T, error) {
+	v := new(T)
+	return v, cbor.Unmarshal(raw, v)
+}
+
+// The name of a loan, a loan with its part of a store, and what the disk has of one have the recorded bytes.
+func TestLoansAreEncodedAsRecorded(t *testing.T) {
+	golden.RoundTrip(t, "id", encodeAs[ID], decodeAs[ID])
+	golden.RoundTrip(t, "part", encodeAs[Part], decodeAs[Part])
+	golden.RoundTrip(t, "loan", encodeAs[Loan], decodeAs[Loan])
+	golden.RoundTrip(t, "kept", encodeAs[Kept], decodeAs[Kept])
+}
+
+// A calendar with every key is read as recorded.
+func TestCalendarIsReadAsRecorded(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
+	require.NoError(t, err)
+	calendar, err := ParseCalendar(text)
+	require.NoError(t, err)
+	var out strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(calendar)) {
+		fmt.Fprintln(&out, name, calendar[name].Nodes)
+		for _, w := range calendar[name].Windows {
+			fmt.Fprintln(&out, w.First.Format(time.RFC3339Nano), w.ForS, w.EachS, w.Sure)
+		}
+	}
+	golden.CheckText(t, "every-key", out.String())
+}
+
+// A key that a calendar does not have is refused, at each depth.
+func TestCalendarRefusesUnknownKey(t *testing.T) {
+	for key, text := range map[string]string{
+		"hall-a.other":         "[hall-a]\nnodes = [\"n0\"]\nother = 1\n",
+		"hall-a.windows.other": "[hall-a]\nnodes = [\"n0\"]\n[[hall-a.windows]]\nfirst = 2026-12-01T00:00:00Z\nfor_s = 1.0\nother = 1\n",
+	} {
+		_, err := ParseCalendar([]byte(text))
+		var refused *CalendarError
+		require.ErrorAs(t, err, &refused)
+		require.Equal(t, key+": unknown key", refused.Key+": "+refused.Reason)
+	}
+}
+
+// The states of an uplink have the recorded names, in the recorded order.
+func TestStateNamesAreAsRecorded(t *testing.T) {
+	text := ""
+	for s := Clear; s <= Surprised; s++ {
+		text += s.String() + "\n"
+	}
+	golden.CheckText(t, "states", text)
+}
