--- /dev/null
+++ b/fleet/zone/golden_test.go
@@ -0,0 +1,25 @@
+package zone
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"sloestile/internal/golden"
+)
+
+// The states of a zone, and the operators' orders, have the recorded names, in the recorded order.
+func TestNamesAreAsRecorded(t *testing.T) {
+	text := "states:\n"
+	for s := Healthy; s <= Returning; s++ {
+		text += s.String() + "\n"
+	}
+	text += "orders:\n"
+	for o := None; o <= Return; o++ {
+		text += o.String() + "\n"
+		back, err := ParseOrder(o.String())
+		require.NoError(t, err)
+		require.Equal(t, o, back)
+	}
+	golden.CheckText(t, "names", text)
+}
