--- a/fleet/maintenance/golden_test.go
+++ b/fleet/maintenance/golden_test.go
@@ -1,8 +1,11 @@
 package maintenance
 
 import (
+	"os"
+	"path/filepath"
 	"testing"
 
+	"github.com/pelletier/go-toml/v2"
 	"github.com/stretchr/testify/require"
 
 	"sloestile/internal/golden"
@@ -30,3 +33,30 @@
 	require.NotEmpty(t, text)
 	golden.CheckText(t, "names", text)
 }
+
+// The last stage has the recorded name, and none follows it.
+func TestLastStageIsAsRecorded(t *testing.T) {
+	golden.CheckText(t, "last-stage", Done.String()+"\n"+(Done+1).String()+"\n")
+}
+
+// A plan with every key is read as recorded.
+func TestPlanIsReadAsRecorded(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
+	require.NoError(t, err)
+	plan, err := Parse(text)
+	require.NoError(t, err)
+	golden.CheckText(t, "every-key", golden.Values(plan))
+}
+
+// A plan is written with the recorded keys; those that may be absent are left out where they are empty.
+func TestPlanIsWrittenAsRecorded(t *testing.T) {
+	plan, err := Parse([]byte(goodPlan))
+	require.NoError(t, err)
+	text, err := toml.Marshal(plan)
+	require.NoError(t, err)
+	golden.CheckText(t, "plan", string(text))
+	plan.Apart, plan.Jobs[0].Deadline = nil, 0
+	text, err = toml.Marshal(plan)
+	require.NoError(t, err)
+	golden.CheckText(t, "plan-least", string(text))
+}
--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -1,8 +1,12 @@
 package rules
 
 import (
+	"fmt"
+	"maps"
 	"os"
 	"path/filepath"
+	"slices"
+	"strings"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -82,3 +86,59 @@
 		golden.CheckText(t, "section-"+name, string(section))
 	}
 }
+
+// Each value of a text with every key is read as recorded, under the tables' names that the text gives.
+func TestEveryKeyIsReadAsRecorded(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
+	require.NoError(t, err)
+	set, err := Parse(text)
+	require.NoError(t, err)
+	var out strings.Builder
+	for _, name := range slices.Sorted(maps.Keys(set.Plans)) {
+		fmt.Fprintln(&out, name, *set.Plans[name].Price, *set.Plans[name].Quota)
+	}
+	for _, name := range slices.Sorted(maps.Keys(set.Tenants)) {
+		fmt.Fprintln(&out, name, *set.Tenants[name].Quota)
+	}
+	for _, name := range slices.Sorted(maps.Keys(set.Classes)) {
+		fmt.Fprintln(&out, name, *set.Classes[name].Attempts)
+	}
+	fmt.Fprintln(&out, *set.Limits.InFlight, *set.Limits.Attempts)
+	for _, name := range slices.Sorted(maps.Keys(set.Zones)) {
+		cost := "none"
+		if set.Zones[name].Cost != nil {
+			cost = fmt.Sprint(*set.Zones[name].Cost)
+		}
+		fmt.Fprintln(&out, name, set.Zones[name].Closed, cost)
+	}
+	fmt.Fprintln(&out, set.Work, set.Uplinks)
+	golden.CheckText(t, "every-key", out.String())
+}
+
+// A key that a rule set does not have is refused, in each table.
+func TestUnknownKeyIsRefused(t *testing.T) {
+	for _, table := range []string{"plans.basic", `customers."basic 00000000000000ff"`, "classes.rate", "limits", "zones.hall-a"} {
+		_, err := Parse([]byte("[" + table + "]\nother = 1\n"))
+		var refused *DocumentError
+		require.ErrorAs(t, err, &refused, table)
+		require.Equal(t, "unknown key", refused.Reason)
+	}
+}
+
+// Kinds of activation, statuses of versions and reasons have the recorded names, by their numbers; the last of each
+// is one number past those that there are.
+func TestNamesAreAsRecorded(t *testing.T) {
+	text := "kinds:\n"
+	for k := range Exclusive + 2 {
+		text += k.String() + "\n"
+	}
+	text += "statuses:\n"
+	for s := range Cancelled + 2 {
+		text += s.String() + "\n"
+	}
+	text += "reasons:\n"
+	for r := range OlderVersion + 2 {
+		text += r.String() + "\n"
+	}
+	golden.CheckText(t, "names", text)
+}
