--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"io"
+	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -51,3 +52,15 @@
 	require.NoError(t, (&stateMachines{byKind: map[byte]StateMachine{'r': back}}).Restore(io.NopCloser(&out)))
 	require.Equal(t, "rules", string(back.state))
 }
+
+// The first byte of a call among voters, and the phases that operators see, are as recorded.
+func TestNamesAreAsRecorded(t *testing.T) {
+	golden.CheckText(t, "names", strings.Join([]string{string(rune(callVoter)), PhaseWaiting, PhaseAsking, PhaseAdmitted, PhaseVoting}, "\n")+"\n")
+}
+
+// A voter's record of another has the recorded bytes, also where nothing has been seen.
+func TestRecordsAreAsRecorded(t *testing.T) {
+	encode := func(p *peerRecord) ([]byte, error) { return cbor.Marshal(*p) }
+	golden.RoundTrip(t, "peer", encode, decodeAs[peerRecord])
+	golden.RoundTripOf(t, "peer-empty", &peerRecord{}, encode, decodeAs[peerRecord])
+}
--- a/internal/consensus/transport/golden_test.go
+++ b/internal/consensus/transport/golden_test.go
@@ -25,3 +25,8 @@
 	require.NoError(t, err)
 	require.Equal(t, "body", string(body))
 }
+
+// The kinds of streams have the recorded bytes.
+func TestKindsAreAsRecorded(t *testing.T) {
+	golden.Check(t, "kinds", []byte{kindRaft, kindCall})
+}
--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,23 @@
+package discovery
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"sloestile/internal/golden"
+)
+
+// A message of discovery has the recorded keys, and a target's states are read as recorded.
+func TestUpdateIsAsRecorded(t *testing.T) {
+	golden.RoundTrip(t, "update", func(u *Update) ([]byte, error) { return json.MarshalIndent(u, "", " ") }, func(raw []byte) (*Update, error) {
+		u := &Update{}
+		return u, json.Unmarshal(raw, u)
+	})
+	text := ""
+	for _, state := range []string{stateUp, stateDraining, stateRemoved, "later", ""} {
+		target := Target{State: state}
+		text += fmt.Sprintf("%q %d\n", state, target.Status())
+	}
+	golden.CheckText(t, "states", text)
+}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -44,6 +44,7 @@
 	golden.Fill(here)
 	here.Leader = json.RawMessage(`{"a":1}`)
 	golden.RoundTripOf(t, "here", here, encodeJSON[nodeStatus], decodeJSON[nodeStatus])
+	require.Equal(t, "o", string(rune(orderCallKind)))
 }
 
 // The figures that are there without a fleet file, and those of the membership, are written as recorded.
