--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -5,6 +5,7 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"maps"
 	"path/filepath"
 	"regexp"
 	"slices"
@@ -60,15 +61,23 @@
 	}
 }
 
-// literals calls visit for each string literal of a file.
+// literals calls visit for each string literal of a file, but for the paths of imports and the tags of fields.
 func literals(path string, visit func(string)) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
-		if lit, ok := n.(*ast.BasicLit); ok && lit.Kind == token.STRING {
-			if text, err := strconv.Unquote(lit.Value); err == nil {
+		switch n := n.(type) {
+		case *ast.ImportSpec:
+			return false
+		case *ast.Field:
+			n.Tag = nil
+		case *ast.BasicLit:
+			if n.Kind != token.STRING {
+				break
+			}
+			if text, err := strconv.Unquote(n.Value); err == nil {
 				visit(text)
 			}
 		}
@@ -76,3 +85,41 @@
 	})
 	return nil
 }
+
+// Packages whose text others go by: the words of the simulator's wire, and those of the lab's scenarios, figures,
+// benches and reports.
+var wordsOf = map[string]string{
+	"simwire":     "internal/simwire",
+	"scenario":    "internal/testbed/scenario",
+	"judge":       "internal/testbed/judge",
+	"report":      "internal/testbed/report",
+	"virtual":     "internal/testbed/virtual",
+	"maintenance": "internal/testbed/maintenanceday",
+}
+
+// word is a text without blanks within and with a letter or digit, such as a key, a value or a beginning. A verb of
+// package fmt is none.
+var (
+	word = regexp.MustCompile(`^[ \n]?[!-~]*[A-Za-z0-9][!-~]*[ \n]?$`)
+	verb = regexp.MustCompile(`%[0-9]*[a-z]`)
+)
+
+// The words that stand in these packages are as recorded. Their texts of several words, such as messages, are free.
+func TestWordsAreAsRecorded(t *testing.T) {
+	for name, dir := range wordsOf {
+		files, err := filepath.Glob(filepath.Join("..", "..", dir, "*.go"))
+		require.NoError(t, err)
+		words := map[string]bool{}
+		for _, path := range files {
+			if strings.HasSuffix(path, "_test.go") {
+				continue
+			}
+			require.NoError(t, literals(path, func(text string) {
+				if word.MatchString(verb.ReplaceAllString(text, "")) {
+					words[strconv.Quote(text)] = true
+				}
+			}))
+		}
+		CheckText(t, "words-"+name, strings.Join(slices.Sorted(maps.Keys(words)), "\n")+"\n")
+	}
+}
