--- a/internal/consensus/learner/fetch.go
+++ b/internal/consensus/learner/fetch.go
@@ -92,7 +92,7 @@
 		t.rules, err = set.Compile(l.config.Settings)
 	}
 	if err != nil {
-		l.Counts.Unusable.Add(1)
+		l.Counts.VersionsUnusable.Add(1)
 		t.err = fmt.Errorf("version %d: %w", version.Number, err)
 		slog.Error("rules: this node can't use a version", "version", version.Number, "error", err)
 	}
@@ -117,7 +117,7 @@
 	}
 	f.attempts++
 	f.retryAt = Clock() + fetchRetryInterval
-	request := partRequest{Sender: l.config.Node, Digest: f.version.Digest, First: max(0, f.missing()), Count: partsPerRequest}
+	request := partRequest{Sender: l.config.NodeIndex, Digest: f.version.Digest, First: max(0, f.missing()), Count: partsPerRequest}
 	if raw, err := encoder.Marshal(request); err == nil {
 		l.send(f.sources[f.source%len(f.sources)], kindPartRequest, raw)
 	}
@@ -147,7 +147,7 @@
 		if err != nil {
 			return
 		}
-		l.Counts.Served.Add(1)
+		l.Counts.PartsSent.Add(1)
 		l.send(request.Sender, kindPart, encoded)
 		if !known {
 			return
@@ -166,7 +166,7 @@
 		return
 	}
 	if !part.valid() {
-		l.Counts.Corrupt.Add(1)
+		l.Counts.MessagesCorrupt.Add(1)
 		return
 	}
 	if f.parts == nil || f.size != part.Size {
@@ -189,14 +189,14 @@
 func (l *Learner) assemble(f *textFetch) {
 	raw := slices.Concat(f.parts...)
 	if rules.DigestOf(raw) != f.version.Digest {
-		l.Counts.Corrupt.Add(1)
+		l.Counts.MessagesCorrupt.Add(1)
 		f.parts = nil
 		f.attempts = maxFetchAttempts
 		f.retryAt = Clock()
 		return
 	}
-	l.Counts.Fetched.Add(1)
-	l.Counts.FetchedBytes.Add(int64(len(raw)))
+	l.Counts.TextsFetched.Add(1)
+	l.Counts.TextBytesFetched.Add(int64(len(raw)))
 	l.takeText(f.version, raw)
 }
 
--- a/internal/consensus/learner/highwatermark.go
+++ b/internal/consensus/learner/highwatermark.go
@@ -83,7 +83,7 @@
 func (l *Learner) persistEnded(number uint64, err error) {
 	l.persisting = false
 	if err == nil {
-		l.Counts.Persisted.Add(1)
+		l.Counts.VersionsPersisted.Add(1)
 		l.node.Persisted(number)
 	}
 }
--- a/internal/consensus/learner/lead.go
+++ b/internal/consensus/learner/lead.go
@@ -28,10 +28,10 @@
 		l.post(ctx, func() {
 			l.verifying = false
 			if err != nil {
-				l.Counts.Unverified.Add(1)
+				l.Counts.FailedVerifications.Add(1)
 				return
 			}
-			l.Counts.Verified.Add(1)
+			l.Counts.Verifications.Add(1)
 			l.node.Confirmed(Clock(), round)
 		})
 	})
@@ -60,7 +60,7 @@
 				l.proposeAfter = Clock() + proposeRetryInterval
 				return
 			}
-			l.Counts.Proposed.Add(1)
+			l.Counts.Proposals.Add(1)
 		})
 	})
 }
--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -45,34 +45,34 @@
 
 // Config is a node's.
 type Config struct {
-	Node, FleetSize int // index of this node, and number of nodes
-	Name, Zone      string
-	Voters          []string // names
-	Settings        rules.Settings
-	Terms           rules.Terms
-	Dir             string // on a disk that outlives the process
-	Disk            disk.FS
-	Send            func(to int, raw []byte) error
-	Introduce       func(to int) error // has a node that does not answer learn of this one; it waits
-	OnActing        func()             // is called when Acting has another version, and does not wait
-	Consensus       Consensus
-	Registry        *Registry // with Consensus, at a voter; else nil
+	NodeIndex, FleetSize int // index of this node, and number of nodes
+	Name, Zone           string
+	Voters               []string // names
+	Settings             rules.Settings
+	Terms                rules.Terms
+	Dir                  string // on a disk that outlives the process
+	Disk                 disk.FS
+	Send                 func(to int, raw []byte) error
+	Introduce            func(to int) error // has a node that does not answer learn of this one; it waits
+	OnVersionChange      func()             // is called when Acting has another version, and does not wait
+	Consensus            Consensus
+	Registry             *Registry // with Consensus, at a voter; else nil
 }
 
-// Acting is what a request goes by that begins now.
-type Acting struct {
+// EffectiveVersion is what a request goes by that begins now.
+type EffectiveVersion struct {
 	Number uint64          // of the version; 0 is the settings alone
 	Rules  *rules.Compiled // nil with 0
 	Until  time.Duration   // by Clock: the lease's end
-	Why    rules.Reason    // of 0
+	Reason rules.Reason    // of 0
 }
 
 // Counts are counters for the operators' metrics.
 type Counts struct {
-	Sent, Unsent, Received, Corrupt, Dropped atomic.Int64 // messages
-	Fetched, FetchedBytes, Served            atomic.Int64 // texts, their bytes, parts sent to others
-	Unusable, Persisted, Activations, Gaps   atomic.Int64 // versions
-	Verified, Unverified, Proposed           atomic.Int64 // rounds and commands, at the leader
+	MessagesSent, SendErrors, MessagesReceived, MessagesCorrupt, MessagesDropped atomic.Int64 // messages
+	TextsFetched, TextBytesFetched, PartsSent                                    atomic.Int64 // texts, their bytes, parts sent to others
+	VersionsUnusable, VersionsPersisted, Activations, Fallbacks                  atomic.Int64 // versions
+	Verifications, FailedVerifications, Proposals                                atomic.Int64 // rounds and commands, at the leader
 }
 
 // Learner is a node's part. All its state but the atomics belongs to the goroutine of Run.
@@ -102,7 +102,7 @@
 	proposeAfter time.Duration
 	reports      statusReports
 
-	acting      atomic.Pointer[Acting]
+	acting      atomic.Pointer[EffectiveVersion]
 	unusable    atomic.Pointer[error] // of the active version, or of the prepared one; nil is none
 	state       atomic.Pointer[rules.VersionState]
 	fleetStatus atomic.Pointer[FleetStatus]
@@ -136,12 +136,12 @@
 		reports:        statusReports{byNode: make(map[int]receivedStatus)},
 	}
 	l.node = rules.NewNode(rules.Config{
-		Node:          cfg.Node,
+		Node:          cfg.NodeIndex,
 		Incarnation:   l.incarnation,
 		HighWaterMark: persisted,
 		Terms:         cfg.Terms,
 	}, now)
-	l.acting.Store(&Acting{Why: rules.NoLease})
+	l.acting.Store(&EffectiveVersion{Reason: rules.NoLease})
 	l.state.Store(&rules.VersionState{})
 	l.fleetStatus.Store(&FleetStatus{})
 	return l
@@ -154,11 +154,11 @@
 	return binary.BigEndian.Uint64(raw[:]) | 1
 }
 
-// Acting returns what a request goes by that begins now. It is safe for concurrent use.
-func (l *Learner) Acting() Acting {
+// EffectiveVersion returns what a request goes by that begins now. It is safe for concurrent use.
+func (l *Learner) EffectiveVersion() EffectiveVersion {
 	a := *l.acting.Load()
 	if a.Number != 0 && Clock() >= a.Until {
-		return Acting{Why: rules.NoLease}
+		return EffectiveVersion{Reason: rules.NoLease}
 	}
 	return a
 }
@@ -166,9 +166,9 @@
 // State returns the newest state of the registry that this node has observed. It is safe for concurrent use.
 func (l *Learner) State() rules.VersionState { return *l.state.Load() }
 
-// Unusable returns why this node can't use the active version, or the prepared one; nil is that it can. It is safe for
+// UnusableReason returns why this node can't use the active version, or the prepared one; nil is that it can. It is safe for
 // concurrent use.
-func (l *Learner) Unusable() error {
+func (l *Learner) UnusableReason() error {
 	if e := l.unusable.Load(); e != nil {
 		return *e
 	}
@@ -239,7 +239,7 @@
 		l.step(ctx)
 	}
 	l.timer.Stop()
-	l.acting.Store(&Acting{Why: rules.NoLease})
+	l.acting.Store(&EffectiveVersion{Reason: rules.NoLease})
 	close(l.ended)
 	l.running.Wait()
 }
@@ -297,24 +297,24 @@
 	if acting.Number != 0 {
 		l.Counts.Activations.Add(1)
 	} else {
-		l.Counts.Gaps.Add(1)
+		l.Counts.Fallbacks.Add(1)
 	}
-	slog.Info("rules: requests go by another version", "version", acting.Number, "before", before.Number, "why", acting.Why.String())
-	if l.config.OnActing != nil {
-		l.config.OnActing()
+	slog.Info("rules: requests go by another version", "version", acting.Number, "before", before.Number, "why", acting.Reason.String())
+	if l.config.OnVersionChange != nil {
+		l.config.OnVersionChange()
 	}
 }
 
-func (l *Learner) actingNow() *Acting {
+func (l *Learner) actingNow() *EffectiveVersion {
 	number, until, why := l.node.Acting(Clock())
 	if number == 0 {
-		return &Acting{Until: until, Why: why}
+		return &EffectiveVersion{Until: until, Reason: why}
 	}
 	t := l.textOf(number)
 	if t == nil {
-		return &Acting{Why: rules.NoText}
+		return &EffectiveVersion{Reason: rules.NoText}
 	}
-	return &Acting{Number: number, Rules: t.rules, Until: until, Why: why}
+	return &EffectiveVersion{Number: number, Rules: t.rules, Until: until, Reason: why}
 }
 
 // unusableIn returns why a version of a state can't be used here; nil is that both can.
--- a/internal/consensus/learner/messages.go
+++ b/internal/consensus/learner/messages.go
@@ -59,9 +59,9 @@
 }
 
 func (l *Learner) send(to int, kind byte, raw []byte) {
-	l.Counts.Sent.Add(1)
+	l.Counts.MessagesSent.Add(1)
 	if err := l.config.Send(to, append([]byte{kind}, raw...)); err != nil {
-		l.Counts.Unsent.Add(1)
+		l.Counts.SendErrors.Add(1)
 		slog.Debug("rules: sending a message failed", "to", to, "error", err)
 	}
 }
@@ -70,13 +70,13 @@
 func (l *Learner) Receive(raw []byte) {
 	task := l.read(raw)
 	if task == nil {
-		l.Counts.Corrupt.Add(1)
+		l.Counts.MessagesCorrupt.Add(1)
 		return
 	}
 	select {
 	case l.tasks <- task:
 	default:
-		l.Counts.Dropped.Add(1)
+		l.Counts.MessagesDropped.Add(1)
 	}
 }
 
--- a/internal/consensus/learner/relays.go
+++ b/internal/consensus/learner/relays.go
@@ -54,7 +54,7 @@
 		if m.Zone == l.config.Zone {
 			return -1
 		}
-		return (m.Index + l.config.Node) % voterSpread
+		return (m.Index + l.config.NodeIndex) % voterSpread
 	}
 	slices.SortFunc(live, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(distance(a), distance(b)), cmp.Compare(a.Index, b.Index))
@@ -83,14 +83,14 @@
 		}
 		return m.Index
 	}
-	best := Member{Index: l.config.Node, Name: l.config.Name}
+	best := Member{Index: l.config.NodeIndex, Name: l.config.Name}
 	for _, m := range l.members {
-		sameGroup := m.Zone == l.config.Zone && l.group(m.Index) == l.group(l.config.Node)
+		sameGroup := m.Zone == l.config.Zone && l.group(m.Index) == l.group(l.config.NodeIndex)
 		if sameGroup && rank(m) < rank(best) {
 			best = m
 		}
 	}
-	return best.Index, best.Index != l.config.Node
+	return best.Index, best.Index != l.config.NodeIndex
 }
 
 // sources returns the nodes to fetch a text from: the grantors, others of the zone, voters.
--- a/internal/consensus/learner/status.go
+++ b/internal/consensus/learner/status.go
@@ -30,9 +30,9 @@
 
 // VersionFailure is a node that can't use a version, and why.
 type VersionFailure struct {
-	_    struct{} `cbor:",toarray"`
-	Node int
-	Text string
+	_      struct{} `cbor:",toarray"`
+	Node   int
+	Reason string
 }
 
 // FleetStatus is how the nodes of a part of the fleet are. At the leader it is all that report. It is encoded as a CBOR map
@@ -85,7 +85,7 @@
 	if l.leads || len(grantors) == 0 {
 		return
 	}
-	report := statusReport{Sender: l.config.Node, Incarnation: l.incarnation, Status: total}
+	report := statusReport{Sender: l.config.NodeIndex, Incarnation: l.incarnation, Status: total}
 	if raw, err := encoder.Marshal(report); err == nil {
 		l.send(grantors[0], kindStatus, raw)
 	}
@@ -102,7 +102,7 @@
 		reason rules.Reason
 	}
 	acting := l.acting.Load()
-	nodes := map[key]int{{acting.Number, acting.Why}: 1}
+	nodes := map[key]int{{acting.Number, acting.Reason}: 1}
 	total := l.ownStatus()
 	maps.DeleteFunc(r.byNode, func(_ int, s receivedStatus) bool { return now-s.at > statusLifetime })
 	for _, node := range slices.Sorted(maps.Keys(r.byNode)) {
@@ -126,13 +126,13 @@
 
 // ownStatus returns why this node can't use a version, if it can't.
 func (l *Learner) ownStatus() FleetStatus {
-	err := l.Unusable()
+	err := l.UnusableReason()
 	if err == nil {
 		return FleetStatus{}
 	}
 	text := err.Error()
 	text = strings.ToValidUTF8(text[:min(len(text), maxErrorBytes)], "")
-	return FleetStatus{Unusable: 1, Failures: []VersionFailure{{Node: l.config.Node, Text: text}}}
+	return FleetStatus{Unusable: 1, Failures: []VersionFailure{{Node: l.config.NodeIndex, Reason: text}}}
 }
 
 // FleetStatus returns how the nodes are that report to this one; at the leader, all. It is safe for concurrent use.
--- a/internal/consensus/raft.go
+++ b/internal/consensus/raft.go
@@ -98,7 +98,7 @@
 	v.raft = r
 	v.phase = PhaseVoting
 	if !votes {
-		v.phase = PhaseAdmitted
+		v.phase = PhaseAwaitingAdmission
 	}
 	return votes
 }
@@ -130,7 +130,7 @@
 func (v *Voter) isEntering() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.phase == PhaseAdmitted
+	return v.phase == PhaseAwaitingAdmission
 }
 
 // watchLeadership reports the times in which this voter leads, and each change of the leader.
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -42,7 +42,7 @@
 	Voters        []Peer // all of them, this one too
 	Dir           string // on a disk that outlives the process
 	Disk          disk.FS
-	Via           map[string]string     // addresses by which others are reached, where they differ
+	DialAddresses map[string]string     // addresses by which others are reached, where they differ
 	StateMachines map[byte]StateMachine // by the first byte of their commands
 	// CallHandlers answer others' calls by their first byte; 'v' is this package's own.
 	CallHandlers map[byte]func(from string, body []byte) []byte
@@ -55,10 +55,10 @@
 
 // Phases of a voter, as operators see them.
 const (
-	PhaseWaiting  = "waits for its folder or port"
-	PhaseAsking   = "asks the others what they have seen of it"
-	PhaseAdmitted = "has lost what it agreed to and waits to be admitted"
-	PhaseVoting   = "votes"
+	PhaseNotRunning        = "waits for its folder or port"
+	PhaseRequestingReports = "asks the others what they have seen of it"
+	PhaseAwaitingAdmission = "has lost what it agreed to and waits to be admitted"
+	PhaseVoting            = "votes"
 )
 
 // Status is how a voter is.
@@ -67,8 +67,8 @@
 	Identity         string
 	Leader           string // its name; "" is none
 	Term             uint64
-	Commit           uint64
-	Applied          uint64
+	CommitIndex      uint64
+	AppliedIndex     uint64
 	Voters           []string // identities, as agreed last
 	LastError        string   // "" is none
 	IdentityRenewals int      // times that it began with another identity
@@ -91,7 +91,7 @@
 	records          *peerRecords
 	lastError        error
 	identityRenewals int
-	diskTrusted      chan struct{} // closed by TrustDisk
+	diskTrusted      chan struct{} // closed by RejoinWithoutQuorum
 	admitting        sync.Mutex    // held by one admission at a time
 }
 
@@ -100,7 +100,7 @@
 	v := &Voter{
 		config:      cfg,
 		peers:       make(map[string]Peer),
-		phase:       PhaseWaiting,
+		phase:       PhaseNotRunning,
 		records:     newPeerRecords(),
 		diskTrusted: make(chan struct{}),
 	}
@@ -123,7 +123,7 @@
 	for ctx.Err() == nil {
 		begun := time.Now()
 		err := v.runOnce(ctx)
-		v.fail(PhaseWaiting, err)
+		v.fail(PhaseNotRunning, err)
 		if ctx.Err() != nil {
 			break
 		}
@@ -207,7 +207,7 @@
 	v.mu.Lock()
 	v.log = log
 	v.identity = identity
-	v.phase = PhaseAsking
+	v.phase = PhaseRequestingReports
 	v.mu.Unlock()
 	if corrupt != nil {
 		v.noteRenewal(corrupt)
@@ -240,7 +240,7 @@
 		Label:  v.config.Label,
 		Name:   v.config.Name,
 		Bind:   v.peers[v.config.Name].Address,
-		Via:    v.config.Via,
+		Via:    v.config.DialAddresses,
 		Answer: v.answerCall,
 	})
 	if err == nil {
@@ -258,9 +258,9 @@
 	return false
 }
 
-// TrustDisk has a voter go by its disk that waits for others which can't be reached: the way out of an operator who knows
+// RejoinWithoutQuorum has a voter go by its disk that waits for others which can't be reached: the way out of an operator who knows
 // that the disk was not lost.
-func (v *Voter) TrustDisk() {
+func (v *Voter) RejoinWithoutQuorum() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	select {
@@ -297,8 +297,8 @@
 		_, leader := r.LeaderWithID()
 		s.Leader = nameOf(leader)
 		s.Term = r.CurrentTerm()
-		s.Commit = r.CommitIndex()
-		s.Applied = r.AppliedIndex()
+		s.CommitIndex = r.CommitIndex()
+		s.AppliedIndex = r.AppliedIndex()
 		for _, server := range r.GetConfiguration().Configuration().Servers {
 			s.Voters = append(s.Voters, string(server.ID))
 		}
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -62,8 +62,8 @@
 	f := cfg.Fleet.Consensus
 	c := &consensusMember{config: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
-	lc := learner.Config{Node: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
-		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.introduce, OnActing: c.actingChanged}
+	lc := learner.Config{NodeIndex: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
+		Settings: c.settings, Terms: rules.DefaultTerms, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.introduce, OnVersionChange: c.actingChanged}
 	var voters []agreement.Peer
 	for _, v := range f.Voters {
 		lc.Voters = append(lc.Voters, v.Name)
@@ -74,7 +74,7 @@
 		c.registry = learner.NewRegistry(func(w rules.VersionState) { c.learner.Observe(w) })
 		var err error
 		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
-			Via: cfg.Fleet.Peers.DialAddresses, StateMachines: map[byte]agreement.StateMachine{learner.StateMachineKind: c.registry},
+			DialAddresses: cfg.Fleet.Peers.DialAddresses, StateMachines: map[byte]agreement.StateMachine{learner.StateMachineKind: c.registry},
 			CallHandlers: map[byte]func(string, []byte) []byte{orderCallKind: c.handleCall},
 			OnLeading:    func(term uint64) { c.learner.SetLeading(term != 0) }, OnLeaderChange: func() { c.learner.LeaderChanged() }})
 		if err != nil {
@@ -178,7 +178,7 @@
 // applyActing returns the version that a request goes by which begins now, and passes it to the decision module where it
 // has changed. It runs on the event loop.
 func (c *consensusMember) applyActing() uint64 {
-	a := c.learner.Acting()
+	a := c.learner.EffectiveVersion()
 	if a.Number != c.appliedVersion {
 		c.appliedVersion = a.Number
 		e := control.Rules{Version: a.Number}
@@ -206,18 +206,18 @@
 	}
 	n := &c.learner.Counts
 	for name, of := range map[string]*atomic.Int64{
-		"node_rules_sent_total": &n.Sent, "node_rules_unsent_total": &n.Unsent, "node_rules_spoilt_total": &n.Corrupt,
-		"node_rules_dropped_total": &n.Dropped, "node_rules_fetched_total": &n.Fetched, "node_rules_fetched_bytes_total": &n.FetchedBytes,
-		"node_rules_served_total": &n.Served, "node_rules_refused_total": &n.Unusable, "node_rules_marks_total": &n.Persisted,
-		"node_rules_activations_total": &n.Activations, "node_rules_gaps_total": &n.Gaps,
+		"node_rules_sent_total": &n.MessagesSent, "node_rules_unsent_total": &n.SendErrors, "node_rules_spoilt_total": &n.MessagesCorrupt,
+		"node_rules_dropped_total": &n.MessagesDropped, "node_rules_fetched_total": &n.TextsFetched, "node_rules_fetched_bytes_total": &n.TextBytesFetched,
+		"node_rules_served_total": &n.PartsSent, "node_rules_refused_total": &n.VersionsUnusable, "node_rules_marks_total": &n.VersionsPersisted,
+		"node_rules_activations_total": &n.Activations, "node_rules_gaps_total": &n.Fallbacks,
 	} {
 		figures.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
 			func() float64 { return float64(of.Load()) }))
 	}
-	gauge("node_rules_version", "Version that requests go by; 0 is the settings alone.", func() float64 { return float64(c.learner.Acting().Number) })
+	gauge("node_rules_version", "Version that requests go by; 0 is the settings alone.", func() float64 { return float64(c.learner.EffectiveVersion().Number) })
 	gauge("node_rules_known_version", "Version in force, as this node has heard.", func() float64 { return float64(c.learner.State().Active.Number) })
 	gauge("node_rules_lease_seconds", "What is left of the lease on it; 0 is none.", func() float64 {
-		if a := c.learner.Acting(); a.Number != 0 {
+		if a := c.learner.EffectiveVersion(); a.Number != 0 {
 			return (a.Until - learner.Clock()).Seconds()
 		}
 		return 0
@@ -229,7 +229,7 @@
 		return func() float64 { return of(c.voter.Status()) }
 	}
 	gauge("node_council_term", "Term of the agreement.", status(func(s agreement.Status) float64 { return float64(s.Term) }))
-	gauge("node_council_commit", "Records agreed.", status(func(s agreement.Status) float64 { return float64(s.Commit) }))
+	gauge("node_council_commit", "Records agreed.", status(func(s agreement.Status) float64 { return float64(s.CommitIndex) }))
 	gauge("node_council_leading", "1 where this voter leads.", status(func(s agreement.Status) float64 { return one(s.Leader == c.name) }))
 	gauge("node_council_leader_known", "1 where it knows who leads.", status(func(s agreement.Status) float64 { return one(s.Leader != "") }))
 	gauge("node_council_voting", "1 where it votes.", status(func(s agreement.Status) float64 { return one(s.Phase == agreement.PhaseVoting) }))
--- a/internal/node/consensuscalls.go
+++ b/internal/node/consensuscalls.go
@@ -62,7 +62,7 @@
 	if c.voter != nil {
 		calls["/council/trust"] = map[string]http.HandlerFunc{http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
 			slog.Warn("consensus: operator readmits this voter by its disk", "node", c.name)
-			c.voter.TrustDisk()
+			c.voter.RejoinWithoutQuorum()
 			fmt.Fprintln(w, "trusted")
 		}}
 	}
--- a/internal/node/consensusstatus.go
+++ b/internal/node/consensusstatus.go
@@ -105,26 +105,26 @@
 		out.Nodes = append(out.Nodes, x)
 	}
 	for _, t := range fleet.Failures {
-		out.Failures = append(out.Failures, versionFailure{t.Node, t.Text})
+		out.Failures = append(out.Failures, versionFailure{t.Node, t.Reason})
 	}
 	return out
 }
 
 // statusJSON returns what this node and the leader know.
 func (c *consensusMember) statusJSON(ctx context.Context) []byte {
-	a := c.learner.Acting()
+	a := c.learner.EffectiveVersion()
 	out := nodeStatus{Node: c.name, Version: a.Number, Known: c.learner.State().Active.Number}
 	if a.Number != 0 {
 		out.LeaseMS = (a.Until - learner.Clock()).Milliseconds()
 	} else {
-		out.Reason = a.Why.String()
+		out.Reason = a.Reason.String()
 	}
-	if err := c.learner.Unusable(); err != nil {
+	if err := c.learner.UnusableReason(); err != nil {
 		out.UnusableReason = err.Error()
 	}
 	if c.voter != nil {
 		s := c.voter.Status()
-		out.Voter = &voterStatus{Phase: s.Phase, Identity: s.Identity, Leader: s.Leader, Term: s.Term, Commit: s.Commit, Applied: s.Applied, IdentityRenewals: s.IdentityRenewals, LastError: s.LastError}
+		out.Voter = &voterStatus{Phase: s.Phase, Identity: s.Identity, Leader: s.Leader, Term: s.Term, Commit: s.CommitIndex, Applied: s.AppliedIndex, IdentityRenewals: s.IdentityRenewals, LastError: s.LastError}
 	}
 	if r, err := c.sendToLeader(ctx, order{Op: "status"}); err != nil {
 		out.LeaderError = err.Error()
--- a/internal/testbed/scale/exchange/learners.go
+++ b/internal/testbed/scale/exchange/learners.go
@@ -122,9 +122,9 @@
 func (f *learnerFleet) learner(cfg learner.Config, dir string, index int) *learner.Learner {
 	counts := &learnerCounts{}
 	f.sent[index] = counts
-	cfg.Node, cfg.Name, cfg.Zone, cfg.Dir = index, memberName(index), memberZone(index), filepath.Join(dir, memberName(index))
+	cfg.NodeIndex, cfg.Name, cfg.Zone, cfg.Dir = index, memberName(index), memberZone(index), filepath.Join(dir, memberName(index))
 	cfg.Introduce = func(int) error { return nil }
-	cfg.OnActing = func() {
+	cfg.OnVersionChange = func() {
 		select {
 		case f.acting <- struct{}{}:
 		default:
@@ -195,7 +195,7 @@
 	for {
 		behind := 0
 		for _, l := range f.learners {
-			if l.Acting().Number != number {
+			if l.EffectiveVersion().Number != number {
 				behind++
 			}
 		}
