--- a/internal/consensus/admission.go
+++ b/internal/consensus/admission.go
@@ -19,18 +19,18 @@
 // removed, and it votes.
 
 const (
-	aliveAfterContact    = 2 * time.Second // after contact, in which nobody takes a voter's place
-	admissionStepTimeout = time.Second     // for the leader to begin a step
+	minReplacementSilence = 2 * time.Second // after contact, in which nobody takes a voter's place
+	admissionStepTimeout  = time.Second     // for the leader to begin a step
 )
 
-// enter has a voter without a log taken in, or the group founded.
-func (v *Voter) enter(ctx context.Context, r *raft.Raft, identity raft.ServerID) {
+// joinGroup has a voter without a log taken in, or the group founded.
+func (v *Voter) joinGroup(ctx context.Context, r *raft.Raft, identity raft.ServerID) {
 	body, err := cbor.Marshal(reportRequest{Admit: true, Name: v.config.Name, Identity: string(identity)})
 	if err != nil {
 		return
 	}
 	for {
-		reports := v.reportsOfOthers(ctx, identity)
+		reports := v.collectReports(ctx, identity)
 		if isVoter(r.GetConfiguration().Configuration(), identity) {
 			v.mu.Lock()
 			v.phase = PhaseVoting
@@ -57,7 +57,7 @@
 // requestAdmission requests admission of a leader that one of the others knows.
 func (v *Voter) requestAdmission(ctx context.Context, reports map[string]*voterReport, body []byte) {
 	for _, report := range reports {
-		leader, ok := v.peers[nameOf(raft.ServerID(report.Leader))]
+		leader, ok := v.peers[voterName(raft.ServerID(report.Leader))]
 		if !ok || leader.Name == v.config.Name {
 			continue
 		}
@@ -90,34 +90,34 @@
 	return c, true
 }
 
-// admit does the next step of taking a voter in; nil is that none is left.
-func (v *Voter) admit(name string, identity raft.ServerID) error {
+// advanceAdmission does the next step of taking a voter in; nil is that none is left.
+func (v *Voter) advanceAdmission(name string, identity raft.ServerID) error {
 	r, err := v.leadingRaft()
 	if err != nil {
 		return err
 	}
 	peer, ok := v.peers[name]
-	if !ok || nameOf(identity) != name || name == v.config.Name {
+	if !ok || voterName(identity) != name || name == v.config.Name {
 		return fmt.Errorf("council: %s is none of the fleet file's other voters", identity)
 	}
-	if !v.admitting.TryLock() {
+	if !v.admissionMu.TryLock() {
 		return errors.New("council: another voter is being taken in")
 	}
-	defer v.admitting.Unlock()
+	defer v.admissionMu.Unlock()
 	configuration := r.GetConfiguration().Configuration()
 	if isVoter(configuration, identity) {
 		return nil
 	}
-	replaced, err := v.replacedBy(configuration, name, identity)
+	replaced, err := v.replacedIdentities(configuration, name, identity)
 	if err != nil {
 		return err
 	}
 	address := transport.Address(string(identity), peer.Address)
 	if !isListed(configuration.Servers, identity) {
 		slog.Info("consensus: admitting a voter", "identity", identity)
-		return nextStep(r.AddNonvoter(identity, address, 0, admissionStepTimeout).Error(), "it hears the log")
+		return errorOrNextStep(r.AddNonvoter(identity, address, 0, admissionStepTimeout).Error(), "it hears the log")
 	}
-	if has := v.records.of(identity).Last.Index; has < r.CommitIndex() {
+	if has := v.records.get(identity).LastEntry.Index; has < r.CommitIndex() {
 		return fmt.Errorf("council: it has %d of %d records", has, r.CommitIndex())
 	}
 	for _, old := range replaced {
@@ -125,17 +125,17 @@
 			return err
 		}
 	}
-	return nextStep(r.AddVoter(identity, address, 0, admissionStepTimeout).Error(), "it votes from now on")
+	return errorOrNextStep(r.AddVoter(identity, address, 0, admissionStepTimeout).Error(), "it votes from now on")
 }
 
-// replacedBy returns the other identities of a name. It is an error if one of them was in contact lately.
-func (v *Voter) replacedBy(c raft.Configuration, name string, identity raft.ServerID) ([]raft.ServerID, error) {
+// replacedIdentities returns the other identities of a name. It is an error if one of them was in contact lately.
+func (v *Voter) replacedIdentities(c raft.Configuration, name string, identity raft.ServerID) ([]raft.ServerID, error) {
 	var replaced []raft.ServerID
 	for _, server := range c.Servers {
-		if nameOf(server.ID) != name || server.ID == identity {
+		if voterName(server.ID) != name || server.ID == identity {
 			continue
 		}
-		if time.Since(v.records.of(server.ID).heardAt) < aliveAfterContact {
+		if time.Since(v.records.get(server.ID).lastContactAt) < minReplacementSilence {
 			return nil, fmt.Errorf("council: %s is there; end one of the two processes that use its name", server.ID)
 		}
 		replaced = append(replaced, server.ID)
@@ -143,8 +143,8 @@
 	return replaced, nil
 }
 
-// nextStep returns err, or that there is a step left.
-func nextStep(err error, next string) error {
+// errorOrNextStep returns err, or that there is a step left.
+func errorOrNextStep(err error, next string) error {
 	if err != nil {
 		return err
 	}
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -32,22 +32,22 @@
 func (s *sinkBuffer) Write(b []byte) (int, error) { return s.Buffer.Write(b) }
 func (s *sinkBuffer) Close() error                { return nil }
 
-// keptMachine is a state machine whose state is what was restored.
-type keptMachine struct{ state []byte }
+// fixedStateMachine is a state machine whose state is what was restored.
+type fixedStateMachine struct{ state []byte }
 
-func (k *keptMachine) Apply(uint64, []byte) any  { return nil }
-func (k *keptMachine) Snapshot() ([]byte, error) { return k.state, nil }
-func (k *keptMachine) Restore(b []byte) error    { k.state = b; return nil }
+func (k *fixedStateMachine) Apply(uint64, []byte) any  { return nil }
+func (k *fixedStateMachine) Snapshot() ([]byte, error) { return k.state, nil }
+func (k *fixedStateMachine) Restore(b []byte) error    { k.state = b; return nil }
 
 // The snapshot of all state machines has the recorded bytes and is restored from them.
 func TestSnapshotIsAsRecorded(t *testing.T) {
-	m := &stateMachines{byKind: map[byte]StateMachine{'r': &keptMachine{[]byte("rules")}}}
+	m := &stateMachines{byKind: map[byte]StateMachine{'r': &fixedStateMachine{[]byte("rules")}}}
 	s, err := m.Snapshot()
 	require.NoError(t, err)
 	var out sinkBuffer
 	require.NoError(t, s.Persist(&out))
 	golden.Check(t, "snapshot", out.Bytes())
-	back := &keptMachine{}
+	back := &fixedStateMachine{}
 	require.NoError(t, (&stateMachines{byKind: map[byte]StateMachine{'r': back}}).Restore(io.NopCloser(&out)))
 	require.Equal(t, "rules", string(back.state))
 }
--- a/internal/consensus/guard.go
+++ b/internal/consensus/guard.go
@@ -14,13 +14,13 @@
 // less than a minimum: what the others had when it began, as its disk may have lost that it had agreed to that.
 type guardedTransport struct {
 	*raft.NetworkTransport
-	records  *peerRecords
-	log      *raftlog.Log
-	minimum  logPosition
-	incoming chan raft.RPC // nil where there is no minimum
-	closed   chan struct{}
-	once     sync.Once
-	done     sync.WaitGroup
+	records     *peerRecords
+	log         *raftlog.Log
+	minPosition logPosition
+	incoming    chan raft.RPC // nil where there is no minimum
+	closed      chan struct{}
+	closeOnce   sync.Once
+	running     sync.WaitGroup
 }
 
 var (
@@ -31,19 +31,19 @@
 var errBehind = errors.New("this voter has less than others had when it began")
 
 func newGuardedTransport(n *raft.NetworkTransport, records *peerRecords, log *raftlog.Log, minimum logPosition) *guardedTransport {
-	t := &guardedTransport{NetworkTransport: n, records: records, log: log, minimum: minimum, closed: make(chan struct{})}
+	t := &guardedTransport{NetworkTransport: n, records: records, log: log, minPosition: minimum, closed: make(chan struct{})}
 	if minimum != (logPosition{}) {
 		t.incoming = make(chan raft.RPC)
-		t.done.Go(t.filter) // ends with Close
+		t.running.Go(t.filterVoteRequests) // ends with Close
 	}
 	return t
 }
 
 // Close ends the transport; the library does so too.
 func (t *guardedTransport) Close() error {
-	t.once.Do(func() { close(t.closed) })
+	t.closeOnce.Do(func() { close(t.closed) })
 	err := t.NetworkTransport.Close()
-	t.done.Wait()
+	t.running.Wait()
 	return err
 }
 
@@ -61,11 +61,11 @@
 		return false
 	}
 	term, index, err := t.log.Last()
-	return err != nil || t.minimum.isAfter(logPosition{term, index})
+	return err != nil || t.minPosition.isAfter(logPosition{term, index})
 }
 
-// filter rejects votes for candidates below the minimum, and passes everything else on.
-func (t *guardedTransport) filter() {
+// filterVoteRequests rejects votes for candidates below the minimum, and passes everything else on.
+func (t *guardedTransport) filterVoteRequests() {
 	for {
 		var rpc raft.RPC
 		select {
@@ -73,7 +73,7 @@
 		case <-t.closed:
 			return
 		}
-		if t.minimum.isAfter(t.candidatePosition(rpc)) && t.isBehind() {
+		if t.minPosition.isAfter(t.candidatePosition(rpc)) && t.isBehind() {
 			rpc.Respond(nil, errBehind)
 			continue
 		}
@@ -93,7 +93,7 @@
 	case *raft.RequestPreVoteRequest:
 		return logPosition{request.LastLogTerm, request.LastLogIndex}
 	}
-	return t.minimum
+	return t.minPosition
 }
 
 // AppendEntries sends records or a heartbeat.
@@ -108,7 +108,7 @@
 			last = logPosition{request.Entries[n-1].Term, request.Entries[n-1].Index}
 		}
 	}
-	t.records.note(id, response.Term, last, 0)
+	t.records.update(id, response.Term, last, 0)
 	return nil
 }
 
@@ -124,7 +124,7 @@
 	if response.Granted {
 		voted = request.Term
 	}
-	t.records.note(id, response.Term, logPosition{}, voted)
+	t.records.update(id, response.Term, logPosition{}, voted)
 	return nil
 }
 
@@ -136,8 +136,8 @@
 	return t.NetworkTransport.RequestPreVote(id, to, request, response)
 }
 
-// nameOf returns the voter's name in an identity.
-func nameOf(id raft.ServerID) string {
+// voterName returns the voter's name in an identity.
+func voterName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), "#")
 	return name
 }
--- a/internal/consensus/learner/fetch.go
+++ b/internal/consensus/learner/fetch.go
@@ -35,12 +35,12 @@
 	parts    [][]byte // nil until the size is known
 	size     int
 	sources  []int
-	source   int // position of the one that is used
+	current  int // position of the one that is used
 	attempts int // at it
 	retryAt  time.Duration
 }
 
-func (l *Learner) textOf(number uint64) *fetchedText {
+func (l *Learner) textByNumber(number uint64) *fetchedText {
 	for i := range l.texts {
 		if l.texts[i].version.Number == number {
 			return &l.texts[i]
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// findText returns the text of a digest, if it is here.
-func (l *Learner) findText(d rules.Digest) ([]byte, bool) {
+// textByDigest returns the text of a digest, if it is here.
+func (l *Learner) textByDigest(d rules.Digest) ([]byte, bool) {
 	for _, t := range l.texts {
 		if t.version.Digest == d {
 			return t.raw, true
@@ -62,16 +62,16 @@
 	return nil, false
 }
 
-// fetchMissing has the texts come that the leases need.
-func (l *Learner) fetchMissing() {
+// fetchMissingTexts has the texts come that the leases need.
+func (l *Learner) fetchMissingTexts() {
 	for {
 		version, ok := l.node.MissingText()
 		if !ok {
 			l.fetch = nil
 			return
 		}
-		if raw, ok := l.findText(version.Digest); ok {
-			l.takeText(version, raw)
+		if raw, ok := l.textByDigest(version.Digest); ok {
+			l.addText(version, raw)
 			continue
 		}
 		if l.fetch == nil || l.fetch.version != version {
@@ -84,8 +84,8 @@
 	}
 }
 
-// takeText takes a text that matches its digest.
-func (l *Learner) takeText(version rules.VersionID, raw []byte) {
+// addText takes a text that matches its digest.
+func (l *Learner) addText(version rules.VersionID, raw []byte) {
 	t := fetchedText{version: version, raw: raw}
 	set, err := rules.Parse(raw)
 	if err == nil {
@@ -107,7 +107,7 @@
 // requestParts requests the parts that are missing, from the next source where one was asked often enough.
 func (l *Learner) requestParts(f *textFetch) {
 	if f.attempts >= maxFetchAttempts || len(f.sources) == 0 {
-		f.source++
+		f.current++
 		f.attempts = 0
 		f.sources = l.sources()
 		if len(f.sources) == 0 {
@@ -117,20 +117,20 @@
 	}
 	f.attempts++
 	f.retryAt = Clock() + fetchRetryInterval
-	request := partRequest{Sender: l.config.NodeIndex, Digest: f.version.Digest, First: max(0, f.missing()), Count: partsPerRequest}
+	request := partRequest{Sender: l.config.NodeIndex, Digest: f.version.Digest, First: max(0, f.firstMissing()), Count: partsPerRequest}
 	if raw, err := encoder.Marshal(request); err == nil {
-		l.send(f.sources[f.source%len(f.sources)], kindPartRequest, raw)
+		l.send(f.sources[f.current%len(f.sources)], kindPartRequest, raw)
 	}
 }
 
-// missing returns the first part that is not here; -1 is none.
-func (f *textFetch) missing() int {
+// firstMissing returns the first part that is not here; -1 is none.
+func (f *textFetch) firstMissing() int {
 	return slices.IndexFunc(f.parts, func(part []byte) bool { return part == nil })
 }
 
 // sendParts sends parts of a text that is here, or that it is not.
 func (l *Learner) sendParts(request *partRequest) {
-	raw, known := l.findText(request.Digest)
+	raw, known := l.textByDigest(request.Digest)
 	if request.First < 0 || request.First >= maxParts {
 		return
 	}
@@ -174,19 +174,19 @@
 		f.size = part.Size
 	}
 	f.parts[part.Index] = append([]byte{}, part.Bytes...)
-	missing := f.missing()
+	missing := f.firstMissing()
 	switch {
 	case missing < 0:
-		l.assemble(f)
+		l.assembleText(f)
 	case part.Index%partsPerRequest == partsPerRequest-1 && missing > part.Index: // what was requested is here
 		f.attempts = 0
 		f.retryAt = Clock()
 	}
 }
 
-// assemble takes the text of all parts. Where it does not match its digest, a part was another text's: it is fetched anew
+// assembleText takes the text of all parts. Where it does not match its digest, a part was another text's: it is fetched anew
 // from the next source.
-func (l *Learner) assemble(f *textFetch) {
+func (l *Learner) assembleText(f *textFetch) {
 	raw := slices.Concat(f.parts...)
 	if rules.DigestOf(raw) != f.version.Digest {
 		l.Counts.MessagesCorrupt.Add(1)
@@ -197,7 +197,7 @@
 	}
 	l.Counts.TextsFetched.Add(1)
 	l.Counts.TextBytesFetched.Add(int64(len(raw)))
-	l.takeText(f.version, raw)
+	l.addText(f.version, raw)
 }
 
 // partCount returns the number of parts of a text; an empty one has one.
--- a/internal/consensus/learner/highwatermark.go
+++ b/internal/consensus/learner/highwatermark.go
@@ -60,8 +60,8 @@
 	return disk.WriteFile(d, filepath.Join(dir, markName), raw)
 }
 
-// persist has the number persisted that is to be acted by.
-func (l *Learner) persist(ctx context.Context) {
+// persistHighWaterMark has the number persisted that is to be acted by.
+func (l *Learner) persistHighWaterMark(ctx context.Context) {
 	number, ok := l.node.PersistDue(Clock())
 	if !ok || l.persisting {
 		return
@@ -76,11 +76,11 @@
 			case <-ctx.Done():
 			}
 		}
-		l.post(ctx, func() { l.persistEnded(number, err) })
+		l.post(ctx, func() { l.persistDone(number, err) })
 	})
 }
 
-func (l *Learner) persistEnded(number uint64, err error) {
+func (l *Learner) persistDone(number uint64, err error) {
 	l.persisting = false
 	if err == nil {
 		l.Counts.VersionsPersisted.Add(1)
--- a/internal/consensus/learner/lead.go
+++ b/internal/consensus/learner/lead.go
@@ -13,20 +13,20 @@
 	proposeRetryInterval = 200 * time.Millisecond // after a proposal that failed
 )
 
-// confirm has a majority confirm the leadership, one round at a time.
-func (l *Learner) confirm(ctx context.Context) {
-	if !l.leads || l.verifying {
+// confirmLeadership has a majority confirmLeadership the leadership, one round at a time.
+func (l *Learner) confirmLeadership(ctx context.Context) {
+	if !l.leads || l.confirming {
 		return
 	}
 	round, ok := l.node.BeginConfirmation()
 	if !ok {
 		return
 	}
-	l.verifying = true
+	l.confirming = true
 	l.running.Go(func() {
 		err := l.config.Consensus.Verify()
 		l.post(ctx, func() {
-			l.verifying = false
+			l.confirming = false
 			if err != nil {
 				l.Counts.FailedVerifications.Add(1)
 				return
@@ -37,9 +37,9 @@
 	})
 }
 
-// propose has the voters agree to the leader's own steps of an activation, one at a time.
-func (l *Learner) propose(ctx context.Context) {
-	if !l.leads || l.proposing || Clock() < l.proposeAfter {
+// proposeNextCommand has the voters agree to the leader's own steps of an activation, one at a time.
+func (l *Learner) proposeNextCommand(ctx context.Context) {
+	if !l.leads || l.proposing || Clock() < l.nextProposalAt {
 		return
 	}
 	command, ok := l.nextCommand()
@@ -57,7 +57,7 @@
 		l.post(ctx, func() {
 			l.proposing = false
 			if err != nil {
-				l.proposeAfter = Clock() + proposeRetryInterval
+				l.nextProposalAt = Clock() + proposeRetryInterval
 				return
 			}
 			l.Counts.Proposals.Add(1)
--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	maxTasks          = 256 // that wait; a message beyond is dropped
-	maxStepInterval   = 10 * time.Second
-	introduceAfter    = 2 * time.Second  // without a message of anybody
-	maxIntroducePause = 30 * time.Second // between two introductions, doubled until then
+	maxTasks             = 256 // that wait; a message beyond is dropped
+	maxStepInterval      = 10 * time.Second
+	minIntroduceInterval = 2 * time.Second  // without a message of anybody
+	maxIntroduceInterval = 30 * time.Second // between two introductions, doubled until then
 )
 
 // Member is another node that can be sent to.
@@ -88,24 +88,24 @@
 	members     []Member
 	leads       bool
 
-	receivedAt     time.Duration // when a message about leases came last
-	introduceAt    time.Duration
-	introducePause time.Duration
-	introducing    bool
-	introductions  int
-
-	texts        []fetchedText // latest last
-	fetch        *textFetch
-	persisting   bool
-	verifying    bool
-	proposing    bool
-	proposeAfter time.Duration
-	reports      statusReports
-
-	acting      atomic.Pointer[EffectiveVersion]
-	unusable    atomic.Pointer[error] // of the active version, or of the prepared one; nil is none
-	state       atomic.Pointer[rules.VersionState]
-	fleetStatus atomic.Pointer[FleetStatus]
+	receivedAt         time.Duration // when a message about leases came last
+	nextIntroductionAt time.Duration
+	introduceInterval  time.Duration
+	introducing        bool
+	introductions      int
+
+	texts          []fetchedText // latest last
+	fetch          *textFetch
+	persisting     bool
+	confirming     bool
+	proposing      bool
+	nextProposalAt time.Duration
+	reports        statusReports
+
+	effective    atomic.Pointer[EffectiveVersion]
+	unusableErr  atomic.Pointer[error] // of the active version, or of the prepared one; nil is none
+	versionState atomic.Pointer[rules.VersionState]
+	fleetStatus  atomic.Pointer[FleetStatus]
 }
 
 // Clock returns the time that leases are counted by: it goes on while the machine is suspended.
@@ -127,13 +127,13 @@
 	}
 	now := Clock()
 	l := &Learner{
-		config:         cfg,
-		incarnation:    newIncarnation(),
-		tasks:          make(chan func(), maxTasks),
-		ended:          make(chan struct{}),
-		receivedAt:     now,
-		introducePause: introduceAfter,
-		reports:        statusReports{byNode: make(map[int]receivedStatus)},
+		config:            cfg,
+		incarnation:       newIncarnation(),
+		tasks:             make(chan func(), maxTasks),
+		ended:             make(chan struct{}),
+		receivedAt:        now,
+		introduceInterval: minIntroduceInterval,
+		reports:           statusReports{byNode: make(map[int]receivedStatus)},
 	}
 	l.node = rules.NewNode(rules.Config{
 		Node:          cfg.NodeIndex,
@@ -141,8 +141,8 @@
 		HighWaterMark: persisted,
 		Terms:         cfg.Terms,
 	}, now)
-	l.acting.Store(&EffectiveVersion{Reason: rules.NoLease})
-	l.state.Store(&rules.VersionState{})
+	l.effective.Store(&EffectiveVersion{Reason: rules.NoLease})
+	l.versionState.Store(&rules.VersionState{})
 	l.fleetStatus.Store(&FleetStatus{})
 	return l
 }
@@ -156,7 +156,7 @@
 
 // EffectiveVersion returns what a request goes by that begins now. It is safe for concurrent use.
 func (l *Learner) EffectiveVersion() EffectiveVersion {
-	a := *l.acting.Load()
+	a := *l.effective.Load()
 	if a.Number != 0 && Clock() >= a.Until {
 		return EffectiveVersion{Reason: rules.NoLease}
 	}
@@ -164,12 +164,12 @@
 }
 
 // State returns the newest state of the registry that this node has observed. It is safe for concurrent use.
-func (l *Learner) State() rules.VersionState { return *l.state.Load() }
+func (l *Learner) State() rules.VersionState { return *l.versionState.Load() }
 
 // UnusableReason returns why this node can't use the active version, or the prepared one; nil is that it can. It is safe for
 // concurrent use.
 func (l *Learner) UnusableReason() error {
-	if e := l.unusable.Load(); e != nil {
+	if e := l.unusableErr.Load(); e != nil {
 		return *e
 	}
 	return nil
@@ -239,7 +239,7 @@
 		l.step(ctx)
 	}
 	l.timer.Stop()
-	l.acting.Store(&EffectiveVersion{Reason: rules.NoLease})
+	l.effective.Store(&EffectiveVersion{Reason: rules.NoLease})
 	close(l.ended)
 	l.running.Wait()
 }
@@ -252,10 +252,10 @@
 			l.send(o.To, kindRules, raw)
 		}
 	}
-	l.fetchMissing()
-	l.persist(ctx)
-	l.confirm(ctx)
-	l.propose(ctx)
+	l.fetchMissingTexts()
+	l.persistHighWaterMark(ctx)
+	l.confirmLeadership(ctx)
+	l.proposeNextCommand(ctx)
 	l.introduce(ctx)
 	l.flushStatus()
 	l.publish()
@@ -267,13 +267,13 @@
 func (l *Learner) introduce(ctx context.Context) {
 	grantors := l.grantors()
 	now := Clock()
-	if l.leads || l.introducing || len(grantors) == 0 || now < l.receivedAt+introduceAfter || now < l.introduceAt {
+	if l.leads || l.introducing || len(grantors) == 0 || now < l.receivedAt+minIntroduceInterval || now < l.nextIntroductionAt {
 		return
 	}
 	to := grantors[l.introductions%len(grantors)]
 	l.introductions++
-	l.introduceAt = now + l.introducePause
-	l.introducePause = min(2*l.introducePause, maxIntroducePause)
+	l.nextIntroductionAt = now + l.introduceInterval
+	l.introduceInterval = min(2*l.introduceInterval, maxIntroduceInterval)
 	l.introducing = true
 	l.running.Go(func() {
 		if err := l.config.Introduce(to); err != nil {
@@ -286,11 +286,11 @@
 // publish publishes what requests go by.
 func (l *Learner) publish() {
 	state := l.node.State()
-	l.state.Store(&state)
-	l.unusable.Store(l.unusableIn(state))
-	before := l.acting.Load()
-	acting := l.actingNow()
-	l.acting.Store(acting)
+	l.versionState.Store(&state)
+	l.unusableErr.Store(l.findUnusable(state))
+	before := l.effective.Load()
+	acting := l.currentVersion()
+	l.effective.Store(acting)
 	if acting.Number == before.Number {
 		return
 	}
@@ -305,20 +305,20 @@
 	}
 }
 
-func (l *Learner) actingNow() *EffectiveVersion {
+func (l *Learner) currentVersion() *EffectiveVersion {
 	number, until, why := l.node.Acting(Clock())
 	if number == 0 {
 		return &EffectiveVersion{Until: until, Reason: why}
 	}
-	t := l.textOf(number)
+	t := l.textByNumber(number)
 	if t == nil {
 		return &EffectiveVersion{Reason: rules.NoText}
 	}
 	return &EffectiveVersion{Number: number, Rules: t.rules, Until: until, Reason: why}
 }
 
-// unusableIn returns why a version of a state can't be used here; nil is that both can.
-func (l *Learner) unusableIn(state rules.VersionState) *error {
+// findUnusable returns why a version of a state can't be used here; nil is that both can.
+func (l *Learner) findUnusable(state rules.VersionState) *error {
 	var unusable *error
 	for i := range l.texts {
 		t := &l.texts[i]
@@ -336,7 +336,7 @@
 	if t, ok := l.node.NextWake(now); ok {
 		at = min(at, t)
 	}
-	if a := l.acting.Load(); a.Number != 0 {
+	if a := l.effective.Load(); a.Number != 0 {
 		at = min(at, a.Until)
 	}
 	if l.fetch != nil {
@@ -345,7 +345,7 @@
 	if l.leads && !l.proposing {
 		if _, due, ok := l.config.Registry.NextActivation(); ok {
 			wait := time.Duration(int64(due)-time.Now().UnixMilli()) * time.Millisecond
-			at = min(at, max(l.proposeAfter, now+wait))
+			at = min(at, max(l.nextProposalAt, now+wait))
 		}
 	}
 	l.timer.Reset(max(at-now, time.Millisecond))
--- a/internal/consensus/learner/messages.go
+++ b/internal/consensus/learner/messages.go
@@ -68,7 +68,7 @@
 
 // Receive takes a message of another node; the bytes are the caller's after it.
 func (l *Learner) Receive(raw []byte) {
-	task := l.read(raw)
+	task := l.taskOf(raw)
 	if task == nil {
 		l.Counts.MessagesCorrupt.Add(1)
 		return
@@ -80,8 +80,8 @@
 	}
 }
 
-// read returns the task that a message asks for; nil is that it is corrupt.
-func (l *Learner) read(raw []byte) func() {
+// taskOf returns the task that a message asks for; nil is that it is corrupt.
+func (l *Learner) taskOf(raw []byte) func() {
 	if len(raw) < 2 {
 		return nil
 	}
@@ -104,7 +104,7 @@
 		}
 	case kindStatus:
 		if report := decode[statusReport](raw[1:]); report != nil && isNode(report.Sender) {
-			return func() { l.reports.receive(Clock(), report) }
+			return func() { l.reports.add(Clock(), report) }
 		}
 	}
 	return nil
@@ -112,6 +112,6 @@
 
 func (l *Learner) receiveRules(m *rules.Message) {
 	l.receivedAt = Clock()
-	l.introducePause = introduceAfter
+	l.introduceInterval = minIntroduceInterval
 	l.node.Receive(l.receivedAt, m)
 }
--- a/internal/consensus/learner/relays.go
+++ b/internal/consensus/learner/relays.go
@@ -8,9 +8,9 @@
 
 const (
 	// minRelayedFleet is the size of a fleet from which not all nodes request leases from voters themselves.
-	minRelayedFleet = 24
-	maxSources      = 8 // of a text, in the own zone
-	voterSpread     = 7 // by which nodes of a zone begin with different voters of other zones
+	minRelayedFleet   = 24
+	maxSources        = 8 // of a text, in the own zone
+	voterOrderModulus = 7 // by which nodes of a zone begin with different voters of other zones
 )
 
 // grantors returns the nodes from which this one requests leases, the best first. A voter requests from the leader. Others
@@ -22,17 +22,17 @@
 // Their answers differ: this one moves no node when the membership changes.
 func (l *Learner) grantors() []int {
 	if slices.Contains(l.config.Voters, l.config.Name) {
-		return l.leaderIndex()
+		return l.liveLeader()
 	}
 	var grantors []int
 	if relay, ok := l.relay(); ok {
 		grantors = append(grantors, relay)
 	}
-	return append(grantors, l.voters()...)
+	return append(grantors, l.liveVoters()...)
 }
 
-// leaderIndex returns the leader, if it is known and live.
-func (l *Learner) leaderIndex() []int {
+// liveLeader returns the leader, if it is known and live.
+func (l *Learner) liveLeader() []int {
 	leader := l.config.Consensus.Leader()
 	for _, m := range l.members {
 		if m.Name == leader {
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// voters returns those that are live, those of the own zone first; nodes of a zone begin with different ones of the others.
-func (l *Learner) voters() []int {
+// liveVoters returns those that are live, those of the own zone first; nodes of a zone begin with different ones of the others.
+func (l *Learner) liveVoters() []int {
 	var live []Member
 	for _, m := range l.members {
 		if slices.Contains(l.config.Voters, m.Name) {
@@ -54,7 +54,7 @@
 		if m.Zone == l.config.Zone {
 			return -1
 		}
-		return (m.Index + l.config.NodeIndex) % voterSpread
+		return (m.Index + l.config.NodeIndex) % voterOrderModulus
 	}
 	slices.SortFunc(live, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(distance(a), distance(b)), cmp.Compare(a.Index, b.Index))
@@ -66,8 +66,8 @@
 	return indices
 }
 
-// group returns the number of an index's group within its zone.
-func (l *Learner) group(index int) int {
+// relayGroup returns the number of an index's relayGroup within its zone.
+func (l *Learner) relayGroup(index int) int {
 	size := int(math.Ceil(math.Sqrt(float64(l.config.FleetSize))))
 	return index / (size * max(1, len(l.config.Settings.Zones)))
 }
@@ -85,7 +85,7 @@
 	}
 	best := Member{Index: l.config.NodeIndex, Name: l.config.Name}
 	for _, m := range l.members {
-		sameGroup := m.Zone == l.config.Zone && l.group(m.Index) == l.group(l.config.NodeIndex)
+		sameGroup := m.Zone == l.config.Zone && l.relayGroup(m.Index) == l.relayGroup(l.config.NodeIndex)
 		if sameGroup && rank(m) < rank(best) {
 			best = m
 		}
@@ -101,7 +101,7 @@
 			sources = append(sources, m.Index)
 		}
 	}
-	for _, voter := range l.voters() {
+	for _, voter := range l.liveVoters() {
 		if !slices.Contains(sources, voter) {
 			sources = append(sources, voter)
 		}
--- a/internal/consensus/learner/status.go
+++ b/internal/consensus/learner/status.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	statusInterval    = 4 * time.Second       // between two reports of a node, where nothing has changed
-	statusDelay       = 50 * time.Millisecond // for which changes are gathered
-	statusLifetime    = 15 * time.Second      // of a report; a node that is not heard for so long is not counted
-	maxReportingNodes = 256                   // that report to this one
-	maxVersionCounts  = 8                     // versions and reasons in a report
-	maxNodeErrors     = 6                     // in a report
-	maxErrorBytes     = 100                   // of one
+	statusInterval     = 4 * time.Second       // between two reports of a node, where nothing has changed
+	statusDelay        = 50 * time.Millisecond // for which changes are gathered
+	maxStatusAge       = 15 * time.Second      // of a report; a node that is not heard for so long is not counted
+	maxReportingNodes  = 256                   // that report to this one
+	maxVersionCounts   = 8                     // versions and reasons in a report
+	maxVersionFailures = 6                     // in a report
+	maxFailureBytes    = 100                   // of one
 )
 
 // VersionCount is how many nodes go by a version, or by none for a reason.
@@ -44,23 +44,23 @@
 }
 
 type receivedStatus struct {
-	at     time.Duration
-	status FleetStatus
+	receivedAt time.Duration
+	status     FleetStatus
 }
 
 // statusReports gathers what other nodes report.
 type statusReports struct {
-	byNode map[int]receivedStatus
-	sendAt time.Duration // when to report next
-	last   FleetStatus   // reported
+	byNode   map[int]receivedStatus
+	sendAt   time.Duration // when to report next
+	lastSent FleetStatus   // reported
 }
 
-func (r *statusReports) receive(now time.Duration, report *statusReport) {
+func (r *statusReports) add(now time.Duration, report *statusReport) {
 	_, known := r.byNode[report.Sender]
 	if !known && len(r.byNode) >= maxReportingNodes {
 		return
 	}
-	if len(report.Status.Versions) > maxVersionCounts || len(report.Status.Failures) > maxNodeErrors {
+	if len(report.Status.Versions) > maxVersionCounts || len(report.Status.Failures) > maxVersionFailures {
 		return
 	}
 	r.byNode[report.Sender] = receivedStatus{now, report.Status}
@@ -73,14 +73,14 @@
 	now := Clock()
 	total := r.total(l, now)
 	l.fleetStatus.Store(&total)
-	if !total.equal(r.last) {
+	if !total.equal(r.lastSent) {
 		r.sendAt = min(r.sendAt, now+statusDelay)
 	}
 	if now < r.sendAt {
 		return
 	}
 	r.sendAt = now + statusInterval
-	r.last = total
+	r.lastSent = total
 	grantors := l.grantors()
 	if l.leads || len(grantors) == 0 {
 		return
@@ -101,10 +101,10 @@
 		number uint64
 		reason rules.Reason
 	}
-	acting := l.acting.Load()
+	acting := l.effective.Load()
 	nodes := map[key]int{{acting.Number, acting.Reason}: 1}
 	total := l.ownStatus()
-	maps.DeleteFunc(r.byNode, func(_ int, s receivedStatus) bool { return now-s.at > statusLifetime })
+	maps.DeleteFunc(r.byNode, func(_ int, s receivedStatus) bool { return now-s.receivedAt > maxStatusAge })
 	for _, node := range slices.Sorted(maps.Keys(r.byNode)) {
 		status := r.byNode[node].status
 		for _, v := range status.Versions {
@@ -113,7 +113,7 @@
 		total.Unusable += status.Unusable
 		total.Failures = append(total.Failures, status.Failures...)
 	}
-	total.Failures = total.Failures[:min(len(total.Failures), maxNodeErrors)]
+	total.Failures = total.Failures[:min(len(total.Failures), maxVersionFailures)]
 	for k, n := range nodes {
 		total.Versions = append(total.Versions, VersionCount{Number: k.number, Reason: k.reason, Nodes: n})
 	}
@@ -131,7 +131,7 @@
 		return FleetStatus{}
 	}
 	text := err.Error()
-	text = strings.ToValidUTF8(text[:min(len(text), maxErrorBytes)], "")
+	text = strings.ToValidUTF8(text[:min(len(text), maxFailureBytes)], "")
 	return FleetStatus{Unusable: 1, Failures: []VersionFailure{{Node: l.config.NodeIndex, Reason: text}}}
 }
 
--- a/internal/consensus/propose.go
+++ b/internal/consensus/propose.go
@@ -15,7 +15,7 @@
 	}
 	future := r.Apply(append([]byte{machine}, command...), within)
 	if err := future.Error(); err != nil {
-		return nil, v.explain(err)
+		return nil, v.translateError(err)
 	}
 	return future.Response(), nil
 }
@@ -29,7 +29,7 @@
 	}
 	term := v.leadingTerm.Load()
 	if err := r.VerifyLeader().Error(); err != nil {
-		return v.explain(err)
+		return v.translateError(err)
 	}
 	if term == 0 || term != r.CurrentTerm() {
 		return &NoMajorityError{Reason: "a new leader takes over what was agreed"}
@@ -45,29 +45,29 @@
 		return nil, &NoMajorityError{Reason: v.phase}
 	}
 	if v.raft.State() != raft.Leader {
-		return nil, v.notLeading()
+		return nil, v.notLeaderError()
 	}
 	return v.raft, nil
 }
 
-// notLeading returns an error that names the leader. The caller holds v.mu.
-func (v *Voter) notLeading() error {
+// notLeaderError returns an error that names the leader. The caller holds v.mu.
+func (v *Voter) notLeaderError() error {
 	if v.raft != nil {
 		_, leader := v.raft.LeaderWithID()
-		if p, ok := v.peers[nameOf(leader)]; ok && p.Name != v.config.Name {
+		if p, ok := v.peers[voterName(leader)]; ok && p.Name != v.config.Name {
 			return &NotLeaderError{Leader: p}
 		}
 	}
 	return &NoMajorityError{Reason: v.phase}
 }
 
-// explain returns the library's errors as this package's.
-func (v *Voter) explain(err error) error {
+// translateError returns the library's errors as this package's.
+func (v *Voter) translateError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		return v.notLeading()
+		return v.notLeaderError()
 	case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrRaftShutdown):
 		return &OutcomeUnknownError{Err: err}
 	case errors.Is(err, raft.ErrEnqueueTimeout):
--- a/internal/consensus/raft.go
+++ b/internal/consensus/raft.go
@@ -19,13 +19,13 @@
 	commitInterval      = 200 * time.Millisecond // at which voters learn what is agreed where nothing else is sent
 	rpcTimeout          = time.Second
 	streamsPerVoter     = 2 // for heartbeats and records
-	maxRecordsPerAppend = 16
+	maxEntriesPerAppend = 16
 
-	snapshotInterval   = 30 * time.Second // at least, between two checks whether a snapshot is due
-	snapshotRecords    = 256              // records after which one is due
-	snapshotBytes      = 1 << 20          // of the log, after which one is due
-	minSnapshotRecords = 16               // since the last one, where the log has snapshotBytes
-	trailingRecords    = 32               // that are kept before a snapshot
+	snapshotInterval         = 30 * time.Second // at least, between two checks whether a snapshot is due
+	snapshotThresholdEntries = 256              // records after which one is due
+	snapshotThresholdBytes   = 1 << 20          // of the log, after which one is due
+	minSnapshotEntries       = 16               // since the last one, where the log has snapshotBytes
+	trailingEntries          = 32               // that are kept before a snapshot
 )
 
 func raftConfig(identity raft.ServerID, leading chan<- bool, logger hclog.Logger) *raft.Config {
@@ -37,9 +37,9 @@
 	c.LeaderLeaseTimeout = leaderLeaseTimeout
 	c.CommitTimeout = commitInterval
 	c.SnapshotInterval = snapshotInterval
-	c.SnapshotThreshold = snapshotRecords
-	c.TrailingLogs = trailingRecords
-	c.MaxAppendEntries = maxRecordsPerAppend
+	c.SnapshotThreshold = snapshotThresholdEntries
+	c.TrailingLogs = trailingEntries
+	c.MaxAppendEntries = maxEntriesPerAppend
 	c.ShutdownOnRemove = false
 	c.NoLegacyTelemetry = true
 	c.NotifyCh = leading
@@ -72,12 +72,12 @@
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	votes := v.join(r, identity)
+	votes := v.setRaft(r, identity)
 	running, stop := context.WithCancel(ctx)
 	var parts sync.WaitGroup // end with running
 	parts.Go(func() { v.watchLeadership(running, r, leading) })
 	if !votes {
-		parts.Go(func() { v.enter(running, r, identity) })
+		parts.Go(func() { v.joinGroup(running, r, identity) })
 	}
 	err = v.watchLog(ctx, log, r, identity)
 	stop()
@@ -90,8 +90,8 @@
 	return err
 }
 
-// join notes that the library runs, and reports whether this voter votes.
-func (v *Voter) join(r *raft.Raft, identity raft.ServerID) bool {
+// setRaft notes that the library runs, and reports whether this voter votes.
+func (v *Voter) setRaft(r *raft.Raft, identity raft.ServerID) bool {
 	votes := isVoter(r.GetConfiguration().Configuration(), identity)
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -117,17 +117,17 @@
 		case <-ticker.C:
 		}
 		servers := r.GetConfiguration().Configuration().Servers
-		if len(servers) > 0 && !isListed(servers, identity) && !v.isEntering() {
+		if len(servers) > 0 && !isListed(servers, identity) && !v.isAwaitingAdmission() {
 			return errRemoved
 		}
-		if log.Size() > snapshotBytes && r.LastIndex() >= snapshotIndex+minSnapshotRecords {
+		if log.Size() > snapshotThresholdBytes && r.LastIndex() >= snapshotIndex+minSnapshotEntries {
 			snapshotIndex = r.LastIndex()
 			go r.Snapshot() // ends with the library; one that fails is tried again with more records
 		}
 	}
 }
 
-func (v *Voter) isEntering() bool {
+func (v *Voter) isAwaitingAdmission() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.phase == PhaseAwaitingAdmission
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -19,10 +19,10 @@
 
 // peerRecord is what another voter has sent this one, which is on its disk unless that is faulty.
 type peerRecord struct {
-	Last    logPosition `cbor:"1,keyasint"` // that it has acknowledged
-	Term    uint64      `cbor:"2,keyasint"`
-	Voted   uint64      `cbor:"3,keyasint"` // the last term in which it voted for this one
-	heardAt time.Time
+	LastEntry     logPosition `cbor:"1,keyasint"` // that it has acknowledged
+	Term          uint64      `cbor:"2,keyasint"`
+	VotedTerm     uint64      `cbor:"3,keyasint"` // the last term in which it voted for this one
+	lastContactAt time.Time
 }
 
 // maxPeerRecords is the number of identities that are remembered; those in contact longest ago are dropped.
@@ -38,7 +38,7 @@
 	return &peerRecords{byIdentity: make(map[raft.ServerID]*peerRecord)}
 }
 
-func (p *peerRecords) of(id raft.ServerID) peerRecord {
+func (p *peerRecords) get(id raft.ServerID) peerRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if record := p.byIdentity[id]; record != nil {
@@ -47,31 +47,31 @@
 	return peerRecord{}
 }
 
-func (p *peerRecords) note(id raft.ServerID, term uint64, last logPosition, voted uint64) {
+func (p *peerRecords) update(id raft.ServerID, term uint64, last logPosition, voted uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	record := p.byIdentity[id]
 	if record == nil {
-		p.makeRoom()
+		p.evictOldest()
 		record = &peerRecord{}
 		p.byIdentity[id] = record
 	}
 	record.Term = max(record.Term, term)
-	record.Voted = max(record.Voted, voted)
-	record.heardAt = time.Now()
-	if last.isAfter(record.Last) {
-		record.Last = last
+	record.VotedTerm = max(record.VotedTerm, voted)
+	record.lastContactAt = time.Now()
+	if last.isAfter(record.LastEntry) {
+		record.LastEntry = last
 	}
 }
 
-// makeRoom drops the record that was in contact longest ago where there are as many as are remembered.
-func (p *peerRecords) makeRoom() {
+// evictOldest drops the record that was in contact longest ago where there are as many as are remembered.
+func (p *peerRecords) evictOldest() {
 	if len(p.byIdentity) < maxPeerRecords {
 		return
 	}
 	var oldest raft.ServerID
 	for id, record := range p.byIdentity {
-		if oldest == "" || record.heardAt.Before(p.byIdentity[oldest].heardAt) {
+		if oldest == "" || record.lastContactAt.Before(p.byIdentity[oldest].lastContactAt) {
 			oldest = id
 		}
 	}
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -19,14 +19,14 @@
 // anybody who has less than the others had.
 
 const (
-	reportInterval = 300 * time.Millisecond // between two rounds of report requests
-	reportTimeout  = time.Second
-	quorumGrace    = time.Second // for those that have not answered yet, once a quorum has
+	reportInterval    = 300 * time.Millisecond // between two rounds of report requests
+	reportTimeout     = time.Second
+	quorumGracePeriod = time.Second // for those that have not answered yet, once a quorum has
 )
 
 // diskState is what a voter has on its disk.
 type diskState struct {
-	last               logPosition
+	lastEntry          logPosition
 	term, votedTerm    uint64
 	configuration      raft.Configuration
 	configurationIndex uint64
@@ -37,7 +37,7 @@
 func (v *Voter) readDiskState(log *raftlog.Log) (d diskState, err error) {
 	d.empty = log.Empty
 	d.identity = raft.ServerID(v.config.Name + "#" + log.Identity)
-	if d.last.Term, d.last.Index, err = log.Last(); err != nil {
+	if d.lastEntry.Term, d.lastEntry.Index, err = log.Last(); err != nil {
 		return d, err
 	}
 	if d.term, d.votedTerm, err = log.Term(); err != nil {
@@ -57,13 +57,13 @@
 	reports := make(map[string]*voterReport)
 	var quorumAt time.Time
 	for {
-		for name, report := range v.reportsOfOthers(ctx, have.identity) {
+		for name, report := range v.collectReports(ctx, have.identity) {
 			reports[name] = report
 		}
 		if ctx.Err() != nil {
 			return nil, minimum, ctx.Err()
 		}
-		if renew := have.contradiction(reports); renew != nil {
+		if renew := have.lossEvidence(reports); renew != nil {
 			return renew, minimum, nil
 		}
 		all := len(reports) == len(v.peers)-1
@@ -73,8 +73,8 @@
 		if quorumAt.IsZero() && v.hasQuorum(reports, have.configuration) {
 			quorumAt = time.Now()
 		}
-		waited := !quorumAt.IsZero() && (all || time.Since(quorumAt) > quorumGrace)
-		if v.isDiskTrusted() || (waited && leadersReached(reports)) {
+		waited := !quorumAt.IsZero() && (all || time.Since(quorumAt) > quorumGracePeriod)
+		if v.isQuorumWaived() || (waited && allLeadersReported(reports)) {
 			break
 		}
 		select {
@@ -86,49 +86,49 @@
 	term := have.term
 	for _, report := range reports {
 		term = max(term, report.Term)
-		if report.Last.isAfter(minimum) {
-			minimum = report.Last
+		if report.LastEntry.isAfter(minimum) {
+			minimum = report.LastEntry
 		}
 	}
-	if !minimum.isAfter(have.last) {
+	if !minimum.isAfter(have.lastEntry) {
 		minimum = logPosition{}
 	}
-	slog.Info("consensus: voter goes by its disk", "index", have.last.Index, "term", term, "reports", len(reports), "behind", minimum.Index)
+	slog.Info("consensus: voter goes by its disk", "index", have.lastEntry.Index, "term", term, "reports", len(reports), "behind", minimum.Index)
 	return nil, minimum, log.BarVotes(term)
 }
 
-func (v *Voter) isDiskTrusted() bool {
+func (v *Voter) isQuorumWaived() bool {
 	select {
-	case <-v.diskTrusted:
+	case <-v.quorumWaived:
 		return true
 	default:
 		return false
 	}
 }
 
-// contradiction returns what the others know that the disk does not have; nil is nothing.
-func (d *diskState) contradiction(reports map[string]*voterReport) error {
+// lossEvidence returns what the others know that the disk does not have; nil is nothing.
+func (d *diskState) lossEvidence(reports map[string]*voterReport) error {
 	for name, report := range reports {
-		if less := report.Witnessed.contradicts(d.last, d.term, d.votedTerm); less != "" {
+		if less := report.CallerRecord.lossEvidence(d.lastEntry, d.term, d.votedTerm); less != "" {
 			return fmt.Errorf("%s has heard %s", name, less)
 		}
 		listed := slices.Contains(report.Voters, string(d.identity))
 		if report.ConfigurationIndex > d.configurationIndex && listed == d.empty {
-			return fmt.Errorf("%s knows it as a voter: %v, and it has %d records", name, listed, d.last.Index)
+			return fmt.Errorf("%s knows it as a voter: %v, and it has %d records", name, listed, d.lastEntry.Index)
 		}
 	}
 	return nil
 }
 
-// contradicts returns what a voter has sent that its disk does not have; "" is nothing.
-func (r *peerRecord) contradicts(has logPosition, term, voted uint64) string {
+// lossEvidence returns what a voter has sent that its disk does not have; "" is nothing.
+func (r *peerRecord) lossEvidence(has logPosition, term, voted uint64) string {
 	switch {
-	case r.Last.isAfter(has):
-		return fmt.Sprintf("that it has record %d of term %d, it has %d of %d", r.Last.Index, r.Last.Term, has.Index, has.Term)
+	case r.LastEntry.isAfter(has):
+		return fmt.Sprintf("that it has record %d of term %d, it has %d of %d", r.LastEntry.Index, r.LastEntry.Term, has.Index, has.Term)
 	case r.Term > term:
 		return fmt.Sprintf("of term %d from it, it has %d", r.Term, term)
-	case r.Voted > voted:
-		return fmt.Sprintf("its vote in term %d, its last is in %d", r.Voted, voted)
+	case r.VotedTerm > voted:
+		return fmt.Sprintf("its vote in term %d, its last is in %d", r.VotedTerm, voted)
 	}
 	return ""
 }
@@ -148,14 +148,14 @@
 	return count+lost >= v.quorum
 }
 
-// leadersReached reports whether each leader that one of them knows has reported itself: what this voter had acknowledged to it
+// allLeadersReported reports whether each leader that one of them knows has reported itself: what this voter had acknowledged to it
 // counts there.
-func leadersReached(reports map[string]*voterReport) bool {
+func allLeadersReported(reports map[string]*voterReport) bool {
 	for _, report := range reports {
 		if report.Leader == "" {
 			continue
 		}
-		leader := reports[nameOf(raft.ServerID(report.Leader))]
+		leader := reports[voterName(raft.ServerID(report.Leader))]
 		if leader == nil || leader.Identity != report.Leader {
 			return false
 		}
--- a/internal/consensus/report.go
+++ b/internal/consensus/report.go
@@ -12,8 +12,8 @@
 	"sloestile/internal/consensus/transport"
 )
 
-// callVoter is the first byte of calls among voters.
-const callVoter = 'v'
+// voterCallKind is the first byte of calls among voters.
+const voterCallKind = 'v'
 
 // reportRequest is a call among voters. It is encoded as CBOR by the numbers in its tags.
 type reportRequest struct {
@@ -27,20 +27,20 @@
 	Identity           string      `cbor:"1,keyasint"`
 	Empty              bool        `cbor:"2,keyasint"` // it has agreed to nothing
 	Term               uint64      `cbor:"3,keyasint"`
-	Last               logPosition `cbor:"4,keyasint"`
+	LastEntry          logPosition `cbor:"4,keyasint"`
 	Leader             string      `cbor:"5,keyasint"` // its identity; "" is none known
 	ConfigurationIndex uint64      `cbor:"6,keyasint"` // of Voters
 	Voters             []string    `cbor:"7,keyasint"` // identities that it knows of last
-	Witnessed          peerRecord  `cbor:"8,keyasint"` // of the one that asks
+	CallerRecord       peerRecord  `cbor:"8,keyasint"` // of the one that asks
 	Rejected           string      `cbor:"9,keyasint,omitempty"`
 }
 
-// answerCall answers a call of another node; nil closes it.
-func (v *Voter) answerCall(from string, body []byte) []byte {
+// handleCall answers a call of another node; nil closes it.
+func (v *Voter) handleCall(from string, body []byte) []byte {
 	if len(body) == 0 {
 		return nil
 	}
-	if body[0] != callVoter {
+	if body[0] != voterCallKind {
 		if handle := v.config.CallHandlers[body[0]]; handle != nil {
 			return handle(from, body[1:])
 		}
@@ -56,7 +56,7 @@
 		return nil
 	}
 	if request.Admit {
-		if err := v.admit(request.Name, identity); err != nil {
+		if err := v.advanceAdmission(request.Name, identity); err != nil {
 			report.Rejected = err.Error()
 		}
 	}
@@ -67,8 +67,8 @@
 	return raw
 }
 
-// errBetweenRuns is the answer of a voter whose log is not open.
-var errBetweenRuns = errors.New("council: between two lives")
+// errLogNotOpen is the answer of a voter whose log is not open.
+var errLogNotOpen = errors.New("council: between two lives")
 
 // ownReport returns how this voter is, and what it has heard of another one.
 func (v *Voter) ownReport(of raft.ServerID) (*voterReport, error) {
@@ -76,17 +76,17 @@
 	log, r, identity := v.log, v.raft, v.identity
 	v.mu.Unlock()
 	if log == nil {
-		return nil, errBetweenRuns
+		return nil, errLogNotOpen
 	}
-	report := &voterReport{Identity: string(identity), Witnessed: v.records.of(of)}
+	report := &voterReport{Identity: string(identity), CallerRecord: v.records.get(of)}
 	var err error
 	if report.Term, _, err = log.Term(); err != nil {
 		return nil, err
 	}
-	if report.Last.Term, report.Last.Index, err = log.Last(); err != nil {
+	if report.LastEntry.Term, report.LastEntry.Index, err = log.Last(); err != nil {
 		return nil, err
 	}
-	report.Empty = report.Last == (logPosition{})
+	report.Empty = report.LastEntry == (logPosition{})
 	var configuration raft.Configuration
 	if r != nil {
 		future := r.GetConfiguration()
@@ -103,8 +103,8 @@
 	return report, nil
 }
 
-// reportsOfOthers calls all other voters at once and returns their reports by name.
-func (v *Voter) reportsOfOthers(ctx context.Context, identity raft.ServerID) map[string]*voterReport {
+// collectReports calls all other voters at once and returns their reports by name.
+func (v *Voter) collectReports(ctx context.Context, identity raft.ServerID) map[string]*voterReport {
 	body, err := cbor.Marshal(reportRequest{Name: v.config.Name, Identity: string(identity)})
 	if err != nil {
 		return nil
@@ -133,13 +133,13 @@
 }
 
 func (v *Voter) requestReport(ctx context.Context, p Peer, body []byte) *voterReport {
-	raw, err := v.Call(ctx, p, callVoter, body)
+	raw, err := v.Call(ctx, p, voterCallKind, body)
 	if err != nil {
 		slog.Debug("consensus: voter not reached", "peer", p.Name, "error", err)
 		return nil
 	}
 	report := &voterReport{}
-	if err := cbor.Unmarshal(raw, report); err != nil || nameOf(raft.ServerID(report.Identity)) != p.Name {
+	if err := cbor.Unmarshal(raw, report); err != nil || voterName(raft.ServerID(report.Identity)) != p.Name {
 		slog.Warn("consensus: report of a voter is corrupt", "peer", p.Name, "error", err)
 		return nil
 	}
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -19,8 +19,8 @@
 const (
 	checkInterval   = time.Second // of whether this voter is still one
 	maxRestartPause = 10 * time.Second
-	// stableAfter is how long a voter must have run for its next restart to come at once.
-	stableAfter = time.Minute
+	// minStableRun is how long a voter must have run for its next restart to come at once.
+	minStableRun = time.Minute
 )
 
 // Peer is a voter as the fleet file names it.
@@ -91,18 +91,18 @@
 	records          *peerRecords
 	lastError        error
 	identityRenewals int
-	diskTrusted      chan struct{} // closed by RejoinWithoutQuorum
-	admitting        sync.Mutex    // held by one admission at a time
+	quorumWaived     chan struct{} // closed by RejoinWithoutQuorum
+	admissionMu      sync.Mutex    // held by one admission at a time
 }
 
 // New returns a voter, which does nothing before Run.
 func New(cfg Config) (*Voter, error) {
 	v := &Voter{
-		config:      cfg,
-		peers:       make(map[string]Peer),
-		phase:       PhaseNotRunning,
-		records:     newPeerRecords(),
-		diskTrusted: make(chan struct{}),
+		config:       cfg,
+		peers:        make(map[string]Peer),
+		phase:        PhaseNotRunning,
+		records:      newPeerRecords(),
+		quorumWaived: make(chan struct{}),
 	}
 	if n := len(cfg.Voters); n != 3 && n != 5 && n != 7 {
 		return nil, fmt.Errorf("council: %d voters; name 3, 5 or 7", n)
@@ -123,14 +123,14 @@
 	for ctx.Err() == nil {
 		begun := time.Now()
 		err := v.runOnce(ctx)
-		v.fail(PhaseNotRunning, err)
+		v.setPhase(PhaseNotRunning, err)
 		if ctx.Err() != nil {
 			break
 		}
 		took := time.Since(begun)
 		slog.Warn("consensus: voter restarts", "error", err, "after", took.Round(time.Millisecond))
 		pause = min(2*pause, maxRestartPause)
-		if took > stableAfter {
+		if took > minStableRun {
 			pause = checkInterval
 		}
 		if errors.Is(err, errIdentityRenewed) {
@@ -144,7 +144,7 @@
 	v.closeTransport()
 }
 
-func (v *Voter) fail(phase string, err error) {
+func (v *Voter) setPhase(phase string, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.phase = phase
@@ -184,8 +184,8 @@
 	}()
 	log.OnStall(v.transport.SetStalled)
 	identity := raft.ServerID(v.config.Name + "#" + log.Identity)
-	v.begin(log, identity, corrupt)
-	defer v.end()
+	v.beginRun(log, identity, corrupt)
+	defer v.endRun()
 	var minimum logPosition
 	if !log.NewIdentity {
 		renew, behind, err := v.rejoin(ctx, log)
@@ -194,7 +194,7 @@
 		}
 		if renew != nil {
 			slog.Error("consensus: the disk has less than this voter has acknowledged, it waits to be admitted", "error", renew)
-			v.noteRenewal(renew)
+			v.recordRenewal(renew)
 			closed = true
 			return errors.Join(errIdentityRenewed, log.RenewIdentity())
 		}
@@ -203,19 +203,19 @@
 	return v.runRaft(ctx, log, identity, minimum)
 }
 
-func (v *Voter) begin(log *raftlog.Log, identity raft.ServerID, corrupt error) {
+func (v *Voter) beginRun(log *raftlog.Log, identity raft.ServerID, corrupt error) {
 	v.mu.Lock()
 	v.log = log
 	v.identity = identity
 	v.phase = PhaseRequestingReports
 	v.mu.Unlock()
 	if corrupt != nil {
-		v.noteRenewal(corrupt)
+		v.recordRenewal(corrupt)
 		slog.Error("consensus: the log of this voter is corrupt, it waits to be admitted", "error", corrupt)
 	}
 }
 
-func (v *Voter) end() {
+func (v *Voter) endRun() {
 	v.mu.Lock()
 	v.log = nil
 	v.raft = nil
@@ -223,7 +223,7 @@
 	v.transport.SetStalled(false)
 }
 
-func (v *Voter) noteRenewal(why error) {
+func (v *Voter) recordRenewal(why error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.lastError = why
@@ -241,7 +241,7 @@
 		Name:   v.config.Name,
 		Bind:   v.peers[v.config.Name].Address,
 		Via:    v.config.DialAddresses,
-		Answer: v.answerCall,
+		Answer: v.handleCall,
 	})
 	if err == nil {
 		v.transport = t
@@ -264,9 +264,9 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	select {
-	case <-v.diskTrusted:
+	case <-v.quorumWaived:
 	default:
-		close(v.diskTrusted)
+		close(v.quorumWaived)
 	}
 }
 
@@ -279,7 +279,7 @@
 		return ""
 	}
 	_, id := r.LeaderWithID()
-	return nameOf(id)
+	return voterName(id)
 }
 
 // Status returns how this voter is.
@@ -295,7 +295,7 @@
 	}
 	if r := v.raft; r != nil {
 		_, leader := r.LeaderWithID()
-		s.Leader = nameOf(leader)
+		s.Leader = voterName(leader)
 		s.Term = r.CurrentTerm()
 		s.CommitIndex = r.CommitIndex()
 		s.AppliedIndex = r.AppliedIndex()
--- a/internal/consensus/voter_test.go
+++ b/internal/consensus/voter_test.go
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// one is a voter of a test, which can end and begin again on its folder.
-type one struct {
+// testVoter is a voter of a test, which can end and begin again on its folder.
+type testVoter struct {
 	*Voter
 	sum  *adder
 	dir  string
@@ -62,15 +62,15 @@
 	done chan struct{}
 }
 
-// group is the voters of a test.
-type group struct {
-	t     *testing.T
-	peers []Peer
-	all   []*one
+// testGroup is the voters of a test.
+type testGroup struct {
+	t      *testing.T
+	peers  []Peer
+	voters []*testVoter
 }
 
-func newGroup(t *testing.T, n int) *group {
-	g := &group{t: t}
+func newTestGroup(t *testing.T, n int) *testGroup {
+	g := &testGroup{t: t}
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -79,19 +79,19 @@
 	}
 	dir := t.TempDir()
 	for i := range n {
-		g.all = append(g.all, &one{dir: filepath.Join(dir, g.peers[i].Name)})
+		g.voters = append(g.voters, &testVoter{dir: filepath.Join(dir, g.peers[i].Name)})
 		g.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range g.all {
-			g.end(i)
+		for i := range g.voters {
+			g.stop(i)
 		}
 	})
 	return g
 }
 
-func (g *group) start(i int) {
-	o := g.all[i]
+func (g *testGroup) start(i int) {
+	o := g.voters[i]
 	o.sum = &adder{}
 	var err error
 	o.Voter, err = New(Config{Label: "test", Name: g.peers[i].Name, Voters: g.peers, Dir: o.dir, Disk: disk.Local{},
@@ -102,62 +102,62 @@
 	go func() { o.Run(ctx); close(o.done) }()
 }
 
-func (g *group) end(i int) {
-	g.all[i].stop()
-	<-g.all[i].done
+func (g *testGroup) stop(i int) {
+	g.voters[i].stop()
+	<-g.voters[i].done
 }
 
-// add has a number agreed at whoever leads.
-func (g *group) add(n uint64) (sum uint64, leader int) {
+// propose has a number agreed at whoever leads.
+func (g *testGroup) propose(n uint64) (sum uint64, leader int) {
 	g.t.Helper()
 	for late := time.Now().Add(20 * time.Second); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
-		for i, o := range g.all {
+		for i, o := range g.voters {
 			got, err := o.Propose('a', binary.BigEndian.AppendUint64(nil, n), time.Second)
 			if err == nil {
 				return got.(uint64), i
 			}
 		}
 	}
-	for _, o := range g.all {
+	for _, o := range g.voters {
 		g.t.Logf("%+v", o.Status())
 	}
 	g.t.Fatal("nothing is agreed")
 	return 0, 0
 }
 
-// votes waits until a voter votes.
-func (g *group) votes(i int) {
+// waitUntilVoting waits until a voter waitUntilVoting.
+func (g *testGroup) waitUntilVoting(i int) {
 	g.t.Helper()
-	require.Eventually(g.t, func() bool { return g.all[i].Status().Phase == PhaseVoting }, 20*time.Second, 20*time.Millisecond, "%+v", g.all[i].Status())
+	require.Eventually(g.t, func() bool { return g.voters[i].Status().Phase == PhaseVoting }, 20*time.Second, 20*time.Millisecond, "%+v", g.voters[i].Status())
 }
 
 // What three voters agree on outlives the leader, all of them at once, and one folder that is
 // emptied; and that one founds nothing of its own.
 func TestAgreedOutlives(t *testing.T) {
-	g := newGroup(t, 3)
-	sum, leader := g.add(1)
+	g := newTestGroup(t, 3)
+	sum, leader := g.propose(1)
 	require.EqualValues(t, 1, sum)
-	g.end(leader)
-	sum, _ = g.add(2)
+	g.stop(leader)
+	sum, _ = g.propose(2)
 	require.EqualValues(t, 3, sum)
 	g.start(leader)
-	g.votes(leader)
+	g.waitUntilVoting(leader)
 	for i := range 3 {
-		g.end(i)
+		g.stop(i)
 	}
 	for i := range 3 {
 		g.start(i)
 	}
-	sum, leader = g.add(4)
+	sum, leader = g.propose(4)
 	require.EqualValues(t, 7, sum)
-	was := g.all[leader].Status().Identity
-	g.end(leader)
-	require.NoError(t, os.RemoveAll(g.all[leader].dir))
+	was := g.voters[leader].Status().Identity
+	g.stop(leader)
+	require.NoError(t, os.RemoveAll(g.voters[leader].dir))
 	g.start(leader)
-	g.votes(leader)
-	require.NotEqual(t, was, g.all[leader].Status().Identity)
-	sum, _ = g.add(8)
+	g.waitUntilVoting(leader)
+	require.NotEqual(t, was, g.voters[leader].Status().Identity)
+	sum, _ = g.propose(8)
 	require.EqualValues(t, 15, sum)
-	require.Eventually(t, func() bool { s, _ := g.all[leader].sum.Snapshot(); return binary.BigEndian.Uint64(s) == 15 }, 5*time.Second, 10*time.Millisecond)
-	require.Len(t, g.all[leader].Status().Voters, 3)
+	require.Eventually(t, func() bool { s, _ := g.voters[leader].sum.Snapshot(); return binary.BigEndian.Uint64(s) == 15 }, 5*time.Second, 10*time.Millisecond)
+	require.Len(t, g.voters[leader].Status().Voters, 3)
 }
