--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,8 +1,10 @@
-// Package consensus is what the voters of a fleet decide together by hashicorp/raft: one log that a majority of them has
-// on its disks (raftlog), and state machines that all of them run through it. transport carries what they send each
-// other; learner has every node of the fleet act by what was agreed.
+// Package consensus runs a voter of the fleet's consensus group on hashicorp/raft. A Voter replicates one log to a majority
+// of the voters' disks (package raftlog) and applies the committed entries to its state machines. Package transport carries
+// the messages between voters, and package learner applies the committed rule versions at every node of the fleet.
 //
-// A voter whose disk has lost what it acknowledged, or holds something else, takes no part until it was admitted anew.
-// With an identity on its disk it first requests reports of the others (rejoin.go). Without one it makes a new identity and is taken in
-// by the leader, or founds the group (admission.go).
+// A voter whose disk has lost or changed state that the voter acknowledged must not vote with that identity again: it could
+// vote twice in a term, or elect a leader that lacks committed entries. At each start, a voter with an identity on its disk
+// therefore requests reports from the other voters and compares them with its disk (rejoin.go). A voter with an empty disk,
+// or whose disk has lost state, creates a new identity, and the leader admits it in place of the old one; if no voter has
+// any state yet, one of them bootstraps the group (admission.go).
 package consensus
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -17,13 +17,14 @@
 	return v, cbor.Unmarshal(raw, v)
 }
 
-// What voters say to each other has the recorded bytes.
-func TestCallsAreAsRecorded(t *testing.T) {
+// The calls between voters and their answers have the encoding in the golden files, so that voters with different versions
+// of the program understand each other.
+func TestVoterCallsMatchGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "ask", func(q *reportRequest) ([]byte, error) { return cbor.Marshal(*q) }, decodeAs[reportRequest])
 	golden.RoundTrip(t, "report", func(a *voterReport) ([]byte, error) { return cbor.Marshal(*a) }, decodeAs[voterReport])
 }
 
-// sinkBuffer is a snapshot's destination in memory.
+// sinkBuffer is a snapshot sink in memory.
 type sinkBuffer struct {
 	bytes.Buffer
 	raft.SnapshotSink
@@ -32,22 +33,22 @@
 func (s *sinkBuffer) Write(b []byte) (int, error) { return s.Buffer.Write(b) }
 func (s *sinkBuffer) Close() error                { return nil }
 
-// fixedStateMachine is a state machine whose state is what was restored.
+// fixedStateMachine is a state machine whose state is the one restored last; commands do not change it.
 type fixedStateMachine struct{ state []byte }
 
 func (k *fixedStateMachine) Apply(uint64, []byte) any  { return nil }
 func (k *fixedStateMachine) Snapshot() ([]byte, error) { return k.state, nil }
 func (k *fixedStateMachine) Restore(b []byte) error    { k.state = b; return nil }
 
-// The snapshot of all state machines has the recorded bytes and is restored from them.
-func TestSnapshotIsAsRecorded(t *testing.T) {
+// A snapshot of the state machines has the encoding in the golden file, and restores their states.
+func TestSnapshotMatchesGoldenFile(t *testing.T) {
 	m := &stateMachines{byKind: map[byte]StateMachine{'r': &fixedStateMachine{[]byte("rules")}}}
 	s, err := m.Snapshot()
 	require.NoError(t, err)
 	var out sinkBuffer
 	require.NoError(t, s.Persist(&out))
 	golden.Check(t, "snapshot", out.Bytes())
-	back := &fixedStateMachine{}
-	require.NoError(t, (&stateMachines{byKind: map[byte]StateMachine{'r': back}}).Restore(io.NopCloser(&out)))
-	require.Equal(t, "rules", string(back.state))
+	restored := &fixedStateMachine{}
+	require.NoError(t, (&stateMachines{byKind: map[byte]StateMachine{'r': restored}}).Restore(io.NopCloser(&out)))
+	require.Equal(t, "rules", string(restored.state))
 }
--- a/internal/consensus/guard.go
+++ b/internal/consensus/guard.go
@@ -10,14 +10,16 @@
 	"sloestile/internal/consensus/raftlog"
 )
 
-// guardedTransport notes what the others acknowledge, and keeps this voter from electing others, or standing itself, with
-// less than a minimum: what the others had when it began, as its disk may have lost that it had agreed to that.
+// guardedTransport records what the other voters acknowledge to this one, for their reports after a restart. It also keeps
+// this voter out of elections while its log ends before minPosition, the latest entry that any other voter reported when
+// this one started. This voter may have acknowledged that entry and lost it, so the entry may be committed, and a leader
+// without it would overwrite it.
 type guardedTransport struct {
 	*raft.NetworkTransport
 	records     *peerRecords
 	log         *raftlog.Log
 	minPosition logPosition
-	incoming    chan raft.RPC // nil where there is no minimum
+	incoming    chan raft.RPC // filtered requests; nil if minPosition is zero
 	closed      chan struct{}
 	closeOnce   sync.Once
 	running     sync.WaitGroup
@@ -28,18 +30,19 @@
 	_ raft.WithPreVote = (*guardedTransport)(nil)
 )
 
-var errBehind = errors.New("this voter has less than others had when it began")
+// errBehind is the answer to a vote request while the log ends before minPosition.
+var errBehind = errors.New("this voter's log is behind the logs that others reported at its start")
 
-func newGuardedTransport(n *raft.NetworkTransport, records *peerRecords, log *raftlog.Log, minimum logPosition) *guardedTransport {
-	t := &guardedTransport{NetworkTransport: n, records: records, log: log, minPosition: minimum, closed: make(chan struct{})}
-	if minimum != (logPosition{}) {
+func newGuardedTransport(n *raft.NetworkTransport, records *peerRecords, log *raftlog.Log, minPosition logPosition) *guardedTransport {
+	t := &guardedTransport{NetworkTransport: n, records: records, log: log, minPosition: minPosition, closed: make(chan struct{})}
+	if minPosition != (logPosition{}) {
 		t.incoming = make(chan raft.RPC)
-		t.running.Go(t.filterVoteRequests) // ends with Close
+		t.running.Go(t.filterVoteRequests) // ends when Close is called
 	}
 	return t
 }
 
-// Close ends the transport; the library does so too.
+// Close closes the transport. It may be called more than once: the raft library also calls it.
 func (t *guardedTransport) Close() error {
 	t.closeOnce.Do(func() { close(t.closed) })
 	err := t.NetworkTransport.Close()
@@ -47,7 +50,7 @@
 	return err
 }
 
-// Consumer returns the requests of others.
+// Consumer returns the channel of other voters' requests.
 func (t *guardedTransport) Consumer() <-chan raft.RPC {
 	if t.incoming != nil {
 		return t.incoming
@@ -55,7 +58,7 @@
 	return t.NetworkTransport.Consumer()
 }
 
-// isBehind reports whether this voter has less than the minimum.
+// isBehind reports whether the log ends before minPosition. A log that cannot be read counts as behind.
 func (t *guardedTransport) isBehind() bool {
 	if t.incoming == nil {
 		return false
@@ -64,7 +67,8 @@
 	return err != nil || t.minPosition.isAfter(logPosition{term, index})
 }
 
-// filterVoteRequests rejects votes for candidates below the minimum, and passes everything else on.
+// filterVoteRequests passes requests from the network to the raft library. While this voter is behind, it rejects the vote
+// requests of candidates whose logs end before minPosition.
 func (t *guardedTransport) filterVoteRequests() {
 	for {
 		var rpc raft.RPC
@@ -85,7 +89,8 @@
 	}
 }
 
-// candidatePosition returns what a candidate has that asks for a vote; the minimum for other requests.
+// candidatePosition returns the end of the candidate's log for a vote request, and minPosition, which is never rejected, for
+// any other request.
 func (t *guardedTransport) candidatePosition(rpc raft.RPC) logPosition {
 	switch request := rpc.Command.(type) {
 	case *raft.RequestVoteRequest:
@@ -96,7 +101,7 @@
 	return t.minPosition
 }
 
-// AppendEntries sends records or a heartbeat.
+// AppendEntries sends entries or a heartbeat to a voter and records the last entry that it acknowledges.
 func (t *guardedTransport) AppendEntries(id raft.ServerID, to raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) error {
 	if err := t.NetworkTransport.AppendEntries(id, to, request, response); err != nil {
 		return err
@@ -112,7 +117,7 @@
 	return nil
 }
 
-// RequestVote asks for a vote.
+// RequestVote requests a vote, unless this voter is behind, and records the vote of the other voter.
 func (t *guardedTransport) RequestVote(id raft.ServerID, to raft.ServerAddress, request *raft.RequestVoteRequest, response *raft.RequestVoteResponse) error {
 	if t.isBehind() {
 		return errBehind
@@ -120,15 +125,15 @@
 	if err := t.NetworkTransport.RequestVote(id, to, request, response); err != nil {
 		return err
 	}
-	voted := uint64(0)
+	votedTerm := uint64(0)
 	if response.Granted {
-		voted = request.Term
+		votedTerm = request.Term
 	}
-	t.records.update(id, response.Term, logPosition{}, voted)
+	t.records.update(id, response.Term, logPosition{}, votedTerm)
 	return nil
 }
 
-// RequestPreVote asks whether a vote would be given.
+// RequestPreVote asks whether the other voter would vote for this one, unless this voter is behind.
 func (t *guardedTransport) RequestPreVote(id raft.ServerID, to raft.ServerAddress, request *raft.RequestPreVoteRequest, response *raft.RequestPreVoteResponse) error {
 	if t.isBehind() {
 		return errBehind
@@ -136,7 +141,7 @@
 	return t.NetworkTransport.RequestPreVote(id, to, request, response)
 }
 
-// voterName returns the voter's name in an identity.
+// voterName returns the name part of an identity, which is the name, "#" and a random number.
 func voterName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), "#")
 	return name
--- a/internal/consensus/propose.go
+++ b/internal/consensus/propose.go
@@ -7,21 +7,23 @@
 	"github.com/hashicorp/raft"
 )
 
-// Propose has a state machine's command agreed, and returns what the state machine answered here.
-func (v *Voter) Propose(machine byte, command []byte, within time.Duration) (any, error) {
+// Propose replicates a command of a state machine and returns the state machine's result at this voter, which must be the
+// leader. timeout limits the wait until the leader starts on the command, not the replication. Its errors include
+// NotLeaderError, NoMajorityError and OutcomeUnknownError.
+func (v *Voter) Propose(machine byte, command []byte, timeout time.Duration) (any, error) {
 	r, err := v.leadingRaft()
 	if err != nil {
 		return nil, err
 	}
-	future := r.Apply(append([]byte{machine}, command...), within)
+	future := r.Apply(append([]byte{machine}, command...), timeout)
 	if err := future.Error(); err != nil {
 		return nil, v.translateError(err)
 	}
 	return future.Response(), nil
 }
 
-// Verify asks a majority whether this voter leads, by a round that begins after the call. Without an
-// error all that was agreed before the call is applied here.
+// Verify confirms with a majority, in a round that begins after the call, that this voter leads. If it returns nil, all
+// entries committed before the call are applied here.
 func (v *Voter) Verify() error {
 	r, err := v.leadingRaft()
 	if err != nil {
@@ -32,12 +34,12 @@
 		return v.translateError(err)
 	}
 	if term == 0 || term != r.CurrentTerm() {
-		return &NoMajorityError{Reason: "a new leader takes over what was agreed"}
+		return &NoMajorityError{Reason: "the new leader has not applied all committed log entries yet"}
 	}
 	return nil
 }
 
-// leadingRaft returns the library where this voter leads.
+// leadingRaft returns the raft library if this voter leads.
 func (v *Voter) leadingRaft() (*raft.Raft, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -50,7 +52,7 @@
 	return v.raft, nil
 }
 
-// notLeaderError returns an error that names the leader. The caller holds v.mu.
+// notLeaderError returns a NotLeaderError if another voter is known to lead, else a NoMajorityError. The caller holds v.mu.
 func (v *Voter) notLeaderError() error {
 	if v.raft != nil {
 		_, leader := v.raft.LeaderWithID()
@@ -61,7 +63,7 @@
 	return &NoMajorityError{Reason: v.phase}
 }
 
-// translateError returns the library's errors as this package's.
+// translateError translates an error of the raft library to one of this package.
 func (v *Voter) translateError(err error) error {
 	switch {
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipTransferInProgress):
@@ -71,7 +73,7 @@
 	case errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrRaftShutdown):
 		return &OutcomeUnknownError{Err: err}
 	case errors.Is(err, raft.ErrEnqueueTimeout):
-		return &NoMajorityError{Reason: "is busy"}
+		return &NoMajorityError{Reason: "the leader did not accept the proposal in time"}
 	}
 	return err
 }
--- a/internal/consensus/raft.go
+++ b/internal/consensus/raft.go
@@ -14,18 +14,18 @@
 
 // Configuration of the raft library.
 const (
-	heartbeatTimeout    = 600 * time.Millisecond // without a heartbeat, at least, before a voter stands for election
-	leaderLeaseTimeout  = 400 * time.Millisecond // that a leader goes on without a majority
-	commitInterval      = 200 * time.Millisecond // at which voters learn what is agreed where nothing else is sent
+	heartbeatTimeout    = 600 * time.Millisecond // minimum time without a heartbeat before a voter stands for election
+	leaderLeaseTimeout  = 400 * time.Millisecond // a leader without a majority steps down after this time
+	commitInterval      = 200 * time.Millisecond // interval of commit index updates to followers while no entries are sent
 	rpcTimeout          = time.Second
-	streamsPerVoter     = 2 // for heartbeats and records
+	streamsPerVoter     = 2 // pooled streams to each voter, so that entries and heartbeats have one each
 	maxEntriesPerAppend = 16
 
-	snapshotInterval         = 30 * time.Second // at least, between two checks whether a snapshot is due
-	snapshotThresholdEntries = 256              // records after which one is due
-	snapshotThresholdBytes   = 1 << 20          // of the log, after which one is due
-	minSnapshotEntries       = 16               // since the last one, where the log has snapshotBytes
-	trailingEntries          = 32               // that are kept before a snapshot
+	snapshotInterval         = 30 * time.Second // minimum interval between the library's checks for a due snapshot
+	snapshotThresholdEntries = 256              // log entries since the last snapshot after which the library takes one
+	snapshotThresholdBytes   = 1 << 20          // log size after which watchLog requests a snapshot
+	minSnapshotEntries       = 16               // minimum entries between two snapshots that watchLog requests
+	trailingEntries          = 32               // log entries kept before a snapshot, for followers that are behind
 )
 
 func raftConfig(identity raft.ServerID, leading chan<- bool, logger hclog.Logger) *raft.Config {
@@ -46,9 +46,10 @@
 	return c
 }
 
-// runRaft runs the library until ctx ends or the log fails. A voter with less in its log than minimum neither votes for
-// others with less nor stands for election.
-func (v *Voter) runRaft(ctx context.Context, log *raftlog.Log, identity raft.ServerID, minimum logPosition) error {
+// runRaft runs the raft library until ctx ends, the log fails or this identity is removed from the group, and returns the
+// reason. While the log ends before minPosition, this voter does not stand for election and rejects vote requests of
+// candidates whose logs end before it too. The zero minPosition disables the check.
+func (v *Voter) runRaft(ctx context.Context, log *raftlog.Log, identity raft.ServerID, minPosition logPosition) error {
 	layer := v.transport.Layer(string(identity))
 	logger := raftlog.Logger("consensus: ")
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
@@ -58,10 +59,10 @@
 		Timeout:         rpcTimeout,
 		Logger:          logger,
 	})
-	guarded := newGuardedTransport(network, v.records, log, minimum)
+	guarded := newGuardedTransport(network, v.records, log, minPosition)
 	defer func() {
 		_ = layer.Close()
-		_ = guarded.Close() // all streams end with them
+		_ = guarded.Close() // an error does not matter: closing ends all streams either way
 	}()
 	machines := &stateMachines{byKind: v.config.StateMachines}
 	if err := machines.reset(); err != nil {
@@ -72,42 +73,44 @@
 	if err != nil {
 		return fmt.Errorf("council: %w", err)
 	}
-	votes := v.setRaft(r, identity)
+	isVoting := v.setRaft(r, identity)
 	running, stop := context.WithCancel(ctx)
-	var parts sync.WaitGroup // end with running
-	parts.Go(func() { v.watchLeadership(running, r, leading) })
-	if !votes {
-		parts.Go(func() { v.joinGroup(running, r, identity) })
+	var tasks sync.WaitGroup // its goroutines end when running is cancelled
+	tasks.Go(func() { v.watchLeadership(running, r, leading) })
+	if !isVoting {
+		tasks.Go(func() { v.joinGroup(running, r, identity) })
 	}
 	err = v.watchLog(ctx, log, r, identity)
 	stop()
-	// What this voter sends from here on might not be on its disk.
+	// Sending stops first: what this voter would send after its log has failed might not be on its disk.
 	_ = guarded.Close()
 	if shutdown := r.Shutdown().Error(); shutdown != nil && err == nil {
 		err = shutdown
 	}
-	parts.Wait()
+	tasks.Wait()
 	return err
 }
 
-// setRaft notes that the library runs, and reports whether this voter votes.
+// setRaft stores the running library, sets the phase, and reports whether the log's last configuration lists identity as a
+// voter.
 func (v *Voter) setRaft(r *raft.Raft, identity raft.ServerID) bool {
-	votes := isVoter(r.GetConfiguration().Configuration(), identity)
+	isVoting := isVoter(r.GetConfiguration().Configuration(), identity)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.raft = r
 	v.phase = PhaseVoting
-	if !votes {
+	if !isVoting {
 		v.phase = PhaseAwaitingAdmission
 	}
-	return votes
+	return isVoting
 }
 
-// watchLog returns why this run ends, and has snapshots taken of a log that has grown large.
+// watchLog waits until ctx ends, the log fails or this identity is removed from the group, and returns the reason. Meanwhile
+// it requests a snapshot whenever the log has grown large.
 func (v *Voter) watchLog(ctx context.Context, log *raftlog.Log, r *raft.Raft, identity raft.ServerID) error {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	snapshotIndex := uint64(0) // up to where a snapshot was asked for
+	snapshotIndex := uint64(0) // last index when a snapshot was requested last
 	for {
 		select {
 		case <-ctx.Done():
@@ -122,7 +125,7 @@
 		}
 		if log.Size() > snapshotThresholdBytes && r.LastIndex() >= snapshotIndex+minSnapshotEntries {
 			snapshotIndex = r.LastIndex()
-			go r.Snapshot() // ends with the library; one that fails is tried again with more records
+			go r.Snapshot() // ends with the library; if it fails, the next one is requested after more entries
 		}
 	}
 }
@@ -133,7 +136,8 @@
 	return v.phase == PhaseAwaitingAdmission
 }
 
-// watchLeadership reports the times in which this voter leads, and each change of the leader.
+// watchLeadership calls OnLeading when this voter gains or loses leadership, and OnLeaderChange at each change of the
+// leader, until ctx ends. At its end it reports that this voter does not lead.
 func (v *Voter) watchLeadership(ctx context.Context, r *raft.Raft, leading <-chan bool) {
 	defer v.setLeading(0)
 	changes := make(chan raft.Observation, 8)
@@ -152,12 +156,13 @@
 			if v.config.OnLeaderChange != nil {
 				v.config.OnLeaderChange()
 			}
-		case leads := <-leading:
-			if !leads {
+		case isLeading := <-leading:
+			if !isLeading {
 				v.setLeading(0)
 				continue
 			}
-			// What was agreed before is applied first, in the term that is reported.
+			// The barrier returns once all entries committed in earlier terms are applied. The term must not have
+			// changed meanwhile.
 			term := r.CurrentTerm()
 			if err := r.Barrier(0).Error(); err == nil && r.CurrentTerm() == term {
 				v.setLeading(term)
@@ -166,6 +171,7 @@
 	}
 }
 
+// setLeading stores and reports the term in which this voter leads; 0 means that it does not lead.
 func (v *Voter) setLeading(term uint64) {
 	v.leadingTerm.Store(term)
 	if v.config.OnLeading != nil {
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// logPosition is a place in the log; one of a later term is further, whatever the index.
+// logPosition is the position of a log entry. A position of a later term is after one of an earlier term at any index.
 type logPosition struct {
 	Term  uint64 `cbor:"1,keyasint,omitempty"`
 	Index uint64 `cbor:"2,keyasint,omitempty"`
@@ -17,18 +17,19 @@
 	return p.Term > other.Term || (p.Term == other.Term && p.Index > other.Index)
 }
 
-// peerRecord is what another voter has sent this one, which is on its disk unless that is faulty.
+// peerRecord is the state that another voter has sent to this one. The other voter had it on its disk when it sent it, so
+// less than that on its disk later means that the disk has lost it.
 type peerRecord struct {
-	LastEntry     logPosition `cbor:"1,keyasint"` // that it has acknowledged
+	LastEntry     logPosition `cbor:"1,keyasint"` // last entry that it acknowledged
 	Term          uint64      `cbor:"2,keyasint"`
-	VotedTerm     uint64      `cbor:"3,keyasint"` // the last term in which it voted for this one
+	VotedTerm     uint64      `cbor:"3,keyasint"` // last term in which it voted for this voter
 	lastContactAt time.Time
 }
 
-// maxPeerRecords is the number of identities that are remembered; those in contact longest ago are dropped.
+// maxPeerRecords is the maximum number of identities with a record; beyond it, the one with the oldest contact is dropped.
 const maxPeerRecords = 64
 
-// peerRecords holds what others have sent this voter. It is safe for concurrent use.
+// peerRecords holds a peerRecord for each identity that has answered this voter. It is safe for concurrent use.
 type peerRecords struct {
 	mu         sync.Mutex
 	byIdentity map[raft.ServerID]*peerRecord
@@ -38,6 +39,7 @@
 	return &peerRecords{byIdentity: make(map[raft.ServerID]*peerRecord)}
 }
 
+// get returns the record of an identity, or the zero record if there is none.
 func (p *peerRecords) get(id raft.ServerID) peerRecord {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +49,8 @@
 	return peerRecord{}
 }
 
-func (p *peerRecords) update(id raft.ServerID, term uint64, last logPosition, voted uint64) {
+// update adds an answer of an identity to its record. The zero position and votedTerm 0 leave these fields as they are.
+func (p *peerRecords) update(id raft.ServerID, term uint64, lastEntry logPosition, votedTerm uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	record := p.byIdentity[id]
@@ -57,14 +60,14 @@
 		p.byIdentity[id] = record
 	}
 	record.Term = max(record.Term, term)
-	record.VotedTerm = max(record.VotedTerm, voted)
+	record.VotedTerm = max(record.VotedTerm, votedTerm)
 	record.lastContactAt = time.Now()
-	if last.isAfter(record.LastEntry) {
-		record.LastEntry = last
+	if lastEntry.isAfter(record.LastEntry) {
+		record.LastEntry = lastEntry
 	}
 }
 
-// evictOldest drops the record that was in contact longest ago where there are as many as are remembered.
+// evictOldest drops the record with the oldest contact if there are maxPeerRecords.
 func (p *peerRecords) evictOldest() {
 	if len(p.byIdentity) < maxPeerRecords {
 		return
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -12,25 +12,30 @@
 	"sloestile/internal/consensus/raftlog"
 )
 
-// A voter with an identity on its disk requests reports of the others before it takes part, each time, as a faulty disk may bring back any
-// mark of a clean end. It needs reports of a majority of all (itself not counted; one that has lost its disk counts once,
-// as one disk is taken to be faulty). If it has acknowledged more to one of them than its disk has, or another one has its
-// place, it begins with another identity. Else it bars itself from the terms that the others know of, and from electing
-// anybody who has less than the others had.
+// A voter with an identity on its disk requests reports from the other voters before it takes part. It does so at every
+// start: no mark of a clean shutdown can be relied on, because a faulty disk may restore an old one.
+//
+// Of n voters, n/2+1 others have to report, and so does each voter that a report names as the leader. Of the voters that
+// report an empty log and an unknown identity, because they have lost their disks, only one counts: at most one disk is
+// taken to be faulty at a time. An operator can waive this; see RejoinWithoutQuorum.
+//
+// If a report shows that this voter has acknowledged more than its disk has, or that the group has replaced its identity,
+// the voter starts again with a new identity. Otherwise it rejoins, and it does not vote in any term that the reports name,
+// nor for a candidate whose log ends before the latest entry that the reports name, until its own log has that entry.
 
 const (
-	reportInterval    = 300 * time.Millisecond // between two rounds of report requests
-	reportTimeout     = time.Second
-	quorumGracePeriod = time.Second // for those that have not answered yet, once a quorum has
+	reportInterval    = 300 * time.Millisecond // pause between two rounds of report requests
+	reportTimeout     = time.Second            // time limit for one round
+	quorumGracePeriod = time.Second            // wait for the remaining reports after a quorum has reported
 )
 
-// diskState is what a voter has on its disk.
+// diskState is the state on a voter's disk when it starts.
 type diskState struct {
 	lastEntry          logPosition
 	term, votedTerm    uint64
 	configuration      raft.Configuration
 	configurationIndex uint64
-	empty              bool
+	empty              bool // there is neither an entry nor a snapshot
 	identity           raft.ServerID
 }
 
@@ -47,54 +52,55 @@
 	return d, err
 }
 
-// rejoin requests reports of the others until enough have answered. renew is why this voter can't go by its disk; minimum is what the
-// others have, where that is more than this voter has.
-func (v *Voter) rejoin(ctx context.Context, log *raftlog.Log) (renew error, minimum logPosition, err error) {
-	have, err := v.readDiskState(log)
+// rejoin requests reports from the other voters until this voter can decide how to take part. A non-nil renewReason means
+// that it has to start again with a new identity. Otherwise minPosition is the latest entry that the reports name, or zero if
+// the disk has that entry; see guardedTransport.
+func (v *Voter) rejoin(ctx context.Context, log *raftlog.Log) (renewReason error, minPosition logPosition, err error) {
+	onDisk, err := v.readDiskState(log)
 	if err != nil {
-		return nil, minimum, err
+		return nil, minPosition, err
 	}
 	reports := make(map[string]*voterReport)
 	var quorumAt time.Time
 	for {
-		for name, report := range v.collectReports(ctx, have.identity) {
+		for name, report := range v.collectReports(ctx, onDisk.identity) {
 			reports[name] = report
 		}
 		if ctx.Err() != nil {
-			return nil, minimum, ctx.Err()
+			return nil, minPosition, ctx.Err()
 		}
-		if renew := have.lossEvidence(reports); renew != nil {
-			return renew, minimum, nil
+		if evidence := onDisk.lossEvidence(reports); evidence != nil {
+			return evidence, minPosition, nil
 		}
-		all := len(reports) == len(v.peers)-1
-		if have.empty && (all || anyLeaderKnown(reports)) {
-			return nil, minimum, nil
+		allReported := len(reports) == len(v.peers)-1
+		if onDisk.empty && (allReported || anyLeaderKnown(reports)) {
+			return nil, minPosition, nil
 		}
-		if quorumAt.IsZero() && v.hasQuorum(reports, have.configuration) {
+		if quorumAt.IsZero() && v.hasQuorum(reports, onDisk.configuration) {
 			quorumAt = time.Now()
 		}
-		waited := !quorumAt.IsZero() && (all || time.Since(quorumAt) > quorumGracePeriod)
-		if v.isQuorumWaived() || (waited && allLeadersReported(reports)) {
+		graceEnded := !quorumAt.IsZero() && (allReported || time.Since(quorumAt) > quorumGracePeriod)
+		if v.isQuorumWaived() || (graceEnded && allLeadersReported(reports)) {
 			break
 		}
 		select {
 		case <-time.After(reportInterval):
 		case <-ctx.Done():
-			return nil, minimum, ctx.Err()
+			return nil, minPosition, ctx.Err()
 		}
 	}
-	term := have.term
+	term := onDisk.term
 	for _, report := range reports {
 		term = max(term, report.Term)
-		if report.LastEntry.isAfter(minimum) {
-			minimum = report.LastEntry
+		if report.LastEntry.isAfter(minPosition) {
+			minPosition = report.LastEntry
 		}
 	}
-	if !minimum.isAfter(have.lastEntry) {
-		minimum = logPosition{}
+	if !minPosition.isAfter(onDisk.lastEntry) {
+		minPosition = logPosition{}
 	}
-	slog.Info("consensus: voter goes by its disk", "index", have.lastEntry.Index, "term", term, "reports", len(reports), "behind", minimum.Index)
-	return nil, minimum, log.BarVotes(term)
+	slog.Info("consensus: rejoining with the state on disk", "index", onDisk.lastEntry.Index, "term", term, "reports", len(reports), "behind", minPosition.Index)
+	return nil, minPosition, log.BarVotes(term)
 }
 
 func (v *Voter) isQuorumWaived() bool {
@@ -106,50 +112,53 @@
 	}
 }
 
-// lossEvidence returns what the others know that the disk does not have; nil is nothing.
+// lossEvidence returns an error if a report shows that the disk has lost state, or that the group has replaced the identity;
+// nil means that none does. A newer configuration shows a loss if it lists the identity while the disk is empty, and a
+// replacement if it does not list the identity while the disk has a log.
 func (d *diskState) lossEvidence(reports map[string]*voterReport) error {
 	for name, report := range reports {
-		if less := report.CallerRecord.lossEvidence(d.lastEntry, d.term, d.votedTerm); less != "" {
-			return fmt.Errorf("%s has heard %s", name, less)
+		if loss := report.CallerRecord.lossEvidence(d.lastEntry, d.term, d.votedTerm); loss != "" {
+			return fmt.Errorf("voter %s reports that this voter %s", name, loss)
 		}
 		listed := slices.Contains(report.Voters, string(d.identity))
 		if report.ConfigurationIndex > d.configurationIndex && listed == d.empty {
-			return fmt.Errorf("%s knows it as a voter: %v, and it has %d records", name, listed, d.lastEntry.Index)
+			return fmt.Errorf("voter %s has a newer configuration, which lists this voter: %v, its disk ends with entry %d", name, listed, d.lastEntry.Index)
 		}
 	}
 	return nil
 }
 
-// lossEvidence returns what a voter has sent that its disk does not have; "" is nothing.
-func (r *peerRecord) lossEvidence(has logPosition, term, voted uint64) string {
+// lossEvidence returns what the voter of this record has done that its disk, with the given state, does not show; "" means
+// nothing. lastEntry, term and votedTerm are the disk's.
+func (r *peerRecord) lossEvidence(lastEntry logPosition, term, votedTerm uint64) string {
 	switch {
-	case r.LastEntry.isAfter(has):
-		return fmt.Sprintf("that it has record %d of term %d, it has %d of %d", r.LastEntry.Index, r.LastEntry.Term, has.Index, has.Term)
+	case r.LastEntry.isAfter(lastEntry):
+		return fmt.Sprintf("acknowledged entry %d of term %d, its disk ends with entry %d of term %d", r.LastEntry.Index, r.LastEntry.Term, lastEntry.Index, lastEntry.Term)
 	case r.Term > term:
-		return fmt.Sprintf("of term %d from it, it has %d", r.Term, term)
-	case r.VotedTerm > voted:
-		return fmt.Sprintf("its vote in term %d, its last is in %d", r.VotedTerm, voted)
+		return fmt.Sprintf("was in term %d, its disk has term %d", r.Term, term)
+	case r.VotedTerm > votedTerm:
+		return fmt.Sprintf("voted in term %d, the last vote on its disk is in term %d", r.VotedTerm, votedTerm)
 	}
 	return ""
 }
 
-// hasQuorum reports whether those that reported are a majority. One that has agreed to nothing counts if its identity is known; of
-// those that have lost what they had, one.
+// hasQuorum reports whether enough other voters have reported. One with an empty log counts if known, the configuration on
+// this voter's disk, lists its identity. Of the others with an empty log, which have lost their disks, only one counts.
 func (v *Voter) hasQuorum(reports map[string]*voterReport, known raft.Configuration) bool {
 	count := 0
-	lost := 0
+	lostDisks := 0 // 0 or 1
 	for _, report := range reports {
 		if report.Empty && !isListed(known.Servers, raft.ServerID(report.Identity)) {
-			lost = 1
+			lostDisks = 1
 			continue
 		}
 		count++
 	}
-	return count+lost >= v.quorum
+	return count+lostDisks >= v.quorum
 }
 
-// allLeadersReported reports whether each leader that one of them knows has reported itself: what this voter had acknowledged to it
-// counts there.
+// allLeadersReported reports whether each leader that a report names has itself reported, with the same identity: the
+// leader's report has the record of what this voter acknowledged to it.
 func allLeadersReported(reports map[string]*voterReport) bool {
 	for _, report := range reports {
 		if report.Leader == "" {
@@ -163,6 +172,7 @@
 	return true
 }
 
+// anyLeaderKnown reports whether a report names a leader.
 func anyLeaderKnown(reports map[string]*voterReport) bool {
 	for _, report := range reports {
 		if report.Leader != "" {
--- a/internal/consensus/report.go
+++ b/internal/consensus/report.go
@@ -12,30 +12,31 @@
 	"sloestile/internal/consensus/transport"
 )
 
-// voterCallKind is the first byte of calls among voters.
+// voterCallKind is the first byte of calls between voters.
 const voterCallKind = 'v'
 
-// reportRequest is a call among voters. It is encoded as CBOR by the numbers in its tags.
+// reportRequest is a call from one voter to another. It is encoded as a CBOR map with the keys in its tags.
 type reportRequest struct {
-	Admit    bool   `cbor:"1,keyasint,omitempty"` // the caller asks to be admitted, too
+	Admit    bool   `cbor:"1,keyasint,omitempty"` // the caller also requests admission
 	Name     string `cbor:"2,keyasint"`
 	Identity string `cbor:"3,keyasint"`
 }
 
-// voterReport is what a voter says of itself, and of the one that asks. It is encoded as CBOR by the numbers in its tags.
+// voterReport is the answer to a reportRequest: the state of the answering voter, and its record of the caller. It is encoded
+// as a CBOR map with the keys in its tags.
 type voterReport struct {
 	Identity           string      `cbor:"1,keyasint"`
-	Empty              bool        `cbor:"2,keyasint"` // it has agreed to nothing
+	Empty              bool        `cbor:"2,keyasint"` // it has neither a log entry nor a snapshot
 	Term               uint64      `cbor:"3,keyasint"`
 	LastEntry          logPosition `cbor:"4,keyasint"`
-	Leader             string      `cbor:"5,keyasint"` // its identity; "" is none known
-	ConfigurationIndex uint64      `cbor:"6,keyasint"` // of Voters
-	Voters             []string    `cbor:"7,keyasint"` // identities that it knows of last
-	CallerRecord       peerRecord  `cbor:"8,keyasint"` // of the one that asks
-	Rejected           string      `cbor:"9,keyasint,omitempty"`
+	Leader             string      `cbor:"5,keyasint"` // identity of the leader; "" means that none is known
+	ConfigurationIndex uint64      `cbor:"6,keyasint"` // log index of the configuration that lists Voters
+	Voters             []string    `cbor:"7,keyasint"` // identities in the latest configuration of the group
+	CallerRecord       peerRecord  `cbor:"8,keyasint"`
+	Rejected           string      `cbor:"9,keyasint,omitempty"` // why the caller is not admitted yet
 }
 
-// handleCall answers a call of another node; nil closes it.
+// handleCall answers a call of another node. A nil answer closes the call.
 func (v *Voter) handleCall(from string, body []byte) []byte {
 	if len(body) == 0 {
 		return nil
@@ -67,18 +68,18 @@
 	return raw
 }
 
-// errLogNotOpen is the answer of a voter whose log is not open.
-var errLogNotOpen = errors.New("council: between two lives")
+// errLogNotOpen means that a voter cannot report because its log is not open.
+var errLogNotOpen = errors.New("council: the log of this voter is not open")
 
-// ownReport returns how this voter is, and what it has heard of another one.
-func (v *Voter) ownReport(of raft.ServerID) (*voterReport, error) {
+// ownReport returns the state of this voter and its record of the caller with an identity.
+func (v *Voter) ownReport(caller raft.ServerID) (*voterReport, error) {
 	v.mu.Lock()
 	log, r, identity := v.log, v.raft, v.identity
 	v.mu.Unlock()
 	if log == nil {
 		return nil, errLogNotOpen
 	}
-	report := &voterReport{Identity: string(identity), CallerRecord: v.records.get(of)}
+	report := &voterReport{Identity: string(identity), CallerRecord: v.records.get(caller)}
 	var err error
 	if report.Term, _, err = log.Term(); err != nil {
 		return nil, err
@@ -103,7 +104,8 @@
 	return report, nil
 }
 
-// collectReports calls all other voters at once and returns their reports by name.
+// collectReports requests reports from all other voters at once and returns those that come within reportTimeout, by the
+// voters' names.
 func (v *Voter) collectReports(ctx context.Context, identity raft.ServerID) map[string]*voterReport {
 	body, err := cbor.Marshal(reportRequest{Name: v.config.Name, Identity: string(identity)})
 	if err != nil {
@@ -132,24 +134,26 @@
 	return reports
 }
 
+// requestReport sends an encoded reportRequest to a voter. It returns nil if no usable report comes back.
 func (v *Voter) requestReport(ctx context.Context, p Peer, body []byte) *voterReport {
 	raw, err := v.Call(ctx, p, voterCallKind, body)
 	if err != nil {
-		slog.Debug("consensus: voter not reached", "peer", p.Name, "error", err)
+		slog.Debug("consensus: requesting a report failed", "peer", p.Name, "error", err)
 		return nil
 	}
 	report := &voterReport{}
 	if err := cbor.Unmarshal(raw, report); err != nil || voterName(raft.ServerID(report.Identity)) != p.Name {
-		slog.Warn("consensus: report of a voter is corrupt", "peer", p.Name, "error", err)
+		slog.Warn("consensus: voter sent a corrupt report", "peer", p.Name, "error", err)
 		return nil
 	}
 	return report
 }
 
-// errNotListening is the reason of a call that can't be made yet.
-var errNotListening = errors.New("this voter does not listen yet")
+// errNotListening means that no call can be made because the transport is not open.
+var errNotListening = errors.New("this voter is not listening yet")
 
-// Call calls another voter. The form of its answer is that of the kind of call.
+// Call calls another voter and returns its answer. kind is the call's first byte: it selects the handler at the other voter
+// (see Config.CallHandlers) and with it the encoding of the body and the answer. Its error is an UnreachableError.
 func (v *Voter) Call(ctx context.Context, p Peer, kind byte, body []byte) ([]byte, error) {
 	v.mu.Lock()
 	t := v.transport
--- a/internal/consensus/statemachines.go
+++ b/internal/consensus/statemachines.go
@@ -11,76 +11,76 @@
 	"sloestile/internal/consensus/raftlog"
 )
 
-// stateMachines applies the log to the state machines by the first byte of each command.
+// stateMachines passes each command in the log to the state machine that its first byte selects.
 type stateMachines struct{ byKind map[byte]StateMachine }
 
 var _ raft.FSM = (*stateMachines)(nil)
 
-// reset brings all to their initial state.
+// reset restores the initial state of all state machines.
 func (m *stateMachines) reset() error {
-	for k, x := range m.byKind {
-		if err := x.Restore(nil); err != nil {
-			return fmt.Errorf("council: state machine %q: %w", k, err)
+	for kind, machine := range m.byKind {
+		if err := machine.Restore(nil); err != nil {
+			return fmt.Errorf("council: state machine %q: %w", kind, err)
 		}
 	}
 	return nil
 }
 
-// Apply applies an agreed command.
+// Apply applies a committed command.
 func (m *stateMachines) Apply(r *raft.Log) any {
 	if len(r.Data) == 0 {
-		return errors.New("council: an empty command")
+		return errors.New("council: log entry: the command is empty")
 	}
-	x := m.byKind[r.Data[0]]
-	if x == nil {
+	machine := m.byKind[r.Data[0]]
+	if machine == nil {
 		return &UnknownMachineError{Machine: r.Data[0]}
 	}
-	return x.Apply(r.Index, r.Data[1:])
+	return machine.Apply(r.Index, r.Data[1:])
 }
 
-// Snapshot returns the states of all.
+// Snapshot returns the states of all state machines.
 func (m *stateMachines) Snapshot() (raft.FSMSnapshot, error) {
-	s := make(machineStates)
-	for k, x := range m.byKind {
-		raw, err := x.Snapshot()
+	states := make(machineStates)
+	for kind, machine := range m.byKind {
+		raw, err := machine.Snapshot()
 		if err != nil {
-			return nil, fmt.Errorf("council: state machine %q: %w", k, err)
+			return nil, fmt.Errorf("council: state machine %q: %w", kind, err)
 		}
-		s[k] = raw
+		states[kind] = raw
 	}
-	return s, nil
+	return states, nil
 }
 
-// Restore restores the states of all.
+// Restore restores the states of all state machines. One that the snapshot does not have gets its initial state.
 func (m *stateMachines) Restore(from io.ReadCloser) error {
-	defer func() { _ = from.Close() }() // it was read to its end
+	defer func() { _ = from.Close() }() // an error does not matter after reading
 	raw, err := io.ReadAll(io.LimitReader(from, raftlog.MaxSnapshotBytes))
 	if err != nil {
 		return err
 	}
-	s := make(machineStates)
-	if err := cbor.Unmarshal(raw, &s); err != nil {
+	states := make(machineStates)
+	if err := cbor.Unmarshal(raw, &states); err != nil {
 		return fmt.Errorf("council: snapshot: %w", err)
 	}
-	for k := range s {
-		if m.byKind[k] == nil {
-			return &UnknownMachineError{Machine: k}
+	for kind := range states {
+		if m.byKind[kind] == nil {
+			return &UnknownMachineError{Machine: kind}
 		}
 	}
-	for k, x := range m.byKind {
-		if err := x.Restore(s[k]); err != nil {
-			return fmt.Errorf("council: state machine %q: %w", k, err)
+	for kind, machine := range m.byKind {
+		if err := machine.Restore(states[kind]); err != nil {
+			return fmt.Errorf("council: state machine %q: %w", kind, err)
 		}
 	}
 	return nil
 }
 
-// machineStates are the states of all state machines at one index.
+// machineStates has the states of all state machines at one log index, by the first byte of their commands.
 type machineStates map[byte][]byte
 
 var _ raft.FSMSnapshot = machineStates(nil)
 
-// Persist writes the states.
+// Persist writes the states to a snapshot.
 func (s machineStates) Persist(to raft.SnapshotSink) error {
 	raw, err := cbor.Marshal(map[byte][]byte(s))
 	if err == nil {
@@ -92,5 +92,5 @@
 	return to.Close()
 }
 
-// Release has nothing to release.
+// Release does nothing: there is nothing to release.
 func (machineStates) Release() {}
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -17,85 +17,87 @@
 )
 
 const (
-	checkInterval   = time.Second // of whether this voter is still one
+	checkInterval   = time.Second // interval of watchLog's checks; also the shortest restart pause
 	maxRestartPause = 10 * time.Second
-	// minStableRun is how long a voter must have run for its next restart to come at once.
-	minStableRun = time.Minute
+	minStableRun    = time.Minute // run time after which the restart pause begins at checkInterval again
 )
 
-// Peer is a voter as the fleet file names it.
+// Peer is the name and the address of a voter, as listed in the fleet file.
 type Peer struct{ Name, Address string }
 
-// StateMachine is one of the state machines that share the log. It is called by one goroutine at a time, and does the
-// same with the same commands in each process.
+// StateMachine is one of the state machines that share the log. Its methods are called by one goroutine at a time. It must
+// be deterministic: the same commands produce the same state and results at every voter.
 type StateMachine interface {
-	// Apply applies an agreed command; what it returns is Propose's result at the leader.
+	// Apply applies a committed command. At the leader, Propose returns its result.
 	Apply(index uint64, command []byte) any
 	Snapshot() ([]byte, error)
-	Restore(state []byte) error // nil is the initial state
+	// Restore replaces the state by a snapshot; nil restores the initial state.
+	Restore(state []byte) error
 }
 
-// Config is a voter's.
+// Config is the configuration of a voter.
 type Config struct {
-	Label         string // of the fleet
-	Name          string // of this node
-	Voters        []Peer // all of them, this one too
-	Dir           string // on a disk that outlives the process
+	Label         string // label of the fleet; streams with another label are rejected
+	Name          string // name of this node
+	Voters        []Peer // all voters, including this one
+	Dir           string // directory of the log, on a disk that outlives the process
 	Disk          disk.FS
-	DialAddresses map[string]string     // addresses by which others are reached, where they differ
+	DialAddresses map[string]string     // addresses to dial in place of peer addresses, by peer address
 	StateMachines map[byte]StateMachine // by the first byte of their commands
-	// CallHandlers answer others' calls by their first byte; 'v' is this package's own.
+	// CallHandlers answer calls of other nodes, by the call's first byte; 'v' is reserved for this package. A nil answer
+	// closes the call.
 	CallHandlers map[byte]func(from string, body []byte) []byte
-	// OnLeading is called when this voter leads in a term, once all that was agreed before is applied, and with term 0
-	// when it leads no more. It must not wait.
+	// OnLeading is called with the term when this voter has become leader and has applied all entries committed in
+	// earlier terms, and with 0 when it no longer leads. It must not block. Nil disables it.
 	OnLeading func(term uint64)
-	// OnLeaderChange is called when another voter leads, or none. It must not wait.
+	// OnLeaderChange is called when the known leader has changed, also when there is none now. It must not block. Nil
+	// disables it.
 	OnLeaderChange func()
 }
 
-// Phases of a voter, as operators see them.
+// Phases of a voter, as the console shows them.
 const (
-	PhaseNotRunning        = "waits for its folder or port"
-	PhaseRequestingReports = "asks the others what they have seen of it"
-	PhaseAwaitingAdmission = "has lost what it agreed to and waits to be admitted"
-	PhaseVoting            = "votes"
+	PhaseNotRunning        = "waits for its folder or port"                        // the log or the listener is not open
+	PhaseRequestingReports = "asks the others what they have seen of it"           // compares its disk with their reports
+	PhaseAwaitingAdmission = "has lost what it agreed to and waits to be admitted" // runs with an identity that is no voter yet
+	PhaseVoting            = "votes"                                               // its identity is a voter of the group
 )
 
-// Status is how a voter is.
+// Status is the state of a voter at one moment, for operators. The fields of the raft library are zero while it does not run.
 type Status struct {
 	Phase            string
-	Identity         string
-	Leader           string // its name; "" is none
+	Identity         string // name of the node, "#" and a random number that the voter's disk has
+	Leader           string // name of the leader; "" means that none is known
 	Term             uint64
 	CommitIndex      uint64
 	AppliedIndex     uint64
-	Voters           []string // identities, as agreed last
-	LastError        string   // "" is none
-	IdentityRenewals int      // times that it began with another identity
-	RejectedStreams  uint64   // without a header of this fleet
+	Voters           []string // identities in the latest configuration of the group
+	LastError        string   // "" means none
+	IdentityRenewals int      // number of new identities in place of lost or corrupt disk state, since the process started
+	RejectedStreams  uint64   // number of streams closed because they had no header of this fleet
 }
 
-// Voter takes part until its Run ends.
+// Voter is this node's voter of the consensus group. It is active while Run runs.
 type Voter struct {
 	config      Config
 	peers       map[string]Peer // by name
-	quorum      int             // of all voters, itself not counted, that have to report before it votes
-	leadingTerm atomic.Uint64   // in which it leads with all before it applied; 0 is none
+	quorum      int             // number of other voters that must report before this one rejoins
+	leadingTerm atomic.Uint64   // term in which this voter leads with all earlier entries applied; 0 means that it does not
 
 	mu               sync.Mutex
 	transport        *transport.Transport
 	phase            string
 	log              *raftlog.Log // nil between two runs
-	raft             *raft.Raft   // nil until it takes part
+	raft             *raft.Raft   // nil while the raft library does not run
 	identity         raft.ServerID
 	records          *peerRecords
 	lastError        error
 	identityRenewals int
 	quorumWaived     chan struct{} // closed by RejoinWithoutQuorum
-	admissionMu      sync.Mutex    // held by one admission at a time
+	admissionMu      sync.Mutex    // held during a step of an admission
 }
 
-// New returns a voter, which does nothing before Run.
+// New checks the configuration and returns a voter that is inactive until Run.
 func New(cfg Config) (*Voter, error) {
 	v := &Voter{
 		config:       cfg,
@@ -105,19 +107,20 @@
 		quorumWaived: make(chan struct{}),
 	}
 	if n := len(cfg.Voters); n != 3 && n != 5 && n != 7 {
-		return nil, fmt.Errorf("council: %d voters; name 3, 5 or 7", n)
+		return nil, fmt.Errorf("council: %d voters are configured; list 3, 5 or 7", n)
 	}
 	for _, p := range cfg.Voters {
 		v.peers[p.Name] = p
 	}
 	if _, ok := v.peers[cfg.Name]; !ok || len(v.peers) != len(cfg.Voters) {
-		return nil, fmt.Errorf("council: %s is not one of %d voters with different names", cfg.Name, len(cfg.Voters))
+		return nil, fmt.Errorf("council: %s is not one of the %d voters, or two of them have the same name", cfg.Name, len(cfg.Voters))
 	}
 	v.quorum = len(cfg.Voters)/2 + 1
 	return v, nil
 }
 
-// Run takes part until ctx ends. A run that a disk has ended is followed by another one, after a pause.
+// Run runs the voter until ctx ends. When a run fails, for instance because of the disk, it starts another one after a
+// pause that doubles up to maxRestartPause. After an identity renewal there is no pause.
 func (v *Voter) Run(ctx context.Context) {
 	pause := checkInterval
 	for ctx.Err() == nil {
@@ -128,7 +131,7 @@
 			break
 		}
 		took := time.Since(begun)
-		slog.Warn("consensus: voter restarts", "error", err, "after", took.Round(time.Millisecond))
+		slog.Warn("consensus: restarting the voter", "error", err, "after", took.Round(time.Millisecond))
 		pause = min(2*pause, maxRestartPause)
 		if took > minStableRun {
 			pause = checkInterval
@@ -144,6 +147,7 @@
 	v.closeTransport()
 }
 
+// setPhase stores the phase and the last error.
 func (v *Voter) setPhase(phase string, err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -157,17 +161,18 @@
 	v.transport = nil
 	v.mu.Unlock()
 	if t != nil {
-		_ = t.Close() // all streams end with it
+		_ = t.Close() // an error does not matter: all streams are closed either way
 	}
 }
 
-// Errors that end a run.
+// Reasons for the end of a run.
 var (
-	errIdentityRenewed = errors.New("it begins with another identity")
-	errRemoved         = errors.New("the others have another voter in this one's place")
+	errIdentityRenewed = errors.New("the voter restarts with a new identity")
+	errRemoved         = errors.New("the group has removed this voter's identity")
 )
 
-// runOnce takes part from the opening of the log until it fails or ctx ends.
+// runOnce opens the listener and the log, rejoins or joins the group, and runs until ctx ends or the run fails. It returns
+// the reason of the end, which is errIdentityRenewed when the next run has to start with a new identity.
 func (v *Voter) runOnce(ctx context.Context) error {
 	if err := v.listen(); err != nil {
 		return err
@@ -179,30 +184,31 @@
 	closed := false
 	defer func() {
 		if !closed {
-			_ = log.Close() // what it holds is durable already
+			_ = log.Close() // an error does not matter: all entries are durable already
 		}
 	}()
 	log.OnStall(v.transport.SetStalled)
 	identity := raft.ServerID(v.config.Name + "#" + log.Identity)
 	v.beginRun(log, identity, corrupt)
 	defer v.endRun()
-	var minimum logPosition
+	var minPosition logPosition
 	if !log.NewIdentity {
-		renew, behind, err := v.rejoin(ctx, log)
+		renewReason, reported, err := v.rejoin(ctx, log)
 		if err != nil {
 			return err
 		}
-		if renew != nil {
-			slog.Error("consensus: the disk has less than this voter has acknowledged, it waits to be admitted", "error", renew)
-			v.recordRenewal(renew)
+		if renewReason != nil {
+			slog.Error("consensus: disk has lost acknowledged state, requesting admission with a new identity", "error", renewReason)
+			v.recordRenewal(renewReason)
 			closed = true
 			return errors.Join(errIdentityRenewed, log.RenewIdentity())
 		}
-		minimum = behind
+		minPosition = reported
 	}
-	return v.runRaft(ctx, log, identity, minimum)
+	return v.runRaft(ctx, log, identity, minPosition)
 }
 
+// beginRun sets the log and the identity of a run. A non-nil corrupt is the reason why the log is a new one.
 func (v *Voter) beginRun(log *raftlog.Log, identity raft.ServerID, corrupt error) {
 	v.mu.Lock()
 	v.log = log
@@ -211,7 +217,7 @@
 	v.mu.Unlock()
 	if corrupt != nil {
 		v.recordRenewal(corrupt)
-		slog.Error("consensus: the log of this voter is corrupt, it waits to be admitted", "error", corrupt)
+		slog.Error("consensus: log is corrupt, requesting admission with a new identity", "error", corrupt)
 	}
 }
 
@@ -223,13 +229,15 @@
 	v.transport.SetStalled(false)
 }
 
-func (v *Voter) recordRenewal(why error) {
+// recordRenewal counts an identity renewal and stores its reason.
+func (v *Voter) recordRenewal(reason error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.lastError = why
+	v.lastError = reason
 	v.identityRenewals++
 }
 
+// listen opens the transport, unless it is open since an earlier run.
 func (v *Voter) listen() error {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -258,8 +266,9 @@
 	return false
 }
 
-// RejoinWithoutQuorum has a voter go by its disk that waits for others which can't be reached: the way out of an operator who knows
-// that the disk was not lost.
+// RejoinWithoutQuorum lets the voter rejoin with the state on its disk and the reports that it has, without waiting for a
+// quorum of reports, in this run and in later ones. It is for an operator who knows that the disk is intact while other
+// voters cannot be reached. A report that shows that the disk has lost state still forces a new identity.
 func (v *Voter) RejoinWithoutQuorum() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -270,7 +279,7 @@
 	}
 }
 
-// Leader returns the name of the voter that leads; "" is not known.
+// Leader returns the name of the leader; "" means that none is known.
 func (v *Voter) Leader() string {
 	v.mu.Lock()
 	r := v.raft
@@ -282,7 +291,7 @@
 	return voterName(id)
 }
 
-// Status returns how this voter is.
+// Status returns the current state of this voter.
 func (v *Voter) Status() Status {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/consensus/voter_test.go
+++ b/internal/consensus/voter_test.go
@@ -25,7 +25,7 @@
 	goleak.VerifyTestMain(m)
 }
 
-// adder is a state machine that adds up.
+// adder is a state machine whose state is the sum of its commands.
 type adder struct {
 	mu  sync.Mutex
 	sum uint64
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// testVoter is a voter of a test, which can end and begin again on its folder.
+// testVoter is a voter that can be stopped and started again with the same directory.
 type testVoter struct {
 	*Voter
 	sum  *adder
@@ -62,7 +62,7 @@
 	done chan struct{}
 }
 
-// testGroup is the voters of a test.
+// testGroup is a group of voters in one process.
 type testGroup struct {
 	t      *testing.T
 	peers  []Peer
@@ -107,10 +107,10 @@
 	<-g.voters[i].done
 }
 
-// propose has a number agreed at whoever leads.
+// propose proposes a number at the leader, once there is one, and returns the new sum and the index of the leader.
 func (g *testGroup) propose(n uint64) (sum uint64, leader int) {
 	g.t.Helper()
-	for late := time.Now().Add(20 * time.Second); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		for i, o := range g.voters {
 			got, err := o.Propose('a', binary.BigEndian.AppendUint64(nil, n), time.Second)
 			if err == nil {
@@ -121,19 +121,20 @@
 	for _, o := range g.voters {
 		g.t.Logf("%+v", o.Status())
 	}
-	g.t.Fatal("nothing is agreed")
+	g.t.Fatal("no proposal was committed within 20 seconds")
 	return 0, 0
 }
 
-// waitUntilVoting waits until a voter waitUntilVoting.
+// waitUntilVoting waits until a voter is in PhaseVoting.
 func (g *testGroup) waitUntilVoting(i int) {
 	g.t.Helper()
 	require.Eventually(g.t, func() bool { return g.voters[i].Status().Phase == PhaseVoting }, 20*time.Second, 20*time.Millisecond, "%+v", g.voters[i].Status())
 }
 
-// What three voters agree on outlives the leader, all of them at once, and one folder that is
-// emptied; and that one founds nothing of its own.
-func TestAgreedOutlives(t *testing.T) {
+// Committed commands survive the loss of the leader, a restart of all voters, and the loss of one voter's disk. The voter
+// with the empty disk must be admitted with a new identity and get the log from the others; it must not bootstrap a group of
+// its own.
+func TestCommittedCommandsSurviveRestartsAndDiskLoss(t *testing.T) {
 	g := newTestGroup(t, 3)
 	sum, leader := g.propose(1)
 	require.EqualValues(t, 1, sum)
@@ -150,12 +151,12 @@
 	}
 	sum, leader = g.propose(4)
 	require.EqualValues(t, 7, sum)
-	was := g.voters[leader].Status().Identity
+	oldIdentity := g.voters[leader].Status().Identity
 	g.stop(leader)
 	require.NoError(t, os.RemoveAll(g.voters[leader].dir))
 	g.start(leader)
 	g.waitUntilVoting(leader)
-	require.NotEqual(t, was, g.voters[leader].Status().Identity)
+	require.NotEqual(t, oldIdentity, g.voters[leader].Status().Identity)
 	sum, _ = g.propose(8)
 	require.EqualValues(t, 15, sum)
 	require.Eventually(t, func() bool { s, _ := g.voters[leader].sum.Snapshot(); return binary.BigEndian.Uint64(s) == 15 }, 5*time.Second, 10*time.Millisecond)
