--- a/internal/consensus/admission.go
+++ b/internal/consensus/admission.go
@@ -14,9 +14,9 @@
 	"sloestile/internal/consensus/transport"
 )
 
-// A voter whose disk is empty, or has lost state, runs with an identity that is not in the group. While all voters report an
-// empty log, the first of them by name bootstraps the group. Otherwise the leader admits the voter in two steps, one for
-// each request of the voter:
+// A voter whose disk is empty, or has lost state, runs with an identity that is not in the group. While all voters
+// report an empty log, the first of them by name bootstraps the group. Otherwise the leader admits the voter in two
+// steps, one for each request of the voter:
 //
 //  1. It adds the identity as a nonvoter, which receives the log.
 //  2. Once that log is complete, it removes the voter's previous identity and makes the new one a voter.
@@ -72,8 +72,8 @@
 	}
 }
 
-// initialConfiguration returns the first configuration of the group. ok is true only if all other voters have reported empty
-// logs and this voter's name is the first of all.
+// initialConfiguration returns the first configuration of the group. ok is true only if all other voters have reported
+// empty logs and this voter's name is the first of all.
 func (v *Voter) initialConfiguration(reports map[string]*voterReport, identity raft.ServerID) (c raft.Configuration, ok bool) {
 	if len(reports) != len(v.peers)-1 {
 		return c, false
@@ -93,8 +93,8 @@
 	return c, true
 }
 
-// advanceAdmission does the next step of an admission, at the leader. Nil means that the identity is a voter; otherwise the
-// error is the step that was done, or the reason why none was.
+// advanceAdmission does the next step of an admission, at the leader. Nil means that the identity is a voter; otherwise
+// the error is the step that was done, or the reason why none was.
 func (v *Voter) advanceAdmission(name string, identity raft.ServerID) error {
 	r, err := v.leadingRaft()
 	if err != nil {
@@ -121,8 +121,8 @@
 		slog.Info("consensus: admitting a voter", "identity", identity)
 		return errorOrNextStep(r.AddNonvoter(identity, address, 0, admissionStepTimeout).Error(), "it receives the log as a nonvoter")
 	}
-	if has := v.records.get(identity).LastEntry.Index; has < r.CommitIndex() {
-		return fmt.Errorf("council: it has received %d of %d log entries", has, r.CommitIndex())
+	if received := v.records.get(identity).LastEntry.Index; received < r.CommitIndex() {
+		return fmt.Errorf("council: it has received %d of %d log entries", received, r.CommitIndex())
 	}
 	for _, old := range replaced {
 		if err := r.RemoveServer(old, 0, admissionStepTimeout).Error(); err != nil {
@@ -132,8 +132,8 @@
 	return errorOrNextStep(r.AddVoter(identity, address, 0, admissionStepTimeout).Error(), "it is a voter from now on")
 }
 
-// replacedIdentities returns the other identities of a name in a configuration, which the admitted identity replaces. It is
-// an error if one of them was in contact within minReplacementSilence: two processes may be using the same name.
+// replacedIdentities returns the other identities of a name in a configuration, which the admitted identity replaces.
+// It is an error if one of them was in contact within minReplacementSilence: two processes may be using the same name.
 func (v *Voter) replacedIdentities(c raft.Configuration, name string, identity raft.ServerID) ([]raft.ServerID, error) {
 	var replaced []raft.ServerID
 	for _, server := range c.Servers {
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -17,8 +17,8 @@
 	return v, cbor.Unmarshal(raw, v)
 }
 
-// The calls between voters and their answers have the encoding in the golden files, so that voters with different versions
-// of the program understand each other.
+// The calls between voters and their answers have the encoding in the golden files, so that voters with different
+// versions of the program understand each other.
 func TestVoterCallsMatchGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "ask", func(q *reportRequest) ([]byte, error) { return cbor.Marshal(*q) }, decodeAs[reportRequest])
 	golden.RoundTrip(t, "report", func(a *voterReport) ([]byte, error) { return cbor.Marshal(*a) }, decodeAs[voterReport])
--- a/internal/consensus/guard.go
+++ b/internal/consensus/guard.go
@@ -10,10 +10,10 @@
 	"sloestile/internal/consensus/raftlog"
 )
 
-// guardedTransport records what the other voters acknowledge to this one, for their reports after a restart. It also keeps
-// this voter out of elections while its log ends before minPosition, the latest entry that any other voter reported when
-// this one started. This voter may have acknowledged that entry and lost it, so the entry may be committed, and a leader
-// without it would overwrite it.
+// guardedTransport records what the other voters acknowledge to this one, for their reports after a restart. It also
+// keeps this voter out of elections while its log ends before minPosition, the latest entry that any other voter
+// reported when this one started. This voter may have acknowledged that entry and lost it, so the entry may be
+// committed, and a leader without it would overwrite it.
 type guardedTransport struct {
 	*raft.NetworkTransport
 	records     *peerRecords
@@ -67,8 +67,8 @@
 	return err != nil || t.minPosition.isAfter(logPosition{term, index})
 }
 
-// filterVoteRequests passes requests from the network to the raft library. While this voter is behind, it rejects the vote
-// requests of candidates whose logs end before minPosition.
+// filterVoteRequests passes requests from the network to the raft library. While this voter is behind, it rejects the
+// vote requests of candidates whose logs end before minPosition.
 func (t *guardedTransport) filterVoteRequests() {
 	for {
 		var rpc raft.RPC
@@ -89,8 +89,8 @@
 	}
 }
 
-// candidatePosition returns the end of the candidate's log for a vote request, and minPosition, which is never rejected, for
-// any other request.
+// candidatePosition returns the end of the candidate's log for a vote request, and minPosition, which is never
+// rejected, for any other request.
 func (t *guardedTransport) candidatePosition(rpc raft.RPC) logPosition {
 	switch request := rpc.Command.(type) {
 	case *raft.RequestVoteRequest:
--- a/internal/consensus/learner/fetch.go
+++ b/internal/consensus/learner/fetch.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	partBytes       = 1024 // of a text, in a message
+	partBytes       = 1024 // bytes of a text in one message
 	partsPerRequest = 8
 	maxParts        = rules.MaxTextBytes / partBytes
-	maxTexts        = 4 // that are held
+	maxTexts        = 4 // texts that a learner holds
 
-	fetchRetryInterval = 60 * time.Millisecond // until missing parts are requested again
-	fetchUnknownDelay  = 25 * time.Millisecond // until a source that does not have the text is asked again
-	fetchNoSourceDelay = time.Second           // until it is looked for a source again
-	maxFetchAttempts   = 6                     // at one source
+	fetchRetryInterval = 60 * time.Millisecond // delay before missing parts are requested again
+	fetchUnknownDelay  = 25 * time.Millisecond // delay before a source that does not have the text yet is asked again
+	fetchNoSourceDelay = time.Second           // delay before the next search for a source if there is none
+	maxFetchAttempts   = 6                     // requests to one source without progress before the next source is used
 )
 
-// fetchedText is a rule set's text that is here.
+// fetchedText is the text of a rule set that this node has.
 type fetchedText struct {
 	version rules.VersionID
 	raw     []byte
-	rules   *rules.Compiled // nil is that this node can't use it
-	err     error           // why it can't
+	rules   *rules.Compiled // nil if this node can't use the text
+	err     error           // why this node can't use the text; nil if it can
 }
 
-// textFetch is a text on its way.
+// textFetch is the state of fetching one text.
 type textFetch struct {
 	version  rules.VersionID
-	parts    [][]byte // nil until the size is known
-	size     int
-	sources  []int
-	current  int // position of the one that is used
-	attempts int // at it
+	parts    [][]byte // nil until the size of the text is known; a nil part is missing
+	size     int      // bytes of the whole text
+	sources  []int    // indices of nodes
+	current  int      // position in sources of the one in use, modulo their number
+	attempts int      // requests to the current source without progress
 	retryAt  time.Duration
 }
 
+// textByNumber returns the text of the version with a number, or nil if this node does not have it.
 func (l *Learner) textByNumber(number uint64) *fetchedText {
 	for i := range l.texts {
 		if l.texts[i].version.Number == number {
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// textByDigest returns the text of a digest, if it is here.
+// textByDigest returns the text with a digest, if this node has it.
 func (l *Learner) textByDigest(d rules.Digest) ([]byte, bool) {
 	for _, t := range l.texts {
 		if t.version.Digest == d {
@@ -62,7 +63,8 @@
 	return nil, false
 }
 
-// fetchMissingTexts has the texts come that the leases need.
+// fetchMissingTexts fetches the texts that this node needs for its leases, one at a time. It adds a text that the node
+// already has, under another version or in the registry; for any other it requests parts when a request is due.
 func (l *Learner) fetchMissingTexts() {
 	for {
 		version, ok := l.node.MissingText()
@@ -84,7 +86,8 @@
 	}
 }
 
-// addText takes a text that matches its digest.
+// addText adds the text of a version, which must match the version's digest, drops the oldest text beyond maxTexts, and
+// reports to the leases (rules.Node) whether this node can use it.
 func (l *Learner) addText(version rules.VersionID, raw []byte) {
 	t := fetchedText{version: version, raw: raw}
 	set, err := rules.Parse(raw)
@@ -94,7 +97,7 @@
 	if err != nil {
 		l.Counts.VersionsUnusable.Add(1)
 		t.err = fmt.Errorf("version %d: %w", version.Number, err)
-		slog.Error("rules: this node can't use a version", "version", version.Number, "error", err)
+		slog.Error("rules: version can't be used by this node", "version", version.Number, "error", err)
 	}
 	if len(l.texts) >= maxTexts {
 		l.texts = slices.Delete(l.texts, 0, 1)
@@ -104,7 +107,7 @@
 	l.fetch = nil
 }
 
-// requestParts requests the parts that are missing, from the next source where one was asked often enough.
+// requestParts requests the first missing parts. After maxFetchAttempts without progress it changes to the next source.
 func (l *Learner) requestParts(f *textFetch) {
 	if f.attempts >= maxFetchAttempts || len(f.sources) == 0 {
 		f.current++
@@ -123,12 +126,13 @@
 	}
 }
 
-// firstMissing returns the first part that is not here; -1 is none.
+// firstMissing returns the index of the first missing part; -1 means that none is missing or that the size is unknown.
 func (f *textFetch) firstMissing() int {
 	return slices.IndexFunc(f.parts, func(part []byte) bool { return part == nil })
 }
 
-// sendParts sends parts of a text that is here, or that it is not.
+// sendParts answers a request with parts of a text, or with one message that says that this node does not have the
+// text.
 func (l *Learner) sendParts(request *partRequest) {
 	raw, known := l.textByDigest(request.Digest)
 	if request.First < 0 || request.First >= maxParts {
@@ -155,7 +159,8 @@
 	}
 }
 
-// receivePart takes a part that was requested.
+// receivePart adds a part to the fetch in progress. Once all parts of a request have come, the next request is due at
+// once.
 func (l *Learner) receivePart(part *textPart) {
 	f := l.fetch
 	if f == nil || part.Digest != f.version.Digest {
@@ -178,14 +183,14 @@
 	switch {
 	case missing < 0:
 		l.assembleText(f)
-	case part.Index%partsPerRequest == partsPerRequest-1 && missing > part.Index: // what was requested is here
+	case part.Index%partsPerRequest == partsPerRequest-1 && missing > part.Index:
 		f.attempts = 0
 		f.retryAt = Clock()
 	}
 }
 
-// assembleText takes the text of all parts. Where it does not match its digest, a part was another text's: it is fetched anew
-// from the next source.
+// assembleText joins the parts and adds the text. If the text does not match its digest, a source has sent parts of
+// another text: all parts are fetched again, from the next source.
 func (l *Learner) assembleText(f *textFetch) {
 	raw := slices.Concat(f.parts...)
 	if rules.DigestOf(raw) != f.version.Digest {
@@ -200,9 +205,10 @@
 	l.addText(f.version, raw)
 }
 
-// partCount returns the number of parts of a text; an empty one has one.
+// partCount returns the number of parts of a text with a size in bytes; an empty text has one part.
 func partCount(size int) int { return max(1, (size+partBytes-1)/partBytes) }
 
+// valid reports whether the size, the index and the length of the part agree.
 func (p *textPart) valid() bool {
 	if p.Size < 0 || p.Size > rules.MaxTextBytes || p.Index < 0 || p.Index >= partCount(p.Size) {
 		return false
--- a/internal/consensus/learner/golden_test.go
+++ b/internal/consensus/learner/golden_test.go
@@ -18,16 +18,18 @@
 	return v, decoder.Unmarshal(raw, v)
 }
 
-// What learners say to each other has the recorded bytes and kinds.
-func TestMessagesAreAsRecorded(t *testing.T) {
+// The messages between learners have the encoding and the kinds in the golden files, so that nodes with different
+// versions of the program understand each other.
+func TestMessagesMatchGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "want", encodeAs[partRequest], decodeAs[partRequest])
 	golden.RoundTrip(t, "part", encodeAs[textPart], decodeAs[textPart])
 	golden.RoundTrip(t, "told", encodeAs[statusReport], decodeAs[statusReport])
 	golden.Check(t, "kinds", []byte{kindRules, kindPartRequest, kindPart, kindStatus, StateMachineKind})
 }
 
-// The mark of the version acted by has the recorded name and bytes.
-func TestMarkIsAsRecorded(t *testing.T) {
+// The file of the high-water mark has the name and the encoding in the golden file, so that a new version of the
+// program reads the one that an older version wrote.
+func TestHighWaterMarkFileMatchesGoldenFile(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, writeHighWaterMark(disk.Local{}, dir, "n1", 42))
 	raw, err := os.ReadFile(filepath.Join(dir, "acted"))
--- a/internal/consensus/learner/highwatermark.go
+++ b/internal/consensus/learner/highwatermark.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	markName     = "acted"
+	markName     = "acted" // name of the file
 	markMagic    = "lfca"
 	maxMarkBytes = 4 << 10
-	// persistRetryInterval is the pause after a disk has failed.
+	// persistRetryInterval is the pause after a write has failed.
 	persistRetryInterval = time.Second
 )
 
-// highWaterMark is the highest version that the node has acted by, as it is stored.
+// highWaterMark is the highest number of a version that has been in effect at this node, as stored on disk. After a
+// restart, the node must not put an older version into effect.
 type highWaterMark struct {
 	Node   string `cbor:"1,keyasint"`
 	Number uint64 `cbor:"2,keyasint"`
 }
 
-// errOtherNode is the reason of a high-water mark that can't be used.
-var errOtherNode = errors.New("it is another node's")
+// errOtherNode means that a high-water mark belongs to another node.
+var errOtherNode = errors.New("it belongs to another node")
 
-// readHighWaterMark returns the number that the disk has; 0 is none.
+// readHighWaterMark returns the stored number; 0 means that none is stored. It creates the directory if it does not
+// exist.
 func readHighWaterMark(d disk.FS, dir, node string) (uint64, error) {
 	if err := d.MkdirAll(dir); err != nil {
 		return 0, err
@@ -51,7 +53,7 @@
 	return m.Number, nil
 }
 
-// writeHighWaterMark makes a number durable.
+// writeHighWaterMark stores a number; it is durable when the function returns nil.
 func writeHighWaterMark(d disk.FS, dir, node string, number uint64) error {
 	raw, err := raftlog.Seal(markMagic, highWaterMark{node, number})
 	if err != nil {
@@ -60,7 +62,8 @@
 	return disk.WriteFile(d, filepath.Join(dir, markName), raw)
 }
 
-// persistHighWaterMark has the number persisted that is to be acted by.
+// persistHighWaterMark starts to write the high-water mark if one has to be persisted before its version can take
+// effect. One write runs at a time. After a failed write the next one starts after persistRetryInterval.
 func (l *Learner) persistHighWaterMark(ctx context.Context) {
 	number, ok := l.node.PersistDue(Clock())
 	if !ok || l.persisting {
@@ -70,7 +73,7 @@
 	l.running.Go(func() {
 		err := writeHighWaterMark(l.config.Disk, l.config.Dir, l.config.Name, number)
 		if err != nil {
-			slog.Error("rules: persisting the version acted by failed, the settings alone hold", "version", number, "error", err)
+			slog.Error("rules: persisting the high-water mark failed, the version does not take effect", "version", number, "error", err)
 			select {
 			case <-time.After(persistRetryInterval):
 			case <-ctx.Done():
@@ -80,6 +83,7 @@
 	})
 }
 
+// persistDone ends a write of the high-water mark with its result.
 func (l *Learner) persistDone(number uint64, err error) {
 	l.persisting = false
 	if err == nil {
--- a/internal/consensus/learner/lead.go
+++ b/internal/consensus/learner/lead.go
@@ -10,10 +10,11 @@
 
 const (
 	proposeTimeout       = time.Second
-	proposeRetryInterval = 200 * time.Millisecond // after a proposal that failed
+	proposeRetryInterval = 200 * time.Millisecond // pause after a failed proposal
 )
 
-// confirmLeadership has a majority confirmLeadership the leadership, one round at a time.
+// confirmLeadership starts a round in which a majority of the voters confirms that this node leads, if lease requests
+// wait for one. One round runs at a time.
 func (l *Learner) confirmLeadership(ctx context.Context) {
 	if !l.leads || l.confirming {
 		return
@@ -37,7 +38,8 @@
 	})
 }
 
-// proposeNextCommand has the voters agree to the leader's own steps of an activation, one at a time.
+// proposeNextCommand proposes the next command of an activation if this node leads and one is due. One proposal runs at
+// a time.
 func (l *Learner) proposeNextCommand(ctx context.Context) {
 	if !l.leads || l.proposing || Clock() < l.nextProposalAt {
 		return
@@ -48,7 +50,7 @@
 	}
 	raw, err := command.Encode()
 	if err != nil {
-		slog.Error("rules: encoding a step of an activation failed", "error", err)
+		slog.Error("rules: encoding an activation command failed", "error", err)
 		return
 	}
 	l.proposing = true
@@ -65,8 +67,9 @@
 	})
 }
 
-// nextCommand returns the leader's next step of an activation, if one is due.
-func (l *Learner) nextCommand() (rules.Command, bool) {
+// nextCommand returns the command that the leader has to propose now: the commit of the prepared version, or the
+// preparation of the next scheduled one. ok is false if none is due.
+func (l *Learner) nextCommand() (command rules.Command, ok bool) {
 	if commit, ok := l.node.CommitReady(Clock()); ok {
 		return rules.Command{Commit: &commit}, true
 	}
--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -1,9 +1,10 @@
-// Package learner has a node learn the rule sets that the voters have agreed on, and act by them under leases: it carries
-// the messages of fleet/rules between nodes, fetches texts from neighbours, persists the number of the version acted by,
-// and at the leader has the voters confirm and agree.
+// Package learner puts the rule versions that the voters have committed into effect at a node, under leases. A Learner
+// sends and receives the messages of package rules (fleet/rules), fetches the texts of rule sets from other nodes, and
+// persists the high-water mark: the highest version number that has been in effect at the node. At the leader it also
+// has the voters confirm the leadership and commit the steps of an activation.
 //
-// All of a Learner's state belongs to the goroutine of its Run. Other goroutines hand it tasks, and read what it publishes
-// by atomics.
+// The state of a Learner belongs to the goroutine of Run. Other goroutines pass tasks to it and read what it publishes
+// through atomics.
 package learner
 
 import (
@@ -22,79 +23,88 @@
 )
 
 const (
-	maxTasks             = 256 // that wait; a message beyond is dropped
+	maxTasks             = 256 // queued tasks; a message that arrives beyond is dropped
 	maxStepInterval      = 10 * time.Second
-	minIntroduceInterval = 2 * time.Second  // without a message of anybody
-	maxIntroduceInterval = 30 * time.Second // between two introductions, doubled until then
+	minIntroduceInterval = 2 * time.Second  // silence before an introduction; also the first pause between two
+	maxIntroduceInterval = 30 * time.Second // the pause between introductions doubles up to this
 )
 
-// Member is another node that can be sent to.
+// Member is another node that is live and can receive messages.
 type Member struct {
 	Index int
 	Name  string
 	Zone  string
 }
 
-// Consensus is what a voter's node has of the consensus group.
+// Consensus is the part of the consensus group that a learner uses at a voter.
 type Consensus interface {
-	// Verify asks a majority whether this voter leads, by a round that begins after the call.
+	// Verify confirms with a majority, in a round that begins after the call, that this voter leads.
 	Verify() error
-	Propose(machine byte, command []byte, within time.Duration) (any, error)
-	Leader() string // its name; "" is not known
+	// Propose replicates a command of a state machine and returns the state machine's result.
+	Propose(machine byte, command []byte, timeout time.Duration) (any, error)
+	// Leader returns the name of the leader; "" means that none is known.
+	Leader() string
 }
 
-// Config is a node's.
+// Config is the configuration of a learner.
 type Config struct {
-	NodeIndex, FleetSize int // index of this node, and number of nodes
-	Name, Zone           string
-	Voters               []string // names
+	NodeIndex, FleetSize int      // index of this node in the fleet, and number of nodes in the fleet
+	Name, Zone           string   // name and zone of this node
+	Voters               []string // names of the voters
 	Settings             rules.Settings
 	Terms                rules.Terms
-	Dir                  string // on a disk that outlives the process
+	Dir                  string // directory of the high-water mark, on a disk that outlives the process
 	Disk                 disk.FS
-	Send                 func(to int, raw []byte) error
-	Introduce            func(to int) error // has a node that does not answer learn of this one; it waits
-	OnVersionChange      func()             // is called when Acting has another version, and does not wait
-	Consensus            Consensus
-	Registry             *Registry // with Consensus, at a voter; else nil
+	Send                 func(to int, raw []byte) error // sends a message to the node with an index
+	Introduce            func(to int) error             // makes this node known to the node with an index; it may block
+	// OnVersionChange is called when the version in effect changes. It must not block. Nil disables it.
+	OnVersionChange func()
+	Consensus       Consensus // nil at a node that is not a voter
+	Registry        *Registry // set together with Consensus
 }
 
-// EffectiveVersion is what a request goes by that begins now.
+// EffectiveVersion is the rule version in effect at this node: the one that a request uses if it begins now.
 type EffectiveVersion struct {
-	Number uint64          // of the version; 0 is the settings alone
-	Rules  *rules.Compiled // nil with 0
-	Until  time.Duration   // by Clock: the lease's end
-	Reason rules.Reason    // of 0
+	Number uint64          // 0 means that no version is in effect and only the node's settings apply
+	Rules  *rules.Compiled // nil if Number is 0
+	Until  time.Duration   // end of the lease, by Clock
+	Reason rules.Reason    // why no version is in effect; rules.Acting if one is
 }
 
-// Counts are counters for the operators' metrics.
+// Counts are counters for metrics. They are safe for concurrent use.
 type Counts struct {
-	MessagesSent, SendErrors, MessagesReceived, MessagesCorrupt, MessagesDropped atomic.Int64 // messages
-	TextsFetched, TextBytesFetched, PartsSent                                    atomic.Int64 // texts, their bytes, parts sent to others
-	VersionsUnusable, VersionsPersisted, Activations, Fallbacks                  atomic.Int64 // versions
-	Verifications, FailedVerifications, Proposals                                atomic.Int64 // rounds and commands, at the leader
+	MessagesSent, SendErrors                           atomic.Int64
+	MessagesReceived, MessagesCorrupt, MessagesDropped atomic.Int64
+	TextsFetched, TextBytesFetched                     atomic.Int64
+	PartsSent                                          atomic.Int64 // parts of texts sent to other nodes
+	VersionsUnusable, VersionsPersisted                atomic.Int64
+	Activations                                        atomic.Int64 // changes to another version in effect
+	Fallbacks                                          atomic.Int64 // changes to no version in effect
+	Verifications, FailedVerifications                 atomic.Int64 // rounds to confirm the leadership
+	Proposals                                          atomic.Int64 // commands of activations that were committed
 }
 
-// Learner is a node's part. All its state but the atomics belongs to the goroutine of Run.
+// Learner puts the committed rule versions into effect at a node. All its state except the atomics belongs to the
+// goroutine of Run.
 type Learner struct {
 	Counts      Counts
 	config      Config
 	node        *rules.Node
 	incarnation uint64
 	tasks       chan func()
-	ended       chan struct{} // closed with Run
+	ended       chan struct{} // closed when Run ends
 	timer       *time.Timer
 	running     sync.WaitGroup // goroutines that wait for a disk, a voter or another node
 	members     []Member
 	leads       bool
 
-	receivedAt         time.Duration // when a message about leases came last
+	receivedAt         time.Duration // time of the last message about leases
 	nextIntroductionAt time.Duration
 	introduceInterval  time.Duration
 	introducing        bool
 	introductions      int
 
-	texts          []fetchedText // latest last
+	texts          []fetchedText // the latest is last
 	fetch          *textFetch
 	persisting     bool
 	confirming     bool
@@ -103,27 +113,27 @@
 	reports        statusReports
 
 	effective    atomic.Pointer[EffectiveVersion]
-	unusableErr  atomic.Pointer[error] // of the active version, or of the prepared one; nil is none
+	unusableErr  atomic.Pointer[error] // why the active or the prepared version is unusable; nil if both are usable
 	versionState atomic.Pointer[rules.VersionState]
 	fleetStatus  atomic.Pointer[FleetStatus]
 }
 
-// Clock returns the time that leases are counted by: it goes on while the machine is suspended.
+// Clock returns the time since boot, by which leases are counted. It also advances while the machine is suspended.
 func Clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // each Linux has it
+		panic(err) // all supported versions of Linux have this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// New returns a learner, which does nothing before Run.
+// New returns a learner that is inactive until Run. If the high-water mark cannot be read, it starts with none.
 func New(cfg Config) *Learner {
 	persisted, err := readHighWaterMark(cfg.Disk, cfg.Dir, cfg.Name)
 	if err != nil {
-		// What is acted by needs a lease that was requested by this process, which is on no older version than any
-		// before it: the number is a second guard.
-		slog.Error("rules: reading the version acted by failed", "error", err)
+		// This does not put an older version into effect: a version needs a lease that this process has requested, and
+		// such a lease is never on an older version than earlier ones. The high-water mark is a second guard.
+		slog.Error("rules: reading the high-water mark failed", "error", err)
 	}
 	now := Clock()
 	l := &Learner{
@@ -154,7 +164,7 @@
 	return binary.BigEndian.Uint64(raw[:]) | 1
 }
 
-// EffectiveVersion returns what a request goes by that begins now. It is safe for concurrent use.
+// EffectiveVersion returns the version in effect, or none once its lease has expired. It is safe for concurrent use.
 func (l *Learner) EffectiveVersion() EffectiveVersion {
 	a := *l.effective.Load()
 	if a.Number != 0 && Clock() >= a.Until {
@@ -163,11 +173,11 @@
 	return a
 }
 
-// State returns the newest state of the registry that this node has observed. It is safe for concurrent use.
+// State returns the newest version state that this node has observed. It is safe for concurrent use.
 func (l *Learner) State() rules.VersionState { return *l.versionState.Load() }
 
-// UnusableReason returns why this node can't use the active version, or the prepared one; nil is that it can. It is safe for
-// concurrent use.
+// UnusableReason returns why this node can't use the active or the prepared version; nil means that it can use both, or
+// does not have their texts yet. It is safe for concurrent use.
 func (l *Learner) UnusableReason() error {
 	if e := l.unusableErr.Load(); e != nil {
 		return *e
@@ -175,7 +185,7 @@
 	return nil
 }
 
-// post hands a task to Run, unless it has ended.
+// post passes a task to Run. It blocks while the queue is full, and drops the task once ctx ends.
 func (l *Learner) post(ctx context.Context, task func()) {
 	select {
 	case l.tasks <- task:
@@ -183,12 +193,13 @@
 	}
 }
 
-// postAlways hands a task to Run that may not be dropped, without waiting: there are few of them.
+// postAlways passes a task to Run without blocking, also when the queue is full. It starts a goroutine then, so it is
+// for rare tasks that must not be dropped.
 func (l *Learner) postAlways(task func()) {
 	select {
 	case l.tasks <- task:
 	default:
-		go func() { // ends with Run
+		go func() { // ends with Run at the latest
 			select {
 			case l.tasks <- task:
 			case <-l.ended:
@@ -197,20 +208,21 @@
 	}
 }
 
-// SetMembers takes the live members, but this one.
+// SetMembers sets the live members without this node. It does not block; the learner keeps the slice.
 func (l *Learner) SetMembers(members []Member) {
 	l.postAlways(func() { l.members = members })
 }
 
-// LeaderChanged says that another voter leads, or none, as Consensus.Leader returns.
+// LeaderChanged makes the learner use the leader that Consensus.Leader returns now. It does not block.
 func (l *Learner) LeaderChanged() { l.postAlways(func() {}) }
 
-// Observe takes the registry's state after a command was applied here.
+// Observe passes on the version state of the registry after a change. It does not block.
 func (l *Learner) Observe(s rules.VersionState) {
 	l.postAlways(func() { l.node.Observe(Clock(), s) })
 }
 
-// SetLeading says that this voter leads, once all that was agreed before its term is applied, or leads no more.
+// SetLeading sets whether this voter leads. With true, the entries committed before its term must have been applied to
+// the registry. It does not block.
 func (l *Learner) SetLeading(leads bool) {
 	l.postAlways(func() {
 		l.leads = leads
@@ -223,14 +235,14 @@
 	})
 }
 
-// Run works until ctx ends.
+// Run runs the learner until ctx ends. After that no version is in effect. It must be called once.
 func (l *Learner) Run(ctx context.Context) {
 	l.timer = time.NewTimer(0)
 	for ctx.Err() == nil {
 		select {
 		case task := <-l.tasks:
 			task()
-			for range len(l.tasks) { // all that wait, before one step
+			for range len(l.tasks) { // handle all queued tasks before the next step
 				(<-l.tasks)()
 			}
 		case <-l.timer.C:
@@ -244,12 +256,12 @@
 	l.running.Wait()
 }
 
-// step does what is due.
+// step sends the messages that are due, starts what is due in the background, and publishes the state.
 func (l *Learner) step(ctx context.Context) {
 	l.node.SetGrantors(Clock(), l.grantors())
-	for _, o := range l.node.Flush(Clock()) {
-		if raw, err := o.Message.Encode(); err == nil {
-			l.send(o.To, kindRules, raw)
+	for _, outgoing := range l.node.Flush(Clock()) {
+		if raw, err := outgoing.Message.Encode(); err == nil {
+			l.send(outgoing.To, kindRules, raw)
 		}
 	}
 	l.fetchMissingTexts()
@@ -262,8 +274,8 @@
 	l.setTimer()
 }
 
-// introduce has the grantors learn of this node where none of them answers: a voter that has started anew can't answer a
-// node that it does not know.
+// introduce makes this node known to one grantor after another while none of them answers: a voter that has restarted
+// can't answer a node that it does not know.
 func (l *Learner) introduce(ctx context.Context) {
 	grantors := l.grantors()
 	now := Clock()
@@ -283,41 +295,43 @@
 	})
 }
 
-// publish publishes what requests go by.
+// publish publishes the state for other goroutines, and logs and reports a change of the version in effect.
 func (l *Learner) publish() {
 	state := l.node.State()
 	l.versionState.Store(&state)
 	l.unusableErr.Store(l.findUnusable(state))
 	before := l.effective.Load()
-	acting := l.currentVersion()
-	l.effective.Store(acting)
-	if acting.Number == before.Number {
+	effective := l.currentVersion()
+	l.effective.Store(effective)
+	if effective.Number == before.Number {
 		return
 	}
-	if acting.Number != 0 {
+	if effective.Number != 0 {
 		l.Counts.Activations.Add(1)
 	} else {
 		l.Counts.Fallbacks.Add(1)
 	}
-	slog.Info("rules: requests go by another version", "version", acting.Number, "before", before.Number, "why", acting.Reason.String())
+	slog.Info("rules: version in effect changed", "version", effective.Number, "before", before.Number, "why", effective.Reason.String())
 	if l.config.OnVersionChange != nil {
 		l.config.OnVersionChange()
 	}
 }
 
+// currentVersion returns the version in effect by the leases and texts that this node has now.
 func (l *Learner) currentVersion() *EffectiveVersion {
-	number, until, why := l.node.Acting(Clock())
+	number, until, reason := l.node.Acting(Clock())
 	if number == 0 {
-		return &EffectiveVersion{Until: until, Reason: why}
+		return &EffectiveVersion{Until: until, Reason: reason}
 	}
 	t := l.textByNumber(number)
 	if t == nil {
 		return &EffectiveVersion{Reason: rules.NoText}
 	}
-	return &EffectiveVersion{Number: number, Rules: t.rules, Until: until, Reason: why}
+	return &EffectiveVersion{Number: number, Rules: t.rules, Until: until, Reason: reason}
 }
 
-// findUnusable returns why a version of a state can't be used here; nil is that both can.
+// findUnusable returns why this node can't use the active or the prepared version of a state; nil means that it can use
+// both, or does not have their texts yet.
 func (l *Learner) findUnusable(state rules.VersionState) *error {
 	var unusable *error
 	for i := range l.texts {
@@ -329,7 +343,7 @@
 	return unusable
 }
 
-// setTimer has step called when something is due.
+// setTimer sets the timer to the time at which the next step is due.
 func (l *Learner) setTimer() {
 	now := Clock()
 	at := min(now+maxStepInterval, l.reports.sendAt)
--- a/internal/consensus/learner/registry.go
+++ b/internal/consensus/learner/registry.go
@@ -9,26 +9,27 @@
 // StateMachineKind is the first byte of the registry's commands in the consensus log.
 const StateMachineKind = 'r'
 
-// Registry is the registry of versions as a state machine of the consensus group. It is safe for concurrent use.
+// Registry is the registry of rule versions as a state machine of the consensus group. It is safe for concurrent use.
 type Registry struct {
-	onChange func(rules.VersionState) // nil is nobody
+	onChange func(rules.VersionState) // nil disables it
 
 	mu       sync.Mutex
 	registry *rules.Registry
 }
 
-// NewRegistry returns an empty registry. onChange is called with each state that differs from the one before; it must not wait.
+// NewRegistry returns an empty registry. onChange is called with the version state after each command that changes it
+// and after a snapshot with a state is restored. It must not block; nil disables it.
 func NewRegistry(onChange func(rules.VersionState)) *Registry {
 	return &Registry{onChange: onChange, registry: &rules.Registry{}}
 }
 
-// Outcome is the result of a command.
+// Outcome is the result of an applied command: Err is why the registry rejected it.
 type Outcome struct {
 	Result rules.Result
 	Err    error
 }
 
-// Apply applies an agreed command.
+// Apply applies a committed command and returns an Outcome.
 func (r *Registry) Apply(_ uint64, command []byte) any {
 	r.mu.Lock()
 	result, err := r.registry.Apply(command)
@@ -40,61 +41,62 @@
 	return Outcome{result, err}
 }
 
-// Snapshot returns the state.
+// Snapshot returns the encoded state of the registry.
 func (r *Registry) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.Snapshot()
 }
 
-// Restore restores a state; nil is the initial one.
+// Restore restores the state from a snapshot; nil restores the empty registry.
 func (r *Registry) Restore(state []byte) error {
-	reg := &rules.Registry{}
+	registry := &rules.Registry{}
 	if state != nil {
 		var err error
-		if reg, err = rules.Restore(state); err != nil {
+		if registry, err = rules.Restore(state); err != nil {
 			return err
 		}
 	}
 	r.mu.Lock()
-	r.registry = reg
-	w := reg.State()
+	r.registry = registry
+	restored := registry.State()
 	r.mu.Unlock()
-	if r.onChange != nil && w.Revision > 0 {
-		r.onChange(w)
+	if r.onChange != nil && restored.Revision > 0 {
+		r.onChange(restored)
 	}
 	return nil
 }
 
-// State returns the state that the nodes are notified of.
+// State returns the version state, of which the nodes are notified.
 func (r *Registry) State() rules.VersionState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.State()
 }
 
-// NextActivation returns the activation that comes next; see rules.Registry.
+// NextActivation returns the version and the time (Unix ms) of the next activation; see rules.Registry.
 func (r *Registry) NextActivation() (number, at uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.NextActivation()
 }
 
-// Newest returns the number that was given last.
+// Newest returns the highest version number given so far.
 func (r *Registry) Newest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.Newest()
 }
 
-// View returns the state, the number given last and all versions that are kept, as of one moment.
-func (r *Registry) View() (w rules.VersionState, newest uint64, versions []rules.Version) {
+// View returns the version state, the highest version number given so far and all versions that are kept, as of one
+// moment.
+func (r *Registry) View() (state rules.VersionState, newest uint64, versions []rules.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.State(), r.registry.Newest(), r.registry.Versions()
 }
 
-// text returns the text of a digest, where one of the versions has it.
+// text returns the text with a digest, if one of the versions has it.
 func (r *Registry) text(d rules.Digest) ([]byte, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/consensus/learner/relays.go
+++ b/internal/consensus/learner/relays.go
@@ -7,19 +7,25 @@
 )
 
 const (
-	// minRelayedFleet is the size of a fleet from which not all nodes request leases from voters themselves.
-	minRelayedFleet   = 24
-	maxSources        = 8 // of a text, in the own zone
-	voterOrderModulus = 7 // by which nodes of a zone begin with different voters of other zones
+	// minRelayedFleet is the number of nodes in a fleet from which nodes request leases through relays.
+	minRelayedFleet = 24
+	// maxSources is the maximum number of sources of a text before the voters are added.
+	maxSources = 8
+	// voterOrderModulus varies the order of the voters in other zones between the nodes of a zone, so that their
+	// requests are spread over these voters. It is the maximum number of voters.
+	voterOrderModulus = 7
 )
 
-// grantors returns the nodes from which this one requests leases, the best first. A voter requests from the leader. Others
-// are grouped by zone and index, as many to a group as the square root of all nodes: the relay of a group requests from
-// voters, those of its zone first, and the others from their relay, then from voters. A voter that does not lead passes on
-// what is left of its own lease, as relays do.
+// grantors returns the indices of the nodes from which this node requests leases, in order of preference.
 //
-// fleet/rules.ChooseGrantors is another such tree, by hashes over the live nodes of a zone, which only the testbed uses.
-// Their answers differ: this one moves no node when the membership changes.
+// A voter requests leases from the leader. The other nodes form relay groups by zone and index, each with about as many
+// nodes as the square root of the fleet size, so that no node grants leases to the whole fleet. The relay of a group
+// requests leases from the voters, those of its own zone first. The other nodes of the group request leases from their
+// relay, and from the voters if it does not answer. A voter that is not the leader grants what remains of its own
+// lease, as relays do.
+//
+// ChooseGrantors in fleet/rules builds another tree, from hashes over the live nodes of a zone; only the testbed uses
+// it. The results differ: here a membership change does not move nodes to another group.
 func (l *Learner) grantors() []int {
 	if slices.Contains(l.config.Voters, l.config.Name) {
 		return l.liveLeader()
@@ -31,7 +37,7 @@
 	return append(grantors, l.liveVoters()...)
 }
 
-// liveLeader returns the leader, if it is known and live.
+// liveLeader returns the index of the leader in a list of one, or nil if the leader is not known or not live.
 func (l *Learner) liveLeader() []int {
 	leader := l.config.Consensus.Leader()
 	for _, m := range l.members {
@@ -42,7 +48,8 @@
 	return nil
 }
 
-// liveVoters returns those that are live, those of the own zone first; nodes of a zone begin with different ones of the others.
+// liveVoters returns the indices of the live voters, those in this node's zone first. The order of the others varies
+// between the nodes of a zone.
 func (l *Learner) liveVoters() []int {
 	var live []Member
 	for _, m := range l.members {
@@ -50,14 +57,14 @@
 			live = append(live, m)
 		}
 	}
-	distance := func(m Member) int {
+	rank := func(m Member) int {
 		if m.Zone == l.config.Zone {
 			return -1
 		}
 		return (m.Index + l.config.NodeIndex) % voterOrderModulus
 	}
 	slices.SortFunc(live, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(distance(a), distance(b)), cmp.Compare(a.Index, b.Index))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Index, b.Index))
 	})
 	var indices []int
 	for _, m := range live {
@@ -66,13 +73,14 @@
 	return indices
 }
 
-// relayGroup returns the number of an index's relayGroup within its zone.
+// relayGroup returns the number of the relay group, within its zone, of the node with an index.
 func (l *Learner) relayGroup(index int) int {
 	size := int(math.Ceil(math.Sqrt(float64(l.config.FleetSize))))
 	return index / (size * max(1, len(l.config.Settings.Zones)))
 }
 
-// relay returns the relay of this node's group, where that is another node: a voter, or the lowest index.
+// relay returns the index of the relay of this node's group: the group's voter with the lowest index, or its node with
+// the lowest index if it has no voter. ok is false if that is this node, or if the fleet is too small for relays.
 func (l *Learner) relay() (index int, ok bool) {
 	if l.config.FleetSize < minRelayedFleet {
 		return 0, false
@@ -93,7 +101,8 @@
 	return best.Index, best.Index != l.config.NodeIndex
 }
 
-// sources returns the nodes to fetch a text from: the grantors, others of the zone, voters.
+// sources returns the indices of the nodes to fetch a text from, in order of preference: the grantors, other nodes of
+// the zone, and the remaining voters.
 func (l *Learner) sources() []int {
 	sources := l.grantors()
 	for _, m := range l.members {
--- a/internal/consensus/learner/status.go
+++ b/internal/consensus/learner/status.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	statusInterval     = 4 * time.Second       // between two reports of a node, where nothing has changed
-	statusDelay        = 50 * time.Millisecond // for which changes are gathered
-	maxStatusAge       = 15 * time.Second      // of a report; a node that is not heard for so long is not counted
-	maxReportingNodes  = 256                   // that report to this one
-	maxVersionCounts   = 8                     // versions and reasons in a report
-	maxVersionFailures = 6                     // in a report
-	maxFailureBytes    = 100                   // of one
+	statusInterval     = 4 * time.Second       // interval of a node's reports while nothing changes
+	statusDelay        = 50 * time.Millisecond // delay of a report after a change, so that it carries several changes
+	maxStatusAge       = 15 * time.Second      // age at which a received report is dropped
+	maxReportingNodes  = 256                   // nodes whose reports this node keeps
+	maxVersionCounts   = 8                     // pairs of version and reason in a report
+	maxVersionFailures = 6                     // failures in a report
+	maxFailureBytes    = 100                   // bytes of the reason of a failure
 )
 
-// VersionCount is how many nodes go by a version, or by none for a reason.
+// VersionCount is the number of nodes with a version in effect or, for number 0, the number of nodes with none for a
+// reason.
 type VersionCount struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
@@ -28,33 +29,36 @@
 	Nodes  int
 }
 
-// VersionFailure is a node that can't use a version, and why.
+// VersionFailure is the reason why a node can't use a version.
 type VersionFailure struct {
 	_      struct{} `cbor:",toarray"`
-	Node   int
+	Node   int      // index of the node
 	Reason string
 }
 
-// FleetStatus is how the nodes of a part of the fleet are. At the leader it is all that report. It is encoded as a CBOR map
-// by the names in its tags, which may not change.
+// FleetStatus counts the versions in effect at a node and at the nodes that report to it, directly or through others.
+// At the leader these are all nodes that report. It is encoded as a CBOR map with the names in its tags, which must not
+// change.
 type FleetStatus struct {
 	Versions []VersionCount   `cbor:"By"`
 	Failures []VersionFailure `cbor:"Troubles"`
-	Unusable int              `cbor:"Refusing"` // nodes, also those that Failures has no room for
+	Unusable int              `cbor:"Refusing"` // nodes that can't use a version, including those left out of Failures
 }
 
+// receivedStatus is the last status that another node has reported, with the time of its arrival by Clock.
 type receivedStatus struct {
 	receivedAt time.Duration
 	status     FleetStatus
 }
 
-// statusReports gathers what other nodes report.
+// statusReports holds the statuses that other nodes have reported to this one.
 type statusReports struct {
-	byNode   map[int]receivedStatus
-	sendAt   time.Duration // when to report next
-	lastSent FleetStatus   // reported
+	byNode   map[int]receivedStatus // by index of the node
+	sendAt   time.Duration          // time of this node's next report, by Clock
+	lastSent FleetStatus            // status at this node's last report
 }
 
+// add stores a report, unless it comes from one node too many or has too many elements.
 func (r *statusReports) add(now time.Duration, report *statusReport) {
 	_, known := r.byNode[report.Sender]
 	if !known && len(r.byNode) >= maxReportingNodes {
@@ -67,7 +71,8 @@
 	r.sendAt = min(r.sendAt, now+statusDelay)
 }
 
-// flushStatus publishes how all are that report to this node, and reports it to the first grantor.
+// flushStatus publishes the total of this node's status and those reported to it. If a report is due, it sends the
+// total to the first grantor; the leader sends none.
 func (l *Learner) flushStatus() {
 	r := &l.reports
 	now := Clock()
@@ -95,14 +100,14 @@
 	return s.Unusable == o.Unusable && slices.Equal(s.Versions, o.Versions) && slices.Equal(s.Failures, o.Failures)
 }
 
-// total adds this node to those that report.
+// total drops outdated reports and returns the sum of this node's status and the remaining reports.
 func (r *statusReports) total(l *Learner, now time.Duration) FleetStatus {
 	type key struct {
 		number uint64
 		reason rules.Reason
 	}
-	acting := l.effective.Load()
-	nodes := map[key]int{{acting.Number, acting.Reason}: 1}
+	effective := l.effective.Load()
+	nodes := map[key]int{{effective.Number, effective.Reason}: 1}
 	total := l.ownStatus()
 	maps.DeleteFunc(r.byNode, func(_ int, s receivedStatus) bool { return now-s.receivedAt > maxStatusAge })
 	for _, node := range slices.Sorted(maps.Keys(r.byNode)) {
@@ -124,16 +129,17 @@
 	return total
 }
 
-// ownStatus returns why this node can't use a version, if it can't.
+// ownStatus returns the status of this node alone, without version counts: the failure if it can't use the active or
+// the prepared version, else nothing.
 func (l *Learner) ownStatus() FleetStatus {
 	err := l.UnusableReason()
 	if err == nil {
 		return FleetStatus{}
 	}
-	text := err.Error()
-	text = strings.ToValidUTF8(text[:min(len(text), maxFailureBytes)], "")
-	return FleetStatus{Unusable: 1, Failures: []VersionFailure{{Node: l.config.NodeIndex, Reason: text}}}
+	reason := err.Error()
+	reason = strings.ToValidUTF8(reason[:min(len(reason), maxFailureBytes)], "")
+	return FleetStatus{Unusable: 1, Failures: []VersionFailure{{Node: l.config.NodeIndex, Reason: reason}}}
 }
 
-// FleetStatus returns how the nodes are that report to this one; at the leader, all. It is safe for concurrent use.
+// FleetStatus returns the latest total of this node's status and those reported to it. It is safe for concurrent use.
 func (l *Learner) FleetStatus() FleetStatus { return *l.fleetStatus.Load() }
--- a/internal/consensus/propose.go
+++ b/internal/consensus/propose.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// Propose replicates a command of a state machine and returns the state machine's result at this voter, which must be the
-// leader. timeout limits the wait until the leader starts on the command, not the replication. Its errors include
+// Propose replicates a command of a state machine and returns the state machine's result at this voter, which must be
+// the leader. timeout limits the wait until the leader starts on the command, not the replication. Its errors include
 // NotLeaderError, NoMajorityError and OutcomeUnknownError.
 func (v *Voter) Propose(machine byte, command []byte, timeout time.Duration) (any, error) {
 	r, err := v.leadingRaft()
@@ -52,7 +52,8 @@
 	return v.raft, nil
 }
 
-// notLeaderError returns a NotLeaderError if another voter is known to lead, else a NoMajorityError. The caller holds v.mu.
+// notLeaderError returns a NotLeaderError if another voter is known to lead, else a NoMajorityError. The caller holds
+// v.mu.
 func (v *Voter) notLeaderError() error {
 	if v.raft != nil {
 		_, leader := v.raft.LeaderWithID()
--- a/internal/consensus/raft.go
+++ b/internal/consensus/raft.go
@@ -16,7 +16,7 @@
 const (
 	heartbeatTimeout    = 600 * time.Millisecond // minimum time without a heartbeat before a voter stands for election
 	leaderLeaseTimeout  = 400 * time.Millisecond // a leader without a majority steps down after this time
-	commitInterval      = 200 * time.Millisecond // interval of commit index updates to followers while no entries are sent
+	commitInterval      = 200 * time.Millisecond // interval of commit index updates while no entries are sent
 	rpcTimeout          = time.Second
 	streamsPerVoter     = 2 // pooled streams to each voter, so that entries and heartbeats have one each
 	maxEntriesPerAppend = 16
@@ -46,9 +46,9 @@
 	return c
 }
 
-// runRaft runs the raft library until ctx ends, the log fails or this identity is removed from the group, and returns the
-// reason. While the log ends before minPosition, this voter does not stand for election and rejects vote requests of
-// candidates whose logs end before it too. The zero minPosition disables the check.
+// runRaft runs the raft library until ctx ends, the log fails or this identity is removed from the group, and returns
+// the reason. While the log ends before minPosition, this voter does not stand for election and rejects vote requests
+// of candidates whose logs end before it too. The zero minPosition disables the check.
 func (v *Voter) runRaft(ctx context.Context, log *raftlog.Log, identity raft.ServerID, minPosition logPosition) error {
 	layer := v.transport.Layer(string(identity))
 	logger := raftlog.Logger("consensus: ")
@@ -91,8 +91,8 @@
 	return err
 }
 
-// setRaft stores the running library, sets the phase, and reports whether the log's last configuration lists identity as a
-// voter.
+// setRaft stores the running library, sets the phase, and reports whether the log's last configuration lists identity
+// as a voter.
 func (v *Voter) setRaft(r *raft.Raft, identity raft.ServerID) bool {
 	isVoting := isVoter(r.GetConfiguration().Configuration(), identity)
 	v.mu.Lock()
@@ -105,8 +105,8 @@
 	return isVoting
 }
 
-// watchLog waits until ctx ends, the log fails or this identity is removed from the group, and returns the reason. Meanwhile
-// it requests a snapshot whenever the log has grown large.
+// watchLog waits until ctx ends, the log fails or this identity is removed from the group, and returns the reason.
+// Meanwhile it requests a snapshot whenever the log has grown large.
 func (v *Voter) watchLog(ctx context.Context, log *raftlog.Log, r *raft.Raft, identity raft.ServerID) error {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -17,8 +17,8 @@
 	return p.Term > other.Term || (p.Term == other.Term && p.Index > other.Index)
 }
 
-// peerRecord is the state that another voter has sent to this one. The other voter had it on its disk when it sent it, so
-// less than that on its disk later means that the disk has lost it.
+// peerRecord is the state that another voter has sent to this one. The other voter had it on its disk when it sent it,
+// so less than that on its disk later means that the disk has lost it.
 type peerRecord struct {
 	LastEntry     logPosition `cbor:"1,keyasint"` // last entry that it acknowledged
 	Term          uint64      `cbor:"2,keyasint"`
@@ -26,7 +26,8 @@
 	lastContactAt time.Time
 }
 
-// maxPeerRecords is the maximum number of identities with a record; beyond it, the one with the oldest contact is dropped.
+// maxPeerRecords is the maximum number of identities with a record; beyond it, the one with the oldest contact is
+// dropped.
 const maxPeerRecords = 64
 
 // peerRecords holds a peerRecord for each identity that has answered this voter. It is safe for concurrent use.
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -15,13 +15,14 @@
 // A voter with an identity on its disk requests reports from the other voters before it takes part. It does so at every
 // start: no mark of a clean shutdown can be relied on, because a faulty disk may restore an old one.
 //
-// Of n voters, n/2+1 others have to report, and so does each voter that a report names as the leader. Of the voters that
-// report an empty log and an unknown identity, because they have lost their disks, only one counts: at most one disk is
-// taken to be faulty at a time. An operator can waive this; see RejoinWithoutQuorum.
+// Of n voters, n/2+1 others have to report, and so does each voter that a report names as the leader. Of the voters
+// that report an empty log and an unknown identity, because they have lost their disks, only one counts: at most one
+// disk is taken to be faulty at a time. An operator can waive this; see RejoinWithoutQuorum.
 //
-// If a report shows that this voter has acknowledged more than its disk has, or that the group has replaced its identity,
-// the voter starts again with a new identity. Otherwise it rejoins, and it does not vote in any term that the reports name,
-// nor for a candidate whose log ends before the latest entry that the reports name, until its own log has that entry.
+// If a report shows that this voter has acknowledged more than its disk has, or that the group has replaced its
+// identity, the voter starts again with a new identity. Otherwise it rejoins, and it does not vote in any term that the
+// reports name, nor for a candidate whose log ends before the latest entry that the reports name, until its own log has
+// that entry.
 
 const (
 	reportInterval    = 300 * time.Millisecond // pause between two rounds of report requests
@@ -52,9 +53,9 @@
 	return d, err
 }
 
-// rejoin requests reports from the other voters until this voter can decide how to take part. A non-nil renewReason means
-// that it has to start again with a new identity. Otherwise minPosition is the latest entry that the reports name, or zero if
-// the disk has that entry; see guardedTransport.
+// rejoin requests reports from the other voters until this voter can decide how to take part. A non-nil renewReason
+// means that it has to start again with a new identity. Otherwise minPosition is the latest entry that the reports
+// name, or zero if the disk has that entry; see guardedTransport.
 func (v *Voter) rejoin(ctx context.Context, log *raftlog.Log) (renewReason error, minPosition logPosition, err error) {
 	onDisk, err := v.readDiskState(log)
 	if err != nil {
@@ -112,9 +113,9 @@
 	}
 }
 
-// lossEvidence returns an error if a report shows that the disk has lost state, or that the group has replaced the identity;
-// nil means that none does. A newer configuration shows a loss if it lists the identity while the disk is empty, and a
-// replacement if it does not list the identity while the disk has a log.
+// lossEvidence returns an error if a report shows that the disk has lost state, or that the group has replaced the
+// identity; nil means that none does. A newer configuration shows a loss if it lists the identity while the disk is
+// empty, and a replacement if it does not list the identity while the disk has a log.
 func (d *diskState) lossEvidence(reports map[string]*voterReport) error {
 	for name, report := range reports {
 		if loss := report.CallerRecord.lossEvidence(d.lastEntry, d.term, d.votedTerm); loss != "" {
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// lossEvidence returns what the voter of this record has done that its disk, with the given state, does not show; "" means
-// nothing. lastEntry, term and votedTerm are the disk's.
+// lossEvidence returns what the voter of this record has done that its disk, with the given state, does not show; ""
+// means nothing. lastEntry, term and votedTerm are the disk's.
 func (r *peerRecord) lossEvidence(lastEntry logPosition, term, votedTerm uint64) string {
 	switch {
 	case r.LastEntry.isAfter(lastEntry):
@@ -142,8 +143,9 @@
 	return ""
 }
 
-// hasQuorum reports whether enough other voters have reported. One with an empty log counts if known, the configuration on
-// this voter's disk, lists its identity. Of the others with an empty log, which have lost their disks, only one counts.
+// hasQuorum reports whether enough other voters have reported. One with an empty log counts if known, the configuration
+// on this voter's disk, lists its identity. Of the others with an empty log, which have lost their disks, only one
+// counts.
 func (v *Voter) hasQuorum(reports map[string]*voterReport, known raft.Configuration) bool {
 	count := 0
 	lostDisks := 0 // 0 or 1
--- a/internal/consensus/report.go
+++ b/internal/consensus/report.go
@@ -22,8 +22,8 @@
 	Identity string `cbor:"3,keyasint"`
 }
 
-// voterReport is the answer to a reportRequest: the state of the answering voter, and its record of the caller. It is encoded
-// as a CBOR map with the keys in its tags.
+// voterReport is the answer to a reportRequest: the state of the answering voter, and its record of the caller. It is
+// encoded as a CBOR map with the keys in its tags.
 type voterReport struct {
 	Identity           string      `cbor:"1,keyasint"`
 	Empty              bool        `cbor:"2,keyasint"` // it has neither a log entry nor a snapshot
@@ -104,8 +104,8 @@
 	return report, nil
 }
 
-// collectReports requests reports from all other voters at once and returns those that come within reportTimeout, by the
-// voters' names.
+// collectReports requests reports from all other voters at once and returns those that come within reportTimeout, by
+// the voters' names.
 func (v *Voter) collectReports(ctx context.Context, identity raft.ServerID) map[string]*voterReport {
 	body, err := cbor.Marshal(reportRequest{Name: v.config.Name, Identity: string(identity)})
 	if err != nil {
@@ -152,8 +152,9 @@
 // errNotListening means that no call can be made because the transport is not open.
 var errNotListening = errors.New("this voter is not listening yet")
 
-// Call calls another voter and returns its answer. kind is the call's first byte: it selects the handler at the other voter
-// (see Config.CallHandlers) and with it the encoding of the body and the answer. Its error is an UnreachableError.
+// Call calls another voter and returns its answer. kind is the call's first byte: it selects the handler at the other
+// voter (see Config.CallHandlers) and with it the encoding of the body and the answer. Its error is an
+// UnreachableError.
 func (v *Voter) Call(ctx context.Context, p Peer, kind byte, body []byte) ([]byte, error) {
 	v.mu.Lock()
 	t := v.transport
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -25,8 +25,8 @@
 // Peer is the name and the address of a voter, as listed in the fleet file.
 type Peer struct{ Name, Address string }
 
-// StateMachine is one of the state machines that share the log. Its methods are called by one goroutine at a time. It must
-// be deterministic: the same commands produce the same state and results at every voter.
+// StateMachine is one of the state machines that share the log. Its methods are called by one goroutine at a time. It
+// must be deterministic: the same commands produce the same state and results at every voter.
 type StateMachine interface {
 	// Apply applies a committed command. At the leader, Propose returns its result.
 	Apply(index uint64, command []byte) any
@@ -44,8 +44,8 @@
 	Disk          disk.FS
 	DialAddresses map[string]string     // addresses to dial in place of peer addresses, by peer address
 	StateMachines map[byte]StateMachine // by the first byte of their commands
-	// CallHandlers answer calls of other nodes, by the call's first byte; 'v' is reserved for this package. A nil answer
-	// closes the call.
+	// CallHandlers answer calls of other nodes, by the call's first byte; 'v' is reserved for this package. A nil
+	// answer closes the call.
 	CallHandlers map[byte]func(from string, body []byte) []byte
 	// OnLeading is called with the term when this voter has become leader and has applied all entries committed in
 	// earlier terms, and with 0 when it no longer leads. It must not block. Nil disables it.
@@ -57,13 +57,18 @@
 
 // Phases of a voter, as the console shows them.
 const (
-	PhaseNotRunning        = "waits for its folder or port"                        // the log or the listener is not open
-	PhaseRequestingReports = "asks the others what they have seen of it"           // compares its disk with their reports
-	PhaseAwaitingAdmission = "has lost what it agreed to and waits to be admitted" // runs with an identity that is no voter yet
-	PhaseVoting            = "votes"                                               // its identity is a voter of the group
+	// PhaseNotRunning means that the log or the listener is not open.
+	PhaseNotRunning = "waits for its folder or port"
+	// PhaseRequestingReports means that the voter compares its disk with the reports of the others.
+	PhaseRequestingReports = "asks the others what they have seen of it"
+	// PhaseAwaitingAdmission means that the voter runs with an identity that is not a voter of the group yet.
+	PhaseAwaitingAdmission = "has lost what it agreed to and waits to be admitted"
+	// PhaseVoting means that the identity is a voter of the group.
+	PhaseVoting = "votes"
 )
 
-// Status is the state of a voter at one moment, for operators. The fields of the raft library are zero while it does not run.
+// Status is the state of a voter at one moment, for operators. The fields of the raft library are zero while it does
+// not run.
 type Status struct {
 	Phase            string
 	Identity         string // name of the node, "#" and a random number that the voter's disk has
@@ -73,7 +78,7 @@
 	AppliedIndex     uint64
 	Voters           []string // identities in the latest configuration of the group
 	LastError        string   // "" means none
-	IdentityRenewals int      // number of new identities in place of lost or corrupt disk state, since the process started
+	IdentityRenewals int      // new identities since the process started, because of lost or corrupt disk state
 	RejectedStreams  uint64   // number of streams closed because they had no header of this fleet
 }
 
@@ -82,7 +87,7 @@
 	config      Config
 	peers       map[string]Peer // by name
 	quorum      int             // number of other voters that must report before this one rejoins
-	leadingTerm atomic.Uint64   // term in which this voter leads with all earlier entries applied; 0 means that it does not
+	leadingTerm atomic.Uint64   // term in which this voter leads, once earlier entries are applied; 0 if not
 
 	mu               sync.Mutex
 	transport        *transport.Transport
@@ -124,13 +129,13 @@
 func (v *Voter) Run(ctx context.Context) {
 	pause := checkInterval
 	for ctx.Err() == nil {
-		begun := time.Now()
+		startedAt := time.Now()
 		err := v.runOnce(ctx)
 		v.setPhase(PhaseNotRunning, err)
 		if ctx.Err() != nil {
 			break
 		}
-		took := time.Since(begun)
+		took := time.Since(startedAt)
 		slog.Warn("consensus: restarting the voter", "error", err, "after", took.Round(time.Millisecond))
 		pause = min(2*pause, maxRestartPause)
 		if took > minStableRun {
@@ -171,8 +176,8 @@
 	errRemoved         = errors.New("the group has removed this voter's identity")
 )
 
-// runOnce opens the listener and the log, rejoins or joins the group, and runs until ctx ends or the run fails. It returns
-// the reason of the end, which is errIdentityRenewed when the next run has to start with a new identity.
+// runOnce opens the listener and the log, rejoins or joins the group, and runs until ctx ends or the run fails. It
+// returns the reason of the end, which is errIdentityRenewed when the next run has to start with a new identity.
 func (v *Voter) runOnce(ctx context.Context) error {
 	if err := v.listen(); err != nil {
 		return err
@@ -266,9 +271,9 @@
 	return false
 }
 
-// RejoinWithoutQuorum lets the voter rejoin with the state on its disk and the reports that it has, without waiting for a
-// quorum of reports, in this run and in later ones. It is for an operator who knows that the disk is intact while other
-// voters cannot be reached. A report that shows that the disk has lost state still forces a new identity.
+// RejoinWithoutQuorum lets the voter rejoin with the state on its disk and the reports that it has, without waiting for
+// a quorum of reports, in this run and in later ones. It is for an operator who knows that the disk is intact while
+// other voters cannot be reached. A report that shows that the disk has lost state still forces a new identity.
 func (v *Voter) RejoinWithoutQuorum() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/internal/consensus/voter_test.go
+++ b/internal/consensus/voter_test.go
@@ -131,9 +131,9 @@
 	require.Eventually(g.t, func() bool { return g.voters[i].Status().Phase == PhaseVoting }, 20*time.Second, 20*time.Millisecond, "%+v", g.voters[i].Status())
 }
 
-// Committed commands survive the loss of the leader, a restart of all voters, and the loss of one voter's disk. The voter
-// with the empty disk must be admitted with a new identity and get the log from the others; it must not bootstrap a group of
-// its own.
+// Committed commands survive the loss of the leader, a restart of all voters, and the loss of one voter's disk. The
+// voter with the empty disk must be admitted with a new identity and get the log from the others; it must not bootstrap
+// a group of its own.
 func TestCommittedCommandsSurviveRestartsAndDiskLoss(t *testing.T) {
 	g := newTestGroup(t, 3)
 	sum, leader := g.propose(1)
