--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -20,9 +20,9 @@
 // disk is taken to be faulty at a time. An operator can waive this; see RejoinWithoutQuorum.
 //
 // If a report shows that this voter has acknowledged more than its disk has, or that the group has replaced its
-// identity, the voter starts again with a new identity. Otherwise it rejoins, and it does not vote in any term that the
-// reports name, nor for a candidate whose log ends before the latest entry that the reports name, until its own log has
-// that entry.
+// identity, the voter starts again with a new identity. Otherwise it rejoins. It never votes in a term that a report
+// names. Until its log has the latest entry that the reports name, it does not stand for election and does not vote for
+// a candidate whose log ends before that entry.
 
 const (
 	reportInterval    = 300 * time.Millisecond // pause between two rounds of report requests
@@ -40,6 +40,7 @@
 	identity           raft.ServerID
 }
 
+// readDiskState reads the state from the opened log.
 func (v *Voter) readDiskState(log *raftlog.Log) (d diskState, err error) {
 	d.empty = log.Empty
 	d.identity = raft.ServerID(v.config.Name + "#" + log.Identity)
@@ -104,6 +105,7 @@
 	return nil, minPosition, log.BarVotes(term)
 }
 
+// isQuorumWaived reports whether RejoinWithoutQuorum was called.
 func (v *Voter) isQuorumWaived() bool {
 	select {
 	case <-v.quorumWaived:
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -226,6 +226,7 @@
 	}
 }
 
+// endRun clears the state of a run and lets the transport send again.
 func (v *Voter) endRun() {
 	v.mu.Lock()
 	v.log = nil
