--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -20,9 +20,9 @@
 // disk is taken to be faulty at a time. An operator can waive this; see RejoinWithoutQuorum.
 //
 // If a report shows that this voter has acknowledged more than its disk has, or that the group has replaced its
-// identity, the voter starts again with a new identity. Otherwise it rejoins. It never votes in a term that a report
-// names. Until its log has the latest entry that the reports name, it does not stand for election and does not vote for
-// a candidate whose log ends before that entry.
+// identity, the voter starts again with a new identity. Otherwise it rejoins. It casts no more votes in any term up to
+// the highest that a report names. Until its log has the latest entry that the reports name, it does not stand for
+// election and does not vote for a candidate whose log ends before that entry.
 
 const (
 	reportInterval    = 300 * time.Millisecond // pause between two rounds of report requests
