--- a/internal/consensus/learner/lead.go
+++ b/internal/consensus/learner/lead.go
@@ -10,36 +10,38 @@
 
 const (
 	proposeTimeout       = time.Second
-	proposeRetryInterval = 200 * time.Millisecond // after a proposal that failed
+	proposeRetryInterval = 200 * time.Millisecond // pause after a failed proposal
 )
 
-// confirm has a majority confirm the leadership, one round at a time.
-func (l *Learner) confirm(ctx context.Context) {
-	if !l.leads || l.verifying {
+// confirmLeadership starts a round in which a majority of the voters confirms that this node leads, if lease requests
+// wait for one. One round runs at a time.
+func (l *Learner) confirmLeadership(ctx context.Context) {
+	if !l.leads || l.confirming {
 		return
 	}
 	round, ok := l.node.BeginConfirmation()
 	if !ok {
 		return
 	}
-	l.verifying = true
+	l.confirming = true
 	l.running.Go(func() {
 		err := l.config.Consensus.Verify()
 		l.post(ctx, func() {
-			l.verifying = false
+			l.confirming = false
 			if err != nil {
-				l.Counts.Unverified.Add(1)
+				l.Counts.FailedVerifications.Add(1)
 				return
 			}
-			l.Counts.Verified.Add(1)
+			l.Counts.Verifications.Add(1)
 			l.node.Confirmed(Clock(), round)
 		})
 	})
 }
 
-// propose has the voters agree to the leader's own steps of an activation, one at a time.
-func (l *Learner) propose(ctx context.Context) {
-	if !l.leads || l.proposing || Clock() < l.proposeAfter {
+// proposeNextCommand proposes the next command of an activation if this node leads and one is due. One proposal runs at
+// a time.
+func (l *Learner) proposeNextCommand(ctx context.Context) {
+	if !l.leads || l.proposing || Clock() < l.nextProposalAt {
 		return
 	}
 	command, ok := l.nextCommand()
@@ -48,7 +50,7 @@
 	}
 	raw, err := command.Encode()
 	if err != nil {
-		slog.Error("rules: encoding a step of an activation failed", "error", err)
+		slog.Error("rules: encoding an activation command failed", "error", err)
 		return
 	}
 	l.proposing = true
@@ -57,16 +59,17 @@
 		l.post(ctx, func() {
 			l.proposing = false
 			if err != nil {
-				l.proposeAfter = Clock() + proposeRetryInterval
+				l.nextProposalAt = Clock() + proposeRetryInterval
 				return
 			}
-			l.Counts.Proposed.Add(1)
+			l.Counts.Proposals.Add(1)
 		})
 	})
 }
 
-// nextCommand returns the leader's next step of an activation, if one is due.
-func (l *Learner) nextCommand() (rules.Command, bool) {
+// nextCommand returns the command that the leader has to propose now: the commit of the prepared version, or the
+// preparation of the next scheduled one. ok is false if none is due.
+func (l *Learner) nextCommand() (command rules.Command, ok bool) {
 	if commit, ok := l.node.CommitReady(Clock()); ok {
 		return rules.Command{Commit: &commit}, true
 	}
--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -1,9 +1,10 @@
-// Package learner has a node learn the rule sets that the voters have agreed on, and act by them under leases: it carries
-// the messages of fleet/rules between nodes, fetches texts from neighbours, persists the number of the version acted by,
-// and at the leader has the voters confirm and agree.
+// Package learner puts the rule versions that the voters have committed into effect at a node, under leases. A Learner
+// sends and receives the messages of package rules (fleet/rules), fetches the texts of rule sets from other nodes, and
+// persists the high-water mark: the highest version number that has been in effect at the node. At the leader it also
+// has the voters confirm the leadership and commit the steps of an activation.
 //
-// All of a Learner's state belongs to the goroutine of its Run. Other goroutines hand it tasks, and read what it publishes
-// by atomics.
+// The state of a Learner belongs to the goroutine of Run. Other goroutines pass tasks to it and read what it publishes
+// through atomics.
 package learner
 
 import (
@@ -22,127 +23,136 @@
 )
 
 const (
-	maxTasks          = 256 // that wait; a message beyond is dropped
-	maxStepInterval   = 10 * time.Second
-	introduceAfter    = 2 * time.Second  // without a message of anybody
-	maxIntroducePause = 30 * time.Second // between two introductions, doubled until then
+	maxTasks             = 256 // queued tasks; a message that arrives beyond is dropped
+	maxStepInterval      = 10 * time.Second
+	minIntroduceInterval = 2 * time.Second  // silence before an introduction; also the first pause between two
+	maxIntroduceInterval = 30 * time.Second // the pause between introductions doubles up to this
 )
 
-// Member is another node that can be sent to.
+// Member is another node that is live and can receive messages.
 type Member struct {
 	Index int
 	Name  string
 	Zone  string
 }
 
-// Consensus is what a voter's node has of the consensus group.
+// Consensus is the part of the consensus group that a learner uses at a voter.
 type Consensus interface {
-	// Verify asks a majority whether this voter leads, by a round that begins after the call.
+	// Verify confirms with a majority, in a round that begins after the call, that this voter leads.
 	Verify() error
-	Propose(machine byte, command []byte, within time.Duration) (any, error)
-	Leader() string // its name; "" is not known
+	// Propose replicates a command of a state machine and returns the state machine's result.
+	Propose(machine byte, command []byte, timeout time.Duration) (any, error)
+	// Leader returns the name of the leader; "" means that none is known.
+	Leader() string
 }
 
-// Config is a node's.
+// Config is the configuration of a learner.
 type Config struct {
-	Node, FleetSize int // index of this node, and number of nodes
-	Name, Zone      string
-	Voters          []string // names
-	Settings        rules.Settings
-	Terms           rules.Terms
-	Dir             string // on a disk that outlives the process
-	Disk            disk.FS
-	Send            func(to int, raw []byte) error
-	Introduce       func(to int) error // has a node that does not answer learn of this one; it waits
-	OnActing        func()             // is called when Acting has another version, and does not wait
-	Consensus       Consensus
-	Registry        *Registry // with Consensus, at a voter; else nil
+	NodeIndex, FleetSize int      // index of this node in the fleet, and number of nodes in the fleet
+	Name, Zone           string   // name and zone of this node
+	Voters               []string // names of the voters
+	Settings             rules.Settings
+	Terms                rules.Terms
+	Dir                  string // directory of the high-water mark, on a disk that outlives the process
+	Disk                 disk.FS
+	Send                 func(to int, raw []byte) error // sends a message to the node with an index
+	Introduce            func(to int) error             // makes this node known to the node with an index; it may block
+	// OnVersionChange is called when the version in effect changes. It must not block. Nil disables it.
+	OnVersionChange func()
+	Consensus       Consensus // nil at a node that is not a voter
+	Registry        *Registry // set together with Consensus
 }
 
-// Acting is what a request goes by that begins now.
-type Acting struct {
-	Number uint64          // of the version; 0 is the settings alone
-	Rules  *rules.Compiled // nil with 0
-	Until  time.Duration   // by Clock: the lease's end
-	Why    rules.Reason    // of 0
+// EffectiveVersion is the rule version in effect at this node: the one that a request uses if it begins now.
+type EffectiveVersion struct {
+	Number uint64          // 0 means that no version is in effect and only the node's settings apply
+	Rules  *rules.Compiled // nil if Number is 0
+	Until  time.Duration   // end of the lease, by Clock
+	Reason rules.Reason    // why no version is in effect; rules.Acting if one is
 }
 
-// Counts are counters for the operators' metrics.
+// Counts are counters for metrics. They are safe for concurrent use.
 type Counts struct {
-	Sent, Unsent, Received, Corrupt, Dropped atomic.Int64 // messages
-	Fetched, FetchedBytes, Served            atomic.Int64 // texts, their bytes, parts sent to others
-	Unusable, Persisted, Activations, Gaps   atomic.Int64 // versions
-	Verified, Unverified, Proposed           atomic.Int64 // rounds and commands, at the leader
+	MessagesSent, SendErrors                           atomic.Int64
+	MessagesReceived, MessagesCorrupt, MessagesDropped atomic.Int64
+	TextsFetched, TextBytesFetched                     atomic.Int64
+	PartsSent                                          atomic.Int64 // parts of texts sent to other nodes
+	VersionsUnusable, VersionsPersisted                atomic.Int64
+	Activations                                        atomic.Int64 // changes to another version in effect
+	Fallbacks                                          atomic.Int64 // changes to no version in effect
+	Verifications, FailedVerifications                 atomic.Int64 // rounds to confirm the leadership
+	Proposals                                          atomic.Int64 // commands of activations that were committed
 }
 
-// Learner is a node's part. All its state but the atomics belongs to the goroutine of Run.
+// Learner puts the committed rule versions into effect at a node. All its state except the atomics belongs to the
+// goroutine of Run.
 type Learner struct {
 	Counts      Counts
 	config      Config
 	node        *rules.Node
 	incarnation uint64
 	tasks       chan func()
-	ended       chan struct{} // closed with Run
+	ended       chan struct{} // closed when Run ends
 	timer       *time.Timer
 	running     sync.WaitGroup // goroutines that wait for a disk, a voter or another node
 	members     []Member
 	leads       bool
 
-	receivedAt     time.Duration // when a message about leases came last
-	introduceAt    time.Duration
-	introducePause time.Duration
-	introducing    bool
-	introductions  int
-
-	texts        []fetchedText // latest last
-	fetch        *textFetch
-	persisting   bool
-	verifying    bool
-	proposing    bool
-	proposeAfter time.Duration
-	reports      statusReports
-
-	acting      atomic.Pointer[Acting]
-	unusable    atomic.Pointer[error] // of the active version, or of the prepared one; nil is none
-	state       atomic.Pointer[rules.VersionState]
-	fleetStatus atomic.Pointer[FleetStatus]
+	receivedAt         time.Duration // time of the last message about leases
+	nextIntroductionAt time.Duration
+	introduceInterval  time.Duration
+	introducing        bool
+	introductions      int
+
+	texts          []fetchedText // the latest is last
+	fetch          *textFetch
+	persisting     bool
+	confirming     bool
+	proposing      bool
+	nextProposalAt time.Duration
+	reports        statusReports
+
+	effective    atomic.Pointer[EffectiveVersion]
+	unusableErr  atomic.Pointer[error] // why the active or the prepared version is unusable; nil if both are usable
+	versionState atomic.Pointer[rules.VersionState]
+	fleetStatus  atomic.Pointer[FleetStatus]
 }
 
-// Clock returns the time that leases are counted by: it goes on while the machine is suspended.
+// Clock returns the time since boot, by which leases are counted. It also advances while the machine is suspended.
 func Clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // each Linux has it
+		panic(err) // all supported versions of Linux have this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// New returns a learner, which does nothing before Run.
+// New returns a learner that is inactive until Run. If the high-water mark cannot be read, it starts with none.
 func New(cfg Config) *Learner {
 	persisted, err := readHighWaterMark(cfg.Disk, cfg.Dir, cfg.Name)
 	if err != nil {
-		// What is acted by needs a lease that was requested by this process, which is on no older version than any
-		// before it: the number is a second guard.
-		slog.Error("rules: reading the version acted by failed", "error", err)
+		// This does not put an older version into effect: a version needs a lease that this process has requested, and
+		// such a lease is never on an older version than earlier ones. The high-water mark is a second guard.
+		slog.Error("rules: reading the high-water mark failed", "error", err)
 	}
 	now := Clock()
 	l := &Learner{
-		config:         cfg,
-		incarnation:    newIncarnation(),
-		tasks:          make(chan func(), maxTasks),
-		ended:          make(chan struct{}),
-		receivedAt:     now,
-		introducePause: introduceAfter,
-		reports:        statusReports{byNode: make(map[int]receivedStatus)},
+		config:            cfg,
+		incarnation:       newIncarnation(),
+		tasks:             make(chan func(), maxTasks),
+		ended:             make(chan struct{}),
+		receivedAt:        now,
+		introduceInterval: minIntroduceInterval,
+		reports:           statusReports{byNode: make(map[int]receivedStatus)},
 	}
 	l.node = rules.NewNode(rules.Config{
-		Node:          cfg.Node,
+		Node:          cfg.NodeIndex,
 		Incarnation:   l.incarnation,
 		HighWaterMark: persisted,
 		Terms:         cfg.Terms,
 	}, now)
-	l.acting.Store(&Acting{Why: rules.NoLease})
-	l.state.Store(&rules.VersionState{})
+	l.effective.Store(&EffectiveVersion{Reason: rules.NoLease})
+	l.versionState.Store(&rules.VersionState{})
 	l.fleetStatus.Store(&FleetStatus{})
 	return l
 }
@@ -154,28 +164,28 @@
 	return binary.BigEndian.Uint64(raw[:]) | 1
 }
 
-// Acting returns what a request goes by that begins now. It is safe for concurrent use.
-func (l *Learner) Acting() Acting {
-	a := *l.acting.Load()
+// EffectiveVersion returns the version in effect, or none once its lease has expired. It is safe for concurrent use.
+func (l *Learner) EffectiveVersion() EffectiveVersion {
+	a := *l.effective.Load()
 	if a.Number != 0 && Clock() >= a.Until {
-		return Acting{Why: rules.NoLease}
+		return EffectiveVersion{Reason: rules.NoLease}
 	}
 	return a
 }
 
-// State returns the newest state of the registry that this node has observed. It is safe for concurrent use.
-func (l *Learner) State() rules.VersionState { return *l.state.Load() }
+// State returns the newest version state that this node has observed. It is safe for concurrent use.
+func (l *Learner) State() rules.VersionState { return *l.versionState.Load() }
 
-// Unusable returns why this node can't use the active version, or the prepared one; nil is that it can. It is safe for
-// concurrent use.
-func (l *Learner) Unusable() error {
-	if e := l.unusable.Load(); e != nil {
+// UnusableReason returns why this node can't use the active or the prepared version; nil means that it can use both, or
+// does not have their texts yet. It is safe for concurrent use.
+func (l *Learner) UnusableReason() error {
+	if e := l.unusableErr.Load(); e != nil {
 		return *e
 	}
 	return nil
 }
 
-// post hands a task to Run, unless it has ended.
+// post passes a task to Run. It blocks while the queue is full, and drops the task once ctx ends.
 func (l *Learner) post(ctx context.Context, task func()) {
 	select {
 	case l.tasks <- task:
@@ -183,12 +193,13 @@
 	}
 }
 
-// postAlways hands a task to Run that may not be dropped, without waiting: there are few of them.
+// postAlways passes a task to Run without blocking, also when the queue is full. It starts a goroutine then, so it is
+// for rare tasks that must not be dropped.
 func (l *Learner) postAlways(task func()) {
 	select {
 	case l.tasks <- task:
 	default:
-		go func() { // ends with Run
+		go func() { // ends with Run at the latest
 			select {
 			case l.tasks <- task:
 			case <-l.ended:
@@ -197,20 +208,21 @@
 	}
 }
 
-// SetMembers takes the live members, but this one.
+// SetMembers sets the live members without this node. It does not block; the learner keeps the slice.
 func (l *Learner) SetMembers(members []Member) {
 	l.postAlways(func() { l.members = members })
 }
 
-// LeaderChanged says that another voter leads, or none, as Consensus.Leader returns.
+// LeaderChanged makes the learner use the leader that Consensus.Leader returns now. It does not block.
 func (l *Learner) LeaderChanged() { l.postAlways(func() {}) }
 
-// Observe takes the registry's state after a command was applied here.
+// Observe passes on the version state of the registry after a change. It does not block.
 func (l *Learner) Observe(s rules.VersionState) {
 	l.postAlways(func() { l.node.Observe(Clock(), s) })
 }
 
-// SetLeading says that this voter leads, once all that was agreed before its term is applied, or leads no more.
+// SetLeading sets whether this voter leads. With true, the entries committed before its term must have been applied to
+// the registry. It does not block.
 func (l *Learner) SetLeading(leads bool) {
 	l.postAlways(func() {
 		l.leads = leads
@@ -223,14 +235,14 @@
 	})
 }
 
-// Run works until ctx ends.
+// Run runs the learner until ctx ends. After that no version is in effect. It must be called once.
 func (l *Learner) Run(ctx context.Context) {
 	l.timer = time.NewTimer(0)
 	for ctx.Err() == nil {
 		select {
 		case task := <-l.tasks:
 			task()
-			for range len(l.tasks) { // all that wait, before one step
+			for range len(l.tasks) { // handle all queued tasks before the next step
 				(<-l.tasks)()
 			}
 		case <-l.timer.C:
@@ -239,41 +251,41 @@
 		l.step(ctx)
 	}
 	l.timer.Stop()
-	l.acting.Store(&Acting{Why: rules.NoLease})
+	l.effective.Store(&EffectiveVersion{Reason: rules.NoLease})
 	close(l.ended)
 	l.running.Wait()
 }
 
-// step does what is due.
+// step sends the messages that are due, starts what is due in the background, and publishes the state.
 func (l *Learner) step(ctx context.Context) {
 	l.node.SetGrantors(Clock(), l.grantors())
-	for _, o := range l.node.Flush(Clock()) {
-		if raw, err := o.Message.Encode(); err == nil {
-			l.send(o.To, kindRules, raw)
+	for _, outgoing := range l.node.Flush(Clock()) {
+		if raw, err := outgoing.Message.Encode(); err == nil {
+			l.send(outgoing.To, kindRules, raw)
 		}
 	}
-	l.fetchMissing()
-	l.persist(ctx)
-	l.confirm(ctx)
-	l.propose(ctx)
+	l.fetchMissingTexts()
+	l.persistHighWaterMark(ctx)
+	l.confirmLeadership(ctx)
+	l.proposeNextCommand(ctx)
 	l.introduce(ctx)
 	l.flushStatus()
 	l.publish()
 	l.setTimer()
 }
 
-// introduce has the grantors learn of this node where none of them answers: a voter that has started anew can't answer a
-// node that it does not know.
+// introduce makes this node known to one grantor after another while none of them answers: a voter that has restarted
+// can't answer a node that it does not know.
 func (l *Learner) introduce(ctx context.Context) {
 	grantors := l.grantors()
 	now := Clock()
-	if l.leads || l.introducing || len(grantors) == 0 || now < l.receivedAt+introduceAfter || now < l.introduceAt {
+	if l.leads || l.introducing || len(grantors) == 0 || now < l.receivedAt+minIntroduceInterval || now < l.nextIntroductionAt {
 		return
 	}
 	to := grantors[l.introductions%len(grantors)]
 	l.introductions++
-	l.introduceAt = now + l.introducePause
-	l.introducePause = min(2*l.introducePause, maxIntroducePause)
+	l.nextIntroductionAt = now + l.introduceInterval
+	l.introduceInterval = min(2*l.introduceInterval, maxIntroduceInterval)
 	l.introducing = true
 	l.running.Go(func() {
 		if err := l.config.Introduce(to); err != nil {
@@ -283,42 +295,44 @@
 	})
 }
 
-// publish publishes what requests go by.
+// publish publishes the state for other goroutines, and logs and reports a change of the version in effect.
 func (l *Learner) publish() {
 	state := l.node.State()
-	l.state.Store(&state)
-	l.unusable.Store(l.unusableIn(state))
-	before := l.acting.Load()
-	acting := l.actingNow()
-	l.acting.Store(acting)
-	if acting.Number == before.Number {
+	l.versionState.Store(&state)
+	l.unusableErr.Store(l.findUnusable(state))
+	before := l.effective.Load()
+	effective := l.currentVersion()
+	l.effective.Store(effective)
+	if effective.Number == before.Number {
 		return
 	}
-	if acting.Number != 0 {
+	if effective.Number != 0 {
 		l.Counts.Activations.Add(1)
 	} else {
-		l.Counts.Gaps.Add(1)
+		l.Counts.Fallbacks.Add(1)
 	}
-	slog.Info("rules: requests go by another version", "version", acting.Number, "before", before.Number, "why", acting.Why.String())
-	if l.config.OnActing != nil {
-		l.config.OnActing()
+	slog.Info("rules: version in effect changed", "version", effective.Number, "before", before.Number, "why", effective.Reason.String())
+	if l.config.OnVersionChange != nil {
+		l.config.OnVersionChange()
 	}
 }
 
-func (l *Learner) actingNow() *Acting {
-	number, until, why := l.node.Acting(Clock())
+// currentVersion returns the version in effect by the leases and texts that this node has now.
+func (l *Learner) currentVersion() *EffectiveVersion {
+	number, until, reason := l.node.Acting(Clock())
 	if number == 0 {
-		return &Acting{Until: until, Why: why}
+		return &EffectiveVersion{Until: until, Reason: reason}
 	}
-	t := l.textOf(number)
+	t := l.textByNumber(number)
 	if t == nil {
-		return &Acting{Why: rules.NoText}
+		return &EffectiveVersion{Reason: rules.NoText}
 	}
-	return &Acting{Number: number, Rules: t.rules, Until: until, Why: why}
+	return &EffectiveVersion{Number: number, Rules: t.rules, Until: until, Reason: reason}
 }
 
-// unusableIn returns why a version of a state can't be used here; nil is that both can.
-func (l *Learner) unusableIn(state rules.VersionState) *error {
+// findUnusable returns why this node can't use the active or the prepared version of a state; nil means that it can use
+// both, or does not have their texts yet.
+func (l *Learner) findUnusable(state rules.VersionState) *error {
 	var unusable *error
 	for i := range l.texts {
 		t := &l.texts[i]
@@ -329,14 +343,14 @@
 	return unusable
 }
 
-// setTimer has step called when something is due.
+// setTimer sets the timer to the time at which the next step is due.
 func (l *Learner) setTimer() {
 	now := Clock()
 	at := min(now+maxStepInterval, l.reports.sendAt)
 	if t, ok := l.node.NextWake(now); ok {
 		at = min(at, t)
 	}
-	if a := l.acting.Load(); a.Number != 0 {
+	if a := l.effective.Load(); a.Number != 0 {
 		at = min(at, a.Until)
 	}
 	if l.fetch != nil {
@@ -345,7 +359,7 @@
 	if l.leads && !l.proposing {
 		if _, due, ok := l.config.Registry.NextActivation(); ok {
 			wait := time.Duration(int64(due)-time.Now().UnixMilli()) * time.Millisecond
-			at = min(at, max(l.proposeAfter, now+wait))
+			at = min(at, max(l.nextProposalAt, now+wait))
 		}
 	}
 	l.timer.Reset(max(at-now, time.Millisecond))
--- a/internal/consensus/report.go
+++ b/internal/consensus/report.go
@@ -12,35 +12,36 @@
 	"sloestile/internal/consensus/transport"
 )
 
-// callVoter is the first byte of calls among voters.
-const callVoter = 'v'
+// voterCallKind is the first byte of calls between voters.
+const voterCallKind = 'v'
 
-// reportRequest is a call among voters. It is encoded as CBOR by the numbers in its tags.
+// reportRequest is a call from one voter to another. It is encoded as a CBOR map with the keys in its tags.
 type reportRequest struct {
-	Admit    bool   `cbor:"1,keyasint,omitempty"` // the caller asks to be admitted, too
+	Admit    bool   `cbor:"1,keyasint,omitempty"` // the caller also requests admission
 	Name     string `cbor:"2,keyasint"`
 	Identity string `cbor:"3,keyasint"`
 }
 
-// voterReport is what a voter says of itself, and of the one that asks. It is encoded as CBOR by the numbers in its tags.
+// voterReport is the answer to a reportRequest: the state of the answering voter, and its record of the caller. It is
+// encoded as a CBOR map with the keys in its tags.
 type voterReport struct {
 	Identity           string      `cbor:"1,keyasint"`
-	Empty              bool        `cbor:"2,keyasint"` // it has agreed to nothing
+	Empty              bool        `cbor:"2,keyasint"` // it has neither a log entry nor a snapshot
 	Term               uint64      `cbor:"3,keyasint"`
-	Last               logPosition `cbor:"4,keyasint"`
-	Leader             string      `cbor:"5,keyasint"` // its identity; "" is none known
-	ConfigurationIndex uint64      `cbor:"6,keyasint"` // of Voters
-	Voters             []string    `cbor:"7,keyasint"` // identities that it knows of last
-	Witnessed          peerRecord  `cbor:"8,keyasint"` // of the one that asks
-	Rejected           string      `cbor:"9,keyasint,omitempty"`
+	LastEntry          logPosition `cbor:"4,keyasint"`
+	Leader             string      `cbor:"5,keyasint"` // identity of the leader; "" means that none is known
+	ConfigurationIndex uint64      `cbor:"6,keyasint"` // log index of the configuration that lists Voters
+	Voters             []string    `cbor:"7,keyasint"` // identities in the latest configuration of the group
+	CallerRecord       peerRecord  `cbor:"8,keyasint"`
+	Rejected           string      `cbor:"9,keyasint,omitempty"` // why the caller is not admitted yet
 }
 
-// answerCall answers a call of another node; nil closes it.
-func (v *Voter) answerCall(from string, body []byte) []byte {
+// handleCall answers a call of another node. A nil answer closes the call.
+func (v *Voter) handleCall(from string, body []byte) []byte {
 	if len(body) == 0 {
 		return nil
 	}
-	if body[0] != callVoter {
+	if body[0] != voterCallKind {
 		if handle := v.config.CallHandlers[body[0]]; handle != nil {
 			return handle(from, body[1:])
 		}
@@ -56,7 +57,7 @@
 		return nil
 	}
 	if request.Admit {
-		if err := v.admit(request.Name, identity); err != nil {
+		if err := v.advanceAdmission(request.Name, identity); err != nil {
 			report.Rejected = err.Error()
 		}
 	}
@@ -67,26 +68,26 @@
 	return raw
 }
 
-// errBetweenRuns is the answer of a voter whose log is not open.
-var errBetweenRuns = errors.New("council: between two lives")
+// errLogNotOpen means that a voter cannot report because its log is not open.
+var errLogNotOpen = errors.New("council: the log of this voter is not open")
 
-// ownReport returns how this voter is, and what it has heard of another one.
-func (v *Voter) ownReport(of raft.ServerID) (*voterReport, error) {
+// ownReport returns the state of this voter and its record of the caller with an identity.
+func (v *Voter) ownReport(caller raft.ServerID) (*voterReport, error) {
 	v.mu.Lock()
 	log, r, identity := v.log, v.raft, v.identity
 	v.mu.Unlock()
 	if log == nil {
-		return nil, errBetweenRuns
+		return nil, errLogNotOpen
 	}
-	report := &voterReport{Identity: string(identity), Witnessed: v.records.of(of)}
+	report := &voterReport{Identity: string(identity), CallerRecord: v.records.get(caller)}
 	var err error
 	if report.Term, _, err = log.Term(); err != nil {
 		return nil, err
 	}
-	if report.Last.Term, report.Last.Index, err = log.Last(); err != nil {
+	if report.LastEntry.Term, report.LastEntry.Index, err = log.Last(); err != nil {
 		return nil, err
 	}
-	report.Empty = report.Last == (logPosition{})
+	report.Empty = report.LastEntry == (logPosition{})
 	var configuration raft.Configuration
 	if r != nil {
 		future := r.GetConfiguration()
@@ -103,8 +104,9 @@
 	return report, nil
 }
 
-// reportsOfOthers calls all other voters at once and returns their reports by name.
-func (v *Voter) reportsOfOthers(ctx context.Context, identity raft.ServerID) map[string]*voterReport {
+// collectReports requests reports from all other voters at once and returns those that come within reportTimeout, by
+// the voters' names.
+func (v *Voter) collectReports(ctx context.Context, identity raft.ServerID) map[string]*voterReport {
 	body, err := cbor.Marshal(reportRequest{Name: v.config.Name, Identity: string(identity)})
 	if err != nil {
 		return nil
@@ -132,24 +134,27 @@
 	return reports
 }
 
+// requestReport sends an encoded reportRequest to a voter. It returns nil if no usable report comes back.
 func (v *Voter) requestReport(ctx context.Context, p Peer, body []byte) *voterReport {
-	raw, err := v.Call(ctx, p, callVoter, body)
+	raw, err := v.Call(ctx, p, voterCallKind, body)
 	if err != nil {
-		slog.Debug("consensus: voter not reached", "peer", p.Name, "error", err)
+		slog.Debug("consensus: requesting a report failed", "peer", p.Name, "error", err)
 		return nil
 	}
 	report := &voterReport{}
-	if err := cbor.Unmarshal(raw, report); err != nil || nameOf(raft.ServerID(report.Identity)) != p.Name {
-		slog.Warn("consensus: report of a voter is corrupt", "peer", p.Name, "error", err)
+	if err := cbor.Unmarshal(raw, report); err != nil || voterName(raft.ServerID(report.Identity)) != p.Name {
+		slog.Warn("consensus: voter sent a corrupt report", "peer", p.Name, "error", err)
 		return nil
 	}
 	return report
 }
 
-// errNotListening is the reason of a call that can't be made yet.
-var errNotListening = errors.New("this voter does not listen yet")
+// errNotListening means that no call can be made because the transport is not open.
+var errNotListening = errors.New("this voter is not listening yet")
 
-// Call calls another voter. The form of its answer is that of the kind of call.
+// Call calls another voter and returns its answer. kind is the call's first byte: it selects the handler at the other
+// voter (see Config.CallHandlers) and with it the encoding of the body and the answer. Its error is an
+// UnreachableError.
 func (v *Voter) Call(ctx context.Context, p Peer, kind byte, body []byte) ([]byte, error) {
 	v.mu.Lock()
 	t := v.transport
