--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -56,7 +56,7 @@
 
 // The first byte of a call among voters, and the phases that operators see, are as recorded.
 func TestNamesAreAsRecorded(t *testing.T) {
-	golden.CheckText(t, "names", strings.Join([]string{string(rune(callVoter)), PhaseWaiting, PhaseAsking, PhaseAdmitted, PhaseVoting}, "\n")+"\n")
+	golden.CheckText(t, "names", strings.Join([]string{string(rune(voterCallKind)), PhaseNotRunning, PhaseRequestingReports, PhaseAwaitingAdmission, PhaseVoting}, "\n")+"\n")
 }
 
 // A voter's record of another has the recorded bytes, also where nothing has been seen.
