--- a/fleet/rules/errors.go
+++ b/fleet/rules/errors.go
@@ -8,12 +8,12 @@
 
 // TooLargeError is something beyond the bytes or the number that it may have.
 type TooLargeError struct {
-	What       string
-	Have, Most int
+	Quantity   string
+	Value, Max int
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%s: %d, at most %d; make it smaller", e.What, e.Have, e.Most)
+	return fmt.Sprintf("%s: %d, at most %d; make it smaller", e.Quantity, e.Value, e.Max)
 }
 
 // DocumentError says why a text is not a rule set.
@@ -44,11 +44,11 @@
 // LooserError is a limit of a rule set that allows more than a node's settings do.
 type LooserError struct {
 	Key        string
-	Have, Most int
+	Value, Max int
 }
 
 func (e *LooserError) Error() string {
-	return fmt.Sprintf("rule set: %s: %d is looser than the %d of this node's settings; publish a text with %d or less", e.Key, e.Have, e.Most, e.Most)
+	return fmt.Sprintf("rule set: %s: %d is looser than the %d of this node's settings; publish a text with %d or less", e.Key, e.Value, e.Max, e.Max)
 }
 
 // AllClosedError is a rule set that closes each zone that a node knows.
@@ -61,22 +61,22 @@
 // StaleVersionError is a command for another state of the registry: a publication
 // whose parent is not the newest version, or an activation of a number that others have passed.
 type StaleVersionError struct {
-	Have uint64 // what the registry has
-	Want uint64 // what the command goes by
+	Current uint64 // what the registry has
+	Given   uint64 // what the command goes by
 }
 
 func (e *StaleVersionError) Error() string {
-	return fmt.Sprintf("registry: the command goes by version %d, the registry has %d; read the status and decide anew", e.Want, e.Have)
+	return fmt.Sprintf("registry: the command goes by version %d, the registry has %d; read the status and decide anew", e.Given, e.Current)
 }
 
 // NoVersionError is a number of no version, or of one whose text is no longer kept.
 type NoVersionError struct {
-	Number uint64
-	Text   bool // the number is known, its text is gone
+	Number      uint64
+	TextDropped bool // the number is known, its text is gone
 }
 
 func (e *NoVersionError) Error() string {
-	if e.Text {
+	if e.TextDropped {
 		return fmt.Sprintf("registry: the text of version %d is not kept any more; publish it anew", e.Number)
 	}
 	return fmt.Sprintf("registry: there is no version %d; read the status for those there are", e.Number)
@@ -84,11 +84,11 @@
 
 // OrderError is an activation that would not come in the order of the numbers.
 type OrderError struct {
-	Number, Other uint64 // Other is scheduled, and would come on the wrong side
+	Number, Scheduled uint64 // Other is scheduled, and would come on the wrong side
 }
 
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("registry: version %d can't be activated across version %d, which is awaited; cancel that one first", e.Number, e.Other)
+	return fmt.Sprintf("registry: version %d can't be activated across version %d, which is awaited; cancel that one first", e.Number, e.Scheduled)
 }
 
 // PhaseError is a step of an activation out of its order.
@@ -104,12 +104,12 @@
 
 // CorruptError is bytes that are no command, snapshot or message.
 type CorruptError struct {
-	What   string
-	Reason error
+	Object string
+	Err    error
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%s: %s; drop it, and look for a node of another version or a faulty disk if it comes again", e.What, oneline.Of(e.Reason))
+	return fmt.Sprintf("%s: %s; drop it, and look for a node of another version or a faulty disk if it comes again", e.Object, oneline.Of(e.Err))
 }
 
-func (e *CorruptError) Unwrap() error { return e.Reason }
+func (e *CorruptError) Unwrap() error { return e.Err }
--- a/fleet/rules/explore_test.go
+++ b/fleet/rules/explore_test.go
@@ -52,7 +52,7 @@
 		w.restart(i, 0)
 	}
 	do := func(c Command) {
-		_, err := w.reg.Do(c)
+		_, err := w.reg.ApplyCommand(c)
 		require.NoError(t, err)
 	}
 	do(Command{Publish: &Publish{Text: []byte("# 1")}})
@@ -66,20 +66,20 @@
 			w.poll(i)
 		}
 		w.quorum[0] = w.begun[0]
-		w.nodes[0].Confirmed(w.at(0), w.quorum[0])
+		w.nodes[0].LeadershipConfirmed(w.at(0), w.quorum[0])
 		w.poll(0)
 		for len(w.air) > 0 {
 			f := w.air[0]
 			w.air = w.air[1:]
 			w.hear(f)
 			w.quorum[0] = w.begun[0]
-			w.nodes[0].Confirmed(w.at(0), w.quorum[0])
+			w.nodes[0].LeadershipConfirmed(w.at(0), w.quorum[0])
 			w.poll(0)
 		}
 	}
 	w.tick = 0
 	for i, n := range w.nodes {
-		number, _, why := n.Acting(w.at(i))
+		number, _, why := n.EffectiveVersion(w.at(i))
 		require.EqualValues(t, 1, number, "node %d: %v", i, why)
 	}
 	do(Command{Publish: &Publish{Parent: 1, Text: []byte("# 2")}})
@@ -146,8 +146,8 @@
 		for range 400 {
 			if _, _, ok := w.reg.NextActivation(); !ok && !w.reg.state.Prepared {
 				n := w.reg.Newest()
-				_, _ = w.reg.Do(Command{Publish: &Publish{Parent: n, Text: fmt.Append(nil, "# ", n)}})
-				_, _ = w.reg.Do(Command{Activate: &Activate{Number: n + 1, Kind: kind.Draw(t, "kind")}})
+				_, _ = w.reg.ApplyCommand(Command{Publish: &Publish{Parent: n, Text: fmt.Append(nil, "# ", n)}})
+				_, _ = w.reg.ApplyCommand(Command{Activate: &Activate{Number: n + 1, Kind: kind.Draw(t, "kind")}})
 			}
 			steps := w.steps()
 			calm := slices.IndexFunc(steps, func(s step) bool { return s.calm })
@@ -165,9 +165,9 @@
 // An ask that comes again while the first is being confirmed does not set that back: over links whose
 // round is longer than the time to try again nobody would ever get a lease.
 func TestAskThatComesAgainSetsNothingBack(t *testing.T) {
-	n := NewNode(Config{Node: 0, Incarnation: 1, Terms: DefaultTerms}, 0)
+	n := NewNode(Config{Node: 0, Incarnation: 1, LeaseParams: DefaultLeaseParams}, 0)
 	n.Observe(0, VersionState{Revision: 2, Active: VersionID{Number: 1}})
-	n.Lead(0)
+	n.BecomeLeader(0)
 	ask := func(at time.Duration, seq uint32) {
 		n.Receive(at, &Message{Sender: 1, Incarnation: 2, Request: &LeaseRequest{Sequence: seq, Revision: 2, Fresh: true}})
 	}
@@ -175,7 +175,7 @@
 	round, ok := n.BeginConfirmation()
 	require.True(t, ok)
 	ask(100*time.Millisecond, 2)
-	n.Confirmed(150*time.Millisecond, round)
+	n.LeadershipConfirmed(150*time.Millisecond, round)
 	for _, o := range n.Flush(150 * time.Millisecond) {
 		if o.To == 1 && o.Message.Grant != nil {
 			assert.EqualValues(t, 1, o.Message.Grant.Sequence)
--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -37,7 +37,7 @@
 	m.State.Kind, m.Grant.State.Kind = Overlap, Exclusive
 	m.State.Prepared.Number, m.Grant.State.Prepared.Number = 400, 500
 	m.Grant.Revision = m.Grant.State.Revision
-	golden.RoundTripOf(t, "message", m, (*Message).Encode, func(raw []byte) (*Message, error) { return Decode(raw, 1000) })
+	golden.RoundTripOf(t, "message", m, (*Message).Encode, func(raw []byte) (*Message, error) { return DecodeMessage(raw, 1000) })
 }
 
 // The registry's snapshot, taken while versions are published, awaited, active and cancelled, has the recorded bytes.
@@ -55,7 +55,7 @@
 		{Cancel: &Cancel{Number: 3, Author: "cy"}},
 		{Prepare: &Prepare{Number: 2}},
 	} {
-		_, err := r.Do(c)
+		_, err := r.ApplyCommand(c)
 		require.NoError(t, err)
 	}
 	golden.RoundTripOf(t, "snapshot", r, (*Registry).Snapshot, Restore)
@@ -77,7 +77,7 @@
 	require.Equal(t, 0.25, *set.Zones["hall-b"].Cost)
 	golden.CheckText(t, "digest", DigestOf(text).String())
 	for name, part := range map[string]map[string]any{"work": set.Work, "uplinks": set.Uplinks} {
-		section, err := Section(part)
+		section, err := MarshalSection(part)
 		require.NoError(t, err)
 		golden.CheckText(t, "section-"+name, string(section))
 	}
--- a/fleet/rules/grantor.go
+++ b/fleet/rules/grantor.go
@@ -38,7 +38,7 @@
 // each request after a confirmation of its leadership that began after the request had come. A relay passes on what is
 // left of its own lease.
 type LeaseGrantor struct {
-	terms Terms
+	terms LeaseParams
 	state VersionState
 	leads bool
 
@@ -59,7 +59,7 @@
 		return
 	}
 	if s.Active.Number != g.state.Active.Number {
-		g.previousUntil = now + g.terms.OverlapTime
+		g.previousUntil = now + g.terms.MaxOverlap
 	}
 	g.state = s
 	for i := range g.holders {
@@ -72,7 +72,7 @@
 // until it must have expired.
 func (g *LeaseGrantor) lead(now time.Duration) {
 	g.leads = true
-	g.unknownUntil = now + g.terms.certainlyElapsed(g.terms.LeaseTime)
+	g.unknownUntil = now + g.terms.certainlyElapsed(g.terms.LeaseDuration)
 	g.pending = nil
 	g.offeredRevision = 0
 }
--- a/fleet/rules/holder.go
+++ b/fleet/rules/holder.go
@@ -20,7 +20,7 @@
 
 // The reasons, the weightiest first.
 const (
-	Acting       Reason = iota // it does act by one
+	InEffect     Reason = iota // it does act by one
 	NoVersion                  // none is active
 	NoLease                    // none was granted, or it has expired
 	NoText                     // the text of the version is not here yet
@@ -58,7 +58,7 @@
 // requested them, and decides by which version the node acts. It acts by none whose number the disk has not persisted, nor
 // by one below that number.
 type LeaseHolder struct {
-	terms           Terms
+	terms           LeaseParams
 	index           int
 	state           VersionState
 	trimmedRevision uint64       // of a preparation to which the leases here are trimmed
@@ -161,9 +161,9 @@
 	return &h.leases[len(h.leases)-1]
 }
 
-// Acting returns the version that a request which begins now goes by, and the end of the lease on it by this node's
+// EffectiveVersion returns the version that a request which begins now goes by, and the end of the lease on it by this node's
 // clock; 0 is the settings alone, and why.
-func (h *LeaseHolder) Acting(now time.Duration) (number uint64, until time.Duration, why Reason) {
+func (h *LeaseHolder) EffectiveVersion(now time.Duration) (number uint64, until time.Duration, why Reason) {
 	why = NoLease
 	if h.state.Active.Number == 0 {
 		why = NoVersion
@@ -180,7 +180,7 @@
 		case l.version.Number > h.highWaterMark:
 			why = NotPersisted
 		default:
-			return l.version.Number, l.end, Acting
+			return l.version.Number, l.end, InEffect
 		}
 	}
 	return 0, 0, why
--- a/fleet/rules/message.go
+++ b/fleet/rules/message.go
@@ -14,22 +14,22 @@
 	maxLengthMicros = uint32(time.Hour / time.Microsecond)
 )
 
-// Terms are the times and limits of the leases, the same at all nodes of a fleet.
-type Terms struct {
-	LeaseTime     time.Duration // length of a lease
-	OverlapTime   time.Duration // for which two versions are acted by side by side at most
+// LeaseParams are the times and limits of the leases, the same at all nodes of a fleet.
+type LeaseParams struct {
+	LeaseDuration time.Duration // length of a lease
+	MaxOverlap    time.Duration // for which two versions are acted by side by side at most
 	RenewInterval time.Duration // between two requests
 	RetryInterval time.Duration // until a request or a notification without an answer is sent again
 	MaxClockDrift float64       // fraction by which the rates of two nodes' clocks differ at most
 	MaxHolders    int           // of one grantor
 }
 
-// DefaultTerms are the terms of a fleet where nothing else is said. A leader that dies is followed within 2 s, so a lease
+// DefaultLeaseParams are the terms of a fleet where nothing else is said. A leader that dies is followed within 2 s, so a lease
 // has 3 s left where it is renewed each second. A clock is slewed by 500 parts in a million and its crystal is off by less
 // than 100; MaxClockDrift is ten times what two such can do.
-var DefaultTerms = Terms{
-	LeaseTime:     4 * time.Second,
-	OverlapTime:   time.Second,
+var DefaultLeaseParams = LeaseParams{
+	LeaseDuration: 4 * time.Second,
+	MaxOverlap:    time.Second,
 	RenewInterval: time.Second,
 	RetryInterval: 100 * time.Millisecond,
 	MaxClockDrift: 0.01,
@@ -37,19 +37,19 @@
 }
 
 // certainlyElapsed returns the time on one node's clock in which a span on any other's has passed for sure.
-func (t *Terms) certainlyElapsed(span time.Duration) time.Duration {
+func (t *LeaseParams) certainlyElapsed(span time.Duration) time.Duration {
 	return span + time.Duration(float64(span)*t.MaxClockDrift)
 }
 
 // maxLease returns the length of the leases that may be granted in a state.
-func (t *Terms) maxLease(s *VersionState) time.Duration {
+func (t *LeaseParams) maxLease(s *VersionState) time.Duration {
 	switch {
 	case s.Active.Number == 0:
 		return 0
 	case s.Prepared.Number == 0:
-		return t.LeaseTime
+		return t.LeaseDuration
 	case s.Kind == Overlap:
-		return min(t.LeaseTime, time.Duration(float64(t.OverlapTime)/(1+t.MaxClockDrift)))
+		return min(t.LeaseDuration, time.Duration(float64(t.MaxOverlap)/(1+t.MaxClockDrift)))
 	}
 	return 0
 }
@@ -57,12 +57,12 @@
 // Message is what one node sends another about leases. It has any of its parts. It is encoded as CBOR by the numbers in
 // its tags; unknown fields are skipped.
 type Message struct {
-	Sender      int           `cbor:"1,keyasint"` // index in the fleet
-	Incarnation uint64        `cbor:"2,keyasint"` // of the sender's process
-	Request     *LeaseRequest `cbor:"3,keyasint,omitempty"`
-	Grant       *LeaseGrant   `cbor:"4,keyasint,omitempty"`
-	State       *VersionState `cbor:"5,keyasint,omitempty"` // of a grantor: to be acknowledged where a version is prepared
-	Ack         uint64        `cbor:"6,keyasint,omitempty"` // revision to which all leases at and from the sender are trimmed
+	Sender        int           `cbor:"1,keyasint"` // index in the fleet
+	Incarnation   uint64        `cbor:"2,keyasint"` // of the sender's process
+	Request       *LeaseRequest `cbor:"3,keyasint,omitempty"`
+	Grant         *LeaseGrant   `cbor:"4,keyasint,omitempty"`
+	State         *VersionState `cbor:"5,keyasint,omitempty"` // of a grantor: to be acknowledged where a version is prepared
+	AckedRevision uint64        `cbor:"6,keyasint,omitempty"` // revision to which all leases at and from the sender are trimmed
 }
 
 // LeaseRequest requests a lease.
@@ -93,8 +93,8 @@
 	return raw, err
 }
 
-// Decode reads a message of a node of a fleet. A message with anything that is out of range is dropped whole.
-func Decode(raw []byte, fleetSize int) (*Message, error) {
+// DecodeMessage reads a message of a node of a fleet. A message with anything that is out of range is dropped whole.
+func DecodeMessage(raw []byte, fleetSize int) (*Message, error) {
 	if len(raw) > MaxMessageBytes {
 		return nil, &CorruptError{"message", &TooLargeError{"bytes of a message", len(raw), MaxMessageBytes}}
 	}
--- a/fleet/rules/node.go
+++ b/fleet/rules/node.go
@@ -16,7 +16,7 @@
 	Node          int    // index in the fleet
 	Incarnation   uint64 // of the process; no two of one node are the same, and none is 0
 	HighWaterMark uint64 // version number that the disk has persisted last; 0 is none
-	Terms         Terms
+	LeaseParams   LeaseParams
 }
 
 // Node is one node's part of the leases: a holder, and a grantor for those who request leases from it. The caller
@@ -48,13 +48,13 @@
 		index:       c.Node,
 		incarnation: c.Incarnation,
 		holder: LeaseHolder{
-			terms:         c.Terms,
+			terms:         c.LeaseParams,
 			index:         c.Node,
 			highWaterMark: c.HighWaterMark,
 			requestAt:     now,
-			requestedAt:   now - c.Terms.RenewInterval,
+			requestedAt:   now - c.LeaseParams.RenewInterval,
 		},
-		grantor: LeaseGrantor{terms: c.Terms},
+		grantor: LeaseGrantor{terms: c.LeaseParams},
 	}
 }
 
@@ -90,18 +90,18 @@
 	n.holder.highWaterMark = max(n.holder.highWaterMark, number)
 }
 
-// Acting returns the version that a request which begins now goes by, and until when that holds by this node's clock if
+// EffectiveVersion returns the version that a request which begins now goes by, and until when that holds by this node's clock if
 // nothing is received; 0 is the settings alone, and why.
-func (n *Node) Acting(now time.Duration) (number uint64, until time.Duration, why Reason) {
-	return n.holder.Acting(now)
+func (n *Node) EffectiveVersion(now time.Duration) (number uint64, until time.Duration, why Reason) {
+	return n.holder.EffectiveVersion(now)
 }
 
-// Lead says that this node was elected. The registry's state by all that was agreed before its term must have been
+// BecomeLeader says that this node was elected. The registry's state by all that was agreed before its term must have been
 // observed: with raft, after a barrier in its term.
-func (n *Node) Lead(now time.Duration) { n.grantor.lead(now) }
+func (n *Node) BecomeLeader(now time.Duration) { n.grantor.lead(now) }
 
-// Follow says that this node leads no more, or may not.
-func (n *Node) Follow() { n.grantor.follow() }
+// BecomeFollower says that this node leads no more, or may not.
+func (n *Node) BecomeFollower() { n.grantor.follow() }
 
 // BeginConfirmation reports whether requests wait for a confirmation of the leadership, and returns the number of the
 // round that answers all that have come so far. The caller begins it after this call, by a quorum.
@@ -112,14 +112,14 @@
 	return n.grantor.beginConfirmation()
 }
 
-// Confirmed says that a quorum has confirmed this node's leadership in a round that began after the call of
+// LeadershipConfirmed says that a quorum has confirmed this node's leadership in a round that began after the call of
 // BeginConfirmation that returned the number.
-func (n *Node) Confirmed(now time.Duration, round uint64) {
+func (n *Node) LeadershipConfirmed(now time.Duration, round uint64) {
 	if !n.grantor.leads {
 		return
 	}
 	for _, p := range n.grantor.confirmed(round) {
-		n.sendGrant(p.node, n.grantor.grant(now, p, n.holder.terms.LeaseTime))
+		n.sendGrant(p.node, n.grantor.grant(now, p, n.holder.terms.LeaseDuration))
 	}
 }
 
@@ -140,8 +140,8 @@
 	if m.State != nil {
 		n.receiveState(now, m.Sender, *m.State)
 	}
-	if m.Ack != 0 {
-		n.grantor.acknowledged(now, m.Sender, m.Incarnation, m.Ack)
+	if m.AckedRevision != 0 {
+		n.grantor.acknowledged(now, m.Sender, m.Incarnation, m.AckedRevision)
 	}
 	if m.Grant != nil && m.Grant.Incarnation == n.incarnation {
 		n.receiveGrant(now, m.Grant)
@@ -236,7 +236,7 @@
 		if !n.mayAcknowledge(now, to) {
 			return false
 		}
-		n.messageTo(to).Ack = n.holder.state.Revision
+		n.messageTo(to).AckedRevision = n.holder.state.Revision
 		return true
 	})
 }
--- a/fleet/rules/registry.go
+++ b/fleet/rules/registry.go
@@ -17,7 +17,7 @@
 
 // The kinds of activation.
 const (
-	Overlap   ActivationKind = 1 // both are acted by side by side, for Terms.OverlapTime at most
+	Overlap   ActivationKind = 1 // both are acted by side by side, for LeaseParams.MaxOverlap at most
 	Exclusive ActivationKind = 2 // never both at once: in between nodes act by their settings alone
 )
 
@@ -160,11 +160,11 @@
 	if err != nil {
 		return Result{}, err
 	}
-	return r.Do(c)
+	return r.ApplyCommand(c)
 }
 
-// Do applies a command.
-func (r *Registry) Do(c Command) (Result, error) {
+// ApplyCommand applies a command.
+func (r *Registry) ApplyCommand(c Command) (Result, error) {
 	if err := c.check(); err != nil {
 		return Result{}, err
 	}
@@ -185,7 +185,7 @@
 
 func (r *Registry) publish(c *Publish) (Result, error) {
 	if c.Parent != r.state.Newest {
-		return Result{}, &StaleVersionError{Have: r.state.Newest, Want: c.Parent}
+		return Result{}, &StaleVersionError{Current: r.state.Newest, Given: c.Parent}
 	}
 	text := c.Text
 	if text == nil {
@@ -233,15 +233,15 @@
 	case v == nil:
 		return Result{}, &NoVersionError{Number: c.Number}
 	case c.Number <= r.state.Active:
-		return Result{}, &StaleVersionError{Have: r.state.Active, Want: c.Number}
+		return Result{}, &StaleVersionError{Current: r.state.Active, Given: c.Number}
 	case v.Text == nil:
-		return Result{}, &NoVersionError{Number: c.Number, Text: true}
+		return Result{}, &NoVersionError{Number: c.Number, TextDropped: true}
 	case len(r.state.Scheduled) >= maxScheduled:
 		return Result{}, &TooLargeError{"activations awaited", len(r.state.Scheduled) + 1, maxScheduled}
 	}
 	for i, number := range r.state.Scheduled {
 		if r.conflicts(c, number, i == 0 && r.state.Prepared) {
-			return Result{}, &OrderError{Number: c.Number, Other: number}
+			return Result{}, &OrderError{Number: c.Number, Scheduled: number}
 		}
 	}
 	v.Status = Scheduled
@@ -269,11 +269,11 @@
 	target := r.find(c.Target)
 	switch {
 	case c.Parent != r.state.Newest:
-		return Result{}, &StaleVersionError{Have: r.state.Newest, Want: c.Parent}
+		return Result{}, &StaleVersionError{Current: r.state.Newest, Given: c.Parent}
 	case target == nil:
 		return Result{}, &NoVersionError{Number: c.Target}
 	case target.Text == nil:
-		return Result{}, &NoVersionError{Number: c.Target, Text: true}
+		return Result{}, &NoVersionError{Number: c.Target, TextDropped: true}
 	}
 	version := Version{
 		Digest:       target.Digest,
--- a/fleet/rules/registry_test.go
+++ b/fleet/rules/registry_test.go
@@ -90,7 +90,7 @@
 func TestRegistryGoesByItsErrors(t *testing.T) {
 	r := &Registry{}
 	do := func(c Command) error {
-		_, err := r.Do(c)
+		_, err := r.ApplyCommand(c)
 		return err
 	}
 	for n := range uint64(maxVersions + 40) {
@@ -98,12 +98,12 @@
 	}
 	newest := r.Newest()
 	assert.LessOrEqual(t, len(r.state.Versions), maxVersions+1)
-	assert.Equal(t, &StaleVersionError{Have: newest, Want: 3}, do(Command{Publish: &Publish{Parent: 3}}))
+	assert.Equal(t, &StaleVersionError{Current: newest, Given: 3}, do(Command{Publish: &Publish{Parent: 3}}))
 	assert.Equal(t, &NoVersionError{Number: 2}, do(Command{Activate: &Activate{Number: 2, Kind: Overlap}}))
-	assert.Equal(t, &NoVersionError{Number: newest - maxTexts, Text: true}, do(Command{Rollback: &Rollback{Parent: newest, Target: newest - maxTexts, Kind: Overlap}}))
+	assert.Equal(t, &NoVersionError{Number: newest - maxTexts, TextDropped: true}, do(Command{Rollback: &Rollback{Parent: newest, Target: newest - maxTexts, Kind: Overlap}}))
 	require.NoError(t, do(Command{Activate: &Activate{Number: newest - 1, Kind: Exclusive, At: 70}}))
-	assert.Equal(t, &OrderError{Number: newest, Other: newest - 1}, do(Command{Activate: &Activate{Number: newest, Kind: Overlap, At: 60}}))
-	assert.Equal(t, &OrderError{Number: newest - 2, Other: newest - 1}, do(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap, At: 80}}))
+	assert.Equal(t, &OrderError{Number: newest, Scheduled: newest - 1}, do(Command{Activate: &Activate{Number: newest, Kind: Overlap, At: 60}}))
+	assert.Equal(t, &OrderError{Number: newest - 2, Scheduled: newest - 1}, do(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap, At: 80}}))
 	require.NoError(t, do(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap}}))
 	number, at, ok := r.NextActivation()
 	assert.Equal(t, [3]any{newest - 2, uint64(0), true}, [3]any{number, at, ok})
@@ -117,7 +117,7 @@
 	require.NoError(t, do(Command{Prepare: &Prepare{Number: newest - 2}}))
 	assert.Equal(t, &PhaseError{Step: "activating", Number: newest - 2, Prepared: newest - 2}, do(Command{Commit: &Commit{Number: newest - 2, Revision: step}}))
 	require.NoError(t, do(Command{Commit: &Commit{Number: newest - 2, Revision: r.State().Revision}}))
-	assert.Equal(t, &StaleVersionError{Have: newest - 2, Want: newest - 3}, do(Command{Activate: &Activate{Number: newest - 3, Kind: Overlap}}))
+	assert.Equal(t, &StaleVersionError{Current: newest - 2, Given: newest - 3}, do(Command{Activate: &Activate{Number: newest - 3, Kind: Overlap}}))
 
 	// A way back is the older text under a new number, and what was awaited is off.
 	require.NoError(t, do(Command{Rollback: &Rollback{Parent: newest, Target: newest - 5, Kind: Exclusive, Author: "ops"}}))
@@ -138,7 +138,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		r := &Registry{}
-		_, _ = r.Do(Command{Publish: &Publish{Text: []byte("# 1")}})
+		_, _ = r.ApplyCommand(Command{Publish: &Publish{Text: []byte("# 1")}})
 		if _, err := r.Apply(raw); err == nil {
 			snapshot, _ := r.Snapshot()
 			if _, err := Restore(snapshot); err != nil {
@@ -151,10 +151,10 @@
 func FuzzRestore(f *testing.F) {
 	r := &Registry{}
 	for n := range uint64(3) {
-		_, _ = r.Do(Command{Publish: &Publish{Parent: n, Text: []byte("# 1")}})
+		_, _ = r.ApplyCommand(Command{Publish: &Publish{Parent: n, Text: []byte("# 1")}})
 	}
-	_, _ = r.Do(Command{Activate: &Activate{Number: 2, Kind: Exclusive}})
-	_, _ = r.Do(Command{Prepare: &Prepare{Number: 2}})
+	_, _ = r.ApplyCommand(Command{Activate: &Activate{Number: 2, Kind: Exclusive}})
+	_, _ = r.ApplyCommand(Command{Prepare: &Prepare{Number: 2}})
 	raw, _ := r.Snapshot()
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -164,16 +164,16 @@
 		}
 		r.State()
 		for _, v := range r.Versions() {
-			_, _ = r.Do(Command{Rollback: &Rollback{Parent: r.Newest(), Target: v.Number, Kind: Overlap}})
-			_, _ = r.Do(Command{Prepare: &Prepare{Number: r.Newest()}})
-			_, _ = r.Do(Command{Commit: &Commit{Number: r.Newest(), Revision: r.State().Revision}})
+			_, _ = r.ApplyCommand(Command{Rollback: &Rollback{Parent: r.Newest(), Target: v.Number, Kind: Overlap}})
+			_, _ = r.ApplyCommand(Command{Prepare: &Prepare{Number: r.Newest()}})
+			_, _ = r.ApplyCommand(Command{Commit: &Commit{Number: r.Newest(), Revision: r.State().Revision}})
 		}
 	})
 }
 
 func FuzzMessage(f *testing.F) {
 	word := VersionState{Revision: 3, Active: VersionID{Number: 1}, Prepared: VersionID{Number: 2}, Kind: Exclusive}
-	for _, m := range []Message{{Sender: 1, Incarnation: 5, State: &word}, {Sender: 1, Incarnation: 5, Ack: 3, Request: &LeaseRequest{Sequence: 1, Fresh: true}},
+	for _, m := range []Message{{Sender: 1, Incarnation: 5, State: &word}, {Sender: 1, Incarnation: 5, AckedRevision: 3, Request: &LeaseRequest{Sequence: 1, Fresh: true}},
 		{Sender: 1, Incarnation: 5, Grant: &LeaseGrant{Incarnation: 9, Sequence: 1, Revision: 3, Length: 1e6, State: &word}}} {
 		raw, err := m.Encode()
 		if err != nil {
@@ -182,19 +182,19 @@
 		f.Add(raw)
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		m, err := Decode(raw, 4)
+		m, err := DecodeMessage(raw, 4)
 		if err != nil {
 			return
 		}
 		for _, leads := range []bool{false, true} {
-			n := NewNode(Config{Node: 0, Incarnation: 9, Terms: DefaultTerms}, 0)
+			n := NewNode(Config{Node: 0, Incarnation: 9, LeaseParams: DefaultLeaseParams}, 0)
 			n.SetGrantors(0, []int{1})
 			if leads {
-				n.Lead(0)
+				n.BecomeLeader(0)
 			}
 			n.Flush(0)
 			n.Receive(1, m)
-			if _, until, _ := n.Acting(1); until > DefaultTerms.LeaseTime {
+			if _, until, _ := n.EffectiveVersion(1); until > DefaultLeaseParams.LeaseDuration {
 				t.Fatalf("a lease until %v", until)
 			}
 			for _, o := range n.Flush(1) {
--- a/fleet/rules/set.go
+++ b/fleet/rules/set.go
@@ -140,8 +140,8 @@
 	return first
 }
 
-// Section returns a part that another package reads, as a TOML text of its own: s.Work or s.Uplinks.
-func Section(part map[string]any) ([]byte, error) {
+// MarshalSection returns a part that another package reads, as a TOML text of its own: s.Work or s.Uplinks.
+func MarshalSection(part map[string]any) ([]byte, error) {
 	text, err := toml.Marshal(part)
 	if err != nil {
 		return nil, &DocumentError{Key: "section", Reason: err.Error()}
--- a/fleet/rules/set_test.go
+++ b/fleet/rules/set_test.go
@@ -41,7 +41,7 @@
 	c.PriceFactor[0] = 0
 	assert.Equal(t, &Compiled{PriceFactor: []float64{0, 2.5}, QuotaFactor: []float64{1, 0.5}, TenantQuotaFactor: map[string]float64{"gold 00000000b4d65521": 1.5},
 		MaxAttempts: []int{3, 2}, MaxInFlight: 300, ClosedZones: []string{"hall-a"}, CrossZoneCost: map[string]float64{"hall-b": 0.2}}, c)
-	text, err := Section(s.Work)
+	text, err := MarshalSection(s.Work)
 	require.NoError(t, err)
 	assert.Contains(t, string(text), "needs = '20m'")
 
@@ -99,7 +99,7 @@
 				}
 			}
 		}
-		if _, err := Section(s.Work); err != nil {
+		if _, err := MarshalSection(s.Work); err != nil {
 			t.Fatalf("the work plan can't be written again: %v", err)
 		}
 	})
--- a/fleet/rules/world_test.go
+++ b/fleet/rules/world_test.go
@@ -10,7 +10,7 @@
 
 // The terms of a world: a tick is 2 ms of a fast clock and 1 ms of a slow one. A lease has ended after
 // two ticks by any clock, and what may overlap after one.
-var small = Terms{LeaseTime: 2 * time.Millisecond, OverlapTime: 2 * time.Millisecond, RenewInterval: time.Millisecond,
+var small = LeaseParams{LeaseDuration: 2 * time.Millisecond, MaxOverlap: 2 * time.Millisecond, RenewInterval: time.Millisecond,
 	RetryInterval: time.Millisecond, MaxClockDrift: 1, MaxHolders: 4}
 
 const airMost = 5 // messages on their way; what comes beyond is lost
@@ -145,7 +145,7 @@
 }
 
 func (w *world) hear(f flight) {
-	m, err := Decode([]byte(f.raw), 3)
+	m, err := DecodeMessage([]byte(f.raw), 3)
 	if err != nil {
 		panic(err)
 	}
@@ -163,7 +163,7 @@
 }
 
 func (w *world) do(c Command) {
-	if _, err := w.reg.Do(c); err != nil {
+	if _, err := w.reg.ApplyCommand(c); err != nil {
 		panic(err)
 	}
 	w.nodes[w.leader].Observe(w.at(w.leader), w.reg.State())
@@ -173,7 +173,7 @@
 func (w *world) elect(i int) {
 	w.leader = i
 	w.nodes[i].Observe(w.at(i), w.reg.State())
-	w.nodes[i].Lead(w.at(i))
+	w.nodes[i].BecomeLeader(w.at(i))
 	if w.begun[i], w.quorum[i] = 0, 0; w.plant == unheard {
 		w.nodes[i].grantor.unknownUntil = 0
 	}
@@ -183,13 +183,13 @@
 func (w *world) restart(i int, mark uint64) {
 	w.life++
 	w.disk[i], w.begun[i], w.quorum[i] = mark, 0, 0
-	w.nodes[i] = NewNode(Config{Node: i, Incarnation: w.life, HighWaterMark: mark, Terms: w.terms()}, w.at(i))
+	w.nodes[i] = NewNode(Config{Node: i, Incarnation: w.life, HighWaterMark: mark, LeaseParams: w.terms()}, w.at(i))
 	w.nodes[i].SetGrantors(w.at(i), w.parents[i])
 	w.nodes[i].holder.hasFreshLease = w.plant == goneBack
 	w.poll(i)
 }
 
-func (w *world) terms() Terms {
+func (w *world) terms() LeaseParams {
 	t := small
 	if w.plant == drifting {
 		t.MaxClockDrift = 0
@@ -260,13 +260,17 @@
 		add(true, func(w *world) { w.quorum[i] = w.begun[i] })
 	}
 	if n.grantor.leads && slices.ContainsFunc(n.grantor.pending, func(p pendingRequest) bool { return p.round != 0 && p.round <= w.quorum[i] }) {
-		add(true, func(w *world) { w.nodes[i].Confirmed(w.at(i), w.quorum[i]); w.poll(i) })
+		add(true, func(w *world) { w.nodes[i].LeadershipConfirmed(w.at(i), w.quorum[i]); w.poll(i) })
 	}
 	if w.elects > 0 && i < 2 && i != w.leader { // the old one goes on as if it led
 		add(false, func(w *world) { w.elects--; w.elect(i) })
 	}
 	if n.grantor.leads && i != w.leader {
-		add(false, func(w *world) { w.nodes[i].Follow(); w.nodes[i].SetGrantors(w.at(i), []int{w.leader}); w.poll(i) })
+		add(false, func(w *world) {
+			w.nodes[i].BecomeFollower()
+			w.nodes[i].SetGrantors(w.at(i), []int{w.leader})
+			w.poll(i)
+		})
 	}
 	if w.crashes > 0 && i != w.leader {
 		add(false, func(w *world) { w.crashes--; w.restart(i, w.disk[i]) })
@@ -280,7 +284,7 @@
 func (w *world) wrong() string {
 	least, most := uint64(1<<63), uint64(0)
 	for i, n := range w.nodes {
-		number, _, _ := n.Acting(w.at(i))
+		number, _, _ := n.EffectiveVersion(w.at(i))
 		if number == 0 {
 			continue
 		}
--- a/internal/consensus/learner/lead.go
+++ b/internal/consensus/learner/lead.go
@@ -32,7 +32,7 @@
 				return
 			}
 			l.Counts.Verified.Add(1)
-			l.node.Confirmed(Clock(), round)
+			l.node.LeadershipConfirmed(Clock(), round)
 		})
 	})
 }
--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -49,7 +49,7 @@
 	Name, Zone      string
 	Voters          []string // names
 	Settings        rules.Settings
-	Terms           rules.Terms
+	Terms           rules.LeaseParams
 	Dir             string // on a disk that outlives the process
 	Disk            disk.FS
 	Send            func(to int, raw []byte) error
@@ -139,7 +139,7 @@
 		Node:          cfg.Node,
 		Incarnation:   l.incarnation,
 		HighWaterMark: persisted,
-		Terms:         cfg.Terms,
+		LeaseParams:   cfg.Terms,
 	}, now)
 	l.acting.Store(&Acting{Why: rules.NoLease})
 	l.state.Store(&rules.VersionState{})
@@ -215,11 +215,11 @@
 	l.postAlways(func() {
 		l.leads = leads
 		if !leads {
-			l.node.Follow()
+			l.node.BecomeFollower()
 			return
 		}
 		l.node.Observe(Clock(), l.config.Registry.State())
-		l.node.Lead(Clock())
+		l.node.BecomeLeader(Clock())
 	})
 }
 
@@ -306,7 +306,7 @@
 }
 
 func (l *Learner) actingNow() *Acting {
-	number, until, why := l.node.Acting(Clock())
+	number, until, why := l.node.EffectiveVersion(Clock())
 	if number == 0 {
 		return &Acting{Until: until, Why: why}
 	}
--- a/internal/consensus/learner/messages.go
+++ b/internal/consensus/learner/messages.go
@@ -88,7 +88,7 @@
 	isNode := func(index int) bool { return index >= 0 && index < l.config.FleetSize }
 	switch raw[0] {
 	case kindRules:
-		m, err := rules.Decode(raw[1:], l.config.FleetSize)
+		m, err := rules.DecodeMessage(raw[1:], l.config.FleetSize)
 		if err != nil {
 			slog.Debug("rules: message dropped", "error", err)
 			return nil
--- a/internal/testbed/scale/outage/outage_test.go
+++ b/internal/testbed/scale/outage/outage_test.go
@@ -113,7 +113,7 @@
 	assert.Zero(t, s.wrong.staleRequests())
 	n := &s.nodes[60]
 	n.acting, n.changed = r.of[0], s.Now
-	s.Now += 2 * rules.DefaultTerms.OverlapTime
+	s.Now += 2 * rules.DefaultLeaseParams.MaxOverlap
 	s.acts(60, r.of[1])
 	assert.Greater(t, s.wrong.staleRequests(), none)
 }
--- a/internal/testbed/scale/outage/rulefleet.go
+++ b/internal/testbed/scale/outage/rulefleet.go
@@ -85,8 +85,8 @@
 	for i := range s.nodes {
 		n := &s.nodes[i]
 		n.skew = time.Duration(s.rng.Int64N(int64(time.Hour)))
-		n.rate = 1 + rules.DefaultTerms.MaxClockDrift/2*(2*s.rng.Float64()-1)
-		n.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i) + 1, Terms: rules.DefaultTerms}, s.clock(i))
+		n.rate = 1 + rules.DefaultLeaseParams.MaxClockDrift/2*(2*s.rng.Float64()-1)
+		n.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i) + 1, LeaseParams: rules.DefaultLeaseParams}, s.clock(i))
 	}
 	s.elect(0)
 	return s
@@ -133,7 +133,7 @@
 	s.leader, s.busy = i, false
 	s.term++
 	s.nodes[i].Observe(s.clock(i), s.registry.State())
-	s.nodes[i].Lead(s.clock(i))
+	s.nodes[i].BecomeLeader(s.clock(i))
 	live := s.members(i)
 	s.relays = map[int]bool{}
 	for j := range s.nodes {
--- a/internal/testbed/scale/outage/ruleobserve.go
+++ b/internal/testbed/scale/outage/ruleobserve.go
@@ -20,7 +20,7 @@
 func (s *ruleFleet) observe(i int) {
 	n := &s.nodes[i]
 	now := s.clock(i)
-	number, until, _ := n.Acting(now)
+	number, until, _ := n.EffectiveVersion(now)
 	if number != 0 {
 		s.lookAt(i, s.Now+time.Duration(float64(until-now)/n.rate)+time.Microsecond)
 	}
@@ -69,7 +69,7 @@
 	if v == nil || v.passed == 0 {
 		return
 	}
-	if limit := max(n.changed, v.passed+rules.DefaultTerms.OverlapTime+time.Millisecond); s.Now > limit {
+	if limit := max(n.changed, v.passed+rules.DefaultLeaseParams.MaxOverlap+time.Millisecond); s.Now > limit {
 		s.wrong.staleTime += s.Now - limit
 	}
 }
--- a/internal/testbed/scale/outage/rulepublish.go
+++ b/internal/testbed/scale/outage/rulepublish.go
@@ -56,7 +56,7 @@
 			s.propose(c, then) // its publisher tries again at the next leader
 			return
 		}
-		result, err := s.registry.Do(c)
+		result, err := s.registry.ApplyCommand(c)
 		if result.StateChanged {
 			s.activated()
 			s.nodes[s.leader].Observe(s.clock(s.leader), s.registry.State())
@@ -86,7 +86,7 @@
 		if took, ok := s.round(false); ok {
 			s.after(took, func() {
 				if s.term == term && s.leader == i {
-					n.Confirmed(s.clock(i), round)
+					n.LeadershipConfirmed(s.clock(i), round)
 					s.step(i)
 				}
 			})
--- a/internal/testbed/scale/outage/rulewire.go
+++ b/internal/testbed/scale/outage/rulewire.go
@@ -55,7 +55,7 @@
 	}
 	s.meter.message(s.Now, to, float64(packetHeader+len(raw)))
 	began := time.Now()
-	m, err := rules.Decode(raw, s.size.nodes)
+	m, err := rules.DecodeMessage(raw, s.size.nodes)
 	if err != nil {
 		s.err = err
 		return
--- a/internal/testbed/scale/outage/zonemembers.go
+++ b/internal/testbed/scale/outage/zonemembers.go
@@ -107,7 +107,7 @@
 		n := &r.nodes[i]
 		mark := n.keeping
 		*n = ruleNode{skew: n.skew, rate: n.rate, keeping: mark, changed: r.Now}
-		n.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i+1) + uint64(r.size.nodes), HighWaterMark: mark, Terms: rules.DefaultTerms},
+		n.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i+1) + uint64(r.size.nodes), HighWaterMark: mark, LeaseParams: rules.DefaultLeaseParams},
 			r.clock(i))
 	}
 	r.membersChange(r.zone, 0, joinMost)
--- a/internal/testbed/virtual/rules.go
+++ b/internal/testbed/virtual/rules.go
@@ -92,8 +92,8 @@
 	for i := range p.nodes {
 		r := &p.nodes[i]
 		r.skew = time.Duration(p.rng.Int64N(int64(time.Hour)))
-		r.rate = 1 + rules.DefaultTerms.MaxClockDrift/2*(2*p.rng.Float64()-1)
-		r.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i) + 1, Terms: rules.DefaultTerms}, p.at(i))
+		r.rate = 1 + rules.DefaultLeaseParams.MaxClockDrift/2*(2*p.rng.Float64()-1)
+		r.Node = rules.NewNode(rules.Config{Node: i, Incarnation: uint64(i) + 1, LeaseParams: rules.DefaultLeaseParams}, p.at(i))
 	}
 	p.elect(0)
 	figures := p.course()
@@ -221,7 +221,7 @@
 		if p.term != term || p.leader < 0 {
 			return
 		}
-		if res, err := p.agreed.Do(c); err != nil {
+		if res, err := p.agreed.ApplyCommand(c); err != nil {
 			panic(fmt.Sprint("a command of the play's own: ", err))
 		} else if res.StateChanged && c.Commit != nil {
 			p.active = p.Now
@@ -249,7 +249,7 @@
 func (p *rulesPlay) elect(i int) {
 	p.leader, p.term = i, p.term+1
 	p.nodes[i].Observe(p.at(i), p.agreed.State())
-	p.nodes[i].Lead(p.at(i))
+	p.nodes[i].BecomeLeader(p.at(i))
 	p.turn(i)
 	var v []int
 	for j := range min(voters, len(p.nodes)) {
@@ -274,7 +274,7 @@
 		if round, ok := r.BeginConfirmation(); ok {
 			p.after(p.round(false), func() {
 				if p.term == term && p.leader == i {
-					r.Confirmed(p.at(i), round)
+					r.LeadershipConfirmed(p.at(i), round)
 					p.turn(i)
 				}
 			})
@@ -337,7 +337,7 @@
 		return
 	}
 	p.after(p.wire(from, o.To), func() {
-		m, err := rules.Decode(raw, len(p.nodes))
+		m, err := rules.DecodeMessage(raw, len(p.nodes))
 		if err != nil {
 			panic(err)
 		}
@@ -349,7 +349,7 @@
 // look notes by which version a node acts from now, and what must not be.
 func (p *rulesPlay) look(i int) {
 	r := &p.nodes[i]
-	number, until, _ := r.Acting(p.at(i))
+	number, until, _ := r.EffectiveVersion(p.at(i))
 	if number != 0 && !r.looks { // as it ends
 		r.looks = true
 		p.after(time.Duration(float64(until-p.at(i))/r.rate)+time.Microsecond, func() { r.looks = false; p.look(i) })
@@ -375,7 +375,7 @@
 		r.inForce = min(r.inForce, p.Now)
 	}
 	for other, n := range p.by {
-		if n > 0 && other != 0 && other != number && (p.kind == rules.Exclusive || p.Now > p.active+rules.DefaultTerms.OverlapTime+time.Millisecond) {
+		if n > 0 && other != 0 && other != number && (p.kind == rules.Exclusive || p.Now > p.active+rules.DefaultLeaseParams.MaxOverlap+time.Millisecond) {
 			p.wrong++
 		}
 	}
