--- a/fleet/rules/command.go
+++ b/fleet/rules/command.go
@@ -13,7 +13,7 @@
 	MaxCommandBytes = MaxTextBytes + 1024
 	// MaxSnapshotBytes is the size of a registry's snapshot at most: the texts that are kept, those of the versions in
 	// use, and a record for each version.
-	MaxSnapshotBytes = (maxTexts+maxScheduled+2)*(MaxTextBytes+1024) + maxVersions*256
+	MaxSnapshotBytes = (maxKeptTexts+maxScheduledActivations+2)*(MaxTextBytes+1024) + maxKeptVersions*256
 )
 
 // Command is an entry of the consensus log. It has exactly one of its parts. It is encoded as CBOR by the numbers in its
@@ -76,10 +76,10 @@
 
 var (
 	encoder = canonical.Encoder
-	// strict reads commands and snapshots: a registry must not skip what it does not know.
-	strict = canonical.Limits{ArrayElements: 2 * maxVersions, MapPairs: 16, NestedLevels: 8, RejectUnknownFields: true}.Decoder()
-	// lenient reads messages, which come from nodes with other programs too.
-	lenient = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
+	// strictDecoder reads commands and snapshots: a registry must not skip what it does not know.
+	strictDecoder = canonical.Limits{ArrayElements: 2 * maxKeptVersions, MapPairs: 16, NestedLevels: 8, RejectUnknownFields: true}.Decoder()
+	// lenientDecoder reads messages, which come from nodes with other programs too.
+	lenientDecoder = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
 )
 
 // decodeCanonical decodes bytes that must be the canonical form of their content.
@@ -87,7 +87,7 @@
 	if len(raw) > limit {
 		return &CorruptError{what, &TooLargeError{"bytes of a " + what, len(raw), limit}}
 	}
-	if err := strict.Unmarshal(raw, into); err != nil {
+	if err := strictDecoder.Unmarshal(raw, into); err != nil {
 		return &CorruptError{what, err}
 	}
 	if again, err := encoder.Marshal(into); err != nil || !bytes.Equal(again, raw) {
--- a/fleet/rules/compile.go
+++ b/fleet/rules/compile.go
@@ -17,7 +17,7 @@
 func (s *Set) Check(have Settings) error {
 	plans := sortedKeys(s.Plans)
 	for _, key := range sortedKeys(s.Tenants) {
-		plan, _ := splitTenant(key)
+		plan, _ := splitTenantKey(key)
 		plans = append(plans, plan)
 	}
 	for _, named := range []struct {
@@ -46,21 +46,21 @@
 
 // checkLimits names the first limit that is looser than the settings'.
 func (s *Set) checkLimits(have Settings) error {
-	if err := checkLooser("limits.in_flight", s.Limits.InFlight, have.MaxInFlight); err != nil {
+	if err := checkNotLooser("limits.in_flight", s.Limits.InFlight, have.MaxInFlight); err != nil {
 		return err
 	}
-	if err := checkLooser("limits.attempts", s.Limits.Attempts, have.MaxAttempts); err != nil {
+	if err := checkNotLooser("limits.attempts", s.Limits.Attempts, have.MaxAttempts); err != nil {
 		return err
 	}
 	for _, name := range sortedKeys(s.Classes) {
-		if err := checkLooser("classes."+name+".attempts", s.Classes[name].Attempts, have.MaxAttempts); err != nil {
+		if err := checkNotLooser("classes."+name+".attempts", s.Classes[name].Attempts, have.MaxAttempts); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func checkLooser(key string, value *int, limit int) error {
+func checkNotLooser(key string, value *int, limit int) error {
 	if value != nil && limit > 0 && *value > limit {
 		return &LooserError{key, *value, limit}
 	}
--- a/fleet/rules/explore_test.go
+++ b/fleet/rules/explore_test.go
@@ -14,7 +14,7 @@
 
 // explore plays every run that departs from the calm order so often at most, each state with as many
 // departures left once. A step out of turn is one departure, as is a fault; what is calm goes on after.
-func explore(w *world, departures int, seen map[uint64]int) (states int, wrong string) {
+func explore(w *cluster, departures int, seen map[uint64]int) (states int, wrong string) {
 	for {
 		h := w.hash()
 		if left, ok := seen[h]; ok && left >= departures {
@@ -22,11 +22,11 @@
 		}
 		seen[h] = departures
 		states++
-		if wrong := w.wrong(); wrong != "" {
+		if wrong := w.violation(); wrong != "" {
 			return states, wrong
 		}
 		steps := w.steps()
-		calm := slices.IndexFunc(steps, func(s step) bool { return s.calm })
+		calm := slices.IndexFunc(steps, func(s step) bool { return s.normal })
 		for i, step := range steps {
 			if i == calm || departures == 0 {
 				continue
@@ -45,14 +45,14 @@
 	}
 }
 
-// begin gives a world in which all act by version 1 and version 2 is awaited.
-func begin(t require.TestingT, p plant, kind ActivationKind, parents [3][]int, rate [3]time.Duration) *world {
-	w := &world{plant: p, rate: rate, parents: parents, tick: -10, last: 6}
+// newCluster gives a world in which all act by version 1 and version 2 is awaited.
+func newCluster(t require.TestingT, p injectedBug, kind ActivationKind, parents [3][]int, rate [3]time.Duration) *cluster {
+	w := &cluster{bug: p, rate: rate, grantors: parents, tick: -10, lastTick: 6}
 	for i := range w.nodes {
 		w.restart(i, 0)
 	}
 	do := func(c Command) {
-		_, err := w.reg.ApplyCommand(c)
+		_, err := w.registry.ApplyCommand(c)
 		require.NoError(t, err)
 	}
 	do(Command{Publish: &Publish{Text: []byte("# 1")}})
@@ -60,26 +60,26 @@
 	do(Command{Prepare: &Prepare{Number: 1}})
 	do(Command{Commit: &Commit{Number: 1, Revision: 1}})
 	w.elect(0)
-	w.nodes[0].grantor.unknownUntil, w.nodes[0].grantor.previousUntil = 0, 0 // it was long ago
-	for ; w.tick <= 0; w.tick++ {                                            // until all act by it
+	w.nodes[0].grantor.unknownLeasesUntil, w.nodes[0].grantor.previousLeasesUntil = 0, 0 // it was long ago
+	for ; w.tick <= 0; w.tick++ {                                                        // until all act by it
 		for i := range w.nodes {
-			w.poll(i)
+			w.runNode(i)
 		}
-		w.quorum[0] = w.begun[0]
-		w.nodes[0].LeadershipConfirmed(w.at(0), w.quorum[0])
-		w.poll(0)
-		for len(w.air) > 0 {
-			f := w.air[0]
-			w.air = w.air[1:]
-			w.hear(f)
-			w.quorum[0] = w.begun[0]
-			w.nodes[0].LeadershipConfirmed(w.at(0), w.quorum[0])
-			w.poll(0)
+		w.confirmedRound[0] = w.begunRound[0]
+		w.nodes[0].LeadershipConfirmed(w.clock(0), w.confirmedRound[0])
+		w.runNode(0)
+		for len(w.packets) > 0 {
+			f := w.packets[0]
+			w.packets = w.packets[1:]
+			w.deliver(f)
+			w.confirmedRound[0] = w.begunRound[0]
+			w.nodes[0].LeadershipConfirmed(w.clock(0), w.confirmedRound[0])
+			w.runNode(0)
 		}
 	}
 	w.tick = 0
 	for i, n := range w.nodes {
-		number, _, why := n.EffectiveVersion(w.at(i))
+		number, _, why := n.EffectiveVersion(w.clock(i))
 		require.EqualValues(t, 1, number, "node %d: %v", i, why)
 	}
 	do(Command{Publish: &Publish{Parent: 1, Text: []byte("# 2")}})
@@ -88,74 +88,74 @@
 }
 
 var (
-	flat = [3][]int{nil, {0}, {0, 1}}
-	tree = [3][]int{nil, {0}, {1}} // the third asks the second
+	direct  = [3][]int{nil, {0}, {0, 1}}
+	chained = [3][]int{nil, {0}, {1}} // the third asks the second
 )
 
 // An activation by three nodes, in every run with so many departures from the calm order at most:
 // deliveries in any order, losses, doublings, pauses, an election, crashes with restarts from this disk
 // or an older one, a cancellation, with links cut from the second tick on and clocks as far apart as
 // may be. None is wrong; each bug that is planted is found.
-func TestEveryInterleaving(t *testing.T) {
+func TestActivationIsSafeInEveryInterleaving(t *testing.T) {
 	none := func(int, int) bool { return false }
 	third := func(from, to int) bool { return from == 2 || to == 2 }
 	second := func(from, to int) bool { return from == 0 && to == 1 }
 	fast, slow := [3]time.Duration{2, 1, 1}, [3]time.Duration{1, 2, 1}
 	for _, c := range []struct {
-		plant      plant
+		plant      injectedBug
 		kind       ActivationKind
 		cut        func(from, to int) bool
 		parents    [3][]int
 		rate       [3]time.Duration
 		departures int
 	}{
-		{sound, Exclusive, none, flat, fast, 2},
-		{sound, Exclusive, third, tree, slow, 2},
-		{sound, Overlap, none, flat, slow, 2},
-		{sound, Overlap, second, tree, fast, 2},
-		{answered, Exclusive, third, flat, fast, 2},
-		{early, Exclusive, none, flat, fast, 1},
-		{drifting, Exclusive, third, flat, fast, 1},
-		{deposed, Exclusive, none, flat, fast, 1},
-		{unheard, Exclusive, none, flat, fast, 1},
-		{goneBack, Overlap, second, flat, fast, 2},
-		{otherLife, Exclusive, none, tree, fast, 1},
+		{noBug, Exclusive, none, direct, fast, 2},
+		{noBug, Exclusive, third, chained, slow, 2},
+		{noBug, Overlap, none, direct, slow, 2},
+		{noBug, Overlap, second, chained, fast, 2},
+		{leaseFromGrantArrival, Exclusive, third, direct, fast, 2},
+		{earlyCommit, Exclusive, none, direct, fast, 1},
+		{noDriftMargin, Exclusive, third, direct, fast, 1},
+		{deposedLeaderGrants, Exclusive, none, direct, fast, 1},
+		{formerLeasesIgnored, Exclusive, none, direct, fast, 1},
+		{olderVersionAfterRestart, Overlap, second, direct, fast, 2},
+		{ackForFormerIncarnation, Exclusive, none, chained, fast, 1},
 	} {
 		t.Run(fmt.Sprint(c.plant, " ", c.kind), func(t *testing.T) {
 			t.Parallel()
-			w := begin(t, c.plant, c.kind, c.parents, c.rate)
-			w.cut, w.parents = c.cut, tree // a process that is started again asks so
-			w.doubles, w.elects, w.crashes, w.cancels = 1, 1, 1, 1
+			w := newCluster(t, c.plant, c.kind, c.parents, c.rate)
+			w.isCut, w.grantors = c.cut, chained // a process that is started again asks so
+			w.duplicationsLeft, w.electionsLeft, w.crashesLeft, w.cancellationsLeft = 1, 1, 1, 1
 			states, wrong := explore(w, c.departures, map[uint64]int{})
 			t.Logf("%d states, %s", states, wrong)
-			assert.Equal(t, c.plant == sound, wrong == "", "%s in %d states", wrong, states)
+			assert.Equal(t, c.plant == noBug, wrong == "", "%s in %d states", wrong, states)
 		})
 	}
 }
 
 // Long runs of many versions, of both kinds, with any number of faults: none is wrong.
-func TestDrawnRuns(t *testing.T) {
+func TestActivationsAreSafeInRandomRuns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]ActivationKind{Overlap, Exclusive})
 		rates := rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.IntRange(1, 2).Draw(t, "ms")) })
-		w := begin(t, sound, kind.Draw(t, "kind"), rapid.SampledFrom([][3][]int{flat, tree}).Draw(t, "parents"),
+		w := newCluster(t, noBug, kind.Draw(t, "kind"), rapid.SampledFrom([][3][]int{direct, chained}).Draw(t, "parents"),
 			[3]time.Duration{rates.Draw(t, "rate"), rates.Draw(t, "rate"), rates.Draw(t, "rate")})
-		w.cut = func(from, to int) bool { return false }
-		w.doubles, w.elects, w.crashes, w.cancels, w.last = 20, 4, 6, 4, 1000
+		w.isCut = func(from, to int) bool { return false }
+		w.duplicationsLeft, w.electionsLeft, w.crashesLeft, w.cancellationsLeft, w.lastTick = 20, 4, 6, 4, 1000
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		for range 400 {
-			if _, _, ok := w.reg.NextActivation(); !ok && !w.reg.state.Prepared {
-				n := w.reg.Newest()
-				_, _ = w.reg.ApplyCommand(Command{Publish: &Publish{Parent: n, Text: fmt.Append(nil, "# ", n)}})
-				_, _ = w.reg.ApplyCommand(Command{Activate: &Activate{Number: n + 1, Kind: kind.Draw(t, "kind")}})
+			if _, _, ok := w.registry.NextActivation(); !ok && !w.registry.state.Prepared {
+				n := w.registry.Newest()
+				_, _ = w.registry.ApplyCommand(Command{Publish: &Publish{Parent: n, Text: fmt.Append(nil, "# ", n)}})
+				_, _ = w.registry.ApplyCommand(Command{Activate: &Activate{Number: n + 1, Kind: kind.Draw(t, "kind")}})
 			}
 			steps := w.steps()
-			calm := slices.IndexFunc(steps, func(s step) bool { return s.calm })
+			calm := slices.IndexFunc(steps, func(s step) bool { return s.normal })
 			if rng.IntN(3) > 0 {
 				calm = rng.IntN(len(steps))
 			}
 			steps[calm].do(w)
-			if wrong := w.wrong(); wrong != "" {
+			if wrong := w.violation(); wrong != "" {
 				t.Fatalf("%s at tick %d", wrong, int(w.tick))
 			}
 		}
@@ -164,7 +164,7 @@
 
 // An ask that comes again while the first is being confirmed does not set that back: over links whose
 // round is longer than the time to try again nobody would ever get a lease.
-func TestAskThatComesAgainSetsNothingBack(t *testing.T) {
+func TestRepeatedRequestDoesNotDelayItsGrant(t *testing.T) {
 	n := NewNode(Config{Node: 0, Incarnation: 1, LeaseParams: DefaultLeaseParams}, 0)
 	n.Observe(0, VersionState{Revision: 2, Active: VersionID{Number: 1}})
 	n.BecomeLeader(0)
--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -11,7 +11,7 @@
 )
 
 // Each command has the recorded bytes.
-func TestCommandsAreAsRecorded(t *testing.T) {
+func TestCommandEncodingMatchesGolden(t *testing.T) {
 	for name, c := range map[string]Command{
 		"publish":  {Publish: &Publish{Parent: 3, Author: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
 		"activate": {Activate: &Activate{Number: 4, Kind: Exclusive, At: 77, Author: "ada"}},
@@ -29,7 +29,7 @@
 }
 
 // The message of leases has the recorded bytes.
-func TestMessagesAreAsRecorded(t *testing.T) {
+func TestMessageEncodingMatchesGolden(t *testing.T) {
 	m := &Message{}
 	golden.Fill(m)
 	*m.State = VersionState{}
@@ -41,7 +41,7 @@
 }
 
 // The registry's snapshot, taken while versions are published, awaited, active and cancelled, has the recorded bytes.
-func TestSnapshotIsAsRecorded(t *testing.T) {
+func TestSnapshotEncodingMatchesGolden(t *testing.T) {
 	r := &Registry{}
 	for _, c := range []Command{
 		{Publish: &Publish{Author: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
@@ -62,7 +62,7 @@
 }
 
 // A text with every key is read, and its sections are written, as recorded.
-func TestTextIsReadAsRecorded(t *testing.T) {
+func TestTextParsingMatchesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	require.NoError(t, err)
 	set, err := Parse(text)
--- a/fleet/rules/grantor.go
+++ b/fleet/rules/grantor.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// longAgo is before any time.
-	longAgo = -time.Duration(1 << 62)
-	// maxNotifications is how often one state is sent to one holder, when nobody waits for its acknowledgement.
-	maxNotifications = 6
+	// earliestTime is before any time.
+	earliestTime = -time.Duration(1 << 62)
+	// maxNotificationsPerState is how often one state is sent to one holder, when nobody waits for its acknowledgement.
+	maxNotificationsPerState = 6
 )
 
 // holderState is what a grantor knows of one process that has requested leases.
 type holderState struct {
-	node          int
-	incarnation   uint64
-	leasesUntil   time.Duration // when all leases that it may hold have expired, by this clock
-	seenAt        time.Duration
-	knownRevision uint64 // the newest that it is known to have
-	acknowledged  uint64 // revision of the preparation that it has acknowledged
-	notifyAt      time.Duration
-	notifications int // of the state so far
+	node              int
+	incarnation       uint64
+	leasesEndAt       time.Duration // when all leases that it may hold have expired, by this clock
+	seenAt            time.Duration
+	knownRevision     uint64 // the newest that it is known to have
+	ackedRevision     uint64 // revision of the preparation that it has acknowledged
+	notifyAt          time.Duration
+	notificationCount int // of the state so far
 }
 
 // pendingRequest is a request that can't be answered yet.
@@ -29,7 +29,7 @@
 	node        int
 	incarnation uint64
 	request     LeaseRequest
-	arrived     time.Duration
+	arrivedAt   time.Duration
 	ownSequence uint32 // of the relay's own last request when it came: the answer to a later one is fresh enough
 	round       uint64 // of the confirmation that answers it; 0 is none begun
 }
@@ -38,16 +38,16 @@
 // each request after a confirmation of its leadership that began after the request had come. A relay passes on what is
 // left of its own lease.
 type LeaseGrantor struct {
-	terms LeaseParams
-	state VersionState
-	leads bool
+	params   LeaseParams
+	state    VersionState
+	isLeader bool
 
-	unknownUntil  time.Duration // until when leases of leaders before may be held
-	previousUntil time.Duration // until when leases on the version before the active one may be held
+	unknownLeasesUntil  time.Duration // until when leases of leaders before may be held
+	previousLeasesUntil time.Duration // until when leases on the version before the active one may be held
 
-	holders []holderState
-	pending []pendingRequest
-	round   uint64 // of confirmation, begun last
+	holders   []holderState
+	pending   []pendingRequest
+	lastRound uint64 // of confirmation, begun last
 
 	offeredRevision uint64 // of the preparation whose commit was offered last
 	offeredAt       time.Duration
@@ -59,95 +59,95 @@
 		return
 	}
 	if s.Active.Number != g.state.Active.Number {
-		g.previousUntil = now + g.terms.MaxOverlap
+		g.previousLeasesUntil = now + g.params.MaxOverlap
 	}
 	g.state = s
 	for i := range g.holders {
-		g.holders[i].notifications = 0
+		g.holders[i].notificationCount = 0
 		g.holders[i].notifyAt = now
 	}
 }
 
-// lead makes the grantor the leader's. It does not know who holds a lease of the leaders before, so it counts each as held
+// becomeLeader makes the grantor the leader's. It does not know who holds a lease of the leaders before, so it counts each as held
 // until it must have expired.
-func (g *LeaseGrantor) lead(now time.Duration) {
-	g.leads = true
-	g.unknownUntil = now + g.terms.certainlyElapsed(g.terms.LeaseDuration)
+func (g *LeaseGrantor) becomeLeader(now time.Duration) {
+	g.isLeader = true
+	g.unknownLeasesUntil = now + g.params.withDriftMargin(g.params.LeaseDuration)
 	g.pending = nil
 	g.offeredRevision = 0
 }
 
-func (g *LeaseGrantor) follow() {
-	g.leads = false
+func (g *LeaseGrantor) becomeFollower() {
+	g.isLeader = false
 	g.pending = nil
 }
 
-// holder returns what is known of a process, and adds it where there is room; nil is no room.
-func (g *LeaseGrantor) holder(now time.Duration, node int, incarnation uint64) *holderState {
+// ensureHolder returns what is known of a process, and adds it where there is room; nil is no room.
+func (g *LeaseGrantor) ensureHolder(now time.Duration, node int, incarnation uint64) *holderState {
 	for i := range g.holders {
 		if g.holders[i].node == node && g.holders[i].incarnation == incarnation {
 			return &g.holders[i]
 		}
 	}
-	if len(g.holders) >= g.terms.MaxHolders {
+	if len(g.holders) >= g.params.MaxHolders {
 		g.holders = slices.DeleteFunc(g.holders, func(h holderState) bool {
-			return h.leasesUntil <= now && now-h.seenAt > 2*g.terms.RenewInterval
+			return h.leasesEndAt <= now && now-h.seenAt > 2*g.params.RenewInterval
 		})
 	}
-	if len(g.holders) >= g.terms.MaxHolders {
+	if len(g.holders) >= g.params.MaxHolders {
 		return nil
 	}
 	g.holders = append(g.holders, holderState{
 		node:          node,
 		incarnation:   incarnation,
-		leasesUntil:   now,
+		leasesEndAt:   now,
 		seenAt:        now,
 		knownRevision: g.state.Revision,
 	})
 	return &g.holders[len(g.holders)-1]
 }
 
-// request takes a request and returns its grant, or nil where it has to wait: at the leader until the leadership is
+// handleRequest takes a handleRequest and returns its grant, or nil where it has to wait: at the leader until the leadership is
 // confirmed, at a relay until its own lease was renewed since.
-func (g *LeaseGrantor) request(now time.Duration, from int, incarnation uint64, r LeaseRequest, remaining time.Duration, ownSequence uint32) *LeaseGrant {
-	h := g.holder(now, from, incarnation)
+func (g *LeaseGrantor) handleRequest(now time.Duration, from int, incarnation uint64, r LeaseRequest, remaining time.Duration, ownSequence uint32) *LeaseGrant {
+	h := g.ensureHolder(now, from, incarnation)
 	if h == nil {
 		return &LeaseGrant{Incarnation: incarnation, Sequence: r.Sequence, Revision: g.state.Revision, Full: true}
 	}
 	h.seenAt = now
 	h.knownRevision = max(h.knownRevision, r.Revision)
-	p := pendingRequest{node: from, incarnation: incarnation, request: r, arrived: now, ownSequence: ownSequence}
-	if !g.leads && !r.Fresh && r.Revision <= g.state.Revision && remaining > 0 {
+	p := pendingRequest{node: from, incarnation: incarnation, request: r, arrivedAt: now, ownSequence: ownSequence}
+	if !g.isLeader && !r.Fresh && r.Revision <= g.state.Revision && remaining > 0 {
 		return g.grant(now, p, remaining)
 	}
 	i := slices.IndexFunc(g.pending, func(other pendingRequest) bool { return other.node == from })
 	switch {
 	case i < 0:
 		g.pending = append(g.pending, p)
-	case g.replaces(now, p, g.pending[i]):
+	case g.replacesPending(now, p, g.pending[i]):
 		g.pending[i] = p
 	}
 	return nil
 }
 
-// replaces reports whether a request takes the place of another one of its node. One that came again does not: the other's
+// replacesPending reports whether a request takes the place of another one of its node. One that came again does not: the other's
 // answer may be under way.
-func (g *LeaseGrantor) replaces(now time.Duration, p, other pendingRequest) bool {
+func (g *LeaseGrantor) replacesPending(now time.Duration, p, other pendingRequest) bool {
 	return other.incarnation != p.incarnation || (p.request.Fresh && !other.request.Fresh) ||
-		now-other.arrived >= g.terms.RenewInterval
+		now-other.arrivedAt >= g.params.RenewInterval
 }
 
 // grant answers a request by a lease of at most some length, as the state allows.
 func (g *LeaseGrantor) grant(now time.Duration, p pendingRequest, length time.Duration) *LeaseGrant {
-	length = min(length, g.terms.maxLease(&g.state)).Truncate(time.Microsecond)
+	length = min(length, g.params.maxLeaseDuration(&g.state)).Truncate(time.Microsecond)
 	answer := &LeaseGrant{Incarnation: p.incarnation, Sequence: p.request.Sequence, Revision: g.state.Revision}
-	h := g.holder(now, p.node, p.incarnation)
+	h := g.ensureHolder(now, p.node, p.incarnation)
 	if h == nil {
 		answer.Full = true
 		return answer
 	}
 	if length > 0 {
-		h.leasesUntil = max(h.leasesUntil, p.arrived+g.terms.certainlyElapsed(length))
+		h.leasesEndAt = max(h.leasesEndAt, p.arrivedAt+g.params.withDriftMargin(length))
 	}
 	answer.Length = uint32(length / time.Microsecond)
 	if p.request.Revision != g.state.Revision {
@@ -158,9 +158,9 @@
 	return answer
 }
 
-// renewed returns the requests that a relay can answer once a request of its own was answered, and drops those that are
+// takeAnswerable returns the requests that a relay can answer once a request of its own was answered, and drops those that are
 // too old.
-func (g *LeaseGrantor) renewed(now time.Duration, own sentRequest, remaining time.Duration) []pendingRequest {
+func (g *LeaseGrantor) takeAnswerable(now time.Duration, own sentRequest, remaining time.Duration) []pendingRequest {
 	var answerable []pendingRequest
 	kept := g.pending[:0]
 	for _, p := range g.pending {
@@ -169,7 +169,7 @@
 		switch {
 		case remaining > 0 && fresh, remaining == 0 && later:
 			answerable = append(answerable, p)
-		case now-p.arrived < 2*g.terms.RenewInterval:
+		case now-p.arrivedAt < 2*g.params.RenewInterval:
 			kept = append(kept, p)
 		}
 	}
@@ -177,8 +177,8 @@
 	return answerable
 }
 
-// confirmed returns the requests that a confirmation answers.
-func (g *LeaseGrantor) confirmed(round uint64) []pendingRequest {
+// takeConfirmed returns the requests that a confirmation answers.
+func (g *LeaseGrantor) takeConfirmed(round uint64) []pendingRequest {
 	var answerable []pendingRequest
 	g.pending = slices.DeleteFunc(g.pending, func(p pendingRequest) bool {
 		answered := p.round != 0 && p.round <= round
@@ -194,18 +194,18 @@
 func (g *LeaseGrantor) beginConfirmation() (round uint64, ok bool) {
 	for i := range g.pending {
 		if g.pending[i].round == 0 {
-			g.pending[i].round = g.round + 1
+			g.pending[i].round = g.lastRound + 1
 			ok = true
 		}
 	}
 	if ok {
-		g.round++
+		g.lastRound++
 	}
-	return g.round, ok
+	return g.lastRound, ok
 }
 
-// acknowledged takes that a process and all to whom it has granted are trimmed to a preparation.
-func (g *LeaseGrantor) acknowledged(now time.Duration, from int, incarnation, revision uint64) {
+// handleAck takes that a process and all to whom it has granted are trimmed to a preparation.
+func (g *LeaseGrantor) handleAck(now time.Duration, from int, incarnation, revision uint64) {
 	for i := range g.holders {
 		h := &g.holders[i]
 		if h.node != from || h.incarnation != incarnation {
@@ -214,34 +214,34 @@
 		h.seenAt = now
 		h.knownRevision = max(h.knownRevision, revision)
 		if g.state.Prepared.Number != 0 && revision == g.state.Revision {
-			h.acknowledged = revision
-			h.leasesUntil = min(h.leasesUntil, now+g.allowance())
+			h.ackedRevision = revision
+			h.leasesEndAt = min(h.leasesEndAt, now+g.maxTrimmedLease())
 		}
 	}
 }
 
-// allowance returns how long leases may last yet when a preparation is acknowledged.
-func (g *LeaseGrantor) allowance() time.Duration {
-	return g.terms.certainlyElapsed(g.terms.maxLease(&g.state))
+// maxTrimmedLease returns how long leases may last yet when a preparation is acknowledged.
+func (g *LeaseGrantor) maxTrimmedLease() time.Duration {
+	return g.params.withDriftMargin(g.params.maxLeaseDuration(&g.state))
 }
 
 // allTrimmedAt returns when all leases granted from here are trimmed to the preparation, if nobody acknowledges more.
 func (g *LeaseGrantor) allTrimmedAt() time.Duration {
-	at := longAgo
+	at := earliestTime
 	for _, h := range g.holders {
-		at = max(at, h.leasesUntil)
+		at = max(at, h.leasesEndAt)
 	}
-	return at - g.allowance()
+	return at - g.maxTrimmedLease()
 }
 
-// commitAt returns when the prepared version can be activated, at the leader.
-func (g *LeaseGrantor) commitAt() time.Duration {
-	at := max(g.allTrimmedAt(), g.previousUntil)
+// commitAllowedAt returns when the prepared version can be activated, at the leader.
+func (g *LeaseGrantor) commitAllowedAt() time.Duration {
+	at := max(g.allTrimmedAt(), g.previousLeasesUntil)
 	if g.state.Active.Number != 0 {
-		at = max(at, g.unknownUntil-g.allowance())
+		at = max(at, g.unknownLeasesUntil-g.maxTrimmedLease())
 	}
 	if g.offeredRevision == g.state.Revision {
-		at = max(at, g.offeredAt+g.terms.RenewInterval)
+		at = max(at, g.offeredAt+g.params.RenewInterval)
 	}
 	return at
 }
@@ -254,9 +254,9 @@
 		if !g.needsNotification(now, h) || now < h.notifyAt {
 			continue
 		}
-		backoff := g.terms.RetryInterval << min(h.notifications, 8)
-		h.notifyAt = now + min(g.terms.RenewInterval, backoff)
-		h.notifications++
+		backoff := g.params.RetryInterval << min(h.notificationCount, 8)
+		h.notifyAt = now + min(g.params.RenewInterval, backoff)
+		h.notificationCount++
 		if !slices.Contains(nodes, h.node) {
 			nodes = append(nodes, h.node)
 		}
@@ -267,8 +267,8 @@
 // needsNotification reports whether a holder has to be sent the state: until it has it, and where a version is prepared
 // until it has acknowledged or has no lease left.
 func (g *LeaseGrantor) needsNotification(now time.Duration, h *holderState) bool {
-	if g.state.Prepared.Number != 0 && h.acknowledged < g.state.Revision && h.leasesUntil > now {
+	if g.state.Prepared.Number != 0 && h.ackedRevision < g.state.Revision && h.leasesEndAt > now {
 		return true
 	}
-	return h.knownRevision < g.state.Revision && h.notifications < maxNotifications
+	return h.knownRevision < g.state.Revision && h.notificationCount < maxNotificationsPerState
 }
--- a/fleet/rules/grantors.go
+++ b/fleet/rules/grantors.go
@@ -40,12 +40,12 @@
 		}
 	}
 	relays := int(math.Ceil(float64(len(zone)) / math.Sqrt(float64(len(live)))))
-	sortByWeight(zone, func(index int) uint64 { return pairWeight(index, index) })
+	sortByWeight(zone, func(index int) uint64 { return hashWeight(index, index) })
 	zone = zone[:relays]
 	if slices.Contains(zone, self) {
 		return []int{leader}
 	}
-	sortByWeight(zone, func(index int) uint64 { return pairWeight(self, index) })
+	sortByWeight(zone, func(index int) uint64 { return hashWeight(self, index) })
 	return append(zone[:min(2, relays)], leader)
 }
 
@@ -54,4 +54,4 @@
 	slices.SortFunc(nodes, func(a, b int) int { return cmp.Or(cmp.Compare(weight(b), weight(a)), a-b) })
 }
 
-func pairWeight(a, b int) uint64 { return xxhash.Sum64(encodeUint(uint64(a)<<32 | uint64(b))) }
+func hashWeight(a, b int) uint64 { return xxhash.Sum64(encodeUint(uint64(a)<<32 | uint64(b))) }
--- a/fleet/rules/holder.go
+++ b/fleet/rules/holder.go
@@ -37,14 +37,14 @@
 
 // lease is one on a version, by this node's clock.
 type lease struct {
-	version VersionID
-	end     time.Duration
+	version   VersionID
+	expiresAt time.Duration
 }
 
 // sentRequest is a request that was sent and not answered.
 type sentRequest struct {
 	sequence uint32
-	at       time.Duration
+	sentAt   time.Duration
 	fresh    bool
 }
 
@@ -58,7 +58,7 @@
 // requested them, and decides by which version the node acts. It acts by none whose number the disk has not persisted, nor
 // by one below that number.
 type LeaseHolder struct {
-	terms           LeaseParams
+	params          LeaseParams
 	index           int
 	state           VersionState
 	trimmedRevision uint64       // of a preparation to which the leases here are trimmed
@@ -67,16 +67,16 @@
 	highWaterMark   uint64       // number that the disk has: none below is acted by
 	hasFreshLease   bool         // since the process began
 
-	requests     []sentRequest // oldest first
-	sequence     uint32        // of the last request
-	requestAt    time.Duration // of the next one
-	requestedAt  time.Duration // of the last one
-	responseTime time.Duration // of recent answers, the slow ones for longer
+	requests      []sentRequest // oldest first
+	lastSequence  uint32        // of the last request
+	nextRequestAt time.Duration // of the next one
+	lastRequestAt time.Duration // of the last one
+	responseTime  time.Duration // of recent answers, the slow ones for longer
 
-	grantors     []int         // from which leases can be requested, the best first
-	current      int           // position of the one that is used
-	currentSince time.Duration // it is used
-	unanswered   int           // requests without an answer
+	grantors        []int         // from which leases can be requested, the best first
+	currentGrantor  int           // position of the one that is used
+	currentSince    time.Duration // it is used
+	unansweredCount int           // requests without an answer
 }
 
 // observe takes a state that is newer than the one here, and reports whether it was.
@@ -86,7 +86,7 @@
 	}
 	h.state = s
 	if s.Prepared.Number == 0 {
-		h.requestSoon(now) // for a lease on the active version
+		h.expediteRequest(now) // for a lease on the active version
 	}
 	h.trimLeases(now)
 	return true
@@ -100,19 +100,19 @@
 		return
 	}
 	h.trimmedRevision = h.state.Revision
-	allowed := h.terms.maxLease(&h.state)
+	allowed := h.params.maxLeaseDuration(&h.state)
 	if allowed > 0 {
-		h.requestAt = min(h.requestAt, now+h.jitter(allowed/3))
+		h.nextRequestAt = min(h.nextRequestAt, now+h.jitter(allowed/3))
 	}
 	for i := range h.leases {
-		h.leases[i].end = min(h.leases[i].end, now+allowed)
+		h.leases[i].expiresAt = min(h.leases[i].expiresAt, now+allowed)
 	}
 	h.dropExpired(now)
 }
 
 // dropExpired drops the leases that have expired.
 func (h *LeaseHolder) dropExpired(now time.Duration) {
-	h.leases = slices.DeleteFunc(h.leases, func(l lease) bool { return now >= l.end })
+	h.leases = slices.DeleteFunc(h.leases, func(l lease) bool { return now >= l.expiresAt })
 }
 
 // hasText reports whether the node knows if it can use a version.
@@ -147,14 +147,14 @@
 // PersistDue returns the number that has to be persisted before the node can act by that version. Until then it goes on:
 // by the version before as long as the lease on that lasts.
 func (h *LeaseHolder) PersistDue(now time.Duration) (uint64, bool) {
-	l := h.newest()
-	if l == nil || now >= l.end || !h.usable(l.version) || l.version.Number <= h.highWaterMark {
+	l := h.newestLease()
+	if l == nil || now >= l.expiresAt || !h.usable(l.version) || l.version.Number <= h.highWaterMark {
 		return 0, false
 	}
 	return l.version.Number, true
 }
 
-func (h *LeaseHolder) newest() *lease {
+func (h *LeaseHolder) newestLease() *lease {
 	if len(h.leases) == 0 {
 		return nil
 	}
@@ -170,7 +170,7 @@
 	}
 	for _, l := range h.leases {
 		switch {
-		case now >= l.end:
+		case now >= l.expiresAt:
 		case l.version.Number < h.highWaterMark:
 			why = OlderVersion
 		case !h.hasText(l.version):
@@ -180,7 +180,7 @@
 		case l.version.Number > h.highWaterMark:
 			why = NotPersisted
 		default:
-			return l.version.Number, l.end, InEffect
+			return l.version.Number, l.expiresAt, InEffect
 		}
 	}
 	return 0, 0, why
@@ -188,11 +188,11 @@
 
 // remaining returns what is left of the lease on the active version: what can be granted on.
 func (h *LeaseHolder) remaining(now time.Duration) time.Duration {
-	l := h.newest()
+	l := h.newestLease()
 	if l == nil || l.version != h.state.Active {
 		return 0
 	}
-	return max(0, min(l.end-now, h.terms.maxLease(&h.state)))
+	return max(0, min(l.expiresAt-now, h.params.maxLeaseDuration(&h.state)))
 }
 
 // receiveGrant takes a grant and returns the request that it answers; sequence 0 is none that counts.
@@ -203,55 +203,55 @@
 	}
 	request := h.requests[i]
 	h.requests = slices.Delete(h.requests, i, i+1)
-	h.responseTime = max(now-request.at, h.responseTime*7/8)
-	h.unanswered = 0
+	h.responseTime = max(now-request.sentAt, h.responseTime*7/8)
+	h.unansweredCount = 0
 	if g.Full {
-		h.unanswered = maxUnanswered
+		h.unansweredCount = maxUnanswered
 		return sentRequest{}
 	}
 	if g.State != nil {
 		h.observe(now, *g.State)
 	}
 	if g.Revision != h.state.Revision || (!h.hasFreshLease && !request.fresh) {
-		h.requestSoon(now) // the grant is of a state that has passed, or may have
+		h.expediteRequest(now) // the grant is of a state that has passed, or may have
 		return sentRequest{}
 	}
-	length := min(time.Duration(g.Length)*time.Microsecond, h.terms.maxLease(&h.state))
+	length := min(time.Duration(g.Length)*time.Microsecond, h.params.maxLeaseDuration(&h.state))
 	if length == 0 {
-		h.requestAt = max(now, request.at+h.idlePause())
+		h.nextRequestAt = max(now, request.sentAt+h.idleDelay())
 		return request
 	}
 	h.hasFreshLease = true
-	h.requestAt = max(now, request.at+h.jitter(min(h.terms.RenewInterval, length/3)))
-	h.extendLease(now, request.at+length)
+	h.nextRequestAt = max(now, request.sentAt+h.jitter(min(h.params.RenewInterval, length/3)))
+	h.extendLease(now, request.sentAt+length)
 	return request
 }
 
 // extendLease takes a lease on the active version up to an end.
 func (h *LeaseHolder) extendLease(now, end time.Duration) {
 	h.dropExpired(now)
-	l := h.newest()
+	l := h.newestLease()
 	switch {
 	case now >= end:
 	case l != nil && l.version == h.state.Active:
-		l.end = max(l.end, end)
+		l.expiresAt = max(l.expiresAt, end)
 	default:
 		newest := h.leases[max(0, len(h.leases)-1):]
 		h.leases = append(newest, lease{h.state.Active, end})
 	}
 }
 
-// idlePause returns the pause between requests while there is nothing to be had.
-func (h *LeaseHolder) idlePause() time.Duration {
+// idleDelay returns the pause between requests while there is nothing to be had.
+func (h *LeaseHolder) idleDelay() time.Duration {
 	if h.state.Revision == 0 {
-		return h.jitter(h.terms.RenewInterval)
+		return h.jitter(h.params.RenewInterval)
 	}
-	return h.jitter(h.terms.RenewInterval / 4)
+	return h.jitter(h.params.RenewInterval / 4)
 }
 
 // jitter shortens a pause by up to a quarter, so that nodes that were notified together don't go on together.
 func (h *LeaseHolder) jitter(pause time.Duration) time.Duration {
-	x := xxhash.Sum64(encodeUint(uint64(h.index)<<32 | uint64(h.sequence)))
+	x := xxhash.Sum64(encodeUint(uint64(h.index)<<32 | uint64(h.lastSequence)))
 	return pause - time.Duration(x%1024)*pause/4096
 }
 
@@ -261,40 +261,40 @@
 
 // nextRequest returns the next request, if it is due.
 func (h *LeaseHolder) nextRequest(now time.Duration, fresh bool) (*LeaseRequest, bool) {
-	if now < h.requestAt {
+	if now < h.nextRequestAt {
 		return nil, false
 	}
-	h.sequence++
+	h.lastSequence++
 	if len(h.requests) >= maxSentRequests {
 		h.requests = slices.Delete(h.requests, 0, 1)
 	}
 	fresh = fresh || !h.hasFreshLease
-	h.requests = append(h.requests, sentRequest{h.sequence, now, fresh})
-	h.requestedAt = now
-	backoff := max(h.terms.RetryInterval, 2*h.responseTime) << h.unanswered
-	h.requestAt = now + min(h.terms.RenewInterval, backoff)
-	h.unanswered = min(h.unanswered+1, maxUnanswered)
-	return &LeaseRequest{Sequence: h.sequence, Revision: h.state.Revision, Fresh: fresh}, true
+	h.requests = append(h.requests, sentRequest{h.lastSequence, now, fresh})
+	h.lastRequestAt = now
+	backoff := max(h.params.RetryInterval, 2*h.responseTime) << h.unansweredCount
+	h.nextRequestAt = now + min(h.params.RenewInterval, backoff)
+	h.unansweredCount = min(h.unansweredCount+1, maxUnanswered)
+	return &LeaseRequest{Sequence: h.lastSequence, Revision: h.state.Revision, Fresh: fresh}, true
 }
 
 // chooseGrantor returns the grantor to use: the next one where one does not answer, and the first again after a while.
 func (h *LeaseHolder) chooseGrantor(now time.Duration) int {
 	switch {
-	case h.current > 0 && now-h.currentSince >= returnAfterRenewals*h.terms.RenewInterval:
-		h.current = 0
+	case h.currentGrantor > 0 && now-h.currentSince >= returnAfterRenewals*h.params.RenewInterval:
+		h.currentGrantor = 0
 		h.currentSince = now
-		h.unanswered = maxUnanswered - 1
-	case h.unanswered >= maxUnanswered:
-		h.current = (h.current + 1) % len(h.grantors)
+		h.unansweredCount = maxUnanswered - 1
+	case h.unansweredCount >= maxUnanswered:
+		h.currentGrantor = (h.currentGrantor + 1) % len(h.grantors)
 		h.currentSince = now
-		h.unanswered = 0
+		h.unansweredCount = 0
 	}
-	return h.grantors[h.current]
+	return h.grantors[h.currentGrantor]
 }
 
-// requestSoon has the next request sent as soon as may be.
-func (h *LeaseHolder) requestSoon(now time.Duration) {
-	h.requestAt = min(h.requestAt, max(now, h.requestedAt+h.terms.RetryInterval/4))
+// expediteRequest has the next request sent as soon as may be.
+func (h *LeaseHolder) expediteRequest(now time.Duration) {
+	h.nextRequestAt = min(h.nextRequestAt, max(now, h.lastRequestAt+h.params.RetryInterval/4))
 }
 
 // setGrantors takes the grantors that may be used.
@@ -303,8 +303,8 @@
 		return
 	}
 	h.grantors = slices.Clone(grantors)
-	h.current = 0
+	h.currentGrantor = 0
 	h.currentSince = now
-	h.unanswered = 0
-	h.requestSoon(now)
+	h.unansweredCount = 0
+	h.expediteRequest(now)
 }
--- a/fleet/rules/message.go
+++ b/fleet/rules/message.go
@@ -10,8 +10,8 @@
 const MaxMessageBytes = 256
 
 const (
-	maxNodes        = 1 << 20
-	maxLengthMicros = uint32(time.Hour / time.Microsecond)
+	maxNodes       = 1 << 20
+	maxLeaseMicros = uint32(time.Hour / time.Microsecond)
 )
 
 // LeaseParams are the times and limits of the leases, the same at all nodes of a fleet.
@@ -36,13 +36,13 @@
 	MaxHolders:    160,
 }
 
-// certainlyElapsed returns the time on one node's clock in which a span on any other's has passed for sure.
-func (t *LeaseParams) certainlyElapsed(span time.Duration) time.Duration {
+// withDriftMargin returns the time on one node's clock in which a span on any other's has passed for sure.
+func (t *LeaseParams) withDriftMargin(span time.Duration) time.Duration {
 	return span + time.Duration(float64(span)*t.MaxClockDrift)
 }
 
-// maxLease returns the length of the leases that may be granted in a state.
-func (t *LeaseParams) maxLease(s *VersionState) time.Duration {
+// maxLeaseDuration returns the length of the leases that may be granted in a state.
+func (t *LeaseParams) maxLeaseDuration(s *VersionState) time.Duration {
 	switch {
 	case s.Active.Number == 0:
 		return 0
@@ -99,7 +99,7 @@
 		return nil, &CorruptError{"message", &TooLargeError{"bytes of a message", len(raw), MaxMessageBytes}}
 	}
 	m := &Message{}
-	if err := lenient.Unmarshal(raw, m); err != nil {
+	if err := lenientDecoder.Unmarshal(raw, m); err != nil {
 		return nil, &CorruptError{"message", err}
 	}
 	if err := m.check(fleetSize); err != nil {
@@ -110,9 +110,9 @@
 
 // Errors of a message that holds what is out of range.
 var (
-	errSequence = errors.New("lease request without a sequence number")
-	errGrant    = errors.New("lease grant out of range")
-	errState    = errors.New("version state that no registry has")
+	errNoSequence      = errors.New("lease request without a sequence number")
+	errGrantOutOfRange = errors.New("lease grant out of range")
+	errImpossibleState = errors.New("version state that no registry has")
 )
 
 func (m *Message) check(fleetSize int) error {
@@ -120,21 +120,21 @@
 		return fmt.Errorf("node %d, incarnation %d in a fleet of %d", m.Sender, m.Incarnation, fleetSize)
 	}
 	if m.Request != nil && m.Request.Sequence == 0 {
-		return errSequence
+		return errNoSequence
 	}
 	if m.Grant != nil && !m.Grant.valid() {
-		return errGrant
+		return errGrantOutOfRange
 	}
 	for _, s := range []*VersionState{m.State, m.grantedState()} {
 		if s != nil && !s.valid() {
-			return errState
+			return errImpossibleState
 		}
 	}
 	return nil
 }
 
 func (g *LeaseGrant) valid() bool {
-	if g.Sequence == 0 || g.Length > maxLengthMicros {
+	if g.Sequence == 0 || g.Length > maxLeaseMicros {
 		return false
 	}
 	return g.State == nil || g.State.Revision == g.Revision
--- a/fleet/rules/node.go
+++ b/fleet/rules/node.go
@@ -38,7 +38,7 @@
 	incarnation uint64
 	holder      LeaseHolder
 	grantor     LeaseGrantor
-	ackOwed     []int // nodes that are owed an acknowledgement of the state's revision
+	pendingAcks []int // nodes that are owed an acknowledgement of the state's revision
 	outgoing    []Outgoing
 }
 
@@ -48,13 +48,13 @@
 		index:       c.Node,
 		incarnation: c.Incarnation,
 		holder: LeaseHolder{
-			terms:         c.LeaseParams,
+			params:        c.LeaseParams,
 			index:         c.Node,
 			highWaterMark: c.HighWaterMark,
-			requestAt:     now,
-			requestedAt:   now - c.LeaseParams.RenewInterval,
+			nextRequestAt: now,
+			lastRequestAt: now - c.LeaseParams.RenewInterval,
 		},
-		grantor: LeaseGrantor{terms: c.LeaseParams},
+		grantor: LeaseGrantor{params: c.LeaseParams},
 	}
 }
 
@@ -66,7 +66,7 @@
 func (n *Node) Observe(now time.Duration, s VersionState) {
 	if s.valid() && n.holder.observe(now, s) {
 		n.grantor.observe(now, s)
-		n.ackOwed = n.ackOwed[:0]
+		n.pendingAcks = n.pendingAcks[:0]
 	}
 }
 
@@ -98,15 +98,15 @@
 
 // BecomeLeader says that this node was elected. The registry's state by all that was agreed before its term must have been
 // observed: with raft, after a barrier in its term.
-func (n *Node) BecomeLeader(now time.Duration) { n.grantor.lead(now) }
+func (n *Node) BecomeLeader(now time.Duration) { n.grantor.becomeLeader(now) }
 
 // BecomeFollower says that this node leads no more, or may not.
-func (n *Node) BecomeFollower() { n.grantor.follow() }
+func (n *Node) BecomeFollower() { n.grantor.becomeFollower() }
 
 // BeginConfirmation reports whether requests wait for a confirmation of the leadership, and returns the number of the
 // round that answers all that have come so far. The caller begins it after this call, by a quorum.
 func (n *Node) BeginConfirmation() (round uint64, ok bool) {
-	if !n.grantor.leads {
+	if !n.grantor.isLeader {
 		return 0, false
 	}
 	return n.grantor.beginConfirmation()
@@ -115,11 +115,11 @@
 // LeadershipConfirmed says that a quorum has confirmed this node's leadership in a round that began after the call of
 // BeginConfirmation that returned the number.
 func (n *Node) LeadershipConfirmed(now time.Duration, round uint64) {
-	if !n.grantor.leads {
+	if !n.grantor.isLeader {
 		return
 	}
-	for _, p := range n.grantor.confirmed(round) {
-		n.sendGrant(p.node, n.grantor.grant(now, p, n.holder.terms.LeaseDuration))
+	for _, p := range n.grantor.takeConfirmed(round) {
+		n.sendGrant(p.node, n.grantor.grant(now, p, n.holder.params.LeaseDuration))
 	}
 }
 
@@ -127,7 +127,7 @@
 // while where nothing came of it. Proposed twice it counts once.
 func (n *Node) CommitReady(now time.Duration) (Commit, bool) {
 	g := &n.grantor
-	if !g.leads || g.state.Prepared.Number == 0 || now < g.commitAt() {
+	if !g.isLeader || g.state.Prepared.Number == 0 || now < g.commitAllowedAt() {
 		return Commit{}, false
 	}
 	g.offeredRevision = g.state.Revision
@@ -141,7 +141,7 @@
 		n.receiveState(now, m.Sender, *m.State)
 	}
 	if m.AckedRevision != 0 {
-		n.grantor.acknowledged(now, m.Sender, m.Incarnation, m.AckedRevision)
+		n.grantor.handleAck(now, m.Sender, m.Incarnation, m.AckedRevision)
 	}
 	if m.Grant != nil && m.Grant.Incarnation == n.incarnation {
 		n.receiveGrant(now, m.Grant)
@@ -157,20 +157,20 @@
 	switch {
 	case s.Revision < n.holder.state.Revision:
 		newer := n.holder.state
-		n.messageTo(from).State = &newer
-	case n.holder.state.Prepared.Number == 0 || slices.Contains(n.ackOwed, from):
-	case len(n.ackOwed) < n.holder.terms.MaxHolders:
-		n.ackOwed = append(n.ackOwed, from)
+		n.outgoingTo(from).State = &newer
+	case n.holder.state.Prepared.Number == 0 || slices.Contains(n.pendingAcks, from):
+	case len(n.pendingAcks) < n.holder.params.MaxHolders:
+		n.pendingAcks = append(n.pendingAcks, from)
 	}
 }
 
 func (n *Node) receiveRequest(now time.Duration, m *Message) {
 	remaining := n.holder.remaining(now)
-	grant := n.grantor.request(now, m.Sender, m.Incarnation, *m.Request, remaining, n.holder.sequence)
+	grant := n.grantor.handleRequest(now, m.Sender, m.Incarnation, *m.Request, remaining, n.holder.lastSequence)
 	if grant != nil {
 		n.sendGrant(m.Sender, grant)
-	} else if !n.grantor.leads {
-		n.holder.requestSoon(now)
+	} else if !n.grantor.isLeader {
+		n.holder.expediteRequest(now)
 	}
 }
 
@@ -179,18 +179,18 @@
 		n.Observe(now, *g.State)
 	}
 	own := n.holder.receiveGrant(now, g)
-	if own.sequence == 0 || n.grantor.leads {
+	if own.sequence == 0 || n.grantor.isLeader {
 		return
 	}
-	for _, p := range n.grantor.renewed(now, own, n.holder.remaining(now)) {
+	for _, p := range n.grantor.takeAnswerable(now, own, n.holder.remaining(now)) {
 		n.sendGrant(p.node, n.grantor.grant(now, p, n.holder.remaining(now)))
 	}
 }
 
-func (n *Node) sendGrant(to int, g *LeaseGrant) { n.messageTo(to).Grant = g }
+func (n *Node) sendGrant(to int, g *LeaseGrant) { n.outgoingTo(to).Grant = g }
 
-// messageTo returns the message to a node that is not sent yet.
-func (n *Node) messageTo(to int) *Message {
+// outgoingTo returns the message to a node that is not sent yet.
+func (n *Node) outgoingTo(to int) *Message {
 	for _, o := range n.outgoing {
 		if o.To == to {
 			return o.Message
@@ -225,18 +225,18 @@
 	fresh := slices.ContainsFunc(n.grantor.pending, func(p pendingRequest) bool { return p.request.Fresh })
 	if to, ok := n.nextGrantor(now); ok {
 		if request, ok := n.holder.nextRequest(now, fresh); ok {
-			n.messageTo(to).Request = request
+			n.outgoingTo(to).Request = request
 		}
 	}
 	for _, to := range n.grantor.dueNotifications(now) {
 		state := n.grantor.state
-		n.messageTo(to).State = &state
+		n.outgoingTo(to).State = &state
 	}
-	n.ackOwed = slices.DeleteFunc(n.ackOwed, func(to int) bool {
-		if !n.mayAcknowledge(now, to) {
+	n.pendingAcks = slices.DeleteFunc(n.pendingAcks, func(to int) bool {
+		if !n.canAcknowledge(now, to) {
 			return false
 		}
-		n.messageTo(to).AckedRevision = n.holder.state.Revision
+		n.outgoingTo(to).AckedRevision = n.holder.state.Revision
 		return true
 	})
 }
@@ -244,17 +244,17 @@
 // nextGrantor returns the node from which this one requests a lease now.
 func (n *Node) nextGrantor(now time.Duration) (to int, ok bool) {
 	switch {
-	case n.grantor.leads:
+	case n.grantor.isLeader:
 		return n.index, true
-	case len(n.holder.grantors) > 0 && n.holder.requestAt <= now:
+	case len(n.holder.grantors) > 0 && n.holder.nextRequestAt <= now:
 		return n.holder.chooseGrantor(now), true
 	}
 	return 0, false
 }
 
-// mayAcknowledge reports whether the preparation can be acknowledged to a node: the leases here are trimmed to it, and so
+// canAcknowledge reports whether the preparation can be acknowledged to a node: the leases here are trimmed to it, and so
 // are all that were granted from here.
-func (n *Node) mayAcknowledge(now time.Duration, to int) bool {
+func (n *Node) canAcknowledge(now time.Duration, to int) bool {
 	trimmed := n.holder.trimmedRevision == n.holder.state.Revision
 	return trimmed && (to == n.index || now >= n.grantor.allTrimmedAt())
 }
@@ -269,19 +269,19 @@
 	if len(n.outgoing) > 0 {
 		by(now)
 	}
-	if len(n.holder.grantors) > 0 || n.grantor.leads {
-		by(n.holder.requestAt)
+	if len(n.holder.grantors) > 0 || n.grantor.isLeader {
+		by(n.holder.nextRequestAt)
 	}
 	for i := range n.grantor.holders {
 		if h := &n.grantor.holders[i]; n.grantor.needsNotification(now, h) {
 			by(h.notifyAt)
 		}
 	}
-	if n.holder.trimmedRevision == n.holder.state.Revision && len(n.ackOwed) > 0 {
+	if n.holder.trimmedRevision == n.holder.state.Revision && len(n.pendingAcks) > 0 {
 		by(n.grantor.allTrimmedAt())
 	}
-	if n.grantor.leads && n.grantor.state.Prepared.Number != 0 {
-		by(n.grantor.commitAt())
+	if n.grantor.isLeader && n.grantor.state.Prepared.Number != 0 {
+		by(n.grantor.commitAllowedAt())
 	}
 	return at, ok
 }
--- a/fleet/rules/registry.go
+++ b/fleet/rules/registry.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	maxTexts       = 16   // newest versions whose text is kept, beside those in use
-	maxVersions    = 1024 // versions whose number and digest are kept
-	maxScheduled   = 8    // activations
-	maxAuthorBytes = 64
+	maxKeptTexts            = 16   // newest versions whose text is kept, beside those in use
+	maxKeptVersions         = 1024 // versions whose number and digest are kept
+	maxScheduledActivations = 8    // activations
+	maxAuthorBytes          = 64
 )
 
 // ActivationKind says how an activation meets the version before it.
@@ -191,12 +191,12 @@
 	if text == nil {
 		text = []byte{} // an empty set; nil is a text that is no longer kept
 	}
-	number := r.add(Version{Digest: DigestOf(text), Parent: c.Parent, Author: c.Author, Text: text})
+	number := r.addVersion(Version{Digest: DigestOf(text), Parent: c.Parent, Author: c.Author, Text: text})
 	return Result{Number: number}, nil
 }
 
-// add gives a version its number.
-func (r *Registry) add(v Version) uint64 {
+// addVersion gives a version its number.
+func (r *Registry) addVersion(v Version) uint64 {
 	r.state.Newest++
 	v.Number = r.state.Newest
 	r.state.Versions = append(r.state.Versions, v)
@@ -210,10 +210,10 @@
 	kept := versions[:0]
 	for i, v := range versions {
 		if !r.inUse(v.Number) {
-			if len(versions)-i > maxVersions {
+			if len(versions)-i > maxKeptVersions {
 				continue
 			}
-			if v.Number+maxTexts <= r.state.Newest {
+			if v.Number+maxKeptTexts <= r.state.Newest {
 				v.Text = nil
 			}
 		}
@@ -236,8 +236,8 @@
 		return Result{}, &StaleVersionError{Current: r.state.Active, Given: c.Number}
 	case v.Text == nil:
 		return Result{}, &NoVersionError{Number: c.Number, TextDropped: true}
-	case len(r.state.Scheduled) >= maxScheduled:
-		return Result{}, &TooLargeError{"activations awaited", len(r.state.Scheduled) + 1, maxScheduled}
+	case len(r.state.Scheduled) >= maxScheduledActivations:
+		return Result{}, &TooLargeError{"activations awaited", len(r.state.Scheduled) + 1, maxScheduledActivations}
 	}
 	for i, number := range r.state.Scheduled {
 		if r.conflicts(c, number, i == 0 && r.state.Prepared) {
@@ -296,13 +296,13 @@
 	if wasPrepared {
 		r.state.Revision++
 	}
-	return Result{Number: r.add(version), StateChanged: wasPrepared}, nil
+	return Result{Number: r.addVersion(version), StateChanged: wasPrepared}, nil
 }
 
 func (r *Registry) cancel(c *Cancel) (Result, error) {
 	i := slices.Index(r.state.Scheduled, c.Number)
 	if i < 0 {
-		return Result{}, &PhaseError{Step: "cancelling", Number: c.Number, Prepared: r.prepared()}
+		return Result{}, &PhaseError{Step: "cancelling", Number: c.Number, Prepared: r.preparedNumber()}
 	}
 	v := r.find(c.Number)
 	v.Status = Cancelled
@@ -316,8 +316,8 @@
 	return Result{Number: c.Number}, nil
 }
 
-// prepared returns the number of the prepared version; 0 is none.
-func (r *Registry) prepared() uint64 {
+// preparedNumber returns the number of the preparedNumber version; 0 is none.
+func (r *Registry) preparedNumber() uint64 {
 	if r.state.Prepared {
 		return r.state.Scheduled[0]
 	}
@@ -327,7 +327,7 @@
 // prepare begins an activation: from here no long lease on the active version is granted.
 func (r *Registry) prepare(c *Prepare) (Result, error) {
 	if r.state.Prepared || len(r.state.Scheduled) == 0 || r.state.Scheduled[0] != c.Number {
-		return Result{}, &PhaseError{Step: "preparing", Number: c.Number, Prepared: r.prepared()}
+		return Result{}, &PhaseError{Step: "preparing", Number: c.Number, Prepared: r.preparedNumber()}
 	}
 	r.state.Prepared = true
 	r.find(c.Number).Status = Prepared
@@ -339,7 +339,7 @@
 // cancelled and begun again is not ended by what was known of the first.
 func (r *Registry) commit(c *Commit) (Result, error) {
 	if !r.state.Prepared || r.state.Scheduled[0] != c.Number || r.state.Revision != c.Revision {
-		return Result{}, &PhaseError{Step: "activating", Number: c.Number, Prepared: r.prepared()}
+		return Result{}, &PhaseError{Step: "activating", Number: c.Number, Prepared: r.preparedNumber()}
 	}
 	if v := r.find(r.state.Active); v != nil {
 		v.Status = Superseded
--- a/fleet/rules/registry_test.go
+++ b/fleet/rules/registry_test.go
@@ -39,7 +39,7 @@
 // Numbers only grow, what was published stays what it is, the active version is never an older one,
 // its text and those awaited are kept; a refused command changes nothing; a snapshot taken anywhere
 // goes on as the registry does.
-func TestRegistryKeepsWhatIsAgreed(t *testing.T) {
+func TestRegistryInvariantsUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, other := &Registry{}, &Registry{}
 		agreed := map[uint64]Version{}
@@ -87,20 +87,20 @@
 	})
 }
 
-func TestRegistryGoesByItsErrors(t *testing.T) {
+func TestRegistryRejectsInvalidCommands(t *testing.T) {
 	r := &Registry{}
 	do := func(c Command) error {
 		_, err := r.ApplyCommand(c)
 		return err
 	}
-	for n := range uint64(maxVersions + 40) {
+	for n := range uint64(maxKeptVersions + 40) {
 		require.NoError(t, do(Command{Publish: &Publish{Parent: n, Text: fmt.Append(nil, "# ", n)}}))
 	}
 	newest := r.Newest()
-	assert.LessOrEqual(t, len(r.state.Versions), maxVersions+1)
+	assert.LessOrEqual(t, len(r.state.Versions), maxKeptVersions+1)
 	assert.Equal(t, &StaleVersionError{Current: newest, Given: 3}, do(Command{Publish: &Publish{Parent: 3}}))
 	assert.Equal(t, &NoVersionError{Number: 2}, do(Command{Activate: &Activate{Number: 2, Kind: Overlap}}))
-	assert.Equal(t, &NoVersionError{Number: newest - maxTexts, TextDropped: true}, do(Command{Rollback: &Rollback{Parent: newest, Target: newest - maxTexts, Kind: Overlap}}))
+	assert.Equal(t, &NoVersionError{Number: newest - maxKeptTexts, TextDropped: true}, do(Command{Rollback: &Rollback{Parent: newest, Target: newest - maxKeptTexts, Kind: Overlap}}))
 	require.NoError(t, do(Command{Activate: &Activate{Number: newest - 1, Kind: Exclusive, At: 70}}))
 	assert.Equal(t, &OrderError{Number: newest, Scheduled: newest - 1}, do(Command{Activate: &Activate{Number: newest, Kind: Overlap, At: 60}}))
 	assert.Equal(t, &OrderError{Number: newest - 2, Scheduled: newest - 1}, do(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap, At: 80}}))
--- a/fleet/rules/set.go
+++ b/fleet/rules/set.go
@@ -20,11 +20,11 @@
 const MaxTextBytes = 64 << 10
 
 const (
-	maxPriceFactor = 1000.0
-	maxQuotaFactor = 10.0 // times what the settings give
-	maxCost        = 100.0
-	maxLimit       = 1 << 20
-	digestSize     = sha256.Size
+	maxPriceFactor   = 1000.0
+	maxQuotaFactor   = 10.0 // times what the settings give
+	maxCrossZoneCost = 100.0
+	maxLimitValue    = 1 << 20
+	digestSize       = sha256.Size
 )
 
 // Digest identifies a text.
@@ -82,13 +82,13 @@
 	}
 	s := &Set{}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(s); err != nil {
-		return nil, documentError(err)
+		return nil, newDocumentError(err)
 	}
 	return s, s.checkRanges()
 }
 
-// documentError names the line and key of a TOML error.
-func documentError(err error) *DocumentError {
+// newDocumentError names the line and key of a TOML error.
+func newDocumentError(err error) *DocumentError {
 	if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
 		line, _ := strict.Errors[0].Position()
 		return &DocumentError{line, strings.Join(strict.Errors[0].Key(), "."), "unknown key"}
@@ -115,8 +115,8 @@
 		}
 	}
 	count := func(key string, v *int) {
-		if v != nil && (*v < 1 || *v > maxLimit) {
-			fail(key, fmt.Sprintf("%d is not within 1 to %d", *v, maxLimit))
+		if v != nil && (*v < 1 || *v > maxLimitValue) {
+			fail(key, fmt.Sprintf("%d is not within 1 to %d", *v, maxLimitValue))
 		}
 	}
 	for _, name := range sortedKeys(s.Plans) {
@@ -124,7 +124,7 @@
 		number("plans."+name+".quota", s.Plans[name].Quota, maxQuotaFactor)
 	}
 	for _, key := range sortedKeys(s.Tenants) {
-		if _, id := splitTenant(key); !isTenantID(id) {
+		if _, id := splitTenantKey(key); !isTenantID(id) {
 			fail("customers."+key, "no plan and customer: a plan's name, a space, 16 hex digits")
 		}
 		number("customers."+key+".quota", s.Tenants[key].Quota, maxQuotaFactor)
@@ -135,7 +135,7 @@
 	count("limits.in_flight", s.Limits.InFlight)
 	count("limits.attempts", s.Limits.Attempts)
 	for _, name := range sortedKeys(s.Zones) {
-		number("zones."+name+".cost", s.Zones[name].Cost, maxCost)
+		number("zones."+name+".cost", s.Zones[name].Cost, maxCrossZoneCost)
 	}
 	return first
 }
@@ -149,8 +149,8 @@
 	return text, nil
 }
 
-// splitTenant splits a tenant's key at its last space.
-func splitTenant(key string) (plan, id string) {
+// splitTenantKey splits a tenant's key at its last space.
+func splitTenantKey(key string) (plan, id string) {
 	i := strings.LastIndexByte(key, ' ')
 	if i < 0 {
 		return "", ""
--- a/fleet/rules/set_test.go
+++ b/fleet/rules/set_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const whole = `
+const fullText = `
 [plans.gold]
 price = 2.5
 quota = 0.5
@@ -30,12 +30,12 @@
 every = "95m"
 `
 
-var here = Settings{Plans: []string{"free", "gold"}, Classes: []string{"charge", "lookup"}, Zones: []string{"hall-a", "hall-b"}, MaxAttempts: 5, MaxInFlight: 400}
+var nodeSettings = Settings{Plans: []string{"free", "gold"}, Classes: []string{"charge", "lookup"}, Zones: []string{"hall-a", "hall-b"}, MaxAttempts: 5, MaxInFlight: 400}
 
-func TestSetIsReadAndCompiled(t *testing.T) {
-	s, err := Parse([]byte(whole))
+func TestParseAndCompile(t *testing.T) {
+	s, err := Parse([]byte(fullText))
 	require.NoError(t, err)
-	c, err := s.Compile(here)
+	c, err := s.Compile(nodeSettings)
 	require.NoError(t, err)
 	assert.True(t, math.IsNaN(c.PriceFactor[0]))
 	c.PriceFactor[0] = 0
@@ -47,13 +47,13 @@
 
 	none, err := Parse(nil)
 	require.NoError(t, err)
-	c, err = none.Compile(here)
+	c, err = none.Compile(nodeSettings)
 	require.NoError(t, err)
 	assert.Equal(t, []int{5, 5}, c.MaxAttempts)
 	assert.Equal(t, 400, c.MaxInFlight)
 }
 
-func TestSetIsRefused(t *testing.T) {
+func TestInvalidSetIsRejected(t *testing.T) {
 	for text, want := range map[string]error{
 		"[plans.gold]\nfee = 1":                &DocumentError{2, "plans.gold.fee", "unknown key"},
 		"[plans.gold]\nprice = -1":             &DocumentError{0, "plans.gold.price", "-1 is not within 0 to 1000"},
@@ -67,12 +67,12 @@
 		"[limits]\nattempts = 6":               &LooserError{"limits.attempts", 6, 5},
 		"[limits]\nin_flight = 401":            &LooserError{"limits.in_flight", 401, 400},
 		"[classes.lookup]\nattempts = 6":       &LooserError{"classes.lookup.attempts", 6, 5},
-		"[zones.hall-a]\nclosed = true\n[zones.hall-b]\nclosed=true": &AllClosedError{here.Zones},
+		"[zones.hall-a]\nclosed = true\n[zones.hall-b]\nclosed=true": &AllClosedError{nodeSettings.Zones},
 		"#" + string(make([]byte, MaxTextBytes)):                     &TooLargeError{"bytes of a rule set", MaxTextBytes + 1, MaxTextBytes},
 	} {
 		s, err := Parse([]byte(text))
 		if err == nil {
-			err = s.Check(here)
+			err = s.Check(nodeSettings)
 		}
 		assert.Equal(t, want, err, "%.40q", text)
 	}
@@ -85,16 +85,16 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(fullText))
 	f.Add([]byte("[limits]\nattempts = 1e400"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse(text)
 		if err != nil {
 			return
 		}
-		if c, err := s.Compile(here); err == nil {
+		if c, err := s.Compile(nodeSettings); err == nil {
 			for i := range c.MaxAttempts {
-				if c.MaxAttempts[i] > here.MaxAttempts || c.MaxInFlight > here.MaxInFlight || c.MaxAttempts[i] < 1 || !(c.QuotaFactor[0] <= maxQuotaFactor) {
+				if c.MaxAttempts[i] > nodeSettings.MaxAttempts || c.MaxInFlight > nodeSettings.MaxInFlight || c.MaxAttempts[i] < 1 || !(c.QuotaFactor[0] <= maxQuotaFactor) {
 					t.Fatalf("looser than the settings: %+v", c)
 				}
 			}
--- a/fleet/rules/snapshot.go
+++ b/fleet/rules/snapshot.go
@@ -15,16 +15,16 @@
 	if err := decodeCanonical("snapshot", MaxSnapshotBytes, raw, &r.state); err != nil {
 		return nil, err
 	}
-	if err := r.check(); err != nil {
+	if err := r.checkInvariants(); err != nil {
 		return nil, &CorruptError{"snapshot", err}
 	}
 	return r, nil
 }
 
-// check reports whether a registry is one that commands can lead to.
-func (r *Registry) check() error {
+// checkInvariants reports whether a registry is one that commands can lead to.
+func (r *Registry) checkInvariants() error {
 	s := &r.state
-	if len(s.Versions) > maxVersions+maxScheduled+2 || len(s.Scheduled) > maxScheduled || (s.Prepared && len(s.Scheduled) == 0) {
+	if len(s.Versions) > maxKeptVersions+maxScheduledActivations+2 || len(s.Scheduled) > maxScheduledActivations || (s.Prepared && len(s.Scheduled) == 0) {
 		return errors.New("more entries than a registry has")
 	}
 	last := uint64(0)
