--- a/fleet/rules/command.go
+++ b/fleet/rules/command.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// MaxCommandBytes is the size of a command at most.
+	// MaxCommandBytes is the maximum size of an encoded command.
 	MaxCommandBytes = MaxTextBytes + 1024
-	// MaxSnapshotBytes is the size of a registry's snapshot at most: the texts that are kept, those of the versions in
-	// use, and a record for each version.
+	// MaxSnapshotBytes is the maximum size of a registry's snapshot: the recent texts, the texts of the versions in
+	// use, and a record of 256 bytes for each version.
 	MaxSnapshotBytes = (maxKeptTexts+maxScheduledActivations+2)*(MaxTextBytes+1024) + maxKeptVersions*256
 )
 
-// Command is an entry of the consensus log. It has exactly one of its parts. It is encoded as CBOR by the numbers in its
-// tags, its parts as arrays in the order of their fields.
+// Command is an entry of the consensus log that changes the registry. Exactly one of its fields is set. It is encoded
+// as a CBOR map with the integer keys of its tags; the commands within it are arrays in the order of their fields.
 type Command struct {
 	Publish  *Publish  `cbor:"1,keyasint,omitempty"`
 	Activate *Activate `cbor:"2,keyasint,omitempty"`
@@ -27,76 +27,77 @@
 	Commit   *Commit   `cbor:"6,keyasint,omitempty"`
 }
 
-// Publish gives a text a number. It changes nothing that is in force.
+// Publish adds a text to the registry under the next version number. It does not activate the version.
 type Publish struct {
 	_      struct{} `cbor:",toarray"`
-	Parent uint64   // the newest version that its author knew
+	Parent uint64   // newest version that the author knew; rejected if it is no longer the newest
 	Author string
 	Text   []byte
 }
 
-// Activate asks that a version come into force, at a time (Unix ms) or as soon as possible (0).
+// Activate schedules the activation of a version.
 type Activate struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Kind   ActivationKind
-	At     uint64
+	At     uint64 // time to begin the activation, Unix ms; 0 means as soon as possible
 	Author string
 }
 
-// Rollback asks that the text of an older version come into force again, under a new number and as soon as possible. All
-// scheduled activations are cancelled.
+// Rollback publishes the text of an older version under a new number, cancels all scheduled activations, and schedules
+// the activation of the new version as soon as possible.
 type Rollback struct {
 	_      struct{} `cbor:",toarray"`
-	Parent uint64
-	Target uint64
+	Parent uint64   // newest version that the author knew; rejected if it is no longer the newest
+	Target uint64   // version whose text is restored
 	Kind   ActivationKind
 	Author string
 }
 
-// Cancel takes back an activation that has not come into force.
+// Cancel cancels a scheduled or prepared activation.
 type Cancel struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Author string
 }
 
-// Prepare is the leader's: the time of the first scheduled activation has come.
+// Prepare begins the first scheduled activation. The leader proposes it when the activation's time has come.
 type Prepare struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 }
 
-// Commit is the leader's: the leases that stood in the way of the version that was prepared at a revision are gone.
+// Commit makes the prepared version the active one. The leader proposes it when no lease conflicts with the activation.
 type Commit struct {
 	_        struct{} `cbor:",toarray"`
 	Number   uint64
-	Revision uint64
+	Revision uint64 // revision of the VersionState in which the version was prepared
 }
 
 var (
 	encoder = canonical.Encoder
-	// strictDecoder reads commands and snapshots: a registry must not skip what it does not know.
+	// strictDecoder decodes commands and snapshots. It rejects unknown fields: a registry that skipped one would
+	// diverge.
 	strictDecoder = canonical.Limits{ArrayElements: 2 * maxKeptVersions, MapPairs: 16, NestedLevels: 8, RejectUnknownFields: true}.Decoder()
-	// lenientDecoder reads messages, which come from nodes with other programs too.
+	// lenientDecoder decodes messages. It skips unknown fields, as the sender may run another version of the program.
 	lenientDecoder = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
 )
 
-// decodeCanonical decodes bytes that must be the canonical form of their content.
-func decodeCanonical(what string, limit int, raw []byte, into any) error {
+// decodeCanonical decodes bytes, and rejects any encoding but the canonical one. The object's name is used in errors.
+func decodeCanonical(object string, limit int, raw []byte, into any) error {
 	if len(raw) > limit {
-		return &CorruptError{what, &TooLargeError{"bytes of a " + what, len(raw), limit}}
+		return &CorruptError{object, &TooLargeError{"bytes of a " + object, len(raw), limit}}
 	}
 	if err := strictDecoder.Unmarshal(raw, into); err != nil {
-		return &CorruptError{what, err}
+		return &CorruptError{object, err}
 	}
 	if again, err := encoder.Marshal(into); err != nil || !bytes.Equal(again, raw) {
-		return &CorruptError{what, errors.New("not in canonical form")}
+		return &CorruptError{object, errors.New("not in canonical form")}
 	}
 	return nil
 }
 
-// Encode returns a command's bytes, in canonical form.
+// Encode checks a command and returns its canonical encoding.
 func (c Command) Encode() ([]byte, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -104,7 +105,7 @@
 	return encoder.Marshal(c)
 }
 
-// DecodeCommand reads a command.
+// DecodeCommand decodes and checks a command. It rejects encodings that are not canonical.
 func DecodeCommand(raw []byte) (Command, error) {
 	var c Command
 	if err := decodeCanonical("command", MaxCommandBytes, raw, &c); err != nil {
@@ -113,21 +114,22 @@
 	return c, c.check()
 }
 
+// check reports whether exactly one field is set and within its limits.
 func (c Command) check() error {
 	if c.Publish != nil && len(c.Publish.Text) > MaxTextBytes {
 		return &TooLargeError{"bytes of a rule set", len(c.Publish.Text), MaxTextBytes}
 	}
-	parts := 0
+	count := 0
 	for _, set := range []bool{
 		c.Publish != nil, c.Activate != nil, c.Rollback != nil,
 		c.Cancel != nil, c.Prepare != nil, c.Commit != nil,
 	} {
 		if set {
-			parts++
+			count++
 		}
 	}
-	if parts != 1 {
-		return &CorruptError{"command", fmt.Errorf("%d parts where there must be one", parts)}
+	if count != 1 {
+		return &CorruptError{"command", fmt.Errorf("%d fields are set, want exactly 1", count)}
 	}
 	switch {
 	case c.Publish != nil:
@@ -144,7 +146,7 @@
 
 func checkAuthor(author string) error {
 	if len(author) > maxAuthorBytes {
-		return &TooLargeError{"bytes of a name", len(author), maxAuthorBytes}
+		return &TooLargeError{"bytes of an author name", len(author), maxAuthorBytes}
 	}
 	return nil
 }
--- a/fleet/rules/compile.go
+++ b/fleet/rules/compile.go
@@ -5,61 +5,63 @@
 	"slices"
 )
 
-// Settings is what a node's own settings have, of what a rule set may name.
+// Settings holds the part of a node's own settings that a rule set may refer to.
 type Settings struct {
 	Plans, Classes, Zones []string
-	MaxAttempts           int // of one request; 0 is no limit
-	MaxInFlight           int // requests held at once; 0 is no limit
+	MaxAttempts           int // attempts per request; 0 means no limit
+	MaxInFlight           int // requests held at once; 0 means no limit
 }
 
-// Check reports whether a node can act by the set: an UnknownNameError where it names a plan, a class or a zone that the
-// node does not have, and a LooserError where it is looser than the node's settings.
-func (s *Set) Check(have Settings) error {
+// Check returns an error if a node with these settings can't apply the set: an UnknownNameError for a plan, class or
+// zone that the settings do not have, a LooserError for a limit that is looser than the settings', and an
+// AllClosedError if every zone is closed.
+func (s *Set) Check(settings Settings) error {
 	plans := sortedKeys(s.Plans)
 	for _, key := range sortedKeys(s.Tenants) {
 		plan, _ := splitTenantKey(key)
 		plans = append(plans, plan)
 	}
 	for _, named := range []struct {
-		kind        string
-		names, have []string
+		kind         string
+		names, known []string
 	}{
-		{"plan", plans, have.Plans},
-		{"class", sortedKeys(s.Classes), have.Classes},
-		{"zone", sortedKeys(s.Zones), have.Zones},
+		{"plan", plans, settings.Plans},
+		{"class", sortedKeys(s.Classes), settings.Classes},
+		{"zone", sortedKeys(s.Zones), settings.Zones},
 	} {
 		for _, name := range named.names {
-			if !slices.Contains(named.have, name) {
+			if !slices.Contains(named.known, name) {
 				return &UnknownNameError{named.kind, name}
 			}
 		}
 	}
-	if err := s.checkLimits(have); err != nil {
+	if err := s.checkLimits(settings); err != nil {
 		return err
 	}
 	isOpen := func(zone string) bool { return !s.Zones[zone].Closed }
-	if len(have.Zones) > 0 && !slices.ContainsFunc(have.Zones, isOpen) {
-		return &AllClosedError{have.Zones}
+	if len(settings.Zones) > 0 && !slices.ContainsFunc(settings.Zones, isOpen) {
+		return &AllClosedError{settings.Zones}
 	}
 	return nil
 }
 
-// checkLimits names the first limit that is looser than the settings'.
-func (s *Set) checkLimits(have Settings) error {
-	if err := checkNotLooser("limits.in_flight", s.Limits.InFlight, have.MaxInFlight); err != nil {
+// checkLimits returns a LooserError for the first limit that is looser than the settings'.
+func (s *Set) checkLimits(settings Settings) error {
+	if err := checkNotLooser("limits.in_flight", s.Limits.InFlight, settings.MaxInFlight); err != nil {
 		return err
 	}
-	if err := checkNotLooser("limits.attempts", s.Limits.Attempts, have.MaxAttempts); err != nil {
+	if err := checkNotLooser("limits.attempts", s.Limits.Attempts, settings.MaxAttempts); err != nil {
 		return err
 	}
 	for _, name := range sortedKeys(s.Classes) {
-		if err := checkNotLooser("classes."+name+".attempts", s.Classes[name].Attempts, have.MaxAttempts); err != nil {
+		if err := checkNotLooser("classes."+name+".attempts", s.Classes[name].Attempts, settings.MaxAttempts); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+// checkNotLooser returns a LooserError if a value exceeds a limit. A nil value and a limit of 0 pass.
 func checkNotLooser(key string, value *int, limit int) error {
 	if value != nil && limit > 0 && *value > limit {
 		return &LooserError{key, *value, limit}
@@ -67,24 +69,26 @@
 	return nil
 }
 
-// Compiled is a set as a node's decisions use it: plain numbers in the order of its settings.
+// Compiled is a rule set in the form that a node's decisions use: slices are in the order of the plans and classes of
+// its settings, and the fields say what
+// stands for a value that the set does not name.
 type Compiled struct {
-	PriceFactor       []float64          // by plan; NaN is the settings'
-	QuotaFactor       []float64          // by plan: times the settings' rate and burst
-	TenantQuotaFactor map[string]float64 // by "PLAN ID": in place of QuotaFactor
-	MaxAttempts       []int              // by class: of one request; 0 is no limit
-	MaxInFlight       int                // 0 is no limit
+	PriceFactor       []float64          // by plan; NaN means the factor in the settings
+	QuotaFactor       []float64          // by plan; multiplies the settings' rate and burst, 1 if not named
+	TenantQuotaFactor map[string]float64 // by "PLAN ID"; replaces QuotaFactor for that tenant
+	MaxAttempts       []int              // by class; attempts per request, 0 means no limit
+	MaxInFlight       int                // requests held at once; 0 means no limit
 	ClosedZones       []string           // sorted
-	CrossZoneCost     map[string]float64 // by zone: of an attempt from another one, where it is not the settings'
+	CrossZoneCost     map[string]float64 // by zone, only if named; value that an attempt from another zone costs
 }
 
-// Compile checks the set against a node's settings and returns it in the form that its decisions use.
-func (s *Set) Compile(have Settings) (*Compiled, error) {
-	if err := s.Check(have); err != nil {
+// Compile checks the set against a node's settings and returns its compiled form.
+func (s *Set) Compile(settings Settings) (*Compiled, error) {
+	if err := s.Check(settings); err != nil {
 		return nil, err
 	}
 	c := &Compiled{TenantQuotaFactor: map[string]float64{}, CrossZoneCost: map[string]float64{}}
-	for _, name := range have.Plans {
+	for _, name := range settings.Plans {
 		c.PriceFactor = append(c.PriceFactor, valueOr(s.Plans[name].Price, math.NaN()))
 		c.QuotaFactor = append(c.QuotaFactor, valueOr(s.Plans[name].Quota, 1))
 	}
@@ -93,15 +97,15 @@
 			c.TenantQuotaFactor[key] = *tenant.Quota
 		}
 	}
-	maxAttempts := valueOr(s.Limits.Attempts, have.MaxAttempts)
-	for _, name := range have.Classes {
+	maxAttempts := valueOr(s.Limits.Attempts, settings.MaxAttempts)
+	for _, name := range settings.Classes {
 		n := valueOr(s.Classes[name].Attempts, maxAttempts)
 		if maxAttempts > 0 {
 			n = min(n, maxAttempts)
 		}
 		c.MaxAttempts = append(c.MaxAttempts, n)
 	}
-	c.MaxInFlight = valueOr(s.Limits.InFlight, have.MaxInFlight)
+	c.MaxInFlight = valueOr(s.Limits.InFlight, settings.MaxInFlight)
 	for _, name := range sortedKeys(s.Zones) {
 		zone := s.Zones[name]
 		if zone.Closed {
@@ -114,10 +118,10 @@
 	return c, nil
 }
 
-// valueOr returns the value behind a pointer, or another one for nil.
-func valueOr[T any](pointer *T, otherwise T) T {
+// valueOr returns the value behind a pointer, or the fallback for nil.
+func valueOr[T any](pointer *T, fallback T) T {
 	if pointer == nil {
-		return otherwise
+		return fallback
 	}
 	return *pointer
 }
--- a/fleet/rules/errors.go
+++ b/fleet/rules/errors.go
@@ -6,19 +6,19 @@
 	"sloestile/internal/oneline"
 )
 
-// TooLargeError is something beyond the bytes or the number that it may have.
+// TooLargeError reports a size or number above its limit.
 type TooLargeError struct {
-	Quantity   string
+	Quantity   string // what is measured or counted, such as "bytes of a message"
 	Value, Max int
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("%s: %d, at most %d; make it smaller", e.Quantity, e.Value, e.Max)
+	return fmt.Sprintf("%s: %d, at most %d are allowed; make it smaller", e.Quantity, e.Value, e.Max)
 }
 
-// DocumentError says why a text is not a rule set.
+// DocumentError reports why a text is not a valid rule set.
 type DocumentError struct {
-	Line   int // 0 is not known
+	Line   int // 0 if not known
 	Key    string
 	Reason string
 }
@@ -28,20 +28,20 @@
 	if e.Line > 0 {
 		where = fmt.Sprintf("line %d: %s", e.Line, e.Key)
 	}
-	return fmt.Sprintf("rule set: %s: %s; mend the text and publish it again", where, e.Reason)
+	return fmt.Sprintf("rule set: %s: %s; correct the text and publish it again", where, e.Reason)
 }
 
-// UnknownNameError is a name in a rule set that a node's settings do not have.
+// UnknownNameError reports a name in a rule set that the node's settings do not have.
 type UnknownNameError struct {
 	Kind string // plan, class or zone
 	Name string
 }
 
 func (e *UnknownNameError) Error() string {
-	return fmt.Sprintf("rule set: %s %s is not in this node's settings; publish a text without it, or give the node newer settings", e.Kind, e.Name)
+	return fmt.Sprintf("rule set: %s %s is not in this node's settings; publish a text without it, or update the node's settings", e.Kind, e.Name)
 }
 
-// LooserError is a limit of a rule set that allows more than a node's settings do.
+// LooserError reports a limit of a rule set that allows more than the node's settings do.
 type LooserError struct {
 	Key        string
 	Value, Max int
@@ -51,65 +51,66 @@
 	return fmt.Sprintf("rule set: %s: %d is looser than the %d of this node's settings; publish a text with %d or less", e.Key, e.Value, e.Max, e.Max)
 }
 
-// AllClosedError is a rule set that closes each zone that a node knows.
+// AllClosedError reports a rule set that closes every zone in the node's settings.
 type AllClosedError struct{ Zones []string }
 
 func (e *AllClosedError) Error() string {
-	return fmt.Sprintf("rule set: zones: all of %v are closed; publish a text that leaves one open", e.Zones)
+	return fmt.Sprintf("rule set: zones: all of %v are closed; publish a text that leaves at least one open", e.Zones)
 }
 
-// StaleVersionError is a command for another state of the registry: a publication
-// whose parent is not the newest version, or an activation of a number that others have passed.
+// StaleVersionError reports a command that was issued for an older state of the registry: a publication or rollback
+// whose parent is not the newest version, or an activation of a version that is not newer than the active one.
 type StaleVersionError struct {
-	Current uint64 // what the registry has
-	Given   uint64 // what the command goes by
+	Current uint64 // newest version, or the active one for an activation
+	Given   uint64 // version that the command names
 }
 
 func (e *StaleVersionError) Error() string {
-	return fmt.Sprintf("registry: the command goes by version %d, the registry has %d; read the status and decide anew", e.Given, e.Current)
+	return fmt.Sprintf("registry: the command names version %d, but the registry is at version %d; read the status and decide again", e.Given, e.Current)
 }
 
-// NoVersionError is a number of no version, or of one whose text is no longer kept.
+// NoVersionError reports a version number that does not exist, or whose record or text is no longer kept.
 type NoVersionError struct {
 	Number      uint64
-	TextDropped bool // the number is known, its text is gone
+	TextDropped bool // the version is known, but its text is no longer kept
 }
 
 func (e *NoVersionError) Error() string {
 	if e.TextDropped {
-		return fmt.Sprintf("registry: the text of version %d is not kept any more; publish it anew", e.Number)
+		return fmt.Sprintf("registry: the text of version %d is no longer kept; publish the text again", e.Number)
 	}
-	return fmt.Sprintf("registry: there is no version %d; read the status for those there are", e.Number)
+	return fmt.Sprintf("registry: there is no version %d; read the status for the existing ones", e.Number)
 }
 
-// OrderError is an activation that would not come in the order of the numbers.
+// OrderError reports an activation that would break the order of version numbers.
 type OrderError struct {
-	Number, Scheduled uint64 // Other is scheduled, and would come on the wrong side
+	Number    uint64 // version to activate
+	Scheduled uint64 // scheduled version that would be activated out of order
 }
 
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("registry: version %d can't be activated across version %d, which is awaited; cancel that one first", e.Number, e.Scheduled)
+	return fmt.Sprintf("registry: version %d can't be activated out of order with version %d, which is awaited; cancel that one first", e.Number, e.Scheduled)
 }
 
-// PhaseError is a step of an activation out of its order.
+// PhaseError reports a step that the current phase of an activation does not allow.
 type PhaseError struct {
-	Step     string
+	Step     string // preparing, activating or cancelling
 	Number   uint64
-	Prepared uint64 // 0 is none
+	Prepared uint64 // number of the prepared version; 0 if there is none
 }
 
 func (e *PhaseError) Error() string {
-	return fmt.Sprintf("registry: %s of version %d while version %d is prepared; nothing has changed, read the status", e.Step, e.Number, e.Prepared)
+	return fmt.Sprintf("registry: %s version %d is not possible now (prepared version: %d, 0 for none); nothing has changed, read the status", e.Step, e.Number, e.Prepared)
 }
 
-// CorruptError is bytes that are no command, snapshot or message.
+// CorruptError reports bytes that do not decode to a valid command, snapshot or message.
 type CorruptError struct {
-	Object string
+	Object string // command, snapshot or message
 	Err    error
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("%s: %s; drop it, and look for a node of another version or a faulty disk if it comes again", e.Object, oneline.Of(e.Err))
+	return fmt.Sprintf("%s: %s; drop it, and if it happens again look for a node with another program version or a faulty disk", e.Object, oneline.Of(e.Err))
 }
 
 func (e *CorruptError) Unwrap() error { return e.Err }
--- a/fleet/rules/grantor.go
+++ b/fleet/rules/grantor.go
@@ -6,54 +6,56 @@
 )
 
 const (
-	// earliestTime is before any time.
+	// earliestTime is before any reading of the clock.
 	earliestTime = -time.Duration(1 << 62)
-	// maxNotificationsPerState is how often one state is sent to one holder, when nobody waits for its acknowledgement.
+	// maxNotificationsPerState limits how often one state is sent to one holder that owes no acknowledgement of it.
 	maxNotificationsPerState = 6
 )
 
-// holderState is what a grantor knows of one process that has requested leases.
+// holderState is what a grantor knows about one process that has requested leases.
 type holderState struct {
 	node              int
 	incarnation       uint64
-	leasesEndAt       time.Duration // when all leases that it may hold have expired, by this clock
-	seenAt            time.Duration
-	knownRevision     uint64 // the newest that it is known to have
-	ackedRevision     uint64 // revision of the preparation that it has acknowledged
-	notifyAt          time.Duration
-	notificationCount int // of the state so far
+	leasesEndAt       time.Duration // by this node's clock, when every lease that it may hold has expired
+	seenAt            time.Duration // when its last message arrived
+	knownRevision     uint64        // newest revision that it is known to have
+	ackedRevision     uint64        // revision of the newest preparation that it has acknowledged
+	notifyAt          time.Duration // time of the next notification
+	notificationCount int           // notifications sent for the current state
 }
 
-// pendingRequest is a request that can't be answered yet.
+// pendingRequest is a lease request that can't be answered yet.
 type pendingRequest struct {
 	node        int
 	incarnation uint64
 	request     LeaseRequest
-	arrivedAt   time.Duration
-	ownSequence uint32 // of the relay's own last request when it came: the answer to a later one is fresh enough
-	round       uint64 // of the confirmation that answers it; 0 is none begun
+	arrivedAt   time.Duration // arrival at this grantor
+	// ownSequence is the sequence number of the relay's own latest request at the arrival. A lease from any later one
+	// is fresh enough to answer this request.
+	ownSequence uint32
+	round       uint64 // confirmation round that answers it; 0 if none has begun
 }
 
-// LeaseGrantor is the side of the leases that grants them, at the leader and at relays. The leader grants by the registry,
-// each request after a confirmation of its leadership that began after the request had come. A relay passes on what is
-// left of its own lease.
+// LeaseGrantor grants leases, at the leader and at relays. The leader grants a request from the registry's state once a
+// quorum has confirmed its leadership in a round that began after the request arrived. A relay grants no more than the
+// remaining time of its own lease.
 type LeaseGrantor struct {
 	params   LeaseParams
 	state    VersionState
 	isLeader bool
 
-	unknownLeasesUntil  time.Duration // until when leases of leaders before may be held
-	previousLeasesUntil time.Duration // until when leases on the version before the active one may be held
+	unknownLeasesUntil  time.Duration // end of all leases that former leaders may have granted
+	previousLeasesUntil time.Duration // end of all leases on the previously active version
 
 	holders   []holderState
 	pending   []pendingRequest
-	lastRound uint64 // of confirmation, begun last
+	lastRound uint64 // number of the confirmation round that began last
 
-	offeredRevision uint64 // of the preparation whose commit was offered last
-	offeredAt       time.Duration
+	offeredRevision uint64        // revision of the preparation whose Commit was returned last
+	offeredAt       time.Duration // when it was returned
 }
 
-// observe takes a state that is newer than the one here: all holders are to be notified.
+// observe adopts a state if it is newer than the current one, and schedules a notification of every holder.
 func (g *LeaseGrantor) observe(now time.Duration, s VersionState) {
 	if s.Revision <= g.state.Revision {
 		return
@@ -68,8 +70,8 @@
 	}
 }
 
-// becomeLeader makes the grantor the leader's. It does not know who holds a lease of the leaders before, so it counts each as held
-// until it must have expired.
+// becomeLeader starts granting as the leader. The holders of leases that former leaders granted are not known, so such
+// leases count as held until the last one must have expired.
 func (g *LeaseGrantor) becomeLeader(now time.Duration) {
 	g.isLeader = true
 	g.unknownLeasesUntil = now + g.params.withDriftMargin(g.params.LeaseDuration)
@@ -82,7 +84,7 @@
 	g.pending = nil
 }
 
-// ensureHolder returns what is known of a process, and adds it where there is room; nil is no room.
+// ensureHolder returns the state of a holder and adds it if it is new. It returns nil if MaxHolders is reached.
 func (g *LeaseGrantor) ensureHolder(now time.Duration, node int, incarnation uint64) *holderState {
 	for i := range g.holders {
 		if g.holders[i].node == node && g.holders[i].incarnation == incarnation {
@@ -107,8 +109,9 @@
 	return &g.holders[len(g.holders)-1]
 }
 
-// handleRequest takes a handleRequest and returns its grant, or nil where it has to wait: at the leader until the leadership is
-// confirmed, at a relay until its own lease was renewed since.
+// handleRequest returns the grant that answers a request, or nil if the request has to wait: at the leader until its
+// leadership is confirmed, at a relay until its own lease is renewed. remaining is the remaining time of this node's
+// own lease, and ownSequence the sequence number of its latest own request.
 func (g *LeaseGrantor) handleRequest(now time.Duration, from int, incarnation uint64, r LeaseRequest, remaining time.Duration, ownSequence uint32) *LeaseGrant {
 	h := g.ensureHolder(now, from, incarnation)
 	if h == nil {
@@ -130,14 +133,14 @@
 	return nil
 }
 
-// replacesPending reports whether a request takes the place of another one of its node. One that came again does not: the other's
-// answer may be under way.
+// replacesPending reports whether a request replaces a pending one of the same node. A retransmission does not, as the
+// confirmation that answers the pending request may be under way.
 func (g *LeaseGrantor) replacesPending(now time.Duration, p, other pendingRequest) bool {
 	return other.incarnation != p.incarnation || (p.request.Fresh && !other.request.Fresh) ||
 		now-other.arrivedAt >= g.params.RenewInterval
 }
 
-// grant answers a request by a lease of at most some length, as the state allows.
+// grant answers a request with a lease that is as long as the state allows, but no longer than length.
 func (g *LeaseGrantor) grant(now time.Duration, p pendingRequest, length time.Duration) *LeaseGrant {
 	length = min(length, g.params.maxLeaseDuration(&g.state)).Truncate(time.Microsecond)
 	answer := &LeaseGrant{Incarnation: p.incarnation, Sequence: p.request.Sequence, Revision: g.state.Revision}
@@ -158,8 +161,8 @@
 	return answer
 }
 
-// takeAnswerable returns the requests that a relay can answer once a request of its own was answered, and drops those that are
-// too old.
+// takeAnswerable removes and returns the pending requests that a relay can answer after its own request was answered,
+// and drops those that are too old. remaining is the remaining time of the relay's lease.
 func (g *LeaseGrantor) takeAnswerable(now time.Duration, own sentRequest, remaining time.Duration) []pendingRequest {
 	var answerable []pendingRequest
 	kept := g.pending[:0]
@@ -177,7 +180,7 @@
 	return answerable
 }
 
-// takeConfirmed returns the requests that a confirmation answers.
+// takeConfirmed removes and returns the pending requests that a confirmation round answers.
 func (g *LeaseGrantor) takeConfirmed(round uint64) []pendingRequest {
 	var answerable []pendingRequest
 	g.pending = slices.DeleteFunc(g.pending, func(p pendingRequest) bool {
@@ -190,7 +193,8 @@
 	return answerable
 }
 
-// beginConfirmation marks the requests that a confirmation which begins now will answer.
+// beginConfirmation marks the pending requests that a confirmation round beginning now will answer, and returns its
+// number; ok is false if there are none.
 func (g *LeaseGrantor) beginConfirmation() (round uint64, ok bool) {
 	for i := range g.pending {
 		if g.pending[i].round == 0 {
@@ -204,7 +208,8 @@
 	return g.lastRound, ok
 }
 
-// handleAck takes that a process and all to whom it has granted are trimmed to a preparation.
+// handleAck records that a process has shortened its own leases, and that all leases it has granted are shortened or
+// expired, as the preparation with this revision requires.
 func (g *LeaseGrantor) handleAck(now time.Duration, from int, incarnation, revision uint64) {
 	for i := range g.holders {
 		h := &g.holders[i]
@@ -220,12 +225,14 @@
 	}
 }
 
-// maxTrimmedLease returns how long leases may last yet when a preparation is acknowledged.
+// maxTrimmedLease returns the longest time that a lease may still last, by this node's clock, when its holder
+// acknowledges the preparation.
 func (g *LeaseGrantor) maxTrimmedLease() time.Duration {
 	return g.params.withDriftMargin(g.params.maxLeaseDuration(&g.state))
 }
 
-// allTrimmedAt returns when all leases granted from here are trimmed to the preparation, if nobody acknowledges more.
+// allTrimmedAt returns when all leases that this node has granted are as short as the preparation requires, even if no
+// further acknowledgement arrives.
 func (g *LeaseGrantor) allTrimmedAt() time.Duration {
 	at := earliestTime
 	for _, h := range g.holders {
@@ -234,7 +241,7 @@
 	return at - g.maxTrimmedLease()
 }
 
-// commitAllowedAt returns when the prepared version can be activated, at the leader.
+// commitAllowedAt returns when the leader may propose to activate the prepared version.
 func (g *LeaseGrantor) commitAllowedAt() time.Duration {
 	at := max(g.allTrimmedAt(), g.previousLeasesUntil)
 	if g.state.Active.Number != 0 {
@@ -246,7 +253,7 @@
 	return at
 }
 
-// dueNotifications returns the nodes that the state is to be sent to now.
+// dueNotifications returns the nodes to which the state has to be sent now, and schedules their next notifications.
 func (g *LeaseGrantor) dueNotifications(now time.Duration) []int {
 	var nodes []int
 	for i := range g.holders {
@@ -264,8 +271,9 @@
 	return nodes
 }
 
-// needsNotification reports whether a holder has to be sent the state: until it has it, and where a version is prepared
-// until it has acknowledged or has no lease left.
+// needsNotification reports whether the state still has to be sent to a holder. While a version is prepared, that is
+// until the holder has acknowledged it or holds no lease; otherwise until it has the state or was notified often
+// enough.
 func (g *LeaseGrantor) needsNotification(now time.Duration, h *holderState) bool {
 	if g.state.Prepared.Number != 0 && h.ackedRevision < g.state.Revision && h.leasesEndAt > now {
 		return true
--- a/fleet/rules/grantors.go
+++ b/fleet/rules/grantors.go
@@ -8,23 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxDirectNodes is the size of a fleet up to which all nodes request leases from the leader itself.
+// maxDirectNodes is the largest number of live nodes at which all of them request leases from the leader directly.
 const maxDirectNodes = 24
 
-// Peer is a live node of the fleet, this one among them.
+// Peer is a live node of the fleet; the node itself is one of its peers.
 type Peer struct {
-	Index int
+	Index int // index in the fleet
 	Zone  string
 }
 
-// ChooseGrantors returns the nodes from which a node requests leases, by the peers that it sees: voters and relays the
-// leader, others a relay of their own zone, then another one, then the leader. There are as many relays as the root of the
-// nodes, in each zone by its part. They are chosen by hashes, so that a node that goes moves those who requested from it,
-// and hardly anyone else. Nodes that see other peers choose other relays, and nothing is wrong: any node grants on what it
-// holds.
+// ChooseGrantors returns the indices of the nodes from which a node requests leases, the preferred one first. Voters
+// and relays request from the leader; other nodes from a relay of their zone, then from a second one, then from the
+// leader. It returns nil if no leader is known (a negative index).
 //
-// The node does not use it: internal/consensus/learner groups the nodes by index (relays.go there), which moves no node
-// when the membership changes. The scale test and the virtual fleets of the testbed measure this one.
+// The fleet has about as many relays as the square root of its live nodes, distributed over the zones in proportion to
+// their nodes. Relays are chosen by rendezvous hashing, so that the loss of a node moves those that requested leases
+// from it and hardly any other. Nodes that see different peers may choose different relays. That is safe, because any
+// node may grant from its own lease.
+//
+// The edge node does not use this function: internal/consensus/learner groups the nodes by index (see relays.go there),
+// so that no node moves when the membership changes. The scale tests and the virtual fleets of the testbed measure this
+// one.
 func ChooseGrantors(self, leader int, voters []int, live []Peer) []int {
 	if leader < 0 {
 		return nil
@@ -33,25 +37,26 @@
 	if i < 0 || len(live) <= maxDirectNodes || slices.Contains(voters, self) {
 		return []int{leader}
 	}
-	var zone []int
+	var candidates []int
 	for _, p := range live {
 		if p.Zone == live[i].Zone && !slices.Contains(voters, p.Index) {
-			zone = append(zone, p.Index)
+			candidates = append(candidates, p.Index)
 		}
 	}
-	relays := int(math.Ceil(float64(len(zone)) / math.Sqrt(float64(len(live)))))
-	sortByWeight(zone, func(index int) uint64 { return hashWeight(index, index) })
-	zone = zone[:relays]
-	if slices.Contains(zone, self) {
+	relays := int(math.Ceil(float64(len(candidates)) / math.Sqrt(float64(len(live)))))
+	sortByWeight(candidates, func(index int) uint64 { return hashWeight(index, index) })
+	candidates = candidates[:relays]
+	if slices.Contains(candidates, self) {
 		return []int{leader}
 	}
-	sortByWeight(zone, func(index int) uint64 { return hashWeight(self, index) })
-	return append(zone[:min(2, relays)], leader)
+	sortByWeight(candidates, func(index int) uint64 { return hashWeight(self, index) })
+	return append(candidates[:min(2, relays)], leader)
 }
 
-// sortByWeight sorts nodes by a weight, the greatest first.
+// sortByWeight sorts nodes by descending weight, and by index where weights are equal.
 func sortByWeight(nodes []int, weight func(int) uint64) {
 	slices.SortFunc(nodes, func(a, b int) int { return cmp.Or(cmp.Compare(weight(b), weight(a)), a-b) })
 }
 
+// hashWeight returns the rendezvous hash of a pair of indices.
 func hashWeight(a, b int) uint64 { return xxhash.Sum64(encodeUint(uint64(a)<<32 | uint64(b))) }
--- a/fleet/rules/holder.go
+++ b/fleet/rules/holder.go
@@ -8,78 +8,78 @@
 )
 
 const (
-	maxSentRequests = 8 // whose grants count
-	maxTextStatuses = 8 // versions of which is known whether they can be used
-	maxUnanswered   = 3 // requests without an answer after which another grantor is tried
-	// returnAfterRenewals is how many renewal intervals later the first grantor is tried again.
+	maxSentRequests = 8 // latest requests whose grants are accepted
+	maxTextStatuses = 8 // versions for which it is remembered whether this node can apply them
+	maxUnanswered   = 3 // consecutive requests without an answer after which the next grantor is tried
+	// returnAfterRenewals is the number of renewal intervals after which the preferred grantor is tried again.
 	returnAfterRenewals = 8
 )
 
-// Reason says why a node acts by no version.
+// Reason is the reason why no version is in effect at a node.
 type Reason uint8
 
-// The reasons, the weightiest first.
+// The reasons, and InEffect for none. Their numbers are sent between nodes.
 const (
-	InEffect     Reason = iota // it does act by one
-	NoVersion                  // none is active
-	NoLease                    // none was granted, or it has expired
-	NoText                     // the text of the version is not here yet
-	Unusable                   // this node can't use the version: see Set.Check
-	NotPersisted               // the disk has not persisted the number yet
-	OlderVersion               // the lease is on an older version than it has acted by
+	InEffect     Reason = iota // a version is in effect
+	NoVersion                  // the registry has no active version
+	NoLease                    // no lease was granted, or it has expired
+	NoText                     // the version's text has not been fetched yet
+	Unusable                   // this node can't apply the version, see Set.Check
+	NotPersisted               // the version's number has not been persisted yet
+	OlderVersion               // the lease is on a version below the high-water mark
 )
 
-// String returns the reason as operators see it.
+// String returns the reason as the status shows it to operators.
 func (r Reason) String() string {
 	names := [...]string{"acting", "no version", "no lease", "no text", "refused", "no mark", "older"}
 	return names[min(r, OlderVersion)]
 }
 
-// lease is one on a version, by this node's clock.
+// lease permits this node to apply a version.
 type lease struct {
 	version   VersionID
-	expiresAt time.Duration
+	expiresAt time.Duration // by this node's clock
 }
 
-// sentRequest is a request that was sent and not answered.
+// sentRequest is a lease request that was sent and has no answer yet.
 type sentRequest struct {
 	sequence uint32
 	sentAt   time.Duration
-	fresh    bool
+	fresh    bool // only a lease that the leader granted after the request was accepted as an answer
 }
 
-// textStatus says whether this node can use a version whose text is here.
+// textStatus records whether this node can apply a version whose text it has.
 type textStatus struct {
 	version VersionID
 	usable  bool
 }
 
-// LeaseHolder is the side of the leases that holds them: it requests leases, counts them on its own clock from before it
-// requested them, and decides by which version the node acts. It acts by none whose number the disk has not persisted, nor
-// by one below that number.
+// LeaseHolder requests leases and decides which version is in effect at the node. It measures a lease by its own clock
+// from the sending of the request, so that the lease ends here no later than the grantor reckons. A version takes
+// effect only after its number was persisted as the high-water mark, and versions below that mark never do.
 type LeaseHolder struct {
 	params          LeaseParams
 	index           int
 	state           VersionState
-	trimmedRevision uint64       // of a preparation to which the leases here are trimmed
-	leases          []lease      // by number, two at most
+	trimmedRevision uint64       // revision of the latest preparation for which the leases were shortened
+	leases          []lease      // by version number; at most two
 	texts           []textStatus // oldest first
-	highWaterMark   uint64       // number that the disk has: none below is acted by
-	hasFreshLease   bool         // since the process began
+	highWaterMark   uint64       // highest version number that was persisted; lower versions never take effect
+	hasFreshLease   bool         // whether a lease was granted by the leader since this process started
 
 	requests      []sentRequest // oldest first
-	lastSequence  uint32        // of the last request
-	nextRequestAt time.Duration // of the next one
-	lastRequestAt time.Duration // of the last one
-	responseTime  time.Duration // of recent answers, the slow ones for longer
-
-	grantors        []int         // from which leases can be requested, the best first
-	currentGrantor  int           // position of the one that is used
-	currentSince    time.Duration // it is used
-	unansweredCount int           // requests without an answer
+	lastSequence  uint32        // sequence number of the last request
+	nextRequestAt time.Duration // when the next request is due
+	lastRequestAt time.Duration // when the last request was sent
+	responseTime  time.Duration // decaying maximum of recent response times
+
+	grantors        []int         // nodes to request leases from, the preferred one first
+	currentGrantor  int           // position in grantors of the one in use
+	currentSince    time.Duration // when its use began
+	unansweredCount int           // consecutive requests without an answer
 }
 
-// observe takes a state that is newer than the one here, and reports whether it was.
+// observe adopts a state if it is newer than the current one, and reports whether it was.
 func (h *LeaseHolder) observe(now time.Duration, s VersionState) bool {
 	if s.Revision <= h.state.Revision {
 		return false
@@ -92,8 +92,8 @@
 	return true
 }
 
-// trimLeases shortens the leases to what a preparation allows, once the next text is here, so that the time without a
-// version, or with two, is short.
+// trimLeases shortens the leases to what a preparation allows. It waits for the text of the prepared version, so that
+// the time without a version in effect, or with two in the fleet, is short.
 func (h *LeaseHolder) trimLeases(now time.Duration) {
 	trimmed := h.trimmedRevision == h.state.Revision
 	if h.state.Prepared.Number == 0 || trimmed || !h.hasText(h.state.Prepared) {
@@ -115,17 +115,18 @@
 	h.leases = slices.DeleteFunc(h.leases, func(l lease) bool { return now >= l.expiresAt })
 }
 
-// hasText reports whether the node knows if it can use a version.
+// hasText reports whether the node has fetched and checked a version's text.
 func (h *LeaseHolder) hasText(version VersionID) bool {
 	return slices.ContainsFunc(h.texts, func(t textStatus) bool { return t.version == version })
 }
 
+// usable reports whether the node has a version's text and can apply it.
 func (h *LeaseHolder) usable(version VersionID) bool {
 	return slices.Contains(h.texts, textStatus{version, true})
 }
 
-// MissingText returns a version whose text is to be fetched, if there is one.
-func (h *LeaseHolder) MissingText() (VersionID, bool) {
+// MissingText returns the active or prepared version whose text has to be fetched; ok is false if there is none.
+func (h *LeaseHolder) MissingText() (version VersionID, ok bool) {
 	for _, version := range []VersionID{h.state.Active, h.state.Prepared} {
 		if version.Number != 0 && !h.hasText(version) {
 			return version, true
@@ -134,7 +135,7 @@
 	return VersionID{}, false
 }
 
-// textFetched takes that a version's text is here and whether this node can use it.
+// textFetched records that the node has a version's text, and whether it can apply the version.
 func (h *LeaseHolder) textFetched(now time.Duration, version VersionID, usable bool) {
 	h.texts = slices.DeleteFunc(h.texts, func(t textStatus) bool { return t.version == version })
 	if len(h.texts) >= maxTextStatuses {
@@ -144,9 +145,9 @@
 	h.trimLeases(now)
 }
 
-// PersistDue returns the number that has to be persisted before the node can act by that version. Until then it goes on:
-// by the version before as long as the lease on that lasts.
-func (h *LeaseHolder) PersistDue(now time.Duration) (uint64, bool) {
+// PersistDue returns the version number that has to be persisted before that version can take effect; ok is false if
+// there is none. Meanwhile the previous version stays in effect until the lease on it expires.
+func (h *LeaseHolder) PersistDue(now time.Duration) (number uint64, ok bool) {
 	l := h.newestLease()
 	if l == nil || now >= l.expiresAt || !h.usable(l.version) || l.version.Number <= h.highWaterMark {
 		return 0, false
@@ -154,6 +155,7 @@
 	return l.version.Number, true
 }
 
+// newestLease returns the lease on the newest version, or nil.
 func (h *LeaseHolder) newestLease() *lease {
 	if len(h.leases) == 0 {
 		return nil
@@ -161,32 +163,32 @@
 	return &h.leases[len(h.leases)-1]
 }
 
-// EffectiveVersion returns the version that a request which begins now goes by, and the end of the lease on it by this node's
-// clock; 0 is the settings alone, and why.
-func (h *LeaseHolder) EffectiveVersion(now time.Duration) (number uint64, until time.Duration, why Reason) {
-	why = NoLease
+// EffectiveVersion returns the version to apply to a request that begins now, and when the lease on it ends by this
+// node's clock. Number 0 means that only the node's settings apply, for the returned reason.
+func (h *LeaseHolder) EffectiveVersion(now time.Duration) (number uint64, until time.Duration, reason Reason) {
+	reason = NoLease
 	if h.state.Active.Number == 0 {
-		why = NoVersion
+		reason = NoVersion
 	}
 	for _, l := range h.leases {
 		switch {
 		case now >= l.expiresAt:
 		case l.version.Number < h.highWaterMark:
-			why = OlderVersion
+			reason = OlderVersion
 		case !h.hasText(l.version):
-			why = NoText
+			reason = NoText
 		case !h.usable(l.version):
-			why = Unusable
+			reason = Unusable
 		case l.version.Number > h.highWaterMark:
-			why = NotPersisted
+			reason = NotPersisted
 		default:
 			return l.version.Number, l.expiresAt, InEffect
 		}
 	}
-	return 0, 0, why
+	return 0, 0, reason
 }
 
-// remaining returns what is left of the lease on the active version: what can be granted on.
+// remaining returns the remaining time of the lease on the active version, which bounds the leases that a relay grants.
 func (h *LeaseHolder) remaining(now time.Duration) time.Duration {
 	l := h.newestLease()
 	if l == nil || l.version != h.state.Active {
@@ -195,7 +197,8 @@
 	return max(0, min(l.expiresAt-now, h.params.maxLeaseDuration(&h.state)))
 }
 
-// receiveGrant takes a grant and returns the request that it answers; sequence 0 is none that counts.
+// receiveGrant applies a grant and returns the request that it answers. A returned sequence of 0 means that the grant
+// answered no current request or was of no use.
 func (h *LeaseHolder) receiveGrant(now time.Duration, g *LeaseGrant) sentRequest {
 	i := slices.IndexFunc(h.requests, func(r sentRequest) bool { return r.sequence == g.Sequence })
 	if i < 0 {
@@ -213,7 +216,7 @@
 		h.observe(now, *g.State)
 	}
 	if g.Revision != h.state.Revision || (!h.hasFreshLease && !request.fresh) {
-		h.expediteRequest(now) // the grant is of a state that has passed, or may have
+		h.expediteRequest(now) // the grant is from a state that is outdated, or may be
 		return sentRequest{}
 	}
 	length := min(time.Duration(g.Length)*time.Microsecond, h.params.maxLeaseDuration(&h.state))
@@ -227,7 +230,8 @@
 	return request
 }
 
-// extendLease takes a lease on the active version up to an end.
+// extendLease extends the lease on the active version, or adds one, up to an end. It keeps at most one lease on an
+// older version.
 func (h *LeaseHolder) extendLease(now, end time.Duration) {
 	h.dropExpired(now)
 	l := h.newestLease()
@@ -241,7 +245,7 @@
 	}
 }
 
-// idleDelay returns the pause between requests while there is nothing to be had.
+// idleDelay returns the delay between requests while no lease can be granted.
 func (h *LeaseHolder) idleDelay() time.Duration {
 	if h.state.Revision == 0 {
 		return h.jitter(h.params.RenewInterval)
@@ -249,17 +253,20 @@
 	return h.jitter(h.params.RenewInterval / 4)
 }
 
-// jitter shortens a pause by up to a quarter, so that nodes that were notified together don't go on together.
-func (h *LeaseHolder) jitter(pause time.Duration) time.Duration {
+// jitter shortens a delay by up to a quarter, so that nodes that were notified together don't send together. It depends
+// only on the node's index and its last sequence number.
+func (h *LeaseHolder) jitter(delay time.Duration) time.Duration {
 	x := xxhash.Sum64(encodeUint(uint64(h.index)<<32 | uint64(h.lastSequence)))
-	return pause - time.Duration(x%1024)*pause/4096
+	return delay - time.Duration(x%1024)*delay/4096
 }
 
+// encodeUint returns the little-endian bytes of a number.
 func encodeUint(v uint64) []byte {
 	return []byte{byte(v), byte(v >> 8), byte(v >> 16), byte(v >> 24), byte(v >> 32), byte(v >> 40), byte(v >> 48), byte(v >> 56)}
 }
 
-// nextRequest returns the next request, if it is due.
+// nextRequest returns the next request if it is due, and schedules its retry. fresh asks for a lease that the leader
+// grants after this request.
 func (h *LeaseHolder) nextRequest(now time.Duration, fresh bool) (*LeaseRequest, bool) {
 	if now < h.nextRequestAt {
 		return nil, false
@@ -277,7 +284,8 @@
 	return &LeaseRequest{Sequence: h.lastSequence, Revision: h.state.Revision, Fresh: fresh}, true
 }
 
-// chooseGrantor returns the grantor to use: the next one where one does not answer, and the first again after a while.
+// chooseGrantor returns the grantor to use. It moves to the next one if the current one does not answer, and returns to
+// the preferred one after a while.
 func (h *LeaseHolder) chooseGrantor(now time.Duration) int {
 	switch {
 	case h.currentGrantor > 0 && now-h.currentSince >= returnAfterRenewals*h.params.RenewInterval:
@@ -292,12 +300,12 @@
 	return h.grantors[h.currentGrantor]
 }
 
-// expediteRequest has the next request sent as soon as may be.
+// expediteRequest moves the next request forward to now, but keeps a minimum distance to the last one.
 func (h *LeaseHolder) expediteRequest(now time.Duration) {
 	h.nextRequestAt = min(h.nextRequestAt, max(now, h.lastRequestAt+h.params.RetryInterval/4))
 }
 
-// setGrantors takes the grantors that may be used.
+// setGrantors sets the nodes to request leases from, the preferred one first. An unchanged list has no effect.
 func (h *LeaseHolder) setGrantors(now time.Duration, grantors []int) {
 	if slices.Equal(h.grantors, grantors) {
 		return
--- a/fleet/rules/message.go
+++ b/fleet/rules/message.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// MaxMessageBytes is the size of a message at most.
+// MaxMessageBytes is the maximum size of an encoded message.
 const MaxMessageBytes = 256
 
 const (
-	maxNodes       = 1 << 20
-	maxLeaseMicros = uint32(time.Hour / time.Microsecond)
+	maxNodes       = 1 << 20                              // size of a fleet
+	maxLeaseMicros = uint32(time.Hour / time.Microsecond) // longest lease that a message may grant
 )
 
-// LeaseParams are the times and limits of the leases, the same at all nodes of a fleet.
+// LeaseParams are the durations and limits of leases. They are the same at all nodes of a fleet.
 type LeaseParams struct {
-	LeaseDuration time.Duration // length of a lease
-	MaxOverlap    time.Duration // for which two versions are acted by side by side at most
-	RenewInterval time.Duration // between two requests
-	RetryInterval time.Duration // until a request or a notification without an answer is sent again
-	MaxClockDrift float64       // fraction by which the rates of two nodes' clocks differ at most
-	MaxHolders    int           // of one grantor
+	LeaseDuration time.Duration // length of a lease while no activation is prepared
+	MaxOverlap    time.Duration // longest time for which two versions are in effect side by side in the fleet
+	RenewInterval time.Duration // interval between two requests of a holder
+	RetryInterval time.Duration // initial delay before an unanswered request or notification is sent again
+	MaxClockDrift float64       // maximum difference of the rates of two nodes' clocks, as a fraction
+	MaxHolders    int           // maximum number of holders of one grantor
 }
 
-// DefaultLeaseParams are the terms of a fleet where nothing else is said. A leader that dies is followed within 2 s, so a lease
-// has 3 s left where it is renewed each second. A clock is slewed by 500 parts in a million and its crystal is off by less
-// than 100; MaxClockDrift is ten times what two such can do.
+// DefaultLeaseParams are the default parameters. A lease that is renewed every second has at least 3 s left when its
+// leader dies, and a new leader is elected within 2 s, so that a failover leaves no gap. A clock is slewed by up to 500
+// ppm and its crystal is off by less than 100 ppm; MaxClockDrift is about eight times the difference that two such
+// clocks can have.
 var DefaultLeaseParams = LeaseParams{
 	LeaseDuration: 4 * time.Second,
 	MaxOverlap:    time.Second,
@@ -36,55 +37,59 @@
 	MaxHolders:    160,
 }
 
-// withDriftMargin returns the time on one node's clock in which a span on any other's has passed for sure.
-func (t *LeaseParams) withDriftMargin(span time.Duration) time.Duration {
-	return span + time.Duration(float64(span)*t.MaxClockDrift)
+// withDriftMargin returns how far one node's clock has to advance until the span has certainly passed by any other's
+// clock.
+func (p *LeaseParams) withDriftMargin(span time.Duration) time.Duration {
+	return span + time.Duration(float64(span)*p.MaxClockDrift)
 }
 
-// maxLeaseDuration returns the length of the leases that may be granted in a state.
-func (t *LeaseParams) maxLeaseDuration(s *VersionState) time.Duration {
+// maxLeaseDuration returns the maximum length of the leases that may be granted in a state; 0 means none.
+func (p *LeaseParams) maxLeaseDuration(s *VersionState) time.Duration {
 	switch {
 	case s.Active.Number == 0:
 		return 0
 	case s.Prepared.Number == 0:
-		return t.LeaseDuration
+		return p.LeaseDuration
 	case s.Kind == Overlap:
-		return min(t.LeaseDuration, time.Duration(float64(t.MaxOverlap)/(1+t.MaxClockDrift)))
+		return min(p.LeaseDuration, time.Duration(float64(p.MaxOverlap)/(1+p.MaxClockDrift)))
 	}
 	return 0
 }
 
-// Message is what one node sends another about leases. It has any of its parts. It is encoded as CBOR by the numbers in
-// its tags; unknown fields are skipped.
+// Message is what one node sends to another about leases. Any of the optional fields may be set together. It is encoded
+// as a CBOR map with the integer keys of its tags; unknown fields are skipped.
 type Message struct {
-	Sender        int           `cbor:"1,keyasint"` // index in the fleet
-	Incarnation   uint64        `cbor:"2,keyasint"` // of the sender's process
-	Request       *LeaseRequest `cbor:"3,keyasint,omitempty"`
-	Grant         *LeaseGrant   `cbor:"4,keyasint,omitempty"`
-	State         *VersionState `cbor:"5,keyasint,omitempty"` // of a grantor: to be acknowledged where a version is prepared
-	AckedRevision uint64        `cbor:"6,keyasint,omitempty"` // revision to which all leases at and from the sender are trimmed
+	Sender      int           `cbor:"1,keyasint"` // index of the sending node in the fleet
+	Incarnation uint64        `cbor:"2,keyasint"` // incarnation of the sender's process
+	Request     *LeaseRequest `cbor:"3,keyasint,omitempty"`
+	Grant       *LeaseGrant   `cbor:"4,keyasint,omitempty"`
+	// State is the sender's state. The receiver acknowledges it if a version is prepared in it.
+	State *VersionState `cbor:"5,keyasint,omitempty"`
+	// AckedRevision acknowledges the preparation with this revision: the sender's own leases and all leases that it has
+	// granted are trimmed for it. 0 means no acknowledgement.
+	AckedRevision uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// LeaseRequest requests a lease.
+// LeaseRequest requests a lease on the active version.
 type LeaseRequest struct {
 	_        struct{} `cbor:",toarray"`
-	Sequence uint32   // counts the requests of a process
-	Revision uint64   // of the state that the sender has
-	Fresh    bool     // only a lease that the leader granted after the request will do
+	Sequence uint32   // counts the requests of a process, from 1
+	Revision uint64   // revision of the sender's state
+	Fresh    bool     // accept only a lease that the leader granted after this request
 }
 
-// LeaseGrant answers a request, with a lease or without.
+// LeaseGrant answers a request, with a lease or without one.
 type LeaseGrant struct {
 	_           struct{}      `cbor:",toarray"`
-	Incarnation uint64        // of the requesting process
-	Sequence    uint32        // of the request
-	Revision    uint64        // of the state in which it was granted
-	Length      uint32        // us, from before the request was sent; 0 is no lease
-	Full        bool          // this grantor has as many holders as it can: request from another one
-	State       *VersionState // where the requester had another revision
+	Incarnation uint64        // incarnation of the requesting process
+	Sequence    uint32        // sequence number of the request
+	Revision    uint64        // revision of the state in which it was granted
+	Length      uint32        // microseconds from the sending of the request; 0 means no lease
+	Full        bool          // the grantor has MaxHolders holders already; request from another one
+	State       *VersionState // state of the grantor; nil if the requester had the same revision
 }
 
-// Encode returns a message's bytes, in canonical form.
+// Encode returns the canonical encoding of a message.
 func (m *Message) Encode() ([]byte, error) {
 	raw, err := encoder.Marshal(m)
 	if err == nil && len(raw) > MaxMessageBytes {
@@ -93,7 +98,8 @@
 	return raw, err
 }
 
-// DecodeMessage reads a message of a node of a fleet. A message with anything that is out of range is dropped whole.
+// DecodeMessage decodes a message from a node of a fleet with this many nodes. It rejects a message that has any value
+// out of range.
 func DecodeMessage(raw []byte, fleetSize int) (*Message, error) {
 	if len(raw) > MaxMessageBytes {
 		return nil, &CorruptError{"message", &TooLargeError{"bytes of a message", len(raw), MaxMessageBytes}}
@@ -108,13 +114,14 @@
 	return m, nil
 }
 
-// Errors of a message that holds what is out of range.
+// Errors for messages with values out of range.
 var (
 	errNoSequence      = errors.New("lease request without a sequence number")
 	errGrantOutOfRange = errors.New("lease grant out of range")
-	errImpossibleState = errors.New("version state that no registry has")
+	errImpossibleState = errors.New("version state that no registry can be in")
 )
 
+// check returns an error if a value of the message is out of range.
 func (m *Message) check(fleetSize int) error {
 	if m.Sender < 0 || m.Sender >= min(fleetSize, maxNodes) || m.Incarnation == 0 {
 		return fmt.Errorf("node %d, incarnation %d in a fleet of %d", m.Sender, m.Incarnation, fleetSize)
@@ -133,6 +140,7 @@
 	return nil
 }
 
+// valid reports whether the values of a grant are in range.
 func (g *LeaseGrant) valid() bool {
 	if g.Sequence == 0 || g.Length > maxLeaseMicros {
 		return false
@@ -140,6 +148,7 @@
 	return g.State == nil || g.State.Revision == g.Revision
 }
 
+// grantedState returns the state within the message's grant, or nil.
 func (m *Message) grantedState() *VersionState {
 	if m.Grant == nil {
 		return nil
@@ -147,7 +156,7 @@
 	return m.Grant.State
 }
 
-// valid reports whether a registry can have the state.
+// valid reports whether a registry can be in the state.
 func (s *VersionState) valid() bool {
 	if s.Prepared.Number != 0 {
 		known := s.Kind == Overlap || s.Kind == Exclusive
--- a/fleet/rules/node.go
+++ b/fleet/rules/node.go
@@ -5,44 +5,46 @@
 	"time"
 )
 
-// Outgoing is a message to be sent. One that is lost is made up for; it needs no retry below.
+// Outgoing is a message to be sent. The protocol recovers from a lost message, so the transport need not retry.
 type Outgoing struct {
-	To      int
+	To      int // index of the receiving node
 	Message *Message
 }
 
-// Config is what a node's part of the leases is started with.
+// Config configures a Node.
 type Config struct {
 	Node          int    // index in the fleet
-	Incarnation   uint64 // of the process; no two of one node are the same, and none is 0
-	HighWaterMark uint64 // version number that the disk has persisted last; 0 is none
+	Incarnation   uint64 // identifies the process; never 0, and different for each process of a node
+	HighWaterMark uint64 // version number that was persisted last; 0 if there is none
 	LeaseParams   LeaseParams
 }
 
-// Node is one node's part of the leases: a holder, and a grantor for those who request leases from it. The caller
-// carries messages, agrees on the registry and fetches texts. Its clock only moves forward, from 0 or more, and goes
-// on while the machine is suspended (CLOCK_BOOTTIME). All calls are one goroutine's.
+// Node runs the lease protocol at one node: it holds leases, and grants them to the nodes that request them from it.
+// The caller carries the messages, runs the consensus on the registry and fetches texts. The clock that it passes
+// starts at 0 or later, never goes back, and includes the time for which the machine is suspended (CLOCK_BOOTTIME). A
+// Node is not safe for concurrent use.
 //
-//	state of the registry, from anywhere  Observe
-//	a message came                        Receive
-//	NextWake is due, or after other calls Flush, and send what it returns; then the next four
-//	while it leads: BeginConfirmation     confirm the leadership by a quorum, then Confirmed
-//	CommitReady returns a command         propose it
-//	MissingText returns a version         fetch its text, Parse, Check, then TextFetched
-//	PersistDue returns a number           persist it, then Persisted
-//	this node was elected                 Lead, once all of the terms before is applied and observed
-//	it leads no more                      Follow
-//	a request begins                      Acting
+//	When                                      Call
+//	a state of the registry is known          Observe
+//	a message arrives                         Receive
+//	NextWake is due, or after any other call  Flush, and send the messages; then check the next four
+//	BeginConfirmation returns a round         have a quorum confirm the leadership, then LeadershipConfirmed
+//	CommitReady returns a command             propose it
+//	MissingText returns a version             fetch its text, Parse, Check, then TextFetched
+//	PersistDue returns a number               persist it, then Persisted
+//	the node is elected                       BecomeLeader, once all entries of former terms are applied and observed
+//	the node is no longer the leader          BecomeFollower
+//	a request begins                          EffectiveVersion
 type Node struct {
 	index       int
 	incarnation uint64
 	holder      LeaseHolder
 	grantor     LeaseGrantor
-	pendingAcks []int // nodes that are owed an acknowledgement of the state's revision
-	outgoing    []Outgoing
+	pendingAcks []int      // nodes that wait for an acknowledgement of the current preparation
+	outgoing    []Outgoing // messages for the next Flush; at most one to a node
 }
 
-// NewNode begins a node's part. It holds no lease, whatever it held before.
+// NewNode returns a node without leases; leases of a former process of the node don't carry over.
 func NewNode(c Config, now time.Duration) *Node {
 	return &Node{
 		index:       c.Node,
@@ -58,11 +60,13 @@
 	}
 }
 
-// SetGrantors takes the nodes from which this one can request leases, the best first: for voters and relays the leader,
-// for others the relay of their group, then other relays. While it leads it requests from itself.
+// SetGrantors sets the nodes from which this one requests leases, the preferred one first: the leader for voters and
+// relays, and for other nodes the relay of their group, then alternatives. While this node is the leader it requests
+// leases from itself.
 func (n *Node) SetGrantors(now time.Duration, grantors []int) { n.holder.setGrantors(now, grantors) }
 
-// Observe takes a state of the registry, from this node's own or from any other's: it is only ever what was agreed.
+// Observe adopts a state of the registry if it is valid and newer than the current one. It may come from this node's
+// own registry or from any other node, as every state that is sent was agreed by consensus.
 func (n *Node) Observe(now time.Duration, s VersionState) {
 	if s.valid() && n.holder.observe(now, s) {
 		n.grantor.observe(now, s)
@@ -73,38 +77,42 @@
 // State returns the newest state that this node has observed.
 func (n *Node) State() VersionState { return n.holder.state }
 
-// MissingText returns a version whose text this node needs.
-func (n *Node) MissingText() (VersionID, bool) { return n.holder.MissingText() }
+// MissingText returns the active or prepared version whose text this node has to fetch; ok is false if there is none.
+func (n *Node) MissingText() (version VersionID, ok bool) { return n.holder.MissingText() }
 
-// TextFetched takes that a version's text is here, checked against its digest, and whether this node can use it. It may be
-// called for any version ahead.
+// TextFetched records that this node has a version's text, which the caller has compared with the digest, and whether
+// it can apply the version. It may be called in advance for any version.
 func (n *Node) TextFetched(now time.Duration, version VersionID, usable bool) {
 	n.holder.textFetched(now, version, usable)
 }
 
-// PersistDue returns a number that has to be persisted before this node can act by that version.
-func (n *Node) PersistDue(now time.Duration) (uint64, bool) { return n.holder.PersistDue(now) }
+// PersistDue returns the version number that has to be persisted before that version can take effect at this node; ok
+// is false if there is none.
+func (n *Node) PersistDue(now time.Duration) (number uint64, ok bool) {
+	return n.holder.PersistDue(now)
+}
 
-// Persisted takes that a number is durable. Where the disk fails the node goes by its settings alone.
+// Persisted records that a version number is durable. While the disk fails, the caller does not call it, and once the
+// lease on the previous version has expired only the node's settings apply.
 func (n *Node) Persisted(number uint64) {
 	n.holder.highWaterMark = max(n.holder.highWaterMark, number)
 }
 
-// EffectiveVersion returns the version that a request which begins now goes by, and until when that holds by this node's clock if
-// nothing is received; 0 is the settings alone, and why.
-func (n *Node) EffectiveVersion(now time.Duration) (number uint64, until time.Duration, why Reason) {
+// EffectiveVersion returns the version to apply to a request that begins now, and until when it stays in effect by this
+// node's clock if no message arrives. Number 0 means that only the node's settings apply, for the returned reason.
+func (n *Node) EffectiveVersion(now time.Duration) (number uint64, until time.Duration, reason Reason) {
 	return n.holder.EffectiveVersion(now)
 }
 
-// BecomeLeader says that this node was elected. The registry's state by all that was agreed before its term must have been
-// observed: with raft, after a barrier in its term.
+// BecomeLeader records that this node was elected. The caller must have observed the registry's state after all entries
+// of former terms; with Raft that is after a barrier in the new term.
 func (n *Node) BecomeLeader(now time.Duration) { n.grantor.becomeLeader(now) }
 
-// BecomeFollower says that this node leads no more, or may not.
+// BecomeFollower records that this node is no longer the leader, or may no longer be.
 func (n *Node) BecomeFollower() { n.grantor.becomeFollower() }
 
-// BeginConfirmation reports whether requests wait for a confirmation of the leadership, and returns the number of the
-// round that answers all that have come so far. The caller begins it after this call, by a quorum.
+// BeginConfirmation reports whether lease requests wait for a confirmation of the leadership, and returns the number of
+// the round that will answer all that have arrived so far. The caller begins the round, with a quorum, after this call.
 func (n *Node) BeginConfirmation() (round uint64, ok bool) {
 	if !n.grantor.isLeader {
 		return 0, false
@@ -112,8 +120,8 @@
 	return n.grantor.beginConfirmation()
 }
 
-// LeadershipConfirmed says that a quorum has confirmed this node's leadership in a round that began after the call of
-// BeginConfirmation that returned the number.
+// LeadershipConfirmed records that a quorum has confirmed this node's leadership in a round that began after
+// BeginConfirmation had returned the number. It answers the requests that waited for that round or an earlier one.
 func (n *Node) LeadershipConfirmed(now time.Duration, round uint64) {
 	if !n.grantor.isLeader {
 		return
@@ -123,9 +131,10 @@
 	}
 }
 
-// CommitReady returns the command that activates the prepared version, once no lease stands in its way, and again after a
-// while where nothing came of it. Proposed twice it counts once.
-func (n *Node) CommitReady(now time.Duration) (Commit, bool) {
+// CommitReady returns the command that activates the prepared version once no lease conflicts with it; ok is false
+// before that and at other nodes than the leader. It returns the command again after RenewInterval if the version is
+// still prepared. Proposing the command twice is harmless, as the registry rejects the second one.
+func (n *Node) CommitReady(now time.Duration) (command Commit, ok bool) {
 	g := &n.grantor
 	if !g.isLeader || g.state.Prepared.Number == 0 || now < g.commitAllowedAt() {
 		return Commit{}, false
@@ -135,7 +144,7 @@
 	return Commit{Number: g.state.Prepared.Number, Revision: g.state.Revision}, true
 }
 
-// Receive takes a message.
+// Receive handles a message from another node, or from this node itself.
 func (n *Node) Receive(now time.Duration, m *Message) {
 	if m.State != nil {
 		n.receiveState(now, m.Sender, *m.State)
@@ -151,7 +160,8 @@
 	}
 }
 
-// receiveState observes a state. Its sender gets a newer one back, or is owed an acknowledgement of a preparation.
+// receiveState observes a state. A sender with an older state is sent the newer one; otherwise, if a version is
+// prepared, an acknowledgement to the sender becomes due.
 func (n *Node) receiveState(now time.Duration, from int, s VersionState) {
 	n.Observe(now, s)
 	switch {
@@ -189,7 +199,7 @@
 
 func (n *Node) sendGrant(to int, g *LeaseGrant) { n.outgoingTo(to).Grant = g }
 
-// outgoingTo returns the message to a node that is not sent yet.
+// outgoingTo returns the unsent message to a node, and adds one if there is none.
 func (n *Node) outgoingTo(to int) *Message {
 	for _, o := range n.outgoing {
 		if o.To == to {
@@ -201,7 +211,7 @@
 	return m
 }
 
-// Flush returns the messages that are due. Those to this node itself are received at once.
+// Flush returns the messages that are due. It delivers those to this node itself right away.
 func (n *Node) Flush(now time.Duration) []Outgoing {
 	var out []Outgoing
 	for again := true; again; {
@@ -221,6 +231,7 @@
 	return out
 }
 
+// prepareMessages adds the due lease request, notifications and acknowledgements to the outgoing messages.
 func (n *Node) prepareMessages(now time.Duration) {
 	fresh := slices.ContainsFunc(n.grantor.pending, func(p pendingRequest) bool { return p.request.Fresh })
 	if to, ok := n.nextGrantor(now); ok {
@@ -241,7 +252,7 @@
 	})
 }
 
-// nextGrantor returns the node from which this one requests a lease now.
+// nextGrantor returns the node from which this one requests a lease now; ok is false if it requests none.
 func (n *Node) nextGrantor(now time.Duration) (to int, ok bool) {
 	switch {
 	case n.grantor.isLeader:
@@ -252,36 +263,37 @@
 	return 0, false
 }
 
-// canAcknowledge reports whether the preparation can be acknowledged to a node: the leases here are trimmed to it, and so
-// are all that were granted from here.
+// canAcknowledge reports whether the preparation can be acknowledged to a node: this node's own leases are trimmed for
+// it, and so are all leases that it has granted. To itself a node acknowledges its own leases alone.
 func (n *Node) canAcknowledge(now time.Duration, to int) bool {
 	trimmed := n.holder.trimmedRevision == n.holder.state.Revision
 	return trimmed && (to == n.index || now >= n.grantor.allTrimmedAt())
 }
 
-// NextWake returns when Flush or CommitReady has something next.
+// NextWake returns when Flush or CommitReady next has something to return if no message arrives; ok is false if neither
+// has.
 func (n *Node) NextWake(now time.Duration) (at time.Duration, ok bool) {
-	by := func(t time.Duration) {
+	wakeBy := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
 	if len(n.outgoing) > 0 {
-		by(now)
+		wakeBy(now)
 	}
 	if len(n.holder.grantors) > 0 || n.grantor.isLeader {
-		by(n.holder.nextRequestAt)
+		wakeBy(n.holder.nextRequestAt)
 	}
 	for i := range n.grantor.holders {
 		if h := &n.grantor.holders[i]; n.grantor.needsNotification(now, h) {
-			by(h.notifyAt)
+			wakeBy(h.notifyAt)
 		}
 	}
 	if n.holder.trimmedRevision == n.holder.state.Revision && len(n.pendingAcks) > 0 {
-		by(n.grantor.allTrimmedAt())
+		wakeBy(n.grantor.allTrimmedAt())
 	}
 	if n.grantor.isLeader && n.grantor.state.Prepared.Number != 0 {
-		by(n.grantor.commitAllowedAt())
+		wakeBy(n.grantor.commitAllowedAt())
 	}
 	return at, ok
 }
--- a/fleet/rules/registry.go
+++ b/fleet/rules/registry.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	maxKeptTexts            = 16   // newest versions whose text is kept, beside those in use
-	maxKeptVersions         = 1024 // versions whose number and digest are kept
-	maxScheduledActivations = 8    // activations
+	maxKeptTexts            = 16   // newest versions whose text is kept, besides those in use
+	maxKeptVersions         = 1024 // newest versions whose record is kept, besides those in use
+	maxScheduledActivations = 8
 	maxAuthorBytes          = 64
 )
 
-// ActivationKind says how an activation meets the version before it.
+// ActivationKind determines whether an activation may overlap with the previously active version.
 type ActivationKind uint8
 
 // The kinds of activation.
 const (
-	Overlap   ActivationKind = 1 // both are acted by side by side, for LeaseParams.MaxOverlap at most
-	Exclusive ActivationKind = 2 // never both at once: in between nodes act by their settings alone
+	Overlap   ActivationKind = 1 // both may be in effect at different nodes, for at most LeaseParams.MaxOverlap
+	Exclusive ActivationKind = 2 // the two are never in effect at once; in between nodes apply only their settings
 )
 
-// String returns the kind as operators see it.
+// String returns the kind as the status shows it to operators.
 func (k ActivationKind) String() string {
 	switch k {
 	case Overlap:
@@ -32,82 +32,82 @@
 	return "none"
 }
 
-// VersionStatus says what has become of a version.
+// VersionStatus is the state of a version in its life cycle.
 type VersionStatus uint8
 
-// The statuses of versions. Only one version is active, and one prepared at most.
+// The statuses of versions. At most one version is active, and at most one is prepared.
 const (
-	Published  VersionStatus = iota
-	Scheduled                // its activation is agreed, for a time or as soon as possible
-	Prepared                 // leases on the active one expire, or are short
-	Active                   // leases are granted on it
-	Superseded               // was active
-	Cancelled                // was scheduled; it may be scheduled again
+	Published  VersionStatus = iota // has a number and was never scheduled
+	Scheduled                       // its activation is agreed for a time, or as soon as possible
+	Prepared                        // its activation has begun: leases on the active version are shortened or run out
+	Active                          // leases are granted on it
+	Superseded                      // was active, and a newer version is now
+	Cancelled                       // its activation was cancelled; it may be scheduled again
 )
 
-// String returns the status as operators see it.
+// String returns the status as it is shown to operators.
 func (s VersionStatus) String() string {
 	names := [...]string{"published", "awaited", "prepared", "active", "passed", "cancelled"}
 	return names[min(s, Cancelled)]
 }
 
-// Version is one text under a number that is given once.
+// Version is a published text with its number, which is never used again for another text.
 type Version struct {
 	_            struct{} `cbor:",toarray"`
 	Number       uint64
 	Digest       Digest
-	Parent       uint64 // the newest when it was published
-	RestoredFrom uint64 // whose text it has, after a rollback; 0 is a text of its own
-	Author       string // who published it
-	Text         []byte // nil is no longer kept
+	Parent       uint64 // newest version when it was published
+	RestoredFrom uint64 // version whose text a rollback restored; 0 if it was published with a text
+	Author       string // author of the publication or rollback
+	Text         []byte // nil if no longer kept
 	Status       VersionStatus
-	Kind         ActivationKind // of its latest activation
-	ActivateAt   uint64         // of it, Unix ms; 0 is as soon as possible
-	LastAuthor   string         // who asked for that, or cancelled it
+	Kind         ActivationKind // kind of its latest activation
+	ActivateAt   uint64         // time of its latest activation, Unix ms; 0 means as soon as possible
+	LastAuthor   string         // who scheduled that activation, or cancelled it
 }
 
-// registryState is all that a registry is: its snapshot.
+// registryState is the whole state of a registry, as its snapshot holds it.
 type registryState struct {
 	_         struct{}  `cbor:",toarray"`
-	Versions  []Version // by number
-	Newest    uint64    // number given last
-	Active    uint64    // 0 is none yet
-	Previous  uint64    // was active before it
-	Scheduled []uint64  // in the order of their numbers and times
-	Prepared  bool      // the first of Scheduled
-	Revision  uint64    // changes of the VersionState so far
+	Versions  []Version // in the order of their numbers
+	Newest    uint64    // newest version number
+	Active    uint64    // number of the active version; 0 if there was none yet
+	Previous  uint64    // number of the version that was active before; 0 if there was none
+	Scheduled []uint64  // numbers of scheduled versions, in the order of numbers and of activation times
+	Prepared  bool      // whether the first of Scheduled is prepared
+	Revision  uint64    // number of changes of the VersionState so far
 }
 
-// Registry is the state machine of the versions, to which the consensus log is applied. What it has taken is never changed
-// or renumbered. A command that it rejects leaves it as it was, with the same error at every node: nothing here depends on
-// a node's settings, clock or program, so texts are read (Parse, Check) before they are proposed and not when they are
-// applied.
+// Registry is the replicated state machine of the rule versions, to which the consensus log is applied. A published
+// version is never changed or renumbered. A rejected command leaves the registry unchanged and returns the same error
+// at every node. For that, nothing here depends on a node's settings, clock or program version: texts are parsed and
+// checked before they are proposed, not when they are applied.
 type Registry struct{ state registryState }
 
-// Result is what a command has done.
+// Result describes the effect of a command.
 type Result struct {
-	Number       uint64 // of the version that it was about
-	StateChanged bool   // the VersionState has changed
+	Number       uint64 // number of the version that the command published or changed
+	StateChanged bool   // whether the VersionState has changed
 }
 
-// VersionID is a version's number and the digest of its text. The zero one is none.
+// VersionID is a version's number and the digest of its text. The zero value means no version.
 type VersionID struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Digest Digest
 }
 
-// VersionState is what all nodes have to know of the registry: the version that leases are granted on, and the next one
-// where it is prepared. Of two states the one with the higher revision holds.
+// VersionState is the part of the registry that all nodes need: the active version, on which leases are granted, and
+// the prepared one. A state with a higher revision replaces one with a lower revision.
 type VersionState struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
-	Active   VersionID
-	Prepared VersionID
-	Kind     ActivationKind // of Prepared
+	Active   VersionID      // zero if no version is active yet
+	Prepared VersionID      // zero if no version is prepared
+	Kind     ActivationKind // kind of the prepared activation; 0 if no version is prepared
 }
 
-// State returns the state that the nodes are notified of.
+// State returns the state that is sent to the nodes.
 func (r *Registry) State() VersionState {
 	s := VersionState{Revision: r.state.Revision}
 	if v := r.find(r.state.Active); v != nil {
@@ -121,13 +121,13 @@
 	return s
 }
 
-// Newest returns the number that was given last: the parent of the next version.
+// Newest returns the newest version number, which is the parent of the next version; 0 if there is none.
 func (r *Registry) Newest() uint64 { return r.state.Newest }
 
-// Versions returns all versions that are kept, by number. The caller must not change their texts.
+// Versions returns all versions that are kept, in the order of their numbers. The caller must not change their texts.
 func (r *Registry) Versions() []Version { return slices.Clone(r.state.Versions) }
 
-// Version returns one version, with its text where that is kept.
+// Version returns one version, with its text if that is kept.
 func (r *Registry) Version(number uint64) (Version, error) {
 	if v := r.find(number); v != nil {
 		return *v, nil
@@ -135,8 +135,9 @@
 	return Version{}, &NoVersionError{Number: number}
 }
 
-// NextActivation returns the activation that comes next and is not prepared yet, with its time (Unix ms, 0 is as soon as
-// possible). The leader proposes Prepare for it when that has come.
+// NextActivation returns the version number and time (Unix ms, 0 means as soon as possible) of the first scheduled
+// activation. The leader proposes Prepare for it at that time. ok is false if none is scheduled, or while one is
+// prepared.
 func (r *Registry) NextActivation() (number, at uint64, ok bool) {
 	if r.state.Prepared || len(r.state.Scheduled) == 0 {
 		return 0, 0, false
@@ -145,6 +146,7 @@
 	return v.Number, v.ActivateAt, true
 }
 
+// find returns the record of a version, or nil.
 func (r *Registry) find(number uint64) *Version {
 	versions := r.state.Versions
 	i := sort.Search(len(versions), func(i int) bool { return versions[i].Number >= number })
@@ -154,7 +156,7 @@
 	return &versions[i]
 }
 
-// Apply applies a command of the log.
+// Apply decodes a command of the consensus log and applies it.
 func (r *Registry) Apply(raw []byte) (Result, error) {
 	c, err := DecodeCommand(raw)
 	if err != nil {
@@ -189,13 +191,13 @@
 	}
 	text := c.Text
 	if text == nil {
-		text = []byte{} // an empty set; nil is a text that is no longer kept
+		text = []byte{} // an empty set, as nil means a text that is no longer kept
 	}
 	number := r.addVersion(Version{Digest: DigestOf(text), Parent: c.Parent, Author: c.Author, Text: text})
 	return Result{Number: number}, nil
 }
 
-// addVersion gives a version its number.
+// addVersion assigns the next number to a version, stores it and returns the number.
 func (r *Registry) addVersion(v Version) uint64 {
 	r.state.Newest++
 	v.Number = r.state.Newest
@@ -204,7 +206,7 @@
 	return v.Number
 }
 
-// compact drops the texts and then the records of old versions that are not in use.
+// compact drops the texts and later the records of old versions that are not in use.
 func (r *Registry) compact() {
 	versions := r.state.Versions
 	kept := versions[:0]
@@ -223,6 +225,7 @@
 	r.state.Versions = kept
 }
 
+// inUse reports whether a version is active, was active before, or is scheduled.
 func (r *Registry) inUse(number uint64) bool {
 	return number == r.state.Active || number == r.state.Previous || slices.Contains(r.state.Scheduled, number)
 }
@@ -237,7 +240,7 @@
 	case v.Text == nil:
 		return Result{}, &NoVersionError{Number: c.Number, TextDropped: true}
 	case len(r.state.Scheduled) >= maxScheduledActivations:
-		return Result{}, &TooLargeError{"activations awaited", len(r.state.Scheduled) + 1, maxScheduledActivations}
+		return Result{}, &TooLargeError{"scheduled activations", len(r.state.Scheduled) + 1, maxScheduledActivations}
 	}
 	for i, number := range r.state.Scheduled {
 		if r.conflicts(c, number, i == 0 && r.state.Prepared) {
@@ -253,7 +256,8 @@
 	return Result{Number: c.Number}, nil
 }
 
-// conflicts reports whether an activation would not come in the order of the numbers beside a scheduled one.
+// conflicts reports whether an activation and a scheduled one would break the order of version numbers, or are of the
+// same version.
 func (r *Registry) conflicts(c *Activate, scheduled uint64, prepared bool) bool {
 	other := r.find(scheduled)
 	switch {
@@ -316,7 +320,7 @@
 	return Result{Number: c.Number}, nil
 }
 
-// preparedNumber returns the number of the preparedNumber version; 0 is none.
+// preparedNumber returns the number of the prepared version; 0 if there is none.
 func (r *Registry) preparedNumber() uint64 {
 	if r.state.Prepared {
 		return r.state.Scheduled[0]
@@ -324,7 +328,7 @@
 	return 0
 }
 
-// prepare begins an activation: from here no long lease on the active version is granted.
+// prepare begins an activation. From then on only short leases on the active version are granted, or none.
 func (r *Registry) prepare(c *Prepare) (Result, error) {
 	if r.state.Prepared || len(r.state.Scheduled) == 0 || r.state.Scheduled[0] != c.Number {
 		return Result{}, &PhaseError{Step: "preparing", Number: c.Number, Prepared: r.preparedNumber()}
@@ -335,8 +339,8 @@
 	return Result{Number: c.Number, StateChanged: true}, nil
 }
 
-// commit makes the prepared version the active one. It goes by the revision of the preparation, so that one that was
-// cancelled and begun again is not ended by what was known of the first.
+// commit makes the prepared version the active one. It compares the revision of the preparation, so that a Commit for a
+// cancelled preparation does not complete a later one of the same version, for which leases may still conflict.
 func (r *Registry) commit(c *Commit) (Result, error) {
 	if !r.state.Prepared || r.state.Scheduled[0] != c.Number || r.state.Revision != c.Revision {
 		return Result{}, &PhaseError{Step: "activating", Number: c.Number, Prepared: r.preparedNumber()}
--- a/fleet/rules/set.go
+++ b/fleet/rules/set.go
@@ -1,6 +1,11 @@
-// Package rules holds the rule sets that a fleet's nodes agree on: the document (set.go), the registry of its versions
-// (registry.go, command.go), and the leases under which a node acts by one (node.go, holder.go, grantor.go). It is pure: no
-// sockets, goroutines or clocks. docs/design.md ("Rules that all agree on") specifies it.
+// Package rules implements versioned rule sets that all nodes of a fleet agree on. A Set is the parsed text of a rule
+// set, and Compile returns it in the form that a node's decisions use. A Registry is the replicated state machine that
+// numbers the published versions and activates one at a time. A Node runs the lease protocol by which a node learns the
+// active version and applies it only while it holds a lease on it, so that old and new versions overlap for a bounded
+// time or not at all.
+//
+// The package opens no sockets, starts no goroutines and reads no clock; callers pass in messages and the time.
+// docs/design.md ("Rules that all agree on") specifies it.
 package rules
 
 import (
@@ -16,66 +21,67 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxTextBytes is the size of a rule set at most.
+// MaxTextBytes is the maximum size of a rule set's text.
 const MaxTextBytes = 64 << 10
 
 const (
 	maxPriceFactor   = 1000.0
-	maxQuotaFactor   = 10.0 // times what the settings give
+	maxQuotaFactor   = 10.0 // on the settings' rate and burst
 	maxCrossZoneCost = 100.0
 	maxLimitValue    = 1 << 20
 	digestSize       = sha256.Size
 )
 
-// Digest identifies a text.
+// Digest is the SHA-256 digest of a text.
 type Digest [digestSize]byte
 
 // DigestOf returns the digest of a text.
 func DigestOf(text []byte) Digest { return sha256.Sum256(text) }
 
-// String returns the beginning of the digest.
+// String returns the first 6 bytes of the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// Set is the content of a rule set's text. What it does not name is as in the settings.
+// Set is the content of a rule set's text. The node's settings apply to everything that it does not name. A field
+// without a tag is a TOML key by its name in lower case.
 type Set struct {
 	Plans   map[string]Plan   // by name
-	Tenants map[string]Tenant `toml:"customers"` // by "PLAN ID", the ID as clients give it: 16 hex digits
+	Tenants map[string]Tenant `toml:"customers"` // by "PLAN ID", the tenant's ID as clients send it: 16 hex digits
 	Classes map[string]Class  // by name
 	Limits  Limits
 	Zones   map[string]Zone // by name
-	Work    map[string]any  // the work plan: fleet/maintenance reads it, by Section
-	Uplinks map[string]any  // the calendar of uplinks: fleet/prefetch reads it, by Section
+	Work    map[string]any  // work plan, which package fleet/maintenance parses; see MarshalSection
+	Uplinks map[string]any  // uplink calendar, which package fleet/prefetch parses; see MarshalSection
 }
 
-// Plan is what a rule set says of a plan.
+// Plan overrides the settings of a plan. A nil field keeps the setting.
 type Plan struct {
-	Price *float64 // factor on the value of a request, in place of the settings'
-	Quota *float64 // times the settings' rate and burst
+	Price *float64 // factor on the value of a request; replaces the settings' factor
+	Quota *float64 // factor on the settings' rate and burst
 }
 
-// Tenant is what a rule set says of one tenant.
+// Tenant overrides the settings of one tenant.
 type Tenant struct {
-	Quota *float64 // times the settings' rate and burst, in place of its plan's
+	Quota *float64 // factor on the settings' rate and burst; replaces the factor of the plan
 }
 
-// Class is what a rule set says of a class of requests.
+// Class overrides the settings of a class of requests.
 type Class struct {
-	Attempts *int // of one request at most
+	Attempts *int // maximum attempts per request; nil keeps the setting
 }
 
-// Limits bound all requests of a node. They are never looser than its settings.
+// Limits are limits of each node. They must not be looser than the node's settings. A nil field keeps the setting.
 type Limits struct {
-	InFlight *int `toml:"in_flight"` // requests held at once
-	Attempts *int // of one request
+	InFlight *int `toml:"in_flight"` // maximum number of requests held at once
+	Attempts *int // maximum attempts per request
 }
 
-// Zone is what a rule set says of a zone.
+// Zone overrides the settings of a zone.
 type Zone struct {
-	Closed bool     // nothing is sent there where another zone is open
-	Cost   *float64 // of an attempt that comes from another zone, in place of the settings'
+	Closed bool     // no attempt is sent to the zone while another zone is open
+	Cost   *float64 // value that an attempt from another zone costs; nil keeps the setting
 }
 
-// Parse reads a rule set's text. Unknown keys are an error.
+// Parse parses a rule set's text and checks the ranges of its values. It rejects unknown keys.
 func Parse(text []byte) (*Set, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &TooLargeError{"bytes of a rule set", len(text), MaxTextBytes}
@@ -87,7 +93,7 @@
 	return s, s.checkRanges()
 }
 
-// newDocumentError names the line and key of a TOML error.
+// newDocumentError returns a DocumentError with the line and key of a TOML error.
 func newDocumentError(err error) *DocumentError {
 	if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
 		line, _ := strict.Errors[0].Position()
@@ -101,55 +107,55 @@
 	return &DocumentError{Key: "text", Reason: reason}
 }
 
-// checkRanges returns an error that names the first value that no node could use.
+// checkRanges returns an error for the first value that is out of range for every node.
 func (s *Set) checkRanges() error {
 	var first error
-	fail := func(key, reason string) {
+	report := func(key, reason string) {
 		if first == nil {
 			first = &DocumentError{Key: key, Reason: reason}
 		}
 	}
-	number := func(key string, v *float64, limit float64) {
-		if v != nil && !(*v >= 0 && *v <= limit) { // also a NaN
-			fail(key, fmt.Sprintf("%g is not within 0 to %g", *v, limit))
+	checkNumber := func(key string, v *float64, limit float64) {
+		if v != nil && !(*v >= 0 && *v <= limit) { // negated, so that NaN fails too
+			report(key, fmt.Sprintf("%g is not within 0 to %g", *v, limit))
 		}
 	}
-	count := func(key string, v *int) {
+	checkCount := func(key string, v *int) {
 		if v != nil && (*v < 1 || *v > maxLimitValue) {
-			fail(key, fmt.Sprintf("%d is not within 1 to %d", *v, maxLimitValue))
+			report(key, fmt.Sprintf("%d is not within 1 to %d", *v, maxLimitValue))
 		}
 	}
 	for _, name := range sortedKeys(s.Plans) {
-		number("plans."+name+".price", s.Plans[name].Price, maxPriceFactor)
-		number("plans."+name+".quota", s.Plans[name].Quota, maxQuotaFactor)
+		checkNumber("plans."+name+".price", s.Plans[name].Price, maxPriceFactor)
+		checkNumber("plans."+name+".quota", s.Plans[name].Quota, maxQuotaFactor)
 	}
 	for _, key := range sortedKeys(s.Tenants) {
 		if _, id := splitTenantKey(key); !isTenantID(id) {
-			fail("customers."+key, "no plan and customer: a plan's name, a space, 16 hex digits")
+			report("customers."+key, "not a plan and a customer: want a plan's name, a space, 16 hex digits")
 		}
-		number("customers."+key+".quota", s.Tenants[key].Quota, maxQuotaFactor)
+		checkNumber("customers."+key+".quota", s.Tenants[key].Quota, maxQuotaFactor)
 	}
 	for _, name := range sortedKeys(s.Classes) {
-		count("classes."+name+".attempts", s.Classes[name].Attempts)
+		checkCount("classes."+name+".attempts", s.Classes[name].Attempts)
 	}
-	count("limits.in_flight", s.Limits.InFlight)
-	count("limits.attempts", s.Limits.Attempts)
+	checkCount("limits.in_flight", s.Limits.InFlight)
+	checkCount("limits.attempts", s.Limits.Attempts)
 	for _, name := range sortedKeys(s.Zones) {
-		number("zones."+name+".cost", s.Zones[name].Cost, maxCrossZoneCost)
+		checkNumber("zones."+name+".cost", s.Zones[name].Cost, maxCrossZoneCost)
 	}
 	return first
 }
 
-// MarshalSection returns a part that another package reads, as a TOML text of its own: s.Work or s.Uplinks.
-func MarshalSection(part map[string]any) ([]byte, error) {
-	text, err := toml.Marshal(part)
+// MarshalSection returns a section that another package parses, s.Work or s.Uplinks, as a TOML text of its own.
+func MarshalSection(section map[string]any) ([]byte, error) {
+	text, err := toml.Marshal(section)
 	if err != nil {
 		return nil, &DocumentError{Key: "section", Reason: err.Error()}
 	}
 	return text, nil
 }
 
-// splitTenantKey splits a tenant's key at its last space.
+// splitTenantKey splits a tenant's key at its last space. Both results are empty if there is none.
 func splitTenantKey(key string) (plan, id string) {
 	i := strings.LastIndexByte(key, ' ')
 	if i < 0 {
@@ -158,6 +164,7 @@
 	return key[:i], key[i+1:]
 }
 
+// isTenantID reports whether an ID has 16 lower-case hex digits.
 func isTenantID(id string) bool {
 	return len(id) == 16 && strings.Trim(id, "0123456789abcdef") == ""
 }
--- a/fleet/rules/set_test.go
+++ b/fleet/rules/set_test.go
@@ -58,7 +58,7 @@
 		"[plans.gold]\nfee = 1":                &DocumentError{2, "plans.gold.fee", "unknown key"},
 		"[plans.gold]\nprice = -1":             &DocumentError{0, "plans.gold.price", "-1 is not within 0 to 1000"},
 		"[plans.gold]\nprice = nan":            &DocumentError{0, "plans.gold.price", "NaN is not within 0 to 1000"},
-		"[customers.gold]\nquota = 1":          &DocumentError{0, "customers.gold", "no plan and customer: a plan's name, a space, 16 hex digits"},
+		"[customers.gold]\nquota = 1":          &DocumentError{0, "customers.gold", "not a plan and a customer: want a plan's name, a space, 16 hex digits"},
 		"[limits]\nattempts = 0":               &DocumentError{0, "limits.attempts", "0 is not within 1 to 1048576"},
 		"[plans.brass]":                        &UnknownNameError{"plan", "brass"},
 		"[customers.\"tin 00000000b4d65521\"]": &UnknownNameError{"plan", "tin"},
--- a/fleet/rules/snapshot.go
+++ b/fleet/rules/snapshot.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// Snapshot returns the registry's bytes, in canonical form.
+// Snapshot returns the canonical encoding of the registry's state.
 func (r *Registry) Snapshot() ([]byte, error) { return encoder.Marshal(r.state) }
 
-// Restore reads a registry's snapshot.
+// Restore returns the registry that a snapshot holds. It rejects encodings that are not canonical and states that no
+// sequence of commands leads to.
 func Restore(raw []byte) (*Registry, error) {
 	r := &Registry{}
 	if err := decodeCanonical("snapshot", MaxSnapshotBytes, raw, &r.state); err != nil {
@@ -21,11 +22,11 @@
 	return r, nil
 }
 
-// checkInvariants reports whether a registry is one that commands can lead to.
+// checkInvariants returns an error if no sequence of commands could lead to the registry's state.
 func (r *Registry) checkInvariants() error {
 	s := &r.state
 	if len(s.Versions) > maxKeptVersions+maxScheduledActivations+2 || len(s.Scheduled) > maxScheduledActivations || (s.Prepared && len(s.Scheduled) == 0) {
-		return errors.New("more entries than a registry has")
+		return errors.New("more entries than a registry can have")
 	}
 	last := uint64(0)
 	for i := range s.Versions {
@@ -40,27 +41,27 @@
 	return r.checkInUse()
 }
 
-// checkVersion checks a version that follows another number.
+// checkVersion checks one version; last is the number of the version before it, 0 for the first.
 func (r *Registry) checkVersion(v *Version, last uint64) error {
 	s := &r.state
 	scheduled := slices.Contains(s.Scheduled, v.Number)
 	switch {
 	case v.Number <= last || v.Number > s.Newest:
-		return fmt.Errorf("version %d after %d of %d", v.Number, last, s.Newest)
+		return fmt.Errorf("version %d follows version %d, the newest is %d", v.Number, last, s.Newest)
 	case len(v.Text) > MaxTextBytes || len(v.Author) > maxAuthorBytes || len(v.LastAuthor) > maxAuthorBytes,
 		v.Status > Cancelled || v.Kind > Exclusive:
-		return fmt.Errorf("version %d is out of range", v.Number)
+		return fmt.Errorf("version %d has a value out of range", v.Number)
 	case v.Text != nil && DigestOf(v.Text) != v.Digest:
 		return fmt.Errorf("version %d: its text does not match its digest", v.Number)
 	case (v.Number == s.Active) != (v.Status == Active),
 		scheduled != (v.Status == Scheduled || v.Status == Prepared),
 		(s.Prepared && s.Scheduled[0] == v.Number) != (v.Status == Prepared):
-		return fmt.Errorf("version %d has status %v and is not", v.Number, v.Status)
+		return fmt.Errorf("version %d has status %v, which the rest of the state contradicts", v.Number, v.Status)
 	}
 	return nil
 }
 
-// checkInUse checks that the active and the scheduled versions are there, with texts and in order.
+// checkInUse checks that the active and the scheduled versions exist, have texts and are in order.
 func (r *Registry) checkInUse() error {
 	previous := uint64(0)
 	for i, number := range append([]uint64{r.state.Active}, r.state.Scheduled...) {
@@ -68,7 +69,7 @@
 		missing := number != 0 && (v == nil || v.Text == nil)
 		disordered := i > 0 && (number == 0 || number <= r.state.Active || (i > 1 && number <= previous))
 		if missing || disordered {
-			return fmt.Errorf("version %d is in use and missing or out of order", number)
+			return fmt.Errorf("version %d is in use but missing or out of order", number)
 		}
 		previous = number
 	}
