--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -10,7 +10,7 @@
 	"sloestile/internal/golden"
 )
 
-// Each command has the recorded bytes.
+// The encoding of each command must not change, as the consensus log holds it.
 func TestCommandEncodingMatchesGolden(t *testing.T) {
 	for name, c := range map[string]Command{
 		"publish":  {Publish: &Publish{Parent: 3, Author: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
@@ -28,7 +28,7 @@
 	}
 }
 
-// The message of leases has the recorded bytes.
+// The encoding of messages must not change, as nodes with other program versions decode it.
 func TestMessageEncodingMatchesGolden(t *testing.T) {
 	m := &Message{}
 	golden.Fill(m)
@@ -40,7 +40,8 @@
 	golden.RoundTripOf(t, "message", m, (*Message).Encode, func(raw []byte) (*Message, error) { return DecodeMessage(raw, 1000) })
 }
 
-// The registry's snapshot, taken while versions are published, awaited, active and cancelled, has the recorded bytes.
+// The encoding of a registry's snapshot must not change, as it is on disk. The registry here has an active, a prepared
+// and a cancelled version.
 func TestSnapshotEncodingMatchesGolden(t *testing.T) {
 	r := &Registry{}
 	for _, c := range []Command{
@@ -61,7 +62,8 @@
 	golden.RoundTripOf(t, "snapshot", r, (*Registry).Snapshot, Restore)
 }
 
-// A text with every key is read, and its sections are written, as recorded.
+// The keys of a rule set, its digest and the text of its sections must not change, as operators and other packages use
+// them.
 func TestTextParsingMatchesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	require.NoError(t, err)
@@ -76,9 +78,9 @@
 	require.True(t, set.Zones["hall-a"].Closed)
 	require.Equal(t, 0.25, *set.Zones["hall-b"].Cost)
 	golden.CheckText(t, "digest", DigestOf(text).String())
-	for name, part := range map[string]map[string]any{"work": set.Work, "uplinks": set.Uplinks} {
-		section, err := MarshalSection(part)
+	for name, section := range map[string]map[string]any{"work": set.Work, "uplinks": set.Uplinks} {
+		sectionText, err := MarshalSection(section)
 		require.NoError(t, err)
-		golden.CheckText(t, "section-"+name, string(section))
+		golden.CheckText(t, "section-"+name, string(sectionText))
 	}
 }
--- a/fleet/rules/grantor.go
+++ b/fleet/rules/grantor.go
@@ -84,7 +84,8 @@
 	g.pending = nil
 }
 
-// ensureHolder returns the state of a holder and adds it if it is new. It returns nil if MaxHolders is reached.
+// ensureHolder returns the state of a holder and adds it if it is new. It returns nil if there is no room, that is if
+// MaxHolders is reached and no holder without leases has been silent for long.
 func (g *LeaseGrantor) ensureHolder(now time.Duration, node int, incarnation uint64) *holderState {
 	for i := range g.holders {
 		if g.holders[i].node == node && g.holders[i].incarnation == incarnation {
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// replacesPending reports whether a request replaces a pending one of the same node. A retransmission does not, as the
-// confirmation that answers the pending request may be under way.
+// replacesPending reports whether a request replaces a pending one of the same node. A retransmission within
+// RenewInterval does not, as the confirmation that answers the pending request may be under way.
 func (g *LeaseGrantor) replacesPending(now time.Duration, p, other pendingRequest) bool {
 	return other.incarnation != p.incarnation || (p.request.Fresh && !other.request.Fresh) ||
 		now-other.arrivedAt >= g.params.RenewInterval
--- a/fleet/rules/holder.go
+++ b/fleet/rules/holder.go
@@ -55,8 +55,8 @@
 }
 
 // LeaseHolder requests leases and decides which version is in effect at the node. It measures a lease by its own clock
-// from the sending of the request, so that the lease ends here no later than the grantor reckons. A version takes
-// effect only after its number was persisted as the high-water mark, and versions below that mark never do.
+// from the sending of the request, so that the lease expires here before the grantor counts it as expired. A version
+// takes effect only after its number was persisted as the high-water mark, and versions below that mark never do.
 type LeaseHolder struct {
 	params          LeaseParams
 	index           int
--- a/fleet/rules/set_test.go
+++ b/fleet/rules/set_test.go
@@ -45,9 +45,9 @@
 	require.NoError(t, err)
 	assert.Contains(t, string(text), "needs = '20m'")
 
-	none, err := Parse(nil)
+	empty, err := Parse(nil)
 	require.NoError(t, err)
-	c, err = none.Compile(nodeSettings)
+	c, err = empty.Compile(nodeSettings)
 	require.NoError(t, err)
 	assert.Equal(t, []int{5, 5}, c.MaxAttempts)
 	assert.Equal(t, 400, c.MaxInFlight)
@@ -84,6 +84,8 @@
 	}
 }
 
+// Any accepted text must compile to limits that are no looser than the node's settings, and its work plan must be
+// marshalable.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(fullText))
 	f.Add([]byte("[limits]\nattempts = 1e400"))
@@ -95,12 +97,12 @@
 		if c, err := s.Compile(nodeSettings); err == nil {
 			for i := range c.MaxAttempts {
 				if c.MaxAttempts[i] > nodeSettings.MaxAttempts || c.MaxInFlight > nodeSettings.MaxInFlight || c.MaxAttempts[i] < 1 || !(c.QuotaFactor[0] <= maxQuotaFactor) {
-					t.Fatalf("looser than the settings: %+v", c)
+					t.Fatalf("the compiled limits are looser than the settings: %+v", c)
 				}
 			}
 		}
 		if _, err := MarshalSection(s.Work); err != nil {
-			t.Fatalf("the work plan can't be written again: %v", err)
+			t.Fatalf("marshaling the work plan failed: %v", err)
 		}
 	})
 }
