--- a/fleet/rules/cluster_test.go
+++ b/fleet/rules/cluster_test.go
@@ -35,7 +35,7 @@
 	bug               injectedBug
 	nodes             [3]*Node
 	registry          Registry
-	tick              time.Duration    // ticks since the start of the exploration
+	tick              time.Duration    // ticks since the start of the exploration; negative before it
 	rate              [3]time.Duration // by node, ms of its clock in a tick
 	persisted         [3]uint64        // by node, high-water mark on its disk
 	olderPersisted    [3]uint64        // by node, high-water mark on an older copy of its disk
@@ -48,7 +48,7 @@
 	lastTick          time.Duration           // tick at which time stops
 	packets           []packet                // messages in transit, sorted
 	grantors          [3][]int                // by node, its grantors after a restart
-	isCut             func(from, to int) bool // links whose messages are not delivered in the normal order from tick 2 on
+	isCut             func(from, to int) bool // links that deliver no message without a deviation from tick 2 on
 	duplicationsLeft  int                     // how often each fault may still happen
 	electionsLeft     int
 	crashesLeft       int
--- a/fleet/rules/explore_test.go
+++ b/fleet/rules/explore_test.go
@@ -63,7 +63,7 @@
 	apply(Command{Prepare: &Prepare{Number: 1}})
 	apply(Command{Commit: &Commit{Number: 1, Revision: 1}})
 	c.elect(0)
-	c.nodes[0].grantor.unknownLeasesUntil, c.nodes[0].grantor.previousLeasesUntil = 0, 0 // former leases have long expired
+	c.nodes[0].grantor.unknownLeasesUntil, c.nodes[0].grantor.previousLeasesUntil = 0, 0 // former leases have expired
 	for ; c.tick <= 0; c.tick++ {                                                        // until it is in effect at all nodes
 		for i := range c.nodes {
 			c.runNode(i)
@@ -92,7 +92,7 @@
 
 // Grantors by node.
 var (
-	direct  = [3][]int{nil, {0}, {0, 1}} // both others request from the leader
+	direct  = [3][]int{nil, {0}, {0, 1}} // both other nodes prefer the leader
 	chained = [3][]int{nil, {0}, {1}}    // node 2 requests from node 1 as its relay
 )
 
