--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -14,8 +14,8 @@
 	"sloestile/internal/golden"
 )
 
-// Each command has the recorded bytes.
-func TestCommandsAreAsRecorded(t *testing.T) {
+// The encoding of each command must not change, as the consensus log holds it.
+func TestCommandEncodingMatchesGolden(t *testing.T) {
 	for name, c := range map[string]Command{
 		"publish":  {Publish: &Publish{Parent: 3, Author: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
 		"activate": {Activate: &Activate{Number: 4, Kind: Exclusive, At: 77, Author: "ada"}},
@@ -32,8 +32,8 @@
 	}
 }
 
-// The message of leases has the recorded bytes.
-func TestMessagesAreAsRecorded(t *testing.T) {
+// The encoding of messages must not change, as nodes with other program versions decode it.
+func TestMessageEncodingMatchesGolden(t *testing.T) {
 	m := &Message{}
 	golden.Fill(m)
 	*m.State = VersionState{}
@@ -41,11 +41,12 @@
 	m.State.Kind, m.Grant.State.Kind = Overlap, Exclusive
 	m.State.Prepared.Number, m.Grant.State.Prepared.Number = 400, 500
 	m.Grant.Revision = m.Grant.State.Revision
-	golden.RoundTripOf(t, "message", m, (*Message).Encode, func(raw []byte) (*Message, error) { return Decode(raw, 1000) })
+	golden.RoundTripOf(t, "message", m, (*Message).Encode, func(raw []byte) (*Message, error) { return DecodeMessage(raw, 1000) })
 }
 
-// The registry's snapshot, taken while versions are published, awaited, active and cancelled, has the recorded bytes.
-func TestSnapshotIsAsRecorded(t *testing.T) {
+// The encoding of a registry's snapshot must not change, as it is on disk. The registry here has an active, a prepared
+// and a cancelled version.
+func TestSnapshotEncodingMatchesGolden(t *testing.T) {
 	r := &Registry{}
 	for _, c := range []Command{
 		{Publish: &Publish{Author: "ada", Text: []byte("[limits]\nin_flight = 9\n")}},
@@ -59,14 +60,15 @@
 		{Cancel: &Cancel{Number: 3, Author: "cy"}},
 		{Prepare: &Prepare{Number: 2}},
 	} {
-		_, err := r.Do(c)
+		_, err := r.ApplyCommand(c)
 		require.NoError(t, err)
 	}
 	golden.RoundTripOf(t, "snapshot", r, (*Registry).Snapshot, Restore)
 }
 
-// A text with every key is read, and its sections are written, as recorded.
-func TestTextIsReadAsRecorded(t *testing.T) {
+// The keys of a rule set, its digest and the text of its sections must not change, as operators and other packages use
+// them.
+func TestTextParsingMatchesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	require.NoError(t, err)
 	set, err := Parse(text)
@@ -80,10 +82,10 @@
 	require.True(t, set.Zones["hall-a"].Closed)
 	require.Equal(t, 0.25, *set.Zones["hall-b"].Cost)
 	golden.CheckText(t, "digest", DigestOf(text).String())
-	for name, part := range map[string]map[string]any{"work": set.Work, "uplinks": set.Uplinks} {
-		section, err := Section(part)
+	for name, section := range map[string]map[string]any{"work": set.Work, "uplinks": set.Uplinks} {
+		sectionText, err := MarshalSection(section)
 		require.NoError(t, err)
-		golden.CheckText(t, "section-"+name, string(section))
+		golden.CheckText(t, "section-"+name, string(sectionText))
 	}
 }
 
--- a/internal/consensus/learner/lead.go
+++ b/internal/consensus/learner/lead.go
@@ -33,7 +33,7 @@
 				return
 			}
 			l.Counts.Verifications.Add(1)
-			l.node.Confirmed(Clock(), round)
+			l.node.LeadershipConfirmed(Clock(), round)
 		})
 	})
 }
--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -52,7 +52,7 @@
 	Name, Zone           string   // name and zone of this node
 	Voters               []string // names of the voters
 	Settings             rules.Settings
-	Terms                rules.Terms
+	Terms                rules.LeaseParams
 	Dir                  string // directory of the high-water mark, on a disk that outlives the process
 	Disk                 disk.FS
 	Send                 func(to int, raw []byte) error // sends a message to the node with an index
@@ -68,7 +68,7 @@
 	Number uint64          // 0 means that no version is in effect and only the node's settings apply
 	Rules  *rules.Compiled // nil if Number is 0
 	Until  time.Duration   // end of the lease, by Clock
-	Reason rules.Reason    // why no version is in effect; rules.Acting if one is
+	Reason rules.Reason    // why no version is in effect; rules.InEffect if one is
 }
 
 // Counts are counters for metrics. They are safe for concurrent use.
@@ -149,7 +149,7 @@
 		Node:          cfg.NodeIndex,
 		Incarnation:   l.incarnation,
 		HighWaterMark: persisted,
-		Terms:         cfg.Terms,
+		LeaseParams:   cfg.Terms,
 	}, now)
 	l.effective.Store(&EffectiveVersion{Reason: rules.NoLease})
 	l.versionState.Store(&rules.VersionState{})
@@ -227,11 +227,11 @@
 	l.postAlways(func() {
 		l.leads = leads
 		if !leads {
-			l.node.Follow()
+			l.node.BecomeFollower()
 			return
 		}
 		l.node.Observe(Clock(), l.config.Registry.State())
-		l.node.Lead(Clock())
+		l.node.BecomeLeader(Clock())
 	})
 }
 
@@ -319,7 +319,7 @@
 
 // currentVersion returns the version in effect by the leases and texts that this node has now.
 func (l *Learner) currentVersion() *EffectiveVersion {
-	number, until, reason := l.node.Acting(Clock())
+	number, until, reason := l.node.EffectiveVersion(Clock())
 	if number == 0 {
 		return &EffectiveVersion{Until: until, Reason: reason}
 	}
--- a/internal/consensus/learner/messages.go
+++ b/internal/consensus/learner/messages.go
@@ -92,7 +92,7 @@
 	isNodeIndex := func(index int) bool { return index >= 0 && index < l.config.FleetSize }
 	switch raw[0] {
 	case kindRules:
-		m, err := rules.Decode(raw[1:], l.config.FleetSize)
+		m, err := rules.DecodeMessage(raw[1:], l.config.FleetSize)
 		if err != nil {
 			slog.Debug("rules: message is corrupt", "error", err)
 			return nil
