--- a/control/admissionfleet_test.go
+++ b/control/admissionfleet_test.go
@@ -12,37 +12,37 @@
 
 // asker is one tenant of a day of many nodes, and the true store of its quota.
 type tenantLoad struct {
-	name    string
-	use     float64   // units asked, in parts of the rate
-	weights []float64 // by gateway, summed up
-	level   float64
-	used    map[int]float64 // units sent on, by meter period
+	name         string
+	demand       float64   // units asked, in parts of the rate
+	nodeWeights  []float64 // by gateway, summed up
+	level        float64
+	usedByPeriod map[int]float64 // units sent on, by meter period
 }
 
-// fill is a step's refill of a bucket.
-func fill(level float64, p Plan, step time.Duration) float64 {
+// refilled is a step's refill of a bucket.
+func refilled(level float64, p Plan, step time.Duration) float64 {
 	return min(p.Burst, level+p.Rate*step.Seconds())
 }
 
 // newAsker draws the i-th tenant, of whom one in ten asks for more than its quota.
 func newTenantLoad(i, gateways int, p Plan, rng *rand.Rand) *tenantLoad {
-	a := &tenantLoad{name: fmt.Sprint(i), use: 0.33, level: p.Burst, used: map[int]float64{}}
+	a := &tenantLoad{name: fmt.Sprint(i), demand: 0.33, level: p.Burst, usedByPeriod: map[int]float64{}}
 	if i%10 == 0 {
-		a.use = 3.5
+		a.demand = 3.5
 	}
 	sum := 0.0
 	for range gateways {
 		sum += math.Exp(0.8 * rng.NormFloat64())
-		a.weights = append(a.weights, sum)
+		a.nodeWeights = append(a.nodeWeights, sum)
 	}
 	return a
 }
 
-// drawGateway draws the node of a request by the tenant's weights.
-func (a *tenantLoad) drawGateway(rng *rand.Rand) int {
-	x := rng.Float64() * a.weights[len(a.weights)-1]
+// drawNode draws the node of a request by the tenant's weights.
+func (a *tenantLoad) drawNode(rng *rand.Rand) int {
+	x := rng.Float64() * a.nodeWeights[len(a.nodeWeights)-1]
 	n := 0
-	for a.weights[n] < x {
+	for a.nodeWeights[n] < x {
 		n++
 	}
 	return n
@@ -51,11 +51,11 @@
 // meterReading is what the meter tells of the last period that ended by a time, in percent of the rate
 // and one more.
 func (a *tenantLoad) meterReading(at time.Duration, rate float64) int {
-	return 1 + int(100*a.used[int(at/time.Second)-1]/rate)
+	return 1 + int(100*a.usedByPeriod[int(at/time.Second)-1]/rate)
 }
 
-// take takes units from the true store where it holds them.
-func (a *tenantLoad) take(units float64) bool {
+// consume takes units from the true store where it holds them.
+func (a *tenantLoad) consume(units float64) bool {
 	if a.level < units {
 		return false
 	}
@@ -65,22 +65,22 @@
 
 // meteredAttempt is an attempt in flight that is answered at a time, with a reading of the meter.
 type meteredAttempt struct {
-	at time.Duration
-	g  *harness
-	id string
-	a  *tenantLoad
+	endsAt time.Duration
+	node   *harness
+	id     string
+	tenant *tenantLoad
 }
 
-// answerMetered answers the attempts that are due, in order, and returns the others. The meter's reading
+// endDueMetered answers the attempts that are due, in order, and returns the others. The meter's reading
 // lags a second.
-func answerMetered(out []meteredAttempt, at time.Duration, metered bool, rate float64) []meteredAttempt {
+func endDueMetered(out []meteredAttempt, at time.Duration, metered bool, rate float64) []meteredAttempt {
 	const lag = time.Second
-	for len(out) > 0 && out[0].at <= at {
+	for len(out) > 0 && out[0].endsAt <= at {
 		o, reading := out[0], 0
 		if metered && at >= lag+time.Second {
-			reading = o.a.meterReading(at-lag, rate)
+			reading = o.tenant.meterReading(at-lag, rate)
 		}
-		o.g.answer(o.id, OK, reading)
+		o.node.endAttempt(o.id, OK, reading)
 		out = out[1:]
 	}
 	return out
@@ -93,7 +93,7 @@
 func runUnseenTenants(t *testing.T, gateways int, seed uint64, metered bool, cost float64) (inside, beyond float64) {
 	const step, customers = 100 * ms, 80
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := large()
+	s := largeFleetSettings()
 	s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst, s.Plans[0].OverQuotaCost = gateways, float64(gateways)/30, float64(gateways)/7.5, cost
 	if !metered {
 		s.MeterPeriod = 0
@@ -106,7 +106,7 @@
 	}
 	for i := range gates {
 		gates[i] = newHarness(t, s, endpoints(servers...)...)
-		gates[i].c.env.random = rand.New(rand.NewPCG(seed, uint64(i))) // else all draw alike
+		gates[i].controller.env.random = rand.New(rand.NewPCG(seed, uint64(i))) // else all draw alike
 	}
 	for i := range askers {
 		askers[i] = newTenantLoad(i, gateways, p, rng)
@@ -117,24 +117,24 @@
 		ideal[i] = p.Burst
 	}
 	for at := time.Duration(0); at < 20*time.Second; at += step {
-		out = answerMetered(out, at, metered, p.Rate)
+		out = endDueMetered(out, at, metered, p.Rate)
 		for i, a := range askers {
-			a.level, ideal[i] = fill(a.level, p, step), fill(ideal[i], p, step)
+			a.level, ideal[i] = refilled(a.level, p, step), refilled(ideal[i], p, step)
 			// Of two units in the mean; a part of a try is one by chance.
-			for n := a.use * p.Rate * step.Seconds() / 2; n > 0 && rng.Float64() < n; n-- {
+			for n := a.demand * p.Rate * step.Seconds() / 2; n > 0 && rng.Float64() < n; n-- {
 				units := float64(1 + rng.IntN(3))
 				if ideal[i] >= units {
 					ideal[i] -= units
 					all += units
 				}
-				g := gates[a.drawGateway(rng)]
+				g := gates[a.drawNode(rng)]
 				id := fmt.Sprint(at, i, rng.Uint64())
 				g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: a.name, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: gateways})
-				if g.n[id] == 0 {
+				if g.attempts[id] == 0 {
 					continue
 				}
-				a.used[int(at/time.Second)] += units
-				if a.take(units) {
+				a.usedByPeriod[int(at/time.Second)] += units
+				if a.consume(units) {
 					inside += units
 				} else {
 					beyond += units
@@ -152,7 +152,7 @@
 // One tenant in ten asks for 2.5 times its rate beyond its quota, the rest for a third of theirs: 0.63 of
 // what is offered is asked beyond. Three tenths of that may pass, and half of what fits has to. The gate's
 // own bound, 0.1 over a policy that sees all, is of a milder day on which clients come again.
-const beyondMost, insideLeast = 0.3 * 0.63, 0.5
+const maxOverQuota, minWithinQuota = 0.3 * 0.63, 0.5
 
 // Guards against nodes that each pass the first try of a heavy tenant as that of a calm one: where
 // hundreds do, most of what it asks goes through, quota or not.
@@ -162,8 +162,8 @@
 			for seed := range uint64(3) {
 				inside, beyond := runUnseenTenants(t, gateways, seed, metered, 1)
 				t.Logf("%d gateways, metered %v: %.3f inside, %.3f beyond", gateways, metered, inside, beyond)
-				assert.Less(t, beyond, beyondMost, "%d gateways, metered %v, seed %d: units beyond quotas", gateways, metered, seed)
-				assert.Greater(t, inside, insideLeast, "%d gateways, metered %v, seed %d: units inside", gateways, metered, seed)
+				assert.Less(t, beyond, maxOverQuota, "%d gateways, metered %v, seed %d: units beyond quotas", gateways, metered, seed)
+				assert.Greater(t, inside, minWithinQuota, "%d gateways, metered %v, seed %d: units inside", gateways, metered, seed)
 			}
 		}
 	}
@@ -175,6 +175,6 @@
 		dear, _ := runUnseenTenants(t, gateways, 1, true, 1)
 		cheap, beyond := runUnseenTenants(t, gateways, 1, true, 0.5)
 		assert.Greater(t, cheap, dear+0.1, "%d gateways: units inside", gateways)
-		assert.Less(t, beyond, 2*beyondMost, "%d gateways: units beyond quotas", gateways)
+		assert.Less(t, beyond, 2*maxOverQuota, "%d gateways: units beyond quotas", gateways)
 	}
 }
--- a/control/attempt_test.go
+++ b/control/attempt_test.go
@@ -23,17 +23,17 @@
 		{"keyed too late", Class{Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, IdempotencyWindow: ms}, ResetByPeer, false, "control.Fail"},
 		{"keyed by all, too late", Class{Idempotency: IdempotentByKey, IdempotencyWindow: ms}, ResetByPeer, false, "control.Reject"},
 	} {
-		s := settings()
+		s := testSettings()
 		k.class.Name, k.class.LatencyObjective, k.class.Deadline = "job", 2*time.Second, 6*time.Second
 		s.Classes = []Class{k.class}
 		g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
 		g.request("a", "job", "low", "x")
 		g.now += 10 * ms
-		g.answer("a", k.why, 0)
-		if again := g.n["a"] == 2; again != k.again {
-			t.Errorf("%s: sent %d times", k.name, g.n["a"])
+		g.endAttempt("a", k.why, 0)
+		if again := g.attempts["a"] == 2; again != k.again {
+			t.Errorf("%s: sent %d times", k.name, g.attempts["a"])
 		}
-		if got := fmt.Sprintf("%T", g.ends["a"]); k.end != "" && got != k.end {
+		if got := fmt.Sprintf("%T", g.finalAnswers["a"]); k.end != "" && got != k.end {
 			t.Errorf("%s: ended with %s", k.name, got)
 		}
 	}
@@ -53,13 +53,13 @@
 		{"unsafe, never ran", NonIdempotent, Overloaded, false},
 		{"free", Idempotent, ResetByPeer, false},
 	} {
-		s := settings()
+		s := testSettings()
 		s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = k.effect, 100*ms
 		g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
 		g.request("a", "job", "low", "x")
 		begun := g.now
 		g.now += 10 * ms
-		g.answer("a", k.why, 0)
+		g.endAttempt("a", k.why, 0)
 		if len(g.sends) != 2 || g.sends[0].NotAfter != 0 {
 			t.Fatalf("%s: %+v", k.name, g.sends)
 		}
@@ -78,43 +78,43 @@
 		KeyScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 		KeyScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
 	} {
-		s := settings()
+		s := testSettings()
 		s.Classes[0].Idempotency, s.Classes[0].KeyScope, s.Classes[0].IdempotencyWindow = IdempotentByKey, scope, time.Minute
 		list := endpoints(1, 2, 3, 4, 5, 6)
 		g := newHarness(t, s, list...)
 		for i := 0; i < 30; i++ {
 			id := fmt.Sprint(scope, "-", i)
 			g.request(id, "job", "low", "x")
-			g.answer(id, TimedOut, 0)
-			if g.n[id] == 2 {
+			g.endAttempt(id, TimedOut, 0)
+			if g.attempts[id] == 2 {
 				a, b := g.sends[len(g.sends)-2].Server, g.sends[len(g.sends)-1].Server
 				if !same(list[a-1], list[b-1]) {
 					t.Fatalf("scope %v: from server %d to %d", scope, a, b)
 				}
-				g.answer(id, OK, 0)
+				g.endAttempt(id, OK, 0)
 			}
 		}
 	}
 }
 
 func TestAttemptLimitAndOneAtATime(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1, 2, 3, 4)...)
+	g := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
 	g.request("a", "job", "low", "x")
 	for i := 0; i < 3; i++ {
-		if g.n["a"] != i+1 {
-			t.Fatalf("%d attempts after %d failures", g.n["a"], i)
+		if g.attempts["a"] != i+1 {
+			t.Fatalf("%d attempts after %d failures", g.attempts["a"], i)
 		}
-		g.answer("a", Overloaded, 0)
+		g.endAttempt("a", Overloaded, 0)
 	}
-	if _, ok := g.ends["a"].(Reject); !ok || g.n["a"] != 3 {
-		t.Errorf("%d attempts, ended with %v", g.n["a"], g.ends["a"])
+	if _, ok := g.finalAnswers["a"].(Reject); !ok || g.attempts["a"] != 3 {
+		t.Errorf("%d attempts, ended with %v", g.attempts["a"], g.finalAnswers["a"])
 	}
 }
 
 // Guards against a storm of fast errors that uses up the further attempts, or puts servers
 // aside that still serve half of what they are sent: twelve requests are open at a time.
 func TestStormOfFastErrorsIsRiddenOut(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.MaxAttempts = 6
 	g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -125,8 +125,8 @@
 	}
 	var due []outcome
 	tries, seen, asked, failed := make(map[uint32]int), 0, 0, 0
-	for len(g.ends) < 2000 {
-		for ; asked-len(g.ends) < 12; asked++ {
+	for len(g.finalAnswers) < 2000 {
+		for ; asked-len(g.finalAnswers) < 12; asked++ {
 			g.request(fmt.Sprint(asked), "job", "low", "x")
 		}
 		for ; seen < len(g.sends); seen++ {
@@ -146,9 +146,9 @@
 		o := due[first]
 		due = slices.Delete(due, first, first+1)
 		g.advance(o.at - g.now)
-		g.answer(o.id, o.why, 0)
+		g.endAttempt(o.id, o.why, 0)
 	}
-	for _, end := range g.ends {
+	for _, end := range g.finalAnswers {
 		if _, ok := end.(Send); !ok {
 			failed++
 		}
@@ -162,7 +162,7 @@
 // of it may send again when every server fails at once.
 func TestSumOfFurtherAttempts(t *testing.T) {
 	for _, group := range []int{1, 3, 20, 80, 300} {
-		s := fleet(group)
+		s := fleetSettings(group)
 		s.Classes[0].Idempotency, s.MaxAttempts = Idempotent, 5
 		sum := 0
 		for i := 0; i < group; i++ {
@@ -170,7 +170,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &harness{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
+			g := &harness{t: t, controller: c, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{}, timers: map[uint64]time.Duration{}}
 			g.handle(EndpointUpdate{Kind: Cached, Endpoints: endpoints(1, 2, 3, 4, 5, 6)})
 			c.concurrency.bound, c.traffic.latency = 50, 0.2
 			for j := 0; j < 10; j++ { // each fails after as long as an answer takes
@@ -178,7 +178,7 @@
 			}
 			for told := 0; told < len(g.sends); told++ {
 				g.now += 200 * ms
-				g.answer(g.sends[told].ID, Errored, 0)
+				g.endAttempt(g.sends[told].ID, Errored, 0)
 			}
 			sum += len(g.sends) - 10
 		}
@@ -197,22 +197,22 @@
 		ttl   time.Duration
 		blame bool
 	}{{250 * ms, false}, {3 * time.Second, true}} {
-		g := newHarness(t, settings(), endpoints(1, 2)...)
-		g.run(10*time.Second, 100*ms, func(uint32) time.Duration { return 200 * ms })
-		g.c.concurrency.bound, g.c.interval.saturated = 8, false
-		cuts, aside := g.c.counts.cuts, false
+		g := newHarness(t, testSettings(), endpoints(1, 2)...)
+		g.runWithLatency(10*time.Second, 100*ms, func(uint32) time.Duration { return 200 * ms })
+		g.controller.concurrency.bound, g.controller.interval.saturated = 8, false
+		cuts, aside := g.controller.counts.cuts, false
 		for i := 0; i < 40; i++ {
 			id := fmt.Sprint("hasty", i)
 			g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: k.ttl, Tokens: 1, TenantNodes: 2})
-			if g.n[id] == 0 {
+			if g.attempts[id] == 0 {
 				continue // kept out by the cut bound
 			}
 			g.advance(k.ttl)
-			g.answer(id, TimedOut, 0)
-			aside = aside || g.c.AvoidedServers(g.now) > 0
+			g.endAttempt(id, TimedOut, 0)
+			aside = aside || g.controller.AvoidedServers(g.now) > 0
 		}
-		if blamed := g.c.counts.cuts > cuts || g.c.concurrency.bound < 8; blamed != k.blame {
-			t.Errorf("after time-outs of %v the bound is %.1f", k.ttl, g.c.concurrency.bound)
+		if blamed := g.controller.counts.cuts > cuts || g.controller.concurrency.bound < 8; blamed != k.blame {
+			t.Errorf("after time-outs of %v the bound is %.1f", k.ttl, g.controller.concurrency.bound)
 		}
 		if aside != k.blame {
 			t.Errorf("by time-outs of %v a server is put aside: %v", k.ttl, aside)
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// requests gives a function that asks a node of a full fleet and answers it.
-func requests(t testing.TB, servers uint32) (one func()) {
+// newRequestFunc gives a function that asks a node of a full fleet and answers it.
+func newRequestFunc(t testing.TB, servers uint32) (one func()) {
 	var ids []uint32
 	for id := uint32(1); id <= servers; id++ {
 		ids = append(ids, id)
 	}
-	c, err := New(fleet(300), 1)
+	c, err := New(fleetSettings(300), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 
 // What a request and its answer cost a node of a full fleet among 200 servers.
 func BenchmarkRequestAmongManyServers(b *testing.B) {
-	one := requests(b, 200)
+	one := newRequestFunc(b, 200)
 	for b.Loop() {
 		one()
 	}
@@ -43,7 +43,7 @@
 // a core, and what it allocates it also collects.
 func TestRequestAllocatesTheSameAmongManyServers(t *testing.T) {
 	cost := func(servers uint32) float64 {
-		one := requests(t, servers)
+		one := newRequestFunc(t, servers)
 		for range 4000 { // until each customer and server is known
 			one()
 		}
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// settings is a small deployment for tests: one free class, two plans.
-func settings() Settings {
+// testSettings is a small deployment for tests: one free class, two plans.
+func testSettings() Settings {
 	return Settings{FleetSize: 2, Zone: "z1", MaxAttempts: 3, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
 		SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.2, OverloadWindow: time.Second, OverloadFactor: 2, MeterPeriod: time.Second,
 		CanCancel: true,
@@ -20,39 +20,39 @@
 			{Name: "high", PriceFactor: 1.5, Rate: 1000, Burst: 1000}}}
 }
 
-// fleet is the settings of a group as large as the servers are many.
-func fleet(group int) Settings {
-	s := settings()
+// fleetSettings is the settings of a group as large as the servers are many.
+func fleetSettings(group int) Settings {
+	s := testSettings()
 	s.FleetSize = group
 	return s
 }
 
 // gate drives one controller by hand and keeps what it was told to do.
 type harness struct {
-	t     *testing.T
-	c     *Controller
-	now   time.Duration
-	sends []Send
-	ends  map[string]Action
-	n     map[string]int // attempts by request
-	due   map[uint64]time.Duration
-	acts  []Action
+	t            *testing.T
+	controller   *Controller
+	now          time.Duration
+	sends        []Send
+	finalAnswers map[string]Action
+	attempts     map[string]int // attempts by request
+	timers       map[uint64]time.Duration
+	actions      []Action
 }
 
 func newHarness(t *testing.T, s Settings, servers ...Endpoint) *harness {
 	t.Helper()
-	return newHarnessOfSeed(t, s, 7, servers...)
+	return newHarnessWithSeed(t, s, 7, servers...)
 }
 
 // newGateOfSeed is newGate with a seed of its own for the controller's draws.
-func newHarnessOfSeed(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *harness {
+func newHarnessWithSeed(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *harness {
 	t.Helper()
 	c, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &harness{t: t, c: c, now: time.Hour, ends: map[string]Action{}, n: map[string]int{},
-		due: map[uint64]time.Duration{}}
+	g := &harness{t: t, controller: c, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{},
+		timers: map[uint64]time.Duration{}}
 	g.handle(EndpointUpdate{Kind: Cached, Endpoints: servers})
 	return g
 }
@@ -60,32 +60,32 @@
 // do hands over one event and checks what holds for all actions.
 func (g *harness) handle(e Event) {
 	g.t.Helper()
-	acts := append([]Action{}, g.c.Handle(g.now, e)...)
+	acts := append([]Action{}, g.controller.Handle(g.now, e)...)
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
-			if g.ends[a.ID] != nil {
+			if g.finalAnswers[a.ID] != nil {
 				g.t.Fatalf("%s was sent after its end", a.ID)
 			}
-			g.n[a.ID]++
+			g.attempts[a.ID]++
 			g.sends = append(g.sends, a)
 		case Reject:
-			g.end(a.ID, a)
+			g.recordFinalAnswer(a.ID, a)
 		case Fail:
-			g.end(a.ID, a)
+			g.recordFinalAnswer(a.ID, a)
 		case SetTimer:
-			g.due[a.Label] = g.now + a.After
+			g.timers[a.Label] = g.now + a.After
 		}
 	}
-	g.acts = append(g.acts, acts...)
+	g.actions = append(g.actions, acts...)
 }
 
-func (g *harness) end(id string, a Action) {
+func (g *harness) recordFinalAnswer(id string, a Action) {
 	g.t.Helper()
-	if g.ends[id] != nil {
+	if g.finalAnswers[id] != nil {
 		g.t.Fatalf("%s has two final answers", id)
 	}
-	g.ends[id] = a
+	g.finalAnswers[id] = a
 }
 
 // pass lets time go by, with the timers that come due in it.
@@ -94,7 +94,7 @@
 	for end := g.now + d; ; {
 		var label uint64
 		at := end + 1
-		for l, t := range g.due {
+		for l, t := range g.timers {
 			if t < at || t == at && l < label {
 				label, at = l, t
 			}
@@ -103,7 +103,7 @@
 			g.now = end
 			return
 		}
-		delete(g.due, label)
+		delete(g.timers, label)
 		g.now = max(g.now, at)
 		g.handle(Timer{Label: label})
 	}
@@ -115,13 +115,13 @@
 }
 
 // reply answers the latest send of a request.
-func (g *harness) answer(id string, why Outcome, used int) {
+func (g *harness) endAttempt(id string, why Outcome, used int) {
 	g.t.Helper()
 	for i := len(g.sends) - 1; i >= 0; i-- {
 		if g.sends[i].ID == id {
-			g.handle(AttemptEnded{ID: id, Attempt: g.n[id] - 1, Server: g.sends[i].Server, Outcome: why, Done: why == OK, MeterReading: used})
+			g.handle(AttemptEnded{ID: id, Attempt: g.attempts[id] - 1, Server: g.sends[i].Server, Outcome: why, Done: why == OK, MeterReading: used})
 			if why == OK {
-				g.ends[id] = Send{}
+				g.finalAnswers[id] = Send{}
 			}
 			return
 		}
@@ -129,8 +129,8 @@
 	g.t.Fatalf("%s was never sent", id)
 }
 
-// run asks every gap for a time and answers each send after what its server takes.
-func (g *harness) run(d, gap time.Duration, takes func(server uint32) time.Duration) {
+// runWithLatency asks every gap for a time and answers each send after what its server takes.
+func (g *harness) runWithLatency(d, gap time.Duration, takes func(server uint32) time.Duration) {
 	g.t.Helper()
 	type due struct {
 		at time.Duration
@@ -149,7 +149,7 @@
 		kept := out[:0]
 		for _, o := range out {
 			if o.at <= g.now {
-				g.answer(o.id, OK, 0)
+				g.endAttempt(o.id, OK, 0)
 			} else {
 				kept = append(kept, o)
 			}
@@ -159,16 +159,16 @@
 	}
 }
 
-// sentTo counts to which servers some requests go, each answered at once.
-func (g *harness) sentTo(n int) map[uint32]int {
+// sendsByServer counts to which servers some requests go, each answered at once.
+func (g *harness) sendsByServer(n int) map[uint32]int {
 	got := map[uint32]int{}
 	for i := range n {
 		id := fmt.Sprint("to", g.now, i)
-		for _, a := range g.c.Handle(g.now, Request{ID: id, Class: "job", Plan: "high", Tenant: id, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1}) {
+		for _, a := range g.controller.Handle(g.now, Request{ID: id, Class: "job", Plan: "high", Tenant: id, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1}) {
 			if s, ok := a.(Send); ok {
 				got[s.Server]++
 				g.now += 5 * ms
-				g.c.Handle(g.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Done: true})
+				g.controller.Handle(g.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Done: true})
 			}
 		}
 	}
@@ -183,6 +183,6 @@
 	return m
 }
 
-func newPhi(u, y []float64) *mat.VecDense {
+func newRegressor(u, y []float64) *mat.VecDense {
 	return mat.NewVecDense(len(u)+len(y), append(append([]float64{}, u...), y...))
 }
--- a/control/nodesperserver_test.go
+++ b/control/nodesperserver_test.go
@@ -13,16 +13,16 @@
 
 // replay hands recorded events to a new controller, with a count of sharers in each list, and gives its
 // actions.
-func replay(t *testing.T, s Settings, seed uint64, events []timed, sharers float64) (actions []string) {
+func replay(t *testing.T, s Settings, seed uint64, events []handledEvent, sharers float64) (actions []string) {
 	t.Helper()
 	c, err := New(s, seed)
 	require.NoError(t, err)
 	for _, x := range events {
-		if l, ok := x.e.(EndpointUpdate); ok {
+		if l, ok := x.event.(EndpointUpdate); ok {
 			l.NodesPerServer = sharers
-			x.e = l
+			x.event = l
 		}
-		for _, a := range c.Handle(x.at, x.e) {
+		for _, a := range c.Handle(x.at, x.event) {
 			actions = append(actions, fmt.Sprintf("%v %T%+v", x.at, a, a))
 		}
 	}
@@ -34,11 +34,11 @@
 func TestNoSharersIsTheWholeGroup(t *testing.T) {
 	differ := 0
 	for seed := uint64(1); seed <= 20; seed++ {
-		w := play(t, seed, 2500)
-		none := replay(t, w.set, seed, w.events, 0)
-		all := replay(t, w.set, seed, w.events, float64(w.set.FleetSize))
-		require.Equal(t, none, all, "seed %d, a group of %d", seed, w.set.FleetSize)
-		if !reflect.DeepEqual(none, replay(t, w.set, seed, w.events, 1.5)) {
+		w := runRandomEvents(t, seed, 2500)
+		none := replay(t, w.settings, seed, w.events, 0)
+		all := replay(t, w.settings, seed, w.events, float64(w.settings.FleetSize))
+		require.Equal(t, none, all, "seed %d, a group of %d", seed, w.settings.FleetSize)
+		if !reflect.DeepEqual(none, replay(t, w.settings, seed, w.events, 1.5)) {
 			differ++
 		}
 	}
@@ -47,7 +47,7 @@
 
 // A patch of the list tells sharers anew; what can't be a count is the whole group.
 func TestSharersAreOfTheLatestList(t *testing.T) {
-	c, err := New(fleet(5800), 1)
+	c, err := New(fleetSettings(5800), 1)
 	require.NoError(t, err)
 	require.Equal(t, 5800.0, c.servers.nodesPerServer)
 	now := time.Hour
@@ -57,14 +57,14 @@
 	}
 }
 
-// sharedFloor gives the first bound and the floor of a node among 200 servers.
-func sharedFloor(t *testing.T, group int, sharers float64) (first, floor float64) {
+// initialBoundAndFloor gives the first bound and the floor of a node among 200 servers.
+func initialBoundAndFloor(t *testing.T, group int, sharers float64) (first, floor float64) {
 	t.Helper()
 	var ids []uint32
 	for id := uint32(1); id <= 200; id++ {
 		ids = append(ids, id)
 	}
-	c, err := New(fleet(group), 1)
+	c, err := New(fleetSettings(group), 1)
 	require.NoError(t, err)
 	c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: endpoints(ids...), NodesPerServer: sharers})
 	return c.concurrency.bound, c.concurrency.floor()
@@ -73,13 +73,13 @@
 // A node of 5,800 with 200 servers that each 13.6 of them share has the bounds of a fleet with 13.6
 // nodes to a server; by its group alone it could keep none of its servers at work.
 func TestBoundsOfAGatewayWithAPartOfTheServers(t *testing.T) {
-	first, floor := sharedFloor(t, 5800, 13.6)
+	first, floor := initialBoundAndFloor(t, 5800, 13.6)
 	assert.InDelta(t, 200*initialBoundPerServer/13.6, first, 1e-9)
 	assert.InDelta(t, 200*minBoundPerServer/13.6, floor, 1e-9)
-	asMany, asFloor := sharedFloor(t, 14, 0)
+	asMany, asFloor := initialBoundAndFloor(t, 14, 0)
 	assert.InEpsilon(t, asMany, first, 0.05)
 	assert.InEpsilon(t, asFloor, floor, 0.05)
-	strangled, _ := sharedFloor(t, 5800, 0)
+	strangled, _ := initialBoundAndFloor(t, 5800, 0)
 	assert.Less(t, strangled, 1.0)
 }
 
@@ -87,19 +87,19 @@
 // a quarter more of them than the list tells, and use the room: by the count of the whole group they
 // would leave nearly all of it. A group of as many as the sharers does the same.
 func TestSharersStayWithinTheColdFormula(t *testing.T) {
-	s := fleet(5800)
+	s := fleetSettings(5800)
 	for _, from := range []float64{0.1, 0.3, 0.9} {
 		for seed := uint64(1); seed <= 3; seed++ {
 			for _, gateways := range []int{11, 14, 17} {
-				worst, mean := warmupSumOf(t, s, gateways, 13.6, 200, from, 0.7, seed)
+				worst, mean := runWarmupSumWithSettings(t, s, gateways, 13.6, 200, from, 0.7, seed)
 				assert.Less(t, worst, 1.0, "%d sharers, from %.2f, seed %d", gateways, from, seed)
 				assert.Greater(t, mean, 0.35, "%d sharers, from %.2f, seed %d", gateways, from, seed)
 			}
-			_, alike := warmupSum(t, 14, 200, from, 0.7, seed)
-			_, mean := warmupSumOf(t, s, 14, 13.6, 200, from, 0.7, seed)
+			_, alike := runWarmupSum(t, 14, 200, from, 0.7, seed)
+			_, mean := runWarmupSumWithSettings(t, s, 14, 13.6, 200, from, 0.7, seed)
 			assert.InEpsilon(t, alike, mean, 0.1, "from %.2f, seed %d", from, seed)
 		}
-		_, strangled := warmupSumOf(t, s, 14, 0, 200, from, 0.7, 1)
+		_, strangled := runWarmupSumWithSettings(t, s, 14, 0, 200, from, 0.7, 1)
 		assert.Less(t, strangled, 0.2, "from %.2f", from)
 	}
 }
@@ -113,13 +113,13 @@
 	for name, x := range warmupCases(14, 30) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x.load = 1.1
+			x.loadFraction = 1.1
 			var group, sharers, uses []float64
 			for seed := uint64(1); seed <= 5; seed++ {
-				x.size, x.sharers = 0, 0
+				x.fleetSize, x.nodesPerServer = 0, 0
 				worst, _ := runWarmup(t, x, seed)
 				group = append(group, worst)
-				x.size, x.sharers = 5800, 13.6
+				x.fleetSize, x.nodesPerServer = 5800, 13.6
 				worst, use := runWarmup(t, x, seed)
 				sharers = append(sharers, worst)
 				uses = append(uses, use)
--- a/control/preferred_test.go
+++ b/control/preferred_test.go
@@ -15,12 +15,12 @@
 	}
 	homes := map[uint32]int{}
 	for i := 0; i < 80; i++ {
-		s := fleet(80)
+		s := fleetSettings(80)
 		s.NodeIndex = i
 		g := newHarness(t, s, endpoints(ids...)...)
 		zones, before := map[string]int{}, map[uint32]bool{}
-		for _, x := range g.c.servers.ordered {
-			if before[x.Server] = g.c.servers.isPreferred(x); before[x.Server] {
+		for _, x := range g.controller.servers.ordered {
+			if before[x.Server] = g.controller.servers.isPreferred(x); before[x.Server] {
 				homes[x.Server]++
 				zones[x.Zone]++
 			}
@@ -29,8 +29,8 @@
 			t.Errorf("gateway %d turns to servers of one zone only", i)
 		}
 		g.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 7, Condition: Removed}, {Server: 61, Zone: "z1"}}})
-		for _, x := range g.c.servers.ordered {
-			if x.Server <= 60 && g.c.servers.isPreferred(x) != before[x.Server] {
+		for _, x := range g.controller.servers.ordered {
+			if x.Server <= 60 && g.controller.servers.isPreferred(x) != before[x.Server] {
 				t.Errorf("gateway %d: server %d moved with the list", i, x.Server)
 			}
 		}
@@ -49,18 +49,18 @@
 	for id := uint32(1); id <= 60; id++ {
 		ids = append(ids, id)
 	}
-	few := newHarness(t, fleet(3), endpoints(ids...)...)
-	for _, x := range few.c.servers.ordered {
-		if !few.c.servers.isPreferred(x) {
+	few := newHarness(t, fleetSettings(3), endpoints(ids...)...)
+	for _, x := range few.controller.servers.ordered {
+		if !few.controller.servers.isPreferred(x) {
 			t.Error("a gateway of three turns to some servers only")
 			break
 		}
 	}
-	g := newHarness(t, fleet(80), endpoints(ids...)...)
+	g := newHarness(t, fleetSettings(80), endpoints(ids...)...)
 	slow, draw := map[uint32]bool{}, 0
-	g.run(20*time.Second, 150*ms, func(server uint32) time.Duration {
-		x := g.c.servers.byID[server]
-		if g.c.servers.isPreferred(x) && server%3 == 0 {
+	g.runWithLatency(20*time.Second, 150*ms, func(server uint32) time.Duration {
+		x := g.controller.servers.byID[server]
+		if g.controller.servers.isPreferred(x) && server%3 == 0 {
 			slow[server] = true
 			return 900 * ms
 		}
@@ -72,7 +72,7 @@
 		if slow[x.Server] {
 			n++
 		}
-		if g.c.servers.isPreferred(g.c.servers.byID[x.Server]) {
+		if g.controller.servers.isPreferred(g.controller.servers.byID[x.Server]) {
 			own++
 		}
 	}
@@ -92,10 +92,10 @@
 		warm = append(warm, Endpoint{Server: id, HashKey: id*id*2654435761 + id<<7, Zone: "z1", Size: 1})
 	}
 	for i := 0; i < 300; i += 11 {
-		s := fleet(300)
+		s := fleetSettings(300)
 		s.NodeIndex = i
 		n := 0
-		for _, x := range newHarness(t, s, warm...).c.servers.ordered {
+		for _, x := range newHarness(t, s, warm...).controller.servers.ordered {
 			if x.preferred {
 				n++
 			}
@@ -109,15 +109,15 @@
 // An empty list, a list of one and one wholly replaced: each request has its final answer in time,
 // and the node serves again by itself.
 func TestListsThatAreOddAreLivedThrough(t *testing.T) {
-	g := newHarness(t, fleet(80), endpoints(1, 2, 3)...)
+	g := newHarness(t, fleetSettings(80), endpoints(1, 2, 3)...)
 	g.handle(EndpointUpdate{Kind: Complete})
 	g.request("a", "job", "low", "x")
 	if len(g.sends) != 0 {
 		t.Fatal("sent to a server that is not listed")
 	}
 	g.advance(3 * time.Second)
-	if _, refused := g.ends["a"].(Reject); !refused {
-		t.Errorf("with no server a request ends as %T", g.ends["a"])
+	if _, refused := g.finalAnswers["a"].(Reject); !refused {
+		t.Errorf("with no server a request ends as %T", g.finalAnswers["a"])
 	}
 	g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(9)})
 	g.request("b", "job", "low", "y")
@@ -125,14 +125,14 @@
 		t.Fatalf("with one server: %v", g.sends)
 	}
 	g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(11, 12)})
-	g.answer("b", OK, 0)
+	g.endAttempt("b", OK, 0)
 	g.now += time.Second
 	g.request("c", "job", "low", "z")
 	if len(g.sends) != 2 || g.sends[1].Server < 11 {
 		t.Errorf("after a list wholly replaced: %v", g.sends)
 	}
 	g.handle(EndpointUpdate{Kind: Failed})
-	g.answer("c", OK, 0)
+	g.endAttempt("c", OK, 0)
 	g.now += time.Second
 	g.request("d", "job", "low", "w")
 	if len(g.sends) != 3 {
@@ -141,11 +141,11 @@
 }
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.PollDiscovery, s.PollWithin = true, 10*time.Second
 	g := newHarness(t, s, endpoints(1)...)
 	follows := func() (n int) {
-		for _, a := range g.acts {
+		for _, a := range g.actions {
 			if f, ok := a.(Watch); ok && f.Active {
 				n++
 			}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -9,57 +9,57 @@
 	"time"
 )
 
-// world feeds a controller seeded legal events and holds its actions to the rules.
-type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	set      Settings
-	c        *Controller
-	now      time.Duration
-	log      []string
-	members  map[uint32]*Endpoint
-	toldBad  map[uint32]bool
-	open     map[string]*issuedRequest
-	out      []worldAttempt
-	timers   []Timer
-	due      []time.Duration
-	next     int
-	ceilings map[string]float64
-	ceilAt   map[string]time.Duration
-	rules    *Rules // in force; nil draws none
-	events   []timed
-	late     int // further attempts under rules that are no longer in force
+// randomRun feeds a controller seeded legal events and holds its actions to the rules.
+type randomRun struct {
+	t                    *testing.T
+	rng                  *rand.Rand
+	settings             Settings
+	controller           *Controller
+	now                  time.Duration
+	log                  []string
+	endpoints            map[uint32]*Endpoint
+	unusable             map[uint32]bool
+	requests             map[string]*issuedRequest
+	inFlight             []runAttempt
+	timers               []Timer
+	timersDueAt          []time.Duration
+	lastRequest          int
+	ceilingLevels        map[string]float64
+	ceilingUpdatedAt     map[string]time.Duration
+	rules                *Rules // in force; nil draws none
+	events               []handledEvent
+	retriesUnderOldRules int // further attempts under rules that are no longer in force
 }
 
-// timed is an event of a run and its time.
-type timed struct {
-	at time.Duration
-	e  Event
+// handledEvent is an event of a run and its time.
+type handledEvent struct {
+	at    time.Duration
+	event Event
 }
 
 type issuedRequest struct {
-	class    Class
-	plan     string
-	customer string
-	units    float64
-	end      time.Duration
-	sends    int
-	out      int
-	mayRun   bool
-	firstRun time.Duration
-	firstSrv uint32
-	rules    Rules // in force when it began
+	class       Class
+	plan        string
+	tenant      string
+	tokens      float64
+	giveUp      time.Duration
+	attempts    int
+	outstanding int
+	mayHaveRun  bool
+	firstRun    time.Duration
+	firstServer uint32
+	rules       Rules // in force when it began
 }
 
-type worldAttempt struct {
-	id   string
-	n    int
-	srv  uint32
-	at   time.Duration
-	till time.Duration
+type runAttempt struct {
+	id         string
+	number     int
+	server     uint32
+	startedAt  time.Duration
+	timesOutAt time.Duration
 }
 
-func varied(rng *rand.Rand) Settings {
+func randomSettings(rng *rand.Rand) Settings {
 	s := Settings{FleetSize: []int{1, 2, 4, 60, 300, 100000}[rng.IntN(6)], Zone: "z1", MaxAttempts: 1 + rng.IntN(5), SendsRetryAfter: rng.IntN(2) == 0,
 		MaxRetryAfter: time.Second, SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.2, OverloadWindow: time.Second, OverloadFactor: 2,
 		CostWithAnswer: rng.IntN(2) == 0, PollDiscovery: rng.IntN(2) == 0, PollWithin: 10 * time.Second,
@@ -80,26 +80,26 @@
 	return s
 }
 
-func (w *world) handle(e Event) {
+func (w *randomRun) handle(e Event) {
 	w.log = append(w.log, fmt.Sprintf("%v %T", w.now, e))
-	w.events = append(w.events, timed{w.now, e})
-	for _, a := range w.c.Handle(w.now, e) {
+	w.events = append(w.events, handledEvent{w.now, e})
+	for _, a := range w.controller.Handle(w.now, e) {
 		w.log = append(w.log, fmt.Sprintf("  %T%+v", a, a))
 		switch a := a.(type) {
 		case Send:
-			w.send(a)
+			w.checkSend(a)
 		case Reject:
-			w.rejected(a)
+			w.checkReject(a)
 		case Fail:
-			w.finished(a.ID)
+			w.checkFinalAnswer(a.ID)
 		case SetTimer:
-			w.timers, w.due = append(w.timers, Timer{a.Label}), append(w.due, w.now+a.After)
+			w.timers, w.timersDueAt = append(w.timers, Timer{a.Label}), append(w.timersDueAt, w.now+a.After)
 		case CancelAttempt:
-			if !w.set.CanCancel {
+			if !w.settings.CanCancel {
 				w.t.Fatal("withdrew where it is not permitted")
 			}
 		case HealthCheck:
-			if !w.set.HealthChecks {
+			if !w.settings.HealthChecks {
 				w.t.Fatal("probed where it is not permitted")
 			}
 		case SendToPeer, AddToCounter:
@@ -108,140 +108,140 @@
 	}
 }
 
-func (w *world) send(a Send) {
-	r := w.open[a.ID]
+func (w *randomRun) checkSend(a Send) {
+	r := w.requests[a.ID]
 	switch {
 	case r == nil:
 		w.t.Fatalf("%s was sent but is not open", a.ID)
-	case w.toldBad[a.Server] || w.members[a.Server] == nil:
+	case w.unusable[a.Server] || w.endpoints[a.Server] == nil:
 		w.t.Fatalf("%s went to server %d, which is draining or gone", a.ID, a.Server)
-	case r.out > 0:
+	case r.outstanding > 0:
 		w.t.Fatalf("%s has two attempts out", a.ID)
-	case r.sends >= w.set.MaxAttempts:
-		w.t.Fatalf("%s was sent more than %d times", a.ID, w.set.MaxAttempts)
+	case r.attempts >= w.settings.MaxAttempts:
+		w.t.Fatalf("%s was sent more than %d times", a.ID, w.settings.MaxAttempts)
 	}
-	if r.mayRun && r.class.Idempotency == NonIdempotent {
+	if r.mayHaveRun && r.class.Idempotency == NonIdempotent {
 		w.t.Fatalf("%s may have run and was sent again", a.ID)
 	}
-	if r.mayRun && r.class.Idempotency == IdempotentByKey {
-		f, s := w.members[r.firstSrv], w.members[a.Server]
+	if r.mayHaveRun && r.class.Idempotency == IdempotentByKey {
+		f, s := w.endpoints[r.firstServer], w.endpoints[a.Server]
 		if w.now > r.firstRun+r.class.IdempotencyWindow || r.class.KeyScope == KeyScopeCell && f.Cell != s.Cell ||
 			r.class.KeyScope == KeyScopeZone && f.Zone != s.Zone {
 			w.t.Fatalf("%s may have run and was sent again outside its group or window", a.ID)
 		}
 	}
 	w.checkRules(r, a)
-	if r.sends == 0 && r.plan == "ceil" {
-		w.drawCeiling(r)
+	if r.attempts == 0 && r.plan == "ceil" {
+		w.checkCeiling(r)
 	}
-	till := r.end
+	till := r.giveUp
 	if a.Timeout > 0 {
 		till = min(till, w.now+a.Timeout)
 	}
-	w.out = append(w.out, worldAttempt{a.ID, r.sends, a.Server, w.now, till})
-	r.sends++
-	r.out++
+	w.inFlight = append(w.inFlight, runAttempt{a.ID, r.attempts, a.Server, w.now, till})
+	r.attempts++
+	r.outstanding++
 }
 
-// drawCeiling holds this node to its part of the ceiling with part of the slack.
-func (w *world) drawCeiling(r *issuedRequest) {
-	p := w.set.Plans[3]
-	if _, known := w.ceilings[r.customer]; !known {
-		w.ceilings[r.customer], w.ceilAt[r.customer] = p.CeilingOverdraft/2, time.Hour
+// checkCeiling holds this node to its part of the ceiling with part of the slack.
+func (w *randomRun) checkCeiling(r *issuedRequest) {
+	p := w.settings.Plans[3]
+	if _, known := w.ceilingLevels[r.tenant]; !known {
+		w.ceilingLevels[r.tenant], w.ceilingUpdatedAt[r.tenant] = p.CeilingOverdraft/2, time.Hour
 	}
-	lv := w.ceilings[r.customer] + (w.now-w.ceilAt[r.customer]).Seconds()*p.CeilingRate/2
-	w.ceilings[r.customer], w.ceilAt[r.customer] = min(lv, p.CeilingBurst/2)-r.units, w.now
-	if w.ceilings[r.customer] < -1e-6 {
-		w.t.Fatalf("the part of a ceiling fell to %g", w.ceilings[r.customer])
+	lv := w.ceilingLevels[r.tenant] + (w.now-w.ceilingUpdatedAt[r.tenant]).Seconds()*p.CeilingRate/2
+	w.ceilingLevels[r.tenant], w.ceilingUpdatedAt[r.tenant] = min(lv, p.CeilingBurst/2)-r.tokens, w.now
+	if w.ceilingLevels[r.tenant] < -1e-6 {
+		w.t.Fatalf("the part of a ceiling fell to %g", w.ceilingLevels[r.tenant])
 	}
 }
 
-func (w *world) rejected(a Reject) {
-	if r := w.open[a.ID]; r != nil && (r.mayRun || r.out > 0) {
+func (w *randomRun) checkReject(a Reject) {
+	if r := w.requests[a.ID]; r != nil && (r.mayHaveRun || r.outstanding > 0) {
 		if r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentByKey && r.class.KeyScope != KeyScopeAll {
 			w.t.Fatalf("%s may have run and was refused", a.ID)
 		}
 	}
-	w.finished(a.ID)
+	w.checkFinalAnswer(a.ID)
 }
 
-func (w *world) finished(id string) {
-	if w.open[id] == nil {
+func (w *randomRun) checkFinalAnswer(id string) {
+	if w.requests[id] == nil {
 		w.t.Fatalf("%s has a second final answer", id)
 	}
-	delete(w.open, id)
+	delete(w.requests, id)
 }
 
-// list is the whole list in a fixed order, with a chance of change for each.
-func (w *world) list() EndpointUpdate {
+// drawEndpointUpdate is the whole drawEndpointUpdate in a fixed order, with a chance of change for each.
+func (w *randomRun) drawEndpointUpdate() EndpointUpdate {
 	var l EndpointUpdate
 	l.Kind = Complete
 	for id := uint32(1); id <= 8; id++ {
 		m := &Endpoint{Server: id, Zone: fmt.Sprint("z", 1+id%2), Cell: int(id / 3), Size: 1}
-		w.members[id] = m
+		w.endpoints[id] = m
 		switch w.rng.IntN(6) {
 		case 0:
 			m.Condition = Draining
 		case 1:
-			w.toldBad[id] = true
+			w.unusable[id] = true
 			continue // gone
 		case 2:
 			m.HasStartedAt, m.StartedAt = true, w.now-ms
 		}
-		w.toldBad[id] = m.Condition != Active
+		w.unusable[id] = m.Condition != Active
 		l.Endpoints = append(l.Endpoints, *m)
 	}
 	return l
 }
 
-// outcome ends the attempt at an index of out.
-func (w *world) outcome(i int) {
-	f := w.out[i]
-	w.out = append(w.out[:i], w.out[i+1:]...)
+// endAttempt ends the attempt at an index of out.
+func (w *randomRun) endAttempt(i int) {
+	f := w.inFlight[i]
+	w.inFlight = append(w.inFlight[:i], w.inFlight[i+1:]...)
 	why := []Outcome{OK, OK, OK, OK, Errored, Overloaded, ConnectFailed, ResetByPeer}[w.rng.IntN(8)]
-	if w.now >= f.till {
+	if w.now >= f.timesOutAt {
 		why = TimedOut
 	}
-	r := w.open[f.id]
-	e := AttemptEnded{ID: f.id, Attempt: f.n, Server: f.srv, Outcome: why, Done: r == nil || why == OK,
+	r := w.requests[f.id]
+	e := AttemptEnded{ID: f.id, Attempt: f.number, Server: f.server, Outcome: why, Done: r == nil || why == OK,
 		MeterReading: w.rng.IntN(300), Tokens: float64(1 + w.rng.IntN(4)), LoadReport: &LoadReport{Active: 3, CPU: 0.5}}
 	if r != nil {
-		r.out--
+		r.outstanding--
 		if why == OK {
-			delete(w.open, f.id)
-		} else if why != Overloaded && why != ConnectFailed && !r.mayRun {
-			r.mayRun, r.firstRun, r.firstSrv = true, f.at, f.srv
+			delete(w.requests, f.id)
+		} else if why != Overloaded && why != ConnectFailed && !r.mayHaveRun {
+			r.mayHaveRun, r.firstRun, r.firstServer = true, f.startedAt, f.server
 		}
 	}
 	w.handle(e)
 }
 
-func (w *world) step() {
+func (w *randomRun) step() {
 	w.now += time.Duration(w.rng.IntN(12)) * ms
-	for i := 0; i < len(w.due); i++ {
-		if w.due[i] <= w.now {
+	for i := 0; i < len(w.timersDueAt); i++ {
+		if w.timersDueAt[i] <= w.now {
 			e := w.timers[i]
-			w.timers, w.due = append(w.timers[:i], w.timers[i+1:]...), append(w.due[:i], w.due[i+1:]...)
+			w.timers, w.timersDueAt = append(w.timers[:i], w.timers[i+1:]...), append(w.timersDueAt[:i], w.timersDueAt[i+1:]...)
 			w.handle(e)
 			i = -1
 		}
 	}
-	for i := 0; i < len(w.out); i++ {
-		if w.now >= w.out[i].till {
-			w.outcome(i)
+	for i := 0; i < len(w.inFlight); i++ {
+		if w.now >= w.inFlight[i].timesOutAt {
+			w.endAttempt(i)
 			i = -1
 		}
 	}
 	if w.rules != nil && w.rng.IntN(50) == 0 {
-		w.change()
+		w.changeRules()
 	}
 	switch k := w.rng.IntN(100); {
 	case k < 45:
-		w.arrive()
-	case k < 90 && len(w.out) > 0:
-		w.outcome(w.rng.IntN(len(w.out)))
+		w.sendRequest()
+	case k < 90 && len(w.inFlight) > 0:
+		w.endAttempt(w.rng.IntN(len(w.inFlight)))
 	case k < 92:
-		w.handle(w.list())
+		w.handle(w.drawEndpointUpdate())
 	case k < 93:
 		w.handle(EndpointUpdate{Kind: Failed})
 	case k < 94:
@@ -249,49 +249,49 @@
 	case k < 95:
 		w.handle(HealthCheckResult{Server: uint32(w.rng.IntN(10)), Outcome: OK})
 	case k < 96:
-		ids := make([]string, 0, len(w.open))
-		for id := range w.open {
+		ids := make([]string, 0, len(w.requests))
+		for id := range w.requests {
 			ids = append(ids, id)
 		}
 		if sort.Strings(ids); len(ids) > 0 {
 			id := ids[w.rng.IntN(len(ids))]
-			delete(w.open, id)
+			delete(w.requests, id)
 			w.handle(ClientGone{ID: id})
 		}
 	}
-	for id, r := range w.open {
-		if w.now > r.end+16*ms {
-			w.t.Fatalf("%s has no answer %v after its end", id, w.now-r.end)
+	for id, r := range w.requests {
+		if w.now > r.giveUp+16*ms {
+			w.t.Fatalf("%s has no answer %v after its end", id, w.now-r.giveUp)
 		}
 	}
 }
 
-func (w *world) arrive() {
-	w.next++
-	k := w.set.Classes[w.rng.IntN(len(w.set.Classes))]
-	r := &issuedRequest{class: k, plan: w.set.Plans[w.rng.IntN(4)].Name, customer: fmt.Sprint("k", w.rng.IntN(6)),
-		units: float64(1 + w.rng.IntN(3)), end: w.now + time.Duration(300+w.rng.IntN(3000))*ms}
+func (w *randomRun) sendRequest() {
+	w.lastRequest++
+	k := w.settings.Classes[w.rng.IntN(len(w.settings.Classes))]
+	r := &issuedRequest{class: k, plan: w.settings.Plans[w.rng.IntN(4)].Name, tenant: fmt.Sprint("k", w.rng.IntN(6)),
+		tokens: float64(1 + w.rng.IntN(3)), giveUp: w.now + time.Duration(300+w.rng.IntN(3000))*ms}
 	if w.rules != nil {
 		r.rules = *w.rules
 	}
-	id := fmt.Sprint("r", w.next)
-	w.open[id] = r
-	w.handle(Request{ID: id, Class: k.Name, Plan: r.plan, Tenant: r.customer, TimeLeft: r.end - w.now,
-		Tokens: r.units, TenantNodes: 1 + w.rng.IntN(90)}) // the spread may change within a day
+	id := fmt.Sprint("r", w.lastRequest)
+	w.requests[id] = r
+	w.handle(Request{ID: id, Class: k.Name, Plan: r.plan, Tenant: r.tenant, TimeLeft: r.giveUp - w.now,
+		Tokens: r.tokens, TenantNodes: 1 + w.rng.IntN(90)}) // the spread may change within a day
 }
 
-func play(t *testing.T, seed uint64, steps int, first ...Rules) *world {
+func runRandomEvents(t *testing.T, seed uint64, steps int, first ...Rules) *randomRun {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	w := &world{t: t, rng: rng, set: varied(rng), now: time.Hour, members: map[uint32]*Endpoint{},
-		toldBad: map[uint32]bool{}, open: map[string]*issuedRequest{}, ceilings: map[string]float64{},
-		ceilAt: map[string]time.Duration{}}
-	c, err := New(w.set, seed)
+	w := &randomRun{t: t, rng: rng, settings: randomSettings(rng), now: time.Hour, endpoints: map[uint32]*Endpoint{},
+		unusable: map[uint32]bool{}, requests: map[string]*issuedRequest{}, ceilingLevels: map[string]float64{},
+		ceilingUpdatedAt: map[string]time.Duration{}}
+	c, err := New(w.settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.c = c
-	l := w.list()
+	w.controller = c
+	l := w.drawEndpointUpdate()
 	l.Kind = Cached
 	w.handle(l)
 	for i, e := range first {
@@ -309,9 +309,9 @@
 // Any legal sequence of events keeps the rules, and gives the same actions twice.
 func TestAnyLegalSequenceKeepsTheRules(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
-		a := play(t, seed, 2500)
+		a := runRandomEvents(t, seed, 2500)
 		if seed <= 10 {
-			b := play(t, seed, 2500)
+			b := runRandomEvents(t, seed, 2500)
 			if !reflect.DeepEqual(a.log, b.log) {
 				t.Fatalf("seed %d: two runs of the same events differ", seed)
 			}
@@ -321,28 +321,28 @@
 
 // Memory for tenants, requests and servers stays bounded.
 func TestMemoryIsBounded(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.MaxTenants = 1500 // as on a machine of 26 MB
 	g := newHarness(t, s, endpoints(1, 2, 3)...)
 	for i := 0; i < 30000; i++ {
 		id := fmt.Sprint("r", i)
 		g.request(id, "job", "low", fmt.Sprint("once", i))
-		if g.n[id] > 0 {
-			g.answer(id, OK, 0)
+		if g.attempts[id] > 0 {
+			g.endAttempt(id, OK, 0)
 		}
 		g.advance(2 * ms)
 		if i%100 == 0 {
 			g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(uint32(i+1), uint32(i+2))})
-			g.sends, g.acts = nil, nil
+			g.sends, g.actions = nil, nil
 		}
 	}
-	if n := len(g.c.tenants.byKey); n > s.MaxTenants+500 { // and those of the second since they were last looked at
+	if n := len(g.controller.tenants.byKey); n > s.MaxTenants+500 { // and those of the second since they were last looked at
 		t.Errorf("%d customers remembered", n)
 	}
-	if n := len(g.c.requests) + len(g.c.timers.byLabel) + len(g.c.attempts); n > 100 {
+	if n := len(g.controller.requests) + len(g.controller.timers.byLabel) + len(g.controller.attempts); n > 100 {
 		t.Errorf("%d requests, labels and attempts held", n)
 	}
-	if n := len(g.c.servers.byID); n > 10 {
+	if n := len(g.controller.servers.byID); n > 10 {
 		t.Errorf("%d servers held, two are listed", n)
 	}
 }
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -22,14 +22,14 @@
 // recordedWorkload draws the events of one recorded run. Its requests cover what the recordings of the
 // simulator's wire do not tell apart: the retry budget, and first attempts against retries of clients.
 type recordedWorkload struct {
-	settings Settings
-	failed   float64 // fraction of the attempts that fail
-	seed     uint64
+	settings       Settings
+	failedFraction float64 // fraction of the attempts that fail
+	seed           uint64
 }
 
 // recordedSettings is a deployment with a class of each effect and a plan of each kind of quota.
 func recordedSettings(group int, marksRetry bool) Settings {
-	s := settings()
+	s := testSettings()
 	s.FleetSize, s.ClientsMarkRetries, s.MaxAttempts = group, marksRetry, 4
 	s.Classes = []Class{
 		{Name: "job", LatencyObjective: 600 * ms, Deadline: 4 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3},
@@ -48,9 +48,9 @@
 	return s
 }
 
-// play drives a controller through the workload and returns it, with what it answered: a line for each
+// run drives a controller through the workload and returns it, with what it answered: a line for each
 // event that had an answer.
-func (w recordedWorkload) play(t *testing.T) (*Controller, time.Duration, []byte) {
+func (w recordedWorkload) run(t *testing.T) (*Controller, time.Duration, []byte) {
 	t.Helper()
 	c, err := New(w.settings, w.seed)
 	require.NoError(t, err)
@@ -61,7 +61,7 @@
 	due := w.events(rng, now)
 	for handled := 0; len(due) > 0; handled++ {
 		if handled%50 == 0 {
-			fmt.Fprintf(&out, "budget %v%s\n", c.retries.budget, w.classified(c))
+			fmt.Fprintf(&out, "budget %v%s\n", c.retries.budget, w.classifierState(c))
 		}
 		first := 0
 		for i := range due {
@@ -76,7 +76,7 @@
 			break
 		}
 		line := ""
-		for _, a := range c.Handle(now, next.e) {
+		for _, a := range c.Handle(now, next.event) {
 			switch a := a.(type) {
 			case Send:
 				n := attempts[a.ID]
@@ -105,8 +105,8 @@
 
 // timedEvent is an event with the time at which the controller gets it.
 type timedEvent struct {
-	at time.Duration
-	e  Event
+	at    time.Duration
+	event Event
 }
 
 // events draws the requests of 20 s and adds the events from outside: endpoint lists, an outlier report,
@@ -128,8 +128,8 @@
 	return due
 }
 
-// classified tells what the classifier of attempts holds: by class the usual time, and what recurs beside it.
-func (w recordedWorkload) classified(c *Controller) string {
+// classifierState tells what the classifier of attempts holds: by class the usual time, and what recurs beside it.
+func (w recordedWorkload) classifierState(c *Controller) string {
 	var text strings.Builder
 	for i := range c.env.settings.Classes {
 		u := c.classifier.byClass[&c.env.settings.Classes[i]]
@@ -164,7 +164,7 @@
 // response draws how an attempt ends.
 func (w recordedWorkload) response(rng *rand.Rand, a Send, n int) AttemptEnded {
 	e := AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Outcome: OK, Done: true, MeterReading: 1 + rng.IntN(130), Tokens: 1 + 3*rng.Float64()}
-	if rng.Float64() < w.failed {
+	if rng.Float64() < w.failedFraction {
 		reasons := []Outcome{Errored, Overloaded, TimedOut, ConnectFailed, ResetByPeer, Cancelled, NeverSent}
 		e.Outcome, e.Done, e.Tokens, e.MeterReading = reasons[rng.IntN(len(reasons))], false, 0, 0
 		e.BodySpent = rng.IntN(30) == 0
@@ -205,7 +205,7 @@
 // attempts, are those of the program that recorded them.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	for name, w := range recordedWorkloads() {
-		_, _, got := w.play(t)
+		_, _, got := w.run(t)
 		compareRecorded(t, "decisions-"+name+".txt", got)
 	}
 }
@@ -214,7 +214,7 @@
 // recorded bytes; and the stored forms are read and written back byte for byte.
 func TestHandoverIsAsRecorded(t *testing.T) {
 	w := recordedWorkloads()["two-nodes-half-failed"]
-	c, now, _ := w.play(t)
+	c, now, _ := w.run(t)
 	kept, err := c.Snapshot(now)
 	require.NoError(t, err)
 	compareRecorded(t, "kept.json", kept)
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestUnknownClassOrPlanIsRefusedOnce(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1)...)
+	g := newHarness(t, testSettings(), endpoints(1)...)
 	g.request("a", "other", "low", "x")
 	g.request("b", "job", "other", "x")
 	for _, id := range []string{"a", "b"} {
-		if _, ok := g.ends[id].(Reject); !ok {
-			t.Errorf("%s ended with %v", id, g.ends[id])
+		if _, ok := g.finalAnswers[id].(Reject); !ok {
+			t.Errorf("%s ended with %v", id, g.finalAnswers[id])
 		}
 	}
 	g.handle(ClientGone{ID: "z"})
@@ -25,28 +25,28 @@
 }
 
 func TestQueuedRequestsAreAnsweredInTime(t *testing.T) {
-	g := newHarness(t, settings()) // no server at all
+	g := newHarness(t, testSettings()) // no server at all
 	g.request("a", "job", "low", "x")
 	g.advance(5 * time.Second)
-	r, ok := g.ends["a"].(Reject)
+	r, ok := g.finalAnswers["a"].(Reject)
 	if !ok || r.RetryAfter != time.Second {
-		t.Errorf("ended with %#v", g.ends["a"])
+		t.Errorf("ended with %#v", g.finalAnswers["a"])
 	}
 }
 
 // Guards against a further attempt that waits beyond the client's time.
 func TestRequeuedRequestIsAnsweredInTime(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1)...)
+	g := newHarness(t, testSettings(), endpoints(1)...)
 	g.request("a", "job", "low", "x")
 	g.advance(4 * time.Second)
 	g.handle(EndpointUpdate{Kind: Complete})
-	g.answer("a", Errored, 0)
+	g.endAttempt("a", Errored, 0)
 	g.advance(990 * ms)
-	if g.ends["a"] != nil {
+	if g.finalAnswers["a"] != nil {
 		return
 	}
 	g.advance(10 * ms)
-	if g.ends["a"] == nil {
+	if g.finalAnswers["a"] == nil {
 		t.Error("no answer by the client's time")
 	}
 }
@@ -58,10 +58,10 @@
 		for i := range n {
 			id := fmt.Sprint("x", g.now, i)
 			g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: fmt.Sprint(i), TimeLeft: ttl(i), Tokens: 1, TenantNodes: 2})
-			if _, ok := g.ends[id].(Reject); ok {
+			if _, ok := g.finalAnswers[id].(Reject); ok {
 				refused++
 			} else {
-				g.answer(id, OK, 0)
+				g.endAttempt(id, OK, 0)
 			}
 			g.advance(10 * ms)
 		}
@@ -78,7 +78,7 @@
 		{"back when told to", func(i int) time.Duration { return 3*time.Second - time.Duration(5+i%2)*ms }, 40, 40},
 		{"back when told to after waiting for a turn", func(i int) time.Duration { return 2640 * ms }, 40, 40},
 	} {
-		s := settings()
+		s := testSettings()
 		s.MaxRetryAfter, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = time.Second, 900*ms, 4*time.Second
 		g := newHarness(t, s, endpoints(1, 2)...)
 		ask(g, 40, func(int) time.Duration { return 3500 * ms })
@@ -91,8 +91,8 @@
 // A try whose client leaves soon waits for a turn only as long as an answer could still be there in
 // its time: else it is rejected at once, and takes neither units nor a place.
 func TestHastyTryDoesNotWaitForATurnInVain(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1, 2, 3)...)
-	g.run(10*time.Second, 300*ms, func(uint32) time.Duration { return 200 * ms })
+	g := newHarness(t, testSettings(), endpoints(1, 2, 3)...)
+	g.runWithLatency(10*time.Second, 300*ms, func(uint32) time.Duration { return 200 * ms })
 	ask := func(id string, ttl time.Duration) {
 		g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: ttl, Tokens: 1, TenantNodes: 2})
 	}
@@ -100,26 +100,26 @@
 	for i := 0; i < 8; i++ { // by which such clients are known
 		id := fmt.Sprint(i)
 		ask(id, hasty)
-		if g.n[id] > 0 {
-			g.answer(id, OK, 0)
+		if g.attempts[id] > 0 {
+			g.endAttempt(id, OK, 0)
 		}
 	}
-	g.c.concurrency.bound = 1
+	g.controller.concurrency.bound = 1
 	ask("out", 5*time.Second)
-	if g.n["out"] != 1 {
-		t.Fatalf("the bound has no room for one: %v", g.c.concurrency.busy())
+	if g.attempts["out"] != 1 {
+		t.Fatalf("the bound has no room for one: %v", g.controller.concurrency.busy())
 	}
 	ask("hasty", hasty)
 	ask("patient", 5*time.Second)
 	g.advance(10 * ms)
-	if _, refused := g.ends["hasty"].(Reject); !refused {
-		t.Errorf("a try with 300 ms left, where answers take 200 ms, ends as %T", g.ends["hasty"])
+	if _, refused := g.finalAnswers["hasty"].(Reject); !refused {
+		t.Errorf("a try with 300 ms left, where answers take 200 ms, ends as %T", g.finalAnswers["hasty"])
 	}
-	if g.ends["patient"] != nil {
-		t.Errorf("a try with 5 s left ends as %T without a wait", g.ends["patient"])
+	if g.finalAnswers["patient"] != nil {
+		t.Errorf("a try with 5 s left ends as %T without a wait", g.finalAnswers["patient"])
 	}
-	g.answer("out", OK, 0)
-	if g.n["patient"] != 1 || g.n["hasty"] != 0 {
-		t.Errorf("sent: patient %d, hasty %d", g.n["patient"], g.n["hasty"])
+	g.endAttempt("out", OK, 0)
+	if g.attempts["patient"] != 1 || g.attempts["hasty"] != 0 {
+		t.Errorf("sent: patient %d, hasty %d", g.attempts["patient"], g.attempts["hasty"])
 	}
 }
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -7,14 +7,14 @@
 )
 
 func TestTurnsFollowShares(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1, 2)...)
-	g.c.scheduler.plans[0].share, g.c.scheduler.plans[1].share = 0.25, 0.75
+	g := newHarness(t, testSettings(), endpoints(1, 2)...)
+	g.controller.scheduler.plans[0].share, g.controller.scheduler.plans[1].share = 0.25, 0.75
 	for i := 0; i < 80; i++ {
 		g.request(fmt.Sprint("l", i), "job", "low", "a")
 		g.request(fmt.Sprint("h", i), "job", "high", "b")
 	}
 	for i := 0; i < 80; i++ { // keep the bound full
-		g.answer(g.sends[i].ID, OK, 0)
+		g.endAttempt(g.sends[i].ID, OK, 0)
 	}
 	high := 0
 	for _, s := range g.sends[4:84] {
@@ -28,8 +28,8 @@
 }
 
 func TestAnEmptyQueuePassesItsTurn(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1, 2)...)
-	g.c.scheduler.plans[0].share, g.c.scheduler.plans[1].share = 0, 1
+	g := newHarness(t, testSettings(), endpoints(1, 2)...)
+	g.controller.scheduler.plans[0].share, g.controller.scheduler.plans[1].share = 0, 1
 	g.request("a", "job", "low", "x")
 	if len(g.sends) != 1 {
 		t.Errorf("%d sends for the only request", len(g.sends))
@@ -37,45 +37,45 @@
 }
 
 func TestBoundStartsAtTwiceTheServersAndHalvesOnce(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1, 2, 3)...)
+	g := newHarness(t, testSettings(), endpoints(1, 2, 3)...)
 	for i := 0; i < 20; i++ {
 		g.request(fmt.Sprint(i), "job", "low", "x")
 	}
 	if len(g.sends) != 6 {
 		t.Fatalf("%d in flight with three servers at start", len(g.sends))
 	}
-	g.c.concurrency.bound = 40
+	g.controller.concurrency.bound = 40
 	for i := 0; i < 10; i++ { // time-outs and refusals, many in each interval
-		g.c.interval.overloaded, g.c.interval.answers = 5, 5
-		before := g.c.concurrency.bound
-		g.c.endInterval(1)
-		if g.c.concurrency.bound < before/2 {
-			t.Errorf("the bound went from %g to %g in one interval", before, g.c.concurrency.bound)
+		g.controller.interval.overloaded, g.controller.interval.answers = 5, 5
+		before := g.controller.concurrency.bound
+		g.controller.endInterval(1)
+		if g.controller.concurrency.bound < before/2 {
+			t.Errorf("the bound went from %g to %g in one interval", before, g.controller.concurrency.bound)
 		}
 	}
-	if g.c.concurrency.bound != 6 {
-		t.Errorf("the bound fell to %g, the part of two gateways of four a server is 6", g.c.concurrency.bound)
+	if g.controller.concurrency.bound != 6 {
+		t.Errorf("the bound fell to %g, the part of two gateways of four a server is 6", g.controller.concurrency.bound)
 	}
 }
 
 // Guards against a few long requests that pin the bound to its floor.
 func TestOneTimeOutDoesNotCutTheBound(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1, 2)...)
-	g.c.concurrency.bound, g.c.interval.overloaded, g.c.interval.answers = 40, 1, 99
-	g.c.endInterval(1)
-	if g.c.concurrency.bound < 40 {
-		t.Errorf("bound %g after one time-out in a hundred answers", g.c.concurrency.bound)
+	g := newHarness(t, testSettings(), endpoints(1, 2)...)
+	g.controller.concurrency.bound, g.controller.interval.overloaded, g.controller.interval.answers = 40, 1, 99
+	g.controller.endInterval(1)
+	if g.controller.concurrency.bound < 40 {
+		t.Errorf("bound %g after one time-out in a hundred answers", g.controller.concurrency.bound)
 	}
-	g.c.interval.overloaded, g.c.interval.answers = 30, 70
-	g.c.endInterval(1)
-	if g.c.concurrency.bound != 20 {
-		t.Errorf("bound %g after thirty in a hundred", g.c.concurrency.bound)
+	g.controller.interval.overloaded, g.controller.interval.answers = 30, 70
+	g.controller.endInterval(1)
+	if g.controller.concurrency.bound != 20 {
+		t.Errorf("bound %g after thirty in a hundred", g.controller.concurrency.bound)
 	}
 }
 
 // Guards against many nodes that jam the fleet by their floors alone.
 func TestFloorsOfALargeGroupAreShared(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.FleetSize = 16
 	g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8)...)
 	for i := 0; i < 50; i++ {
@@ -90,24 +90,24 @@
 // each has three.
 func TestFloorKeepsAllCoresBusy(t *testing.T) {
 	for _, group := range []int{3, 4} {
-		s := settings()
+		s := testSettings()
 		s.FleetSize = group
 		g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9)...)
 		for range 10 {
-			g.c.interval.overloaded, g.c.interval.answers = 5, 5
-			g.c.endInterval(1)
+			g.controller.interval.overloaded, g.controller.interval.answers = 5, 5
+			g.controller.endInterval(1)
 		}
-		if per := g.c.concurrency.bound * float64(group) / 9; per < 3 {
+		if per := g.controller.concurrency.bound * float64(group) / 9; per < 3 {
 			t.Errorf("%d gateways keep %.1f requests in a server of three cores", group, per)
 		}
 	}
 }
 
-// requireQuiet checks that the controller asked for no health check and at most once for the endpoint list.
-func (g *harness) requireQuiet(deployment string) {
+// requireFewDiscoveryCalls checks that the controller asked for no health check and at most once for the endpoint list.
+func (g *harness) requireFewDiscoveryCalls(deployment string) {
 	g.t.Helper()
 	asked := 0
-	for _, a := range g.acts {
+	for _, a := range g.actions {
 		switch a.(type) {
 		case HealthCheck:
 			g.t.Fatalf("%s: a probe", deployment)
@@ -132,15 +132,15 @@
 			}
 			sum := 0
 			for i := 0; i < group; i++ {
-				s := fleet(group)
+				s := fleetSettings(group)
 				s.NodeIndex, s.HealthChecks, s.PollDiscovery = i, true, true
-				g := newHarnessOfSeed(t, s, uint64(i), endpoints(ids...)...)
+				g := newHarnessWithSeed(t, s, uint64(i), endpoints(ids...)...)
 				for j := 0; j < 2*int(initialBoundPerServer)*servers/group+10; j++ {
 					g.request(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
 				}
 				sum += len(g.sends)
 				g.advance(time.Second)
-				g.requireQuiet(fmt.Sprintf("%d gateways, %d servers", group, servers))
+				g.requireFewDiscoveryCalls(fmt.Sprintf("%d gateways, %d servers", group, servers))
 			}
 			if most := int(initialBoundPerServer)*servers + group; sum > most || sum == 0 {
 				t.Errorf("%d gateways, %d servers: %d in flight at the start, at most %d", group, servers, sum, most)
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -51,7 +51,7 @@
 		"depth":      func(s *Settings) { s.Plans[1].Burst = math.Inf(1) },
 		"aim":        func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 	} {
-		s := settings()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: New gave %v", field, err)
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -11,7 +11,7 @@
 	y := []float64{1, 1}
 	for k := 0; k < 400; k++ {
 		u := []float64{0.5 + 0.3*math.Sin(float64(k)*1.7), 0.5 + 0.3*math.Cos(float64(k)*2.9)}
-		l.regressor = newPhi(u, y)
+		l.regressor = newRegressor(u, y)
 		next := make([]float64, 2)
 		for i := range next {
 			for j := range want[i] {
@@ -86,10 +86,10 @@
 }
 
 func TestSharesStayWithFewAnswers(t *testing.T) {
-	g := newHarness(t, settings(), endpoints(1)...)
-	g.c.scheduler.plans[0].lateness, g.c.scheduler.plans[1].lateness, g.c.interval.answers = 3, 0.1, minShareAnswers-1
-	g.c.endInterval(1)
-	if g.c.scheduler.plans[0].share != 0.5 {
-		t.Errorf("share %g after an interval of four answers", g.c.scheduler.plans[0].share)
+	g := newHarness(t, testSettings(), endpoints(1)...)
+	g.controller.scheduler.plans[0].lateness, g.controller.scheduler.plans[1].lateness, g.controller.interval.answers = 3, 0.1, minShareAnswers-1
+	g.controller.endInterval(1)
+	if g.controller.scheduler.plans[0].share != 0.5 {
+		t.Errorf("share %g after an interval of four answers", g.controller.scheduler.plans[0].share)
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestColdServerIsHeldUnderItsBudget(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	list := endpoints(1, 2, 3, 4)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-100*ms, true
 	g := newHarness(t, s, list...)
@@ -27,8 +27,8 @@
 		cold, busy = cold+here, max(busy, here)
 		g.advance(20 * ms)
 		for k := 0; k < 8; k++ {
-			if id := fmt.Sprint(i, "-", k); g.ends[id] == nil {
-				g.answer(id, OK, 0)
+			if id := fmt.Sprint(i, "-", k); g.finalAnswers[id] == nil {
+				g.endAttempt(id, OK, 0)
 			}
 		}
 	}
@@ -39,7 +39,7 @@
 
 // Guards against a just-started server that every node of a large group tries at once.
 func TestColdServerIsSharedByALargeGroup(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.FleetSize = 12
 	list := endpoints(1, 2)
 	list[0].StartedAt, list[0].HasStartedAt = time.Hour-ms, true
@@ -49,9 +49,9 @@
 		id := fmt.Sprint(i)
 		g.request(id, "job", "low", "x")
 		g.advance(10 * ms)
-		if g.n[id] > 0 && g.sends[len(g.sends)-1].Server == 1 {
+		if g.attempts[id] > 0 && g.sends[len(g.sends)-1].Server == 1 {
 			cold++
-			g.answer(id, OK, 0)
+			g.endAttempt(id, OK, 0)
 		} // the warm server answers nothing, so its rate is not known
 	}
 	if cold > 1 {
@@ -62,7 +62,7 @@
 // Servers that are warming up that answer at once are used beside warm ones that are slow: what a node of
 // many has seen of a few ones that are warming up tells of the others.
 func TestColdServersThatAnswerFastAreUsed(t *testing.T) {
-	s := fleet(80)
+	s := fleetSettings(80)
 	s.SlowStartDuration = 40 * time.Second
 	var warm []uint32
 	for id := uint32(1); id <= 24; id++ {
@@ -75,15 +75,15 @@
 		}
 		return 500 * ms
 	}
-	g.run(10*time.Second, 200*ms, takes)
+	g.runWithLatency(10*time.Second, 200*ms, takes)
 	var cold []Endpoint
 	for id := uint32(25); id <= 60; id++ {
 		cold = append(cold, Endpoint{Server: id, Zone: "z1", Size: 1, StartedAt: g.now - 10*time.Second, HasStartedAt: true})
 	}
 	g.handle(EndpointUpdate{Kind: Delta, Endpoints: cold})
-	g.run(10*time.Second, 200*ms, takes)
+	g.runWithLatency(10*time.Second, 200*ms, takes)
 	from, n := len(g.sends), 0
-	g.run(15*time.Second, 200*ms, takes)
+	g.runWithLatency(15*time.Second, 200*ms, takes)
 	for _, x := range g.sends[from:] {
 		if x.Server > 24 {
 			n++
@@ -97,14 +97,14 @@
 // Small requests do not keep a server that is warming up from large ones: a request takes its units from
 // a bucket that may go into debt, and no request sets how much the bucket may hold.
 func TestSmallRequestsLeaveRoomAtColdServers(t *testing.T) {
-	s := fleet(80)
+	s := fleetSettings(80)
 	s.SlowStartDuration = 40 * time.Second
 	var cold []Endpoint
 	for id := uint32(1); id <= 30; id++ {
 		cold = append(cold, Endpoint{Server: id, Zone: "z1", Size: 1, StartedAt: time.Hour - 20*time.Second, HasStartedAt: true})
 	}
 	g := newHarness(t, s, cold...)
-	g.c.concurrency.bound, g.c.traffic.idleLatency, g.c.traffic.latency, g.c.traffic.answers, g.c.traffic.meanTokens = 4, 0.2, 0.2, 100, 2
+	g.controller.concurrency.bound, g.controller.traffic.idleLatency, g.controller.traffic.latency, g.controller.traffic.answers, g.controller.traffic.meanTokens = 4, 0.2, 0.2, 100, 2
 	large := map[string]bool{}
 	for i := 0; i < 200; i++ {
 		id, units := fmt.Sprint(i), 1.0
@@ -114,8 +114,8 @@
 		g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: 2})
 		g.advance(100 * ms)
 		for n, x := range g.sends {
-			if _, ended := g.ends[x.ID]; !ended && n >= len(g.sends)-4 {
-				g.answer(x.ID, OK, 0)
+			if _, ended := g.finalAnswers[x.ID]; !ended && n >= len(g.sends)-4 {
+				g.endAttempt(x.ID, OK, 0)
 			}
 		}
 	}
@@ -146,7 +146,7 @@
 		g := gates[asked*7%len(gates)]
 		g.request(fmt.Sprint(asked), "job", "low", fmt.Sprint(asked))
 		asked++
-		open = answerDue(open, now)
+		open = endDueAttempts(open, now)
 		for i, g := range gates {
 			g.advance(now + 10*ms - g.now)
 			for ; seen[i] < len(g.sends); seen[i]++ {
@@ -164,17 +164,17 @@
 
 // openAttempt is an attempt in flight that is answered at a time.
 type openAttempt struct {
-	at time.Duration
-	g  *harness
-	id string
+	endsAt time.Duration
+	node   *harness
+	id     string
 }
 
-// answerDue answers the attempts that are due and returns the others.
-func answerDue(open []openAttempt, now time.Duration) []openAttempt {
+// endDueAttempts answers the attempts that are due and returns the others.
+func endDueAttempts(open []openAttempt, now time.Duration) []openAttempt {
 	left := open[:0]
 	for _, o := range open {
-		if o.at <= now {
-			o.g.answer(o.id, OK, 0)
+		if o.endsAt <= now {
+			o.node.endAttempt(o.id, OK, 0)
 		} else {
 			left = append(left, o)
 		}
@@ -188,11 +188,11 @@
 	const warmDoes = 12.0 // requests a second
 	up := time.Hour + 4*time.Second
 	for _, group := range []int{1, 3, 10, 40, 100, 300} {
-		s := fleet(group)
+		s := fleetSettings(group)
 		s.SlowStartDuration, s.OverloadWindow = 16*time.Second, 1500*ms
 		gates := make([]*harness, group)
 		for i := range gates {
-			gates[i] = newHarnessOfSeed(t, s, uint64(i+1), endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...)
+			gates[i] = newHarnessWithSeed(t, s, uint64(i+1), endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10)...)
 		}
 		at := sendsWhileWarmingUp(gates, up)
 		for i, from := range at {
@@ -217,7 +217,7 @@
 // again: its part of all that they bear is for few of them. Which ones goes by the key that all nodes
 // know a server by, so that each is home to as many.
 func TestFewOfTheColdServersAreHome(t *testing.T) {
-	s := fleet(300)
+	s := fleetSettings(300)
 	s.SlowStartDuration = 40 * time.Second
 	homes := map[uint32]int{}
 	for i := 0; i < s.FleetSize; i += 7 {
@@ -228,7 +228,7 @@
 			cold = append(cold, Endpoint{Server: id, HashKey: key * 2654435761, Zone: "z1", Size: 1, StartedAt: time.Hour - 4*time.Second, HasStartedAt: true})
 		}
 		g := newHarness(t, s, cold...)
-		for _, x := range g.c.servers.ordered {
+		for _, x := range g.controller.servers.ordered {
 			if x.preferred {
 				homes[x.HashKey]++
 			}
@@ -236,8 +236,8 @@
 		if i > 0 {
 			continue
 		}
-		g.c.concurrency.bound, g.c.traffic.idleLatency, g.c.traffic.latency, g.c.traffic.answers, g.c.traffic.meanTokens = 4, 0.1, 0.1, 100, 1
-		g.run(20*time.Second, 100*ms, func(uint32) time.Duration { return 100 * ms })
+		g.controller.concurrency.bound, g.controller.traffic.idleLatency, g.controller.traffic.latency, g.controller.traffic.answers, g.controller.traffic.meanTokens = 4, 0.1, 0.1, 100, 1
+		g.runWithLatency(20*time.Second, 100*ms, func(uint32) time.Duration { return 100 * ms })
 		used := map[uint32]bool{}
 		for _, x := range g.sends {
 			used[x.Server] = true
--- a/control/slowstartfleet_test.go
+++ b/control/slowstartfleet_test.go
@@ -15,21 +15,21 @@
 
 // coldRow is a fleet in virtual time before which servers start cold.
 type warmupCase struct {
-	group, servers, cold int
-	from                 float64       // part of its capacity that a cold server starts with
-	uneven               float64       // sigma of the logarithms of the gateways' loads
-	apart                time.Duration // between the first gateway's word of the start and the last's
-	restart              time.Duration // between two gateways that are started anew, knowing nothing; 0 is none
-	unaware              bool          // the gateways are not told that the servers have just started: they break the rule
-	load                 float64       // of what the warm servers do
-	size                 int           // of the settings' group, where only those are played that share these servers; 0 is group
-	sharers              float64       // of each server, as the list tells; 0 is the settings' group
+	nodes, servers, warmingUp int
+	initialFraction           float64       // part of its capacity that a cold server starts with
+	loadSigma                 float64       // sigma of the logarithms of the gateways' loads
+	discoveryDelay            time.Duration // between the first gateway's word of the start and the last's
+	restartInterval           time.Duration // between two gateways that are started anew, knowing nothing; 0 is none
+	startTimesUnknown         bool          // the gateways are not told that the servers have just started: they break the rule
+	loadFraction              float64       // of what the warm servers do
+	fleetSize                 int           // of the settings' group, where only those are played that share these servers; 0 is group
+	nodesPerServer            float64       // of each server, as the list tells; 0 is the settings' group
 }
 
 // Of a warm server.
 const (
-	coldDoes  = 18.0 // requests of mean work a second
-	coldCores = 3.0
+	warmServerRate = 18.0 // requests of mean work a second
+	serverCores    = 3.0
 )
 
 // coldFleet is a row in play: whole controllers, servers that work through what comes in order, and
@@ -37,18 +37,18 @@
 type warmupFleet struct {
 	eventqueue.Agenda
 	warmupCase
-	t       *testing.T
-	set     Settings
-	seed    uint64
-	rng     *rand.Rand
-	gates   []*Controller
-	members []Endpoint
-	told    []bool
-	busy    []time.Duration // until then, by server
-	sends   [][]warmupSend  // of the last span, by cold server
-	n       int
-	worst   float64 // most work that came to one in the settings' time, as a part of the formula
-	sent    float64 // to all cold servers
+	t           *testing.T
+	settings    Settings
+	seed        uint64
+	rng         *rand.Rand
+	controllers []*Controller
+	endpoints   []Endpoint
+	informed    []bool
+	busyUntil   []time.Duration // until then, by server
+	sends       [][]warmupSend  // of the last span, by cold server
+	lastID      int
+	maxOverload float64 // most work that came to one in the settings' time, as a part of the formula
+	attempts    float64 // to all cold servers
 }
 
 type warmupSend struct {
@@ -57,129 +57,129 @@
 }
 
 const (
-	coldUp  = time.Hour + 8*time.Second // before it the gateways learn
-	coldFor = 16 * time.Second
+	warmupStart    = time.Hour + 8*time.Second // before it the gateways learn
+	warmupDuration = 16 * time.Second
 )
 
 func runWarmup(t *testing.T, x warmupCase, seed uint64) (worst, mean float64) {
 	t.Helper()
-	f := &warmupFleet{warmupCase: x, t: t, set: fleet(x.group), seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(x.group))),
-		busy: make([]time.Duration, x.servers), sends: make([][]warmupSend, x.cold), told: make([]bool, x.group)}
-	f.set.SlowStartDuration, f.set.SlowStartInitial, f.set.OverloadWindow = coldFor, x.from, 1500*ms
-	f.set.FleetSize = max(x.group, x.size)
+	f := &warmupFleet{warmupCase: x, t: t, settings: fleetSettings(x.nodes), seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(x.nodes))),
+		busyUntil: make([]time.Duration, x.servers), sends: make([][]warmupSend, x.warmingUp), informed: make([]bool, x.nodes)}
+	f.settings.SlowStartDuration, f.settings.SlowStartInitial, f.settings.OverloadWindow = warmupDuration, x.initialFraction, 1500*ms
+	f.settings.FleetSize = max(x.nodes, x.fleetSize)
 	for i := range x.servers {
-		f.members = append(f.members, Endpoint{Server: uint32(i + 1), HashKey: uint32(i+1) * 2654435761, Zone: fmt.Sprint("z", i%3), Size: 1})
+		f.endpoints = append(f.endpoints, Endpoint{Server: uint32(i + 1), HashKey: uint32(i+1) * 2654435761, Zone: fmt.Sprint("z", i%3), Size: 1})
 	}
 	f.Now = time.Hour
-	f.gates = make([]*Controller, x.group)
-	loads, all := make([]float64, x.group), 0.0
-	for i := range f.gates {
-		f.begin(i, Cached, f.members[x.cold:])
-		loads[i] = math.Exp(x.uneven * f.rng.NormFloat64())
+	f.controllers = make([]*Controller, x.nodes)
+	loads, all := make([]float64, x.nodes), 0.0
+	for i := range f.controllers {
+		f.startNode(i, Cached, f.endpoints[x.warmingUp:])
+		loads[i] = math.Exp(x.loadSigma * f.rng.NormFloat64())
 		all += loads[i]
 	}
-	for i := range x.cold {
-		f.members[i].StartedAt, f.members[i].HasStartedAt = coldUp, !x.unaware
+	for i := range x.warmingUp {
+		f.endpoints[i].StartedAt, f.endpoints[i].HasStartedAt = warmupStart, !x.startTimesUnknown
 	}
-	for i := range f.gates {
-		at := coldUp + time.Duration(f.rng.Float64()*float64(x.apart))
+	for i := range f.controllers {
+		at := warmupStart + time.Duration(f.rng.Float64()*float64(x.discoveryDelay))
 		f.After(at-f.Now, func() {
-			f.told[i] = true
-			f.do(i, EndpointUpdate{Kind: Delta, Endpoints: f.members[:x.cold], NodesPerServer: x.sharers})
+			f.informed[i] = true
+			f.handle(i, EndpointUpdate{Kind: Delta, Endpoints: f.endpoints[:x.warmingUp], NodesPerServer: x.nodesPerServer})
 		})
 	}
-	if x.restart > 0 {
-		for k := range int(coldFor / x.restart) {
-			i := k % x.group
-			f.After(coldUp+time.Second+time.Duration(k)*x.restart-f.Now, func() {
-				f.told[i] = true
-				f.begin(i, Cached, f.members)
+	if x.restartInterval > 0 {
+		for k := range int(warmupDuration / x.restartInterval) {
+			i := k % x.nodes
+			f.After(warmupStart+time.Second+time.Duration(k)*x.restartInterval-f.Now, func() {
+				f.informed[i] = true
+				f.startNode(i, Cached, f.endpoints)
 			})
 		}
 	}
-	for i := range f.gates {
-		f.sendRequests(i, f.load*coldDoes*float64(x.servers-x.cold)*loads[i]/all)
+	for i := range f.controllers {
+		f.scheduleRequests(i, f.loadFraction*warmServerRate*float64(x.servers-x.warmingUp)*loads[i]/all)
 	}
 	f.Run()
-	n := f.allows(coldUp+coldFor/2) / f.set.OverloadWindow.Seconds() // a second, in the mean over the ramp
-	return f.worst, f.sent / (n * coldFor.Seconds() * float64(x.cold))
+	n := f.allowedWork(warmupStart+warmupDuration/2) / f.settings.OverloadWindow.Seconds() // a second, in the mean over the ramp
+	return f.maxOverload, f.attempts / (n * warmupDuration.Seconds() * float64(x.warmingUp))
 }
 
-// allows is what the settings allow a server that is warming up at a time.
-func (f *warmupFleet) allows(now time.Duration) float64 {
-	return settings().OverloadFactor * f.warmupFraction(now) * coldDoes * f.set.OverloadWindow.Seconds()
+// allowedWork is what the settings allow a server that is warming up at a time.
+func (f *warmupFleet) allowedWork(now time.Duration) float64 {
+	return testSettings().OverloadFactor * f.warmupFraction(now) * warmServerRate * f.settings.OverloadWindow.Seconds()
 }
 
 func (f *warmupFleet) warmupFraction(now time.Duration) float64 {
-	return min(1, f.from+(1-f.from)*(now-coldUp).Seconds()/coldFor.Seconds())
+	return min(1, f.initialFraction+(1-f.initialFraction)*(now-warmupStart).Seconds()/warmupDuration.Seconds())
 }
 
-// begin starts a node, also anew.
-func (f *warmupFleet) begin(i int, kind UpdateKind, members []Endpoint) {
-	f.n++
-	s := f.set
-	s.NodeIndex = i * s.FleetSize / f.group
-	c, err := New(s, f.seed<<32+uint64(f.n))
+// startNode starts a node, also anew.
+func (f *warmupFleet) startNode(i int, kind UpdateKind, members []Endpoint) {
+	f.lastID++
+	s := f.settings
+	s.NodeIndex = i * s.FleetSize / f.nodes
+	c, err := New(s, f.seed<<32+uint64(f.lastID))
 	require.NoError(f.t, err)
-	f.gates[i] = c
-	f.do(i, EndpointUpdate{Kind: kind, Endpoints: members, NodesPerServer: f.sharers})
+	f.controllers[i] = c
+	f.handle(i, EndpointUpdate{Kind: kind, Endpoints: members, NodesPerServer: f.nodesPerServer})
 }
 
 // ask has requests come to a node.
-func (f *warmupFleet) sendRequests(i int, rate float64) {
+func (f *warmupFleet) scheduleRequests(i int, rate float64) {
 	f.After(seconds(f.rng.ExpFloat64()/rate), func() {
-		if f.Now >= coldUp+coldFor {
+		if f.Now >= warmupStart+warmupDuration {
 			return
 		}
-		f.n++
+		f.lastID++
 		work := f.rng.ExpFloat64()
-		f.do(i, Request{ID: fmt.Sprint(f.n, " ", work), Class: "job", Plan: "high", Tenant: fmt.Sprint(f.n), TimeLeft: 5 * time.Second,
+		f.handle(i, Request{ID: fmt.Sprint(f.lastID, " ", work), Class: "job", Plan: "high", Tenant: fmt.Sprint(f.lastID), TimeLeft: 5 * time.Second,
 			Tokens: min(8, max(1, math.Round(3*work*math.Exp(0.5*f.rng.NormFloat64())))), TenantNodes: 2})
-		f.sendRequests(i, rate)
+		f.scheduleRequests(i, rate)
 	})
 }
 
-// do hands a node an event and has done what it answers.
-func (f *warmupFleet) do(i int, e Event) {
-	c := f.gates[i]
+// handle hands a node an event and has done what it answers.
+func (f *warmupFleet) handle(i int, e Event) {
+	c := f.controllers[i]
 	for _, a := range append([]Action{}, c.Handle(f.Now, e)...) {
 		switch a := a.(type) {
 		case Send:
-			f.send(i, a)
+			f.startAttempt(i, a)
 		case SetTimer:
 			f.After(a.After, func() {
-				if f.gates[i] == c && f.Now < coldUp+coldFor {
-					f.do(i, Timer{Label: a.Label})
+				if f.controllers[i] == c && f.Now < warmupStart+warmupDuration {
+					f.handle(i, Timer{Label: a.Label})
 				}
 			})
 		}
 	}
 }
 
-// send brings an attempt to its server, which does it after what came before.
-func (f *warmupFleet) send(i int, a Send) {
+// startAttempt brings an attempt to its server, which does it after what came before.
+func (f *warmupFleet) startAttempt(i int, a Send) {
 	var n int
 	var work float64
 	_, _ = fmt.Sscan(a.ID, &n, &work)
-	s, does := int(a.Server)-1, coldDoes
-	if s < f.cold && f.Now < coldUp+coldFor {
-		f.arrive(s, work)
+	s, does := int(a.Server)-1, warmServerRate
+	if s < f.warmingUp && f.Now < warmupStart+warmupDuration {
+		f.recordArrival(s, work)
 		does *= f.warmupFraction(f.Now)
 	}
-	f.busy[s] = max(f.busy[s], f.Now) + seconds(work/does)
-	c := f.gates[i]
-	f.After(max(f.busy[s]-f.Now, seconds(work*coldCores/coldDoes)), func() {
-		if f.gates[i] == c {
-			f.do(i, AttemptEnded{ID: a.ID, Server: a.Server, Outcome: OK, Done: true})
+	f.busyUntil[s] = max(f.busyUntil[s], f.Now) + seconds(work/does)
+	c := f.controllers[i]
+	f.After(max(f.busyUntil[s]-f.Now, seconds(work*serverCores/warmServerRate)), func() {
+		if f.controllers[i] == c {
+			f.handle(i, AttemptEnded{ID: a.ID, Server: a.Server, Outcome: OK, Done: true})
 		}
 	})
 }
 
 // come counts what comes to a server that is warming up.
-func (f *warmupFleet) arrive(s int, work float64) {
-	f.sent++
+func (f *warmupFleet) recordArrival(s int, work float64) {
+	f.attempts++
 	in := append(f.sends[s], warmupSend{f.Now, work})
-	for in[0].at < f.Now-f.set.OverloadWindow {
+	for in[0].at < f.Now-f.settings.OverloadWindow {
 		in = in[1:]
 	}
 	f.sends[s] = in
@@ -187,12 +187,12 @@
 	for _, x := range in {
 		sum += x.work
 	}
-	f.worst = max(f.worst, sum/overloadBound(f.allows(f.Now)))
+	f.maxOverload = max(f.maxOverload, sum/overloadBound(f.allowedWork(f.Now)))
 }
 
 // coldRows are what may come together with a server that is warming up in a group of a size.
 func warmupCases(group, servers int) map[string]warmupCase {
-	x := warmupCase{group: group, servers: servers, cold: 1, from: 0.1}
+	x := warmupCase{nodes: group, servers: servers, warmingUp: 1, initialFraction: 0.1}
 	with := func(set func(x *warmupCase)) warmupCase {
 		y := x
 		set(&y)
@@ -201,11 +201,13 @@
 	once := 15 * time.Second / time.Duration(group) // each gateway is started anew once in the ramp
 	return map[string]warmupCase{
 		"one server":         x,
-		"gateways restarted": with(func(x *warmupCase) { x.restart = once }),
-		"uneven traffic":     with(func(x *warmupCase) { x.uneven = 1 }),
-		"a zone's servers":   with(func(x *warmupCase) { x.cold = servers / 3 }),
-		"told 0 to 1 s late": with(func(x *warmupCase) { x.apart = time.Second }),
-		"all of these":       with(func(x *warmupCase) { x.cold, x.restart, x.uneven, x.apart = servers/3, once, 1, time.Second }),
+		"gateways restarted": with(func(x *warmupCase) { x.restartInterval = once }),
+		"uneven traffic":     with(func(x *warmupCase) { x.loadSigma = 1 }),
+		"a zone's servers":   with(func(x *warmupCase) { x.warmingUp = servers / 3 }),
+		"told 0 to 1 s late": with(func(x *warmupCase) { x.discoveryDelay = time.Second }),
+		"all of these": with(func(x *warmupCase) {
+			x.warmingUp, x.restartInterval, x.loadSigma, x.discoveryDelay = servers/3, once, 1, time.Second
+		}),
 	}
 }
 
@@ -220,11 +222,11 @@
 		for name, x := range warmupCases(g.group, g.servers) {
 			t.Run(fmt.Sprint(g.group, " gateways, ", name), func(t *testing.T) {
 				t.Parallel()
-				for _, x.load = range g.loads {
+				for _, x.loadFraction = range g.loads {
 					for seed := range g.seeds {
 						worst, mean := runWarmup(t, x, seed+1)
-						assert.LessOrEqual(t, worst, 1.0, "seed %d, load %g", seed+1, x.load)
-						assert.Greater(t, mean, 0.05, "seed %d, load %g: of what the settings allow", seed+1, x.load)
+						assert.LessOrEqual(t, worst, 1.0, "seed %d, load %g", seed+1, x.loadFraction)
+						assert.Greater(t, mean, 0.05, "seed %d, load %g: of what the settings allow", seed+1, x.loadFraction)
 					}
 				}
 			})
@@ -234,7 +236,7 @@
 			worst := 0.0
 			for seed := uint64(1); seed <= 9 && worst <= 1; seed++ { // a slow server is left soon, also by them
 				for _, cold := range []int{g.servers / 3, 1} {
-					w, _ := runWarmup(t, warmupCase{group: g.group, servers: g.servers, cold: cold, from: 0.1, load: 1.5, unaware: true}, seed)
+					w, _ := runWarmup(t, warmupCase{nodes: g.group, servers: g.servers, warmingUp: cold, initialFraction: 0.1, loadFraction: 1.5, startTimesUnknown: true}, seed)
 					worst = max(worst, w)
 				}
 			}
--- a/control/slowstartsum_test.go
+++ b/control/slowstartsum_test.go
@@ -19,13 +19,13 @@
 // it warms from a part of its capacity on. It gives the most that came in the settings' time, as a part
 // of the formula, and the mean as a part of what the settings allow. The work of a request is
 // exponential; a warm server does 18 a second, its answers take 0.17 s.
-func warmupSum(t *testing.T, group, servers int, from, load float64, seed uint64) (worst, mean float64) {
-	return warmupSumOf(t, fleet(group), group, 0, servers, from, load, seed)
+func runWarmupSum(t *testing.T, group, servers int, from, load float64, seed uint64) (worst, mean float64) {
+	return runWarmupSumWithSettings(t, fleetSettings(group), group, 0, servers, from, load, seed)
 }
 
 // coldSumOf is coldSum for the nodes that send to one server, of the group of the settings: sharers is
 // how many these are as the list tells; 0 is the whole group.
-func warmupSumOf(t *testing.T, s Settings, gateways int, sharers float64, servers int, from, load float64, seed uint64) (worst, mean float64) {
+func runWarmupSumWithSettings(t *testing.T, s Settings, gateways int, sharers float64, servers int, from, load float64, seed uint64) (worst, mean float64) {
 	const does, takes = 18.0, 0.17
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	up, group := time.Hour, s.FleetSize
@@ -92,7 +92,7 @@
 	}{{1, 10, 0.15}, {3, 10, 0.3}, {7, 10, 0.3}, {8, 10, 0.5}, {20, 20, 0.5}, {80, 60, 0.5}, {300, 150, 0.5}, {1000, 150, 0.5},
 		{3000, 60, 0.2}} {
 		for _, from := range []float64{0.1, 0.3, 0.9} {
-			worst, mean := warmupSum(t, x.group, x.servers, from, 0.7, 1)
+			worst, mean := runWarmupSum(t, x.group, x.servers, from, 0.7, 1)
 			assert.Less(t, worst, 1.0, "%d gateways, %d servers, from %.2f", x.group, x.servers, from)
 			assert.Greater(t, mean, x.least, "%d gateways, %d servers, from %.2f", x.group, x.servers, from)
 		}
--- a/control/tenant_test.go
+++ b/control/tenant_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRestartedGatewayStartsItsCeilingEmpty(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst, s.Plans[0].CeilingOverdraft = 10, 40, 4
 	g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
 	for i := 0; i < 50; i++ {
@@ -21,9 +21,9 @@
 	for g.now < start+20*time.Second {
 		id := fmt.Sprint(g.now)
 		g.request(id, "job", "low", "x")
-		if g.n[id] > 0 {
+		if g.attempts[id] > 0 {
 			sent++
-			g.answer(id, OK, 0)
+			g.endAttempt(id, OK, 0)
 		}
 		g.advance(10 * ms)
 	}
@@ -36,7 +36,7 @@
 }
 
 func TestUnseenCustomerMaySendItsPartOfTheBurst(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 1, 20
 	g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16)...)
 	for i := 0; i < 60; i++ {
@@ -52,22 +52,22 @@
 // than what would fit if all rejected alike; a well filled store here says nothing of it.
 func TestThinKnowledgeOfACustomerOfManyGateways(t *testing.T) {
 	chance := func(pct, spread int) float64 {
-		s := settings()
+		s := testSettings()
 		s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst = 80, 2, 16
 		g := newHarness(t, s, endpoints(1, 2, 3)...)
-		g.c.env.now += time.Minute
-		q := g.c.tenants.get(g.c.scheduler.plans[0], "x", spread)
-		g.c.admission.admits(q, g.c.classes["job"], 3, 0)
-		g.c.tenants.consume(q, 3)
+		g.controller.env.now += time.Minute
+		q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", spread)
+		g.controller.admission.admits(q, g.controller.classes["job"], 3, 0)
+		g.controller.tenants.consume(q, 3)
 		for i := 0; i < 3; i++ {
-			g.c.env.now += 4 * time.Second
-			g.c.meter.read(q, pct+1, 3)
+			g.controller.env.now += 4 * time.Second
+			g.controller.meter.read(q, pct+1, 3)
 		}
 		q.level = s.Plans[0].Burst
-		if g.c.admission.hasQuota(q, 3); spread > 40 && pct > 100 && g.c.counts.chance == 0 && g.c.admission.hasQuota(q, 3) {
+		if g.controller.admission.hasQuota(q, 3); spread > 40 && pct > 100 && g.controller.counts.chance == 0 && g.controller.admission.hasQuota(q, 3) {
 			t.Errorf("spread %d: a full store passes what readings of %d%% speak against", spread, pct)
 		}
-		return g.c.tenants.rejectionChance(q)
+		return g.controller.tenants.rejectionChance(q)
 	}
 	if d := chance(25, 60); d > 0.1 {
 		t.Errorf("chance of refusal %.2f at a quarter of the quota", d)
@@ -88,7 +88,7 @@
 // Guards against memory that grows with tenants who come once. One whose buckets are not
 // full again is kept: forgetting it would open its quota or ceiling anew.
 func TestCustomersThatCameOnceAreForgotten(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Plans = append(s.Plans, Plan{Name: "slow", PriceFactor: 1, Rate: 0.01, Burst: 10},
 		Plan{Name: "capped", PriceFactor: 1, Rate: 1000, Burst: 1000, CeilingRate: 0.01, CeilingBurst: 10, CeilingOverdraft: 9})
 	g := newHarness(t, s, endpoints(1, 2)...)
@@ -97,7 +97,7 @@
 			id := fmt.Sprint(plan, i)
 			g.request(id, "job", plan, id)
 			g.now += ms
-			g.answer(id, OK, 0)
+			g.endAttempt(id, OK, 0)
 		}
 	}
 	g.request("stays", "job", "low", "stays")
@@ -105,10 +105,10 @@
 		g.advance(time.Second)
 		id := fmt.Sprint("on", g.now)
 		g.request(id, "job", "low", "comes on")
-		g.answer(id, OK, 0)
+		g.endAttempt(id, OK, 0)
 	}
 	kept := make(map[string]int)
-	for _, q := range g.c.tenants.byKey {
+	for _, q := range g.controller.tenants.byKey {
 		kept[q.plan.Name]++
 	}
 	if kept["low"] > 2 || kept["slow"] != 100 || kept["capped"] != 100 {
@@ -119,16 +119,16 @@
 // A store that is told of in each period goes before the chance from the first periods on, and no
 // longer once most periods are not told.
 func TestFullStoreIsTrustedSoonAfterTheStart(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 20
 	g := newHarness(t, s, endpoints(1, 2)...)
-	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 2)
+	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 2)
 	let := func() (n int) {
-		g.c.env.now = g.now
-		g.c.tenants.refill(q)
+		g.controller.env.now = g.now
+		g.controller.tenants.refill(q)
 		q.level, q.requestedTokens, q.requestedAt, q.chanceRemainder = q.plan.Burst, 400, g.now, 0 // asked for far more of late
 		for range 10 {
-			if g.c.admission.hasQuota(q, 1) {
+			if g.controller.admission.hasQuota(q, 1) {
 				n++
 			}
 		}
@@ -136,8 +136,8 @@
 	}
 	for range 3 {
 		g.now += time.Second
-		g.c.env.now = g.now
-		g.c.meter.read(q, 31, 1)
+		g.controller.env.now = g.now
+		g.controller.meter.read(q, 31, 1)
 	}
 	if n := let(); n != 10 {
 		t.Errorf("%d of 10 were let in by a full store after three told periods", n)
@@ -166,7 +166,7 @@
 		{"told one request's, to few", &SharedBucket{Tokens: 2}, 20, 2, true},
 		{"told not low, empty here", &SharedBucket{Tokens: 14, AtLeast: true}, 0, 60, true},
 	} {
-		s := settings()
+		s := testSettings()
 		s.Plans[0].Rate, s.Plans[0].Burst = 1, 20
 		c, err := New(s, 1)
 		if err != nil {
@@ -191,27 +191,27 @@
 // A node of many that refuses most of a tenant's tries doesn't take the others to do so too:
 // readings below the quota bring its chance down again, and large requests are rejected before small.
 func TestReadingsBelowTheQuotaEndRefusals(t *testing.T) {
-	s := fleet(80)
+	s := fleetSettings(80)
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 40
 	g := newHarness(t, s, endpoints(1, 2, 3)...)
-	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 60)
+	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 60)
 	read := func(pct int) {
-		g.c.env.now += 4 * time.Second
-		g.c.meter.read(q, pct+1, 2)
+		g.controller.env.now += 4 * time.Second
+		g.controller.meter.read(q, pct+1, 2)
 	}
 	for i := 0; i < 4; i++ {
 		read(180)
 	}
-	if d := g.c.tenants.rejectionChance(q); d < 0.6 {
+	if d := g.controller.tenants.rejectionChance(q); d < 0.6 {
 		t.Fatalf("chance %.2f at nearly twice the quota", d)
 	}
-	if small, large := g.c.tenants.rejectionChanceOf(q, 1), g.c.tenants.rejectionChanceOf(q, 8); small >= large {
+	if small, large := g.controller.tenants.rejectionChanceOf(q, 1), g.controller.tenants.rejectionChanceOf(q, 8); small >= large {
 		t.Errorf("chance %.2f for one unit, %.2f for eight", small, large)
 	}
 	for i := 0; i < 8; i++ {
 		read(60)
 	}
-	if d := g.c.tenants.rejectionChance(q); d > 0.3 {
+	if d := g.controller.tenants.rejectionChance(q); d > 0.3 {
 		t.Errorf("chance %.2f after 32 s at 60%% of the quota", d)
 	}
 	q.level = -10
