--- a/control/handover.go
+++ b/control/handover.go
@@ -163,9 +163,9 @@
 	return h
 }
 
-// Adopt takes what another controller handed over, before this one has handled an event. It shares its
+// RestoreHandover takes what another controller handed over, before this one has handled an event. It shares its
 // quotas with that one until EndSharing. After an error nothing is taken.
-func (c *Controller) Adopt(now time.Duration, raw []byte) error {
+func (c *Controller) RestoreHandover(now time.Duration, raw []byte) error {
 	var h handover
 	if err := json.Unmarshal(raw, &h); err != nil {
 		return fmt.Errorf("handover: %w", err)
@@ -264,9 +264,9 @@
 	return nil
 }
 
-// Remainder returns what this controller's half of the buckets still holds, for the other process. It is
+// RemainingTokens returns what this controller's half of the buckets still holds, for the other process. It is
 // the last call: what is given here must not be granted here as well.
-func (c *Controller) Remainder(now time.Duration) ([]byte, error) {
+func (c *Controller) RemainingTokens(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
 	remainder := map[string][2]float64{}
 	for key, t := range c.tenants.byKey {
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	if err := c.Adopt(g.now, raw); err != nil {
+	if err := c.RestoreHandover(g.now, raw); err != nil {
 		g.t.Fatal(err)
 	}
 	return &harness{t: g.t, c: c, now: g.now, ends: map[string]Action{}, n: map[string]int{}, due: map[uint64]time.Duration{}}
@@ -68,7 +68,7 @@
 		var left []byte
 		if rest {
 			var err error
-			if left, err = old.c.Remainder(old.now); err != nil {
+			if left, err = old.c.RemainingTokens(old.now); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -196,7 +196,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Adopt(g.now, raw); err == nil || c.concurrency.bound != 0 || len(c.tenants.byKey) != 0 || c.env.handedOver || c.tenants.observingSince != 0 {
+		if err := c.RestoreHandover(g.now, raw); err == nil || c.concurrency.bound != 0 || len(c.tenants.byKey) != 0 || c.env.handedOver || c.tenants.observingSince != 0 {
 			t.Errorf("%s: %v, and something was taken", name, err)
 		}
 	}
--- a/control/overrides_test.go
+++ b/control/overrides_test.go
@@ -161,7 +161,7 @@
 	require.NoError(t, err)
 	c, err := New(s, 1)
 	require.NoError(t, err)
-	require.NoError(t, c.Adopt(old.now, raw))
+	require.NoError(t, c.RestoreHandover(old.now, raw))
 	_, rate, _, _, _ := c.TenantLevel("low", "x")
 	assert.Equal(t, s.Plans[0].Rate, rate)
 }
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -221,7 +221,7 @@
 	handed, err := c.Handover(now)
 	require.NoError(t, err)
 	compareRecorded(t, "handover.json", handed)
-	rest, err := c.Remainder(now)
+	rest, err := c.RemainingTokens(now)
 	require.NoError(t, err)
 	compareRecorded(t, "rest.json", rest)
 	for _, raw := range [][]byte{kept, handed} {
@@ -245,7 +245,7 @@
 		require.NoError(t, err)
 		now := time.Hour + 26*time.Second
 		if name == "handover" {
-			require.NoError(t, c.Adopt(now, raw))
+			require.NoError(t, c.RestoreHandover(now, raw))
 		} else {
 			require.NoError(t, c.RestoreSnapshot(now, raw, time.Minute))
 		}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -110,7 +110,7 @@
 	if err := from.List.Check(); err != nil {
 		return from, 0, err
 	}
-	return from, len(m), n.loop.controller.Adopt(n.loop.now(), from.Module)
+	return from, len(m), n.loop.controller.RestoreHandover(n.loop.now(), from.Module)
 }
 
 // takeList adopts another process's endpoint list and server IDs. current reports whether that process held the list
@@ -212,7 +212,7 @@
 		slog.Warn("handover: the successor has ended")
 		n.loop.post(func() { n.endSharing(nil) })
 	case <-n.loop.ended: // the remainder is used by the other process only
-		if m, err := n.loop.controller.Remainder(n.loop.now()); err == nil && n.loop.failure == nil {
+		if m, err := n.loop.controller.RemainingTokens(n.loop.now()); err == nil && n.loop.failure == nil {
 			_ = c.SetWriteDeadline(time.Now().Add(handoverTimeout))
 			_ = writeMessage(c, m)
 		}
