--- a/control/admission.go
+++ b/control/admission.go
@@ -9,7 +9,7 @@
 	concurrency *concurrencyLimit
 	traffic     *trafficStats
 	counts      *rejectionCounts
-	topWeight   float64 // the largest priority weight of a class
+	maxPriorityWeight   float64 // the largest priority weight of a class
 }
 
 const (
@@ -27,10 +27,10 @@
 	sharedMargin         = 2.5
 	sharedFilledFraction = 0.7
 
-	// queueFraction is the fraction of its latency objective that a request may wait in the queue.
-	queueFraction = 0.4
-	// slotQueueFraction is the same where the tenant has a quota of attempts in flight.
-	slotQueueFraction = 0.7
+	// maxQueueFraction is the fraction of its latency objective that a request may wait in the queue.
+	maxQueueFraction = 0.4
+	// maxSlotQueueFraction is the same where the tenant has a quota of attempts in flight.
+	maxSlotQueueFraction = 0.7
 	// minLatenciesLeft is how many mean latencies of the client's time must be left when a request is
 	// dispatched.
 	minLatenciesLeft = 2.0
@@ -38,8 +38,8 @@
 	minQueueTime = 100 * time.Millisecond
 )
 
-// topPriorityWeight returns the largest priority weight of a class.
-func topPriorityWeight(classes []Class) float64 {
+// maxPriorityWeight returns the largest priority weight of a class.
+func maxPriorityWeight(classes []Class) float64 {
 	weight := 0.0
 	for _, class := range classes {
 		weight = max(weight, class.PriorityWeight)
@@ -59,7 +59,7 @@
 	}
 	t := c.tenants.get(plan, e.Tenant, e.TenantNodes)
 	t.observe(e.Bucket)
-	waited := c.classifier.waited(e, class)
+	waited := c.classifier.clientWaitTime(e, class)
 	if !c.admission.admits(t, class, e.Tokens, waited) {
 		c.reject(e.ID)
 		return
@@ -89,9 +89,9 @@
 func (a *admission) admits(t *tenant, class *Class, tokens float64, waited time.Duration) bool {
 	late := waited+seconds(a.traffic.latency) >= class.LatencyObjective
 	t.requested.add(1)
-	t.request(a.env.now, tokens)
+	t.addRequest(a.env.now, tokens)
 	a.counts.requests++
-	yields := late || class.PriorityWeight < lowPriorityFraction*a.topWeight
+	yields := late || class.PriorityWeight < lowPriorityFraction*a.maxPriorityWeight
 	switch {
 	case (late && !a.tenants.isCovered(t)) || (yields && a.isScarce(t)):
 		a.counts.late++
@@ -168,9 +168,9 @@
 // maxQueueTime returns how long a request may wait for its dispatch. An impatient client's request is
 // rejected when no answer can be there in its time any more: it would take tokens and a slot for nothing.
 func (a *admission) maxQueueTime(r *request, timeLeft time.Duration) time.Duration {
-	fraction := queueFraction
+	fraction := maxQueueFraction
 	if r.plan.MaxConcurrent > 0 {
-		fraction = slotQueueFraction
+		fraction = maxSlotQueueFraction
 	}
 	latency := seconds(a.traffic.latency)
 	byClass := time.Duration(fraction * float64(r.class.LatencyObjective))
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -23,7 +23,7 @@
 	if r.windowed() { // its connection may take longer to open than what is left of the window
 		send.NotAfter = r.windowEnd()
 	}
-	c.env.act(send)
+	c.env.emit(send)
 }
 
 // recordStart counts an attempt that starts now. While the body of a streamed request is being sent the
@@ -86,9 +86,9 @@
 	c.concurrency.responding++
 	a.server.responding++
 	a.server.lastActivity = c.env.now
-	c.meter.read(a.tenant, e.MeterReading, a.request.tokens)
+	c.meter.applyReading(a.tenant, e.MeterReading, a.request.tokens)
 	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
-	c.observeAnswer(a, e.Delay)
+	c.observeResponse(a, e.Delay)
 }
 
 // onAttemptEnded learns from an outcome, and retries or ends the request where it has no final answer.
@@ -99,12 +99,12 @@
 	}
 	r := a.request
 	a.server.lastActivity = c.env.now
-	c.concurrency.restFraction()
+	c.concurrency.pauseFractionalSlot()
 	if a.tenant.plan.MaxConcurrent > 0 {
 		a.tenant.pause(c.env.now, c.env.now-a.started)
 	}
-	c.meter.read(a.tenant, e.MeterReading, r.tokens)
-	c.learn(a, e)
+	c.meter.applyReading(a.tenant, e.MeterReading, r.tokens)
+	c.applyOutcome(a, e)
 	switch {
 	case c.requests[r.id] != r: // it has its final answer
 	case e.Done:
@@ -135,16 +135,16 @@
 	return a
 }
 
-// learn applies an outcome to the server, the in-flight bound and the request.
-func (c *Controller) learn(a *attempt, e AttemptEnded) {
+// applyOutcome applies an outcome to the server, the in-flight bound and the request.
+func (c *Controller) applyOutcome(a *attempt, e AttemptEnded) {
 	s, r := a.server, a.request
 	took := c.env.since(a.started)
 	switch e.Outcome {
 	case OK:
-		c.learnSuccess(a, e)
+		c.applySuccess(a, e)
 	case Overloaded:
 		c.outliers.recordRejection(s, r.plan)
-		c.interval.overloaded++
+		c.interval.overloads++
 	case ConnectFailed:
 		c.outliers.recordFailure(s, ejectionFailures)
 	case ResetByPeer, Errored:
@@ -157,7 +157,7 @@
 		if took >= r.class.LatencyObjective.Seconds() {
 			c.outliers.recordFailure(s, 1)
 			s.observeLatency(c.env.now, took)
-			c.interval.overloaded++
+			c.interval.overloads++
 		}
 	}
 	goesOn := e.Outcome == TimedOut || e.Outcome == Cancelled
@@ -172,19 +172,19 @@
 	}
 }
 
-func (c *Controller) learnSuccess(a *attempt, e AttemptEnded) {
+func (c *Controller) applySuccess(a *attempt, e AttemptEnded) {
 	c.outliers.recordSuccess(a.server)
 	if !a.server.warmingUp {
 		c.interval.servedTokens += a.request.tokens
 	}
 	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
 	if !a.request.streaming {
-		c.observeAnswer(a, c.env.now-a.started)
+		c.observeResponse(a, c.env.now-a.started)
 	}
 }
 
-// observeAnswer takes the latency of a good answer.
-func (c *Controller) observeAnswer(a *attempt, took time.Duration) {
+// observeResponse takes the latency of a good answer.
+func (c *Controller) observeResponse(a *attempt, took time.Duration) {
 	latency := took.Seconds()
 	objective := a.request.class.LatencyObjective.Seconds()
 	a.server.observeLatency(c.env.now, latency)
@@ -192,10 +192,10 @@
 		c.traffic.observeSlowStart(latency, objective)
 	}
 	c.traffic.observe(min(latency, objective))
-	c.interval.secondsSum += min(latency, objective)
-	c.interval.latencySum += min(1, latency/objective)
-	c.interval.latencies++
-	c.interval.answers++
+	c.interval.latencySecondsSum += min(latency, objective)
+	c.interval.latencyRatioSum += min(1, latency/objective)
+	c.interval.latencyCount++
+	c.interval.responses++
 	if c.tenants.rejectionChance(a.tenant) == 0 {
 		a.request.plan.observeLateness(c.env.since(a.request.arrived) / objective)
 	}
--- a/control/balancer.go
+++ b/control/balancer.go
@@ -17,12 +17,12 @@
 
 // Factors on the cost of a server.
 const (
-	triedServerCost   = 4.0 // this request has tried it
-	nonPreferredCost  = 3.0 // it is not preferred by this node
-	reportedSlowCost  = 10.0
-	avoidedServerCost = 1e6 // ejected, under trial, or in an evacuated zone: taken where there is no other
-	failureCost       = 5.0 // times the square of its failure rate beyond that of a single failure
-	costJitter        = 0.02
+	triedCostFactor   = 4.0 // this request has tried it
+	nonPreferredCostFactor  = 3.0 // it is not preferred by this node
+	reportedSlowCostFactor  = 10.0
+	avoidedCostFactor = 1e6 // ejected, under trial, or in an evacuated zone: taken where there is no other
+	failureCostFactor       = 5.0 // times the square of its failure rate beyond that of a single failure
+	maxCostJitter        = 0.02
 )
 
 const (
@@ -53,11 +53,11 @@
 		}
 		for _, id := range r.tried {
 			if id == s.Server {
-				cost *= triedServerCost
+				cost *= triedCostFactor
 			}
 		}
 		if b.avoids(r, s, draw) {
-			cost *= avoidedServerCost
+			cost *= avoidedCostFactor
 		}
 		if cost < bestCost {
 			best = s
@@ -97,13 +97,13 @@
 		cost /= b.slowStart.warmupFraction(s)
 	}
 	if !s.warmingUp && !s.preferred {
-		cost *= nonPreferredCost
+		cost *= nonPreferredCostFactor
 	}
 	if b.outliers.reportedSlow(s) {
-		cost *= reportedSlowCost
+		cost *= reportedSlowCostFactor
 	}
 	excess := max(0, b.outliers.failureRate(s)-failureRateGain)
-	return cost * (1 + failureCost*excess*excess) * (1 + costJitter*b.env.random.Float64())
+	return cost * (1 + failureCostFactor*excess*excess) * (1 + maxCostJitter*b.env.random.Float64())
 }
 
 // expectedLatency returns the latency of a server in seconds: its own average, which moves back to the
--- a/control/classify.go
+++ b/control/classify.go
@@ -16,9 +16,9 @@
 // most among the others: some clients give up sooner than most.
 type usualTimeLeft struct {
 	timeLeft  time.Duration
-	seen      int // attempts that had it, less those that had not
+	votes      int // attempts that had it, less those that had not
 	recurring time.Duration
-	recurred  int // other attempts that had recurring, less those that had not
+	recurringVotes  int // other attempts that had recurring, less those that had not
 }
 
 const (
@@ -27,8 +27,8 @@
 	timeLeftTolerance = 100 * time.Millisecond
 	// recurringTolerance is by how much two recurring times may differ.
 	recurringTolerance = 3 * time.Millisecond
-	minRecurrences     = 4  // attempts from which a recurring time is one of first attempts
-	maxRecurrences     = 50 // that are counted
+	minRecurringVotes     = 4  // attempts from which a recurring time is one of first attempts
+	maxRecurringVotes     = 50 // that are counted
 )
 
 func newAttemptClassifier(env *environment) attemptClassifier {
@@ -39,24 +39,24 @@
 	return c
 }
 
-// waited returns how long the client of a request has waited, for earlier attempts or for this node: the
+// clientWaitTime returns how long the client of a request has clientWaitTime, for earlier attempts or for this node: the
 // deadline over all attempts less the time left. A node that stood still finds first attempts late: those
 // lack what its clock skipped.
-func (c *attemptClassifier) waited(e Request, class *Class) time.Duration {
+func (c *attemptClassifier) clientWaitTime(e Request, class *Class) time.Duration {
 	usual := c.byClass[class]
 	missing := usual.timeLeft - e.TimeLeft
-	unusual := missing > max(c.env.skipped, timeLeftTolerance) || missing < -timeLeftTolerance
-	guessed := unusual && usual.seen > 0 && !c.env.settings.ClientsMarkRetries
-	if guessed && !e.Retry && c.isImpatient(usual, e.TimeLeft, class) {
+	unusual := missing > max(c.env.sinceLastEvent, timeLeftTolerance) || missing < -timeLeftTolerance
+	guessed := unusual && usual.votes > 0 && !c.env.settings.ClientsMarkRetries
+	if guessed && !e.Retry && c.hasShortDeadline(usual, e.TimeLeft, class) {
 		return 0
 	}
 	if !e.Retry {
-		usual.count(e.TimeLeft, unusual)
+		usual.observe(e.TimeLeft, unusual)
 	}
 	sinceFirst := class.Deadline - e.TimeLeft
 	switch {
 	case !e.Retry && !guessed:
-		return min(max(missing, 0), c.env.skipped)
+		return min(max(missing, 0), c.env.sinceLastEvent)
 	case !unusual: // as long as a first attempt's: its client has another deadline
 		return min(c.shortestRetry, sinceFirst)
 	}
@@ -64,42 +64,42 @@
 	return sinceFirst
 }
 
-// isImpatient reports whether an attempt with an unusual time left is the first one of a client that
+// hasShortDeadline reports whether an attempt with an unusual time left is the first one of a client that
 // gives up sooner than most. The times of retries vary with the answers before them, except where a
 // rejection, at once or after the wait for a dispatch slot, advised when to come back.
-func (c *attemptClassifier) isImpatient(usual *usualTimeLeft, timeLeft time.Duration, class *Class) bool {
+func (c *attemptClassifier) hasShortDeadline(usual *usualTimeLeft, timeLeft time.Duration, class *Class) bool {
 	sinceAdvised := class.Deadline - timeLeft - c.env.retryAfter()
-	longestQueueTime := time.Duration(slotQueueFraction * float64(class.LatencyObjective))
+	longestQueueTime := time.Duration(maxSlotQueueFraction * float64(class.LatencyObjective))
 	if timeLeft > usual.timeLeft || (sinceAdvised >= 0 && sinceAdvised < longestQueueTime+timeLeftTolerance) {
 		return false
 	}
-	usual.countRecurring(timeLeft)
-	return usual.isRecurring(timeLeft) && usual.recurred >= minRecurrences
+	usual.observeRecurring(timeLeft)
+	return usual.isRecurring(timeLeft) && usual.recurringVotes >= minRecurringVotes
 }
 
-// count follows the time left that most attempts have.
-func (u *usualTimeLeft) count(timeLeft time.Duration, unusual bool) {
-	if unusual && u.seen == 0 {
+// observe follows the time left that most attempts have.
+func (u *usualTimeLeft) observe(timeLeft time.Duration, unusual bool) {
+	if unusual && u.votes == 0 {
 		u.timeLeft = timeLeft
 	} else if unusual {
-		u.seen -= 2
+		u.votes -= 2
 	}
-	u.seen++
+	u.votes++
 }
 
-// countRecurring follows the time left that most of the others have.
-func (u *usualTimeLeft) countRecurring(timeLeft time.Duration) {
+// observeRecurring follows the time left that most of the others have.
+func (u *usualTimeLeft) observeRecurring(timeLeft time.Duration) {
 	switch {
 	case u.isRecurring(timeLeft):
-		u.recurred = min(u.recurred+1, maxRecurrences)
-	case u.recurred > 0:
-		u.recurred--
+		u.recurringVotes = min(u.recurringVotes+1, maxRecurringVotes)
+	case u.recurringVotes > 0:
+		u.recurringVotes--
 	default:
 		u.recurring = timeLeft
-		u.recurred = 1
+		u.recurringVotes = 1
 	}
 }
 
 func (u *usualTimeLeft) isRecurring(timeLeft time.Duration) bool {
-	return u.recurred > 0 && (timeLeft-u.recurring).Abs() <= recurringTolerance
+	return u.recurringVotes > 0 && (timeLeft-u.recurring).Abs() <= recurringTolerance
 }
--- a/control/concurrency.go
+++ b/control/concurrency.go
@@ -14,8 +14,8 @@
 
 	bound      float64 // attempts in flight; 0 until the first endpoint list
 	rulesBound float64 // the most that the operators' rules allow
-	restsUntil time.Duration
-	lastCut    time.Duration
+	fractionalSlotFreeAt time.Duration
+	lastCutAt    time.Duration
 
 	inFlight   int             // attempts at work
 	responding int             // those of them whose answer has begun
@@ -32,14 +32,14 @@
 	boundPerServer = 2 // attempts in flight for each usable server, at the start and at least
 	// The bounds of all nodes of a fleet sum up to this many attempts for each server at most, at the start
 	// and by their minima. A server with less has idle cores.
-	initialBoundPerServer = 8.0
-	minBoundPerServer     = 4.0
+	initialFleetBoundPerServer = 8.0
+	minFleetBoundPerServer     = 4.0
 
 	boundGrowth = 1.25 // factor after an interval without overload in which the bound was reached
 	boundCut    = 0.5  // factor on overload
-	// cutSpacing is the least time between two cuts, in mean latencies: answers to attempts after the
+	// minCutIntervalLatencies is the least time between two cuts, in mean latencies: answers to attempts after the
 	// last one.
-	cutSpacing = 2.0
+	minCutIntervalLatencies = 2.0
 
 	// The bound is cut where answers take this fraction of their objective in the mean, and more than
 	// lateIdleMultiple of the idle latency or more than alwaysLateFraction of the objective.
@@ -51,24 +51,24 @@
 	cutOverloadFraction  = 0.1
 	overloadIdleMultiple = 1.3
 	// It does not grow above this fraction.
-	holdOverloadFraction = 0.03
+	maxGrowthOverloadFraction = 0.03
 
-	// maxAbandonedWork is how long abandoned work is assumed to go on at most, in mean latencies.
-	maxAbandonedWork = 2.0
+	// maxAbandonedLatencies is how long abandoned work is assumed to go on at most, in mean latencies.
+	maxAbandonedLatencies = 2.0
 )
 
 // initialize sets the bound with the first endpoint list.
 func (l *concurrencyLimit) initialize() {
 	if l.bound == 0 {
-		perServer := min(boundPerServer, initialBoundPerServer/l.servers.nodesPerServer)
-		l.bound = max(l.floor(), perServer*l.servers.usable)
+		perServer := min(boundPerServer, initialFleetBoundPerServer/l.servers.nodesPerServer)
+		l.bound = max(l.minBound(), perServer*l.servers.usable)
 	}
 }
 
-// floor returns the least that the bound may be: this node's part of what keeps all servers at work.
+// minBound returns the least that the bound may be: this node's part of what keeps all servers at work.
 // Without its second limit many nodes would overload the servers by their floors alone. Ejected servers
 // don't count, and in a large fleet a server that is warming up counts by its warm-up fraction.
-func (l *concurrencyLimit) floor() float64 {
+func (l *concurrencyLimit) minBound() float64 {
 	servers := 0.0
 	for _, s := range l.servers.ordered {
 		switch {
@@ -79,14 +79,14 @@
 			servers++
 		}
 	}
-	return min(boundPerServer, minBoundPerServer/l.servers.nodesPerServer) * max(1, servers)
+	return min(boundPerServer, minFleetBoundPerServer/l.servers.nodesPerServer) * max(1, servers)
 }
 
 // hasCapacity reports whether another attempt may start.
 func (l *concurrencyLimit) hasCapacity() bool {
 	busy := l.busy()
 	bound := min(l.bound, l.rulesBound)
-	return busy+1 <= bound || (busy < bound && l.env.now >= l.restsUntil)
+	return busy+1 <= bound || (busy < bound && l.env.now >= l.fractionalSlotFreeAt)
 }
 
 // busy returns the number of attempts in flight, with abandoned work.
@@ -98,17 +98,17 @@
 	return float64(l.inFlight - l.responding + len(l.abandoned))
 }
 
-// restFraction starts the rest of the bound's fraction after an attempt has ended.
-func (l *concurrencyLimit) restFraction() {
+// pauseFractionalSlot starts the rest of the bound's fraction after an attempt has ended.
+func (l *concurrencyLimit) pauseFractionalSlot() {
 	if fraction := l.bound - l.busy(); fraction > 0 && fraction < 1 {
-		l.restsUntil = l.env.now + seconds((1/fraction-1)*l.traffic.latency)
+		l.fractionalSlotFreeAt = l.env.now + seconds((1/fraction-1)*l.traffic.latency)
 	}
 }
 
 // abandon notes that the work of an attempt may go on, which took some seconds until it ended.
 func (l *concurrencyLimit) abandon(s *server, took float64) {
 	s.abandoned++
-	until := l.env.now + seconds(min(took, maxAbandonedWork*l.traffic.latency))
+	until := l.env.now + seconds(min(took, maxAbandonedLatencies*l.traffic.latency))
 	l.abandoned = append(l.abandoned, abandonedWork{s, until})
 }
 
@@ -117,28 +117,28 @@
 func (l *concurrencyLimit) adjust(interval *intervalStats) (cut bool) {
 	overload := interval.overloadFraction()
 	switch {
-	case l.answersAreLate(interval) || (overload > cutOverloadFraction && l.serversAreSlow(interval)):
-		interval.cut = true
-		if l.env.now >= l.lastCut+seconds(cutSpacing*l.traffic.latency) {
-			l.lastCut = l.env.now
+	case l.responsesAreLate(interval) || (overload > cutOverloadFraction && l.serversAreSlow(interval)):
+		interval.overloadDetected = true
+		if l.env.now >= l.lastCutAt+seconds(minCutIntervalLatencies*l.traffic.latency) {
+			l.lastCutAt = l.env.now
 			l.bound *= boundCut
 			cut = true
 		}
-	case overload <= holdOverloadFraction && interval.saturated:
+	case overload <= maxGrowthOverloadFraction && interval.saturated:
 		l.bound *= boundGrowth
 	}
-	l.bound = max(min(l.bound, l.rulesBound), l.floor())
+	l.bound = max(min(l.bound, l.rulesBound), l.minBound())
 	return cut
 }
 
-func (l *concurrencyLimit) answersAreLate(interval *intervalStats) bool {
-	fraction := interval.latencySum / max(1, interval.latencies)
+func (l *concurrencyLimit) responsesAreLate(interval *intervalStats) bool {
+	fraction := interval.latencyRatioSum / max(1, interval.latencyCount)
 	if fraction <= lateFraction {
 		return false
 	}
-	return fraction > alwaysLateFraction || interval.meanExceeds(lateIdleMultiple, l.traffic.idleLatency)
+	return fraction > alwaysLateFraction || interval.meanLatencyExceeds(lateIdleMultiple, l.traffic.idleLatency)
 }
 
 func (l *concurrencyLimit) serversAreSlow(interval *intervalStats) bool {
-	return interval.latencies == 0 || interval.meanExceeds(overloadIdleMultiple, l.traffic.idleLatency)
+	return interval.latencyCount == 0 || interval.meanLatencyExceeds(overloadIdleMultiple, l.traffic.idleLatency)
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -34,8 +34,8 @@
 	interval    intervalStats
 	counts      rejectionCounts
 
-	intervalEnd time.Duration // when the control interval ends, at the earliest
-	nextReport  time.Duration // when the next line of the operators' log is due
+	intervalEndAt time.Duration // when the control interval ends, at the earliest
+	nextReportAt  time.Duration // when the next line of the operators' log is due
 }
 
 // New returns the controller of one node. All its random numbers come from seed.
@@ -84,7 +84,7 @@
 		concurrency: &c.concurrency,
 		traffic:     &c.traffic,
 		counts:      &c.counts,
-		topWeight:   topPriorityWeight(s.Classes),
+		maxPriorityWeight:   maxPriorityWeight(s.Classes),
 	}
 	c.scheduler = newScheduler(env, &c.balancer)
 	c.shares = newShareController(c.scheduler.prices())
@@ -97,7 +97,7 @@
 func (c *Controller) Handle(now time.Duration, e Event) []Action {
 	c.env.actions = c.env.actions[:0]
 	if now > c.env.now {
-		c.env.skipped = now - c.env.now
+		c.env.sinceLastEvent = now - c.env.now
 		c.env.now = now
 	}
 	if !c.started {
@@ -139,9 +139,9 @@
 	if c.tenants.observingSince == 0 { // else that of the process before
 		c.tenants.observingSince = c.env.now
 	}
-	c.nextReport = c.env.now + reportInterval
-	c.intervalEnd = c.env.now + controlInterval
-	c.env.act(SetTimer{After: tick, Label: tickLabel})
+	c.nextReportAt = c.env.now + reportInterval
+	c.intervalEndAt = c.env.now + controlInterval
+	c.env.emit(SetTimer{After: tickInterval, Label: tickLabel})
 }
 
 // dispatch sends queued requests while the in-flight bound has capacity.
@@ -172,16 +172,16 @@
 
 // timerTable holds the requests that wait for a timer. A request has one label for all its timers.
 type timerTable struct {
-	last    uint64
+	lastLabel    uint64
 	byLabel map[uint64]*request
 }
 
 // setTimer asks for a Timer event of a request.
 func (c *Controller) setTimer(r *request, after time.Duration) {
 	if r.timer == 0 {
-		c.timers.last++
-		r.timer = c.timers.last
+		c.timers.lastLabel++
+		r.timer = c.timers.lastLabel
 		c.timers.byLabel[r.timer] = r
 	}
-	c.env.act(SetTimer{After: max(after, 0), Label: r.timer})
+	c.env.emit(SetTimer{After: max(after, 0), Label: r.timer})
 }
--- a/control/demand.go
+++ b/control/demand.go
@@ -26,31 +26,31 @@
 	// of the tenant's rate. Few tenants request much more than their rate.
 	demandShape = 0.5
 	demandMean  = 0.8
-	// unseenDemandMean is the mean where many nodes each know little and use beyond the quota costs its
+	// lowVisibilityDemandMean is the mean where many nodes each know little and use beyond the quota costs its
 	// full value.
-	unseenDemandMean = 1.02
+	lowVisibilityDemandMean = 1.02
 	// ownDemandWeight is the weight of requests at this node beside readings, where the nodes are many.
 	ownDemandWeight = 0.1
-	// burstFraction is the part of the burst that the rejection chance grants over demandLifetime.
-	burstFraction = 0.5
-	// unmeteredFraction is the part of the rejection chance that counts before the first reading, where
+	// chanceBurstFraction is the part of the burst that the rejection chance grants over demandLifetime.
+	chanceBurstFraction = 0.5
+	// unmeteredChanceFraction is the part of the rejection chance that counts before the first reading, where
 	// use beyond the quota costs nothing.
-	unmeteredFraction = 0.5
-	// sizeExponent is by how much the rejection chance of a request of mean size grows where the nodes
+	unmeteredChanceFraction = 0.5
+	// requestSizeExponent is by how much the rejection chance of a request of mean size grows where the nodes
 	// are many.
-	sizeExponent = 2.0
+	requestSizeExponent = 2.0
 	// minCoverage is the fraction of the use that readings must cover for the bucket to go before the chance.
 	minCoverage = 0.3
 )
 
-// request adds a request's tokens to the demand.
-func (d *tenantDemand) request(now time.Duration, tokens float64) {
+// addRequest adds a addRequest's tokens to the demand.
+func (d *tenantDemand) addRequest(now time.Duration, tokens float64) {
 	d.requestedTokens = d.requestedTokens*decay((now-d.requestedAt).Seconds(), demandLifetime) + tokens
 	d.requestedAt = now
 }
 
-// read adds a reading of tokens that were used in a period, while a fraction of the demand was rejected.
-func (d *tenantDemand) read(now time.Duration, used, rejected, period, rate, visibility float64) {
+// addReading adds a reading of tokens that were used in a period, while a fraction of the demand was rejected.
+func (d *tenantDemand) addReading(now time.Duration, used, rejected, period, rate, visibility float64) {
 	weight := decay((now - d.readAt).Seconds(), demandLifetime)
 	d.coveredSeconds = d.coveredSeconds*weight + period
 	weight *= math.Exp(-rate * period / (readingLifetimeTokens * (2 - visibility)))
@@ -81,10 +81,10 @@
 		return t.slotRejectionChance
 	}
 	hidden := 1 - t.visibility()
-	exponent := 1 + hidden*sizeExponent*tokens/table.traffic.meanTokens
+	exponent := 1 + hidden*requestSizeExponent*tokens/table.traffic.meanTokens
 	chance := min(maxRejectionChance, 1-math.Pow(table.admissibleFraction(t), exponent))
 	if !t.metered {
-		chance *= t.unmeteredWeight()
+		chance *= t.unmeteredChanceWeight()
 	}
 	return chance
 }
@@ -97,19 +97,19 @@
 	ownTokens := ownWeight * t.requestedTokens * decay(table.env.since(t.requestedAt), demandLifetime)
 	ownSeconds := ownWeight * min(demandLifetime, table.env.since(table.observingSince)) / t.nodes
 	shape := demandShape * (1 + (1-visibility)*(table.traffic.meanTokens-1))
-	mean := demandMean + max(0, 2*t.unmeteredWeight()-1)*(unseenDemandMean-demandMean)
+	mean := demandMean + max(0, 2*t.unmeteredChanceWeight()-1)*(lowVisibilityDemandMean-demandMean)
 	readWeight := decay(table.env.since(t.readAt), demandLifetime)
 	tokens := shape + readWeight*t.readTokens + ownTokens
 	seconds := shape/(mean*rate) + readWeight*t.readSeconds + ownSeconds
 	demand := tokens / seconds
-	return min(1, (rate+visibility*burstFraction*t.plan.Burst/demandLifetime)/demand)
+	return min(1, (rate+visibility*chanceBurstFraction*t.plan.Burst/demandLifetime)/demand)
 }
 
-// unmeteredWeight returns the part of the rejection chance that counts before the first reading: all of
+// unmeteredChanceWeight returns the part of the rejection chance that counts before the first reading: all of
 // it where many nodes decide without one and use beyond the quota costs its full value, as the heavy
 // tenants' requests would else nearly all pass.
-func (t *tenant) unmeteredWeight() float64 {
+func (t *tenant) unmeteredChanceWeight() float64 {
 	hidden := 1 - t.visibility()
 	cost := min(1, t.plan.OverQuotaCost*t.plan.OverQuotaCost)
-	return hidden * (unmeteredFraction + cost*(hidden-unmeteredFraction))
+	return hidden * (unmeteredChanceFraction + cost*(hidden-unmeteredChanceFraction))
 }
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -10,22 +10,22 @@
 type endpointWatch struct {
 	env      *environment
 	watching bool
-	pollAt   time.Duration
+	nextPollAt   time.Duration
 }
 
 // onUpdate notes whether the watch is open after an update.
 func (w *endpointWatch) onUpdate(kind UpdateKind) {
 	w.watching = w.env.settings.PollDiscovery && kind != Cached && kind != Failed
 	if kind == Failed {
-		w.pollAt = w.env.now + pollInterval/2 + time.Duration(w.env.random.Int64N(int64(pollInterval)))
+		w.nextPollAt = w.env.now + pollInterval/2 + time.Duration(w.env.random.Int64N(int64(pollInterval)))
 	}
 }
 
 // poll asks for a watch where none is open and one is due.
 func (w *endpointWatch) poll() {
-	if w.env.settings.PollDiscovery && !w.watching && w.env.now >= w.pollAt {
-		w.env.act(Watch{Active: true})
-		w.pollAt = w.env.now + pollInterval
+	if w.env.settings.PollDiscovery && !w.watching && w.env.now >= w.nextPollAt {
+		w.env.emit(Watch{Active: true})
+		w.nextPollAt = w.env.now + pollInterval
 	}
 }
 
--- a/control/environment.go
+++ b/control/environment.go
@@ -11,12 +11,12 @@
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration // time of the event being handled
-	skipped  time.Duration // time between the last two events that differ in time
+	sinceLastEvent  time.Duration // time between the last two events that differ in time
 	actions  []Action      // of the event being handled
 
 	rules      *Rules             // in force for new requests
 	evacuated  map[string]float64 // by zone: fraction of its traffic that stays away
-	handedOver bool               // another process decides for this node too; see handover.go
+	sharingQuotas bool               // another process decides for this node too; see handover.go
 }
 
 const (
@@ -28,7 +28,7 @@
 	epsilon = 1e-9
 )
 
-func (e *environment) act(a Action) { e.actions = append(e.actions, a) }
+func (e *environment) emit(a Action) { e.actions = append(e.actions, a) }
 
 // since returns the seconds between a time and the event being handled.
 func (e *environment) since(t time.Duration) float64 { return (e.now - t).Seconds() }
@@ -44,7 +44,7 @@
 // quotaFraction returns the fraction of the node's quotas that this process may grant: half while two
 // processes decide for the node.
 func (e *environment) quotaFraction() float64 {
-	if e.handedOver {
+	if e.sharingQuotas {
 		return 0.5
 	}
 	return 1
--- a/control/handover.go
+++ b/control/handover.go
@@ -29,7 +29,7 @@
 	Bound          float64
 	Latency        float64
 	IdleLatency    float64                             `json:"Idle"`
-	Answers        float64                             `json:"Seen"`
+	Responses        float64                             `json:"Seen"`
 	ServedRate     float64                             `json:"Served"`
 	RetryBudget    float64                             `json:"Retries"`
 	MeanTokens     float64                             `json:"Units"`
@@ -86,14 +86,14 @@
 	SlotRejectionChance float64 `json:"Chance"`
 	ChanceRemainder     float64 `json:"Carry"`
 	Metered             bool
-	ElsewhereRate       float64 `json:"Base"`
+	OtherNodesRate       float64 `json:"Base"`
 	LastPeriodTokens    float64 `json:"LastUsed"`
 	RequestedTokens     float64 `json:"Tries"`
 	ReadTokens          float64 `json:"Told"`
 	ReadSeconds         float64 `json:"ToldFor"`
 	CoveredSeconds      float64 `json:"Cover"`
-	OwnTokens           float64 `json:"OwnSum"`
-	AllTokens           float64 `json:"AllSum"`
+	LocalTokens           float64 `json:"OwnSum"`
+	FleetTokens           float64 `json:"AllSum"`
 	MeanRate            float64 `json:"Smooth"`
 	ReadEnd             int64
 	Sent                [][2]float64 `json:"Own"` // bin and amount
@@ -106,7 +106,7 @@
 // controller shares its quotas with the process that adopts it, until EndSharing.
 func (c *Controller) Handover(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
-	h := c.learnt()
+	h := c.learnedState()
 	h.RetryBudget /= 2
 	for _, s := range c.servers.ordered {
 		saved, ok := h.Servers[s.Server]
@@ -117,7 +117,7 @@
 		s.tokens /= 2
 		h.Servers[s.Server] = saved
 	}
-	c.share()
+	c.halveQuotas()
 	for key, t := range c.tenants.byKey {
 		c.tenants.refill(t)
 		h.Tenants[key] = t.save(key)
@@ -126,8 +126,8 @@
 	return json.Marshal(h)
 }
 
-// learnt returns what was learnt of all but tenants.
-func (c *Controller) learnt() handover {
+// learnedState returns what was learnedState of all but tenants.
+func (c *Controller) learnedState() handover {
 	h := handover{
 		Version:        handoverVersion,
 		At:             c.env.now,
@@ -135,7 +135,7 @@
 		Bound:          c.concurrency.bound,
 		Latency:        c.traffic.latency,
 		IdleLatency:    c.traffic.idleLatency,
-		Answers:        c.traffic.answers,
+		Responses:        c.traffic.answers,
 		ServedRate:     c.traffic.servedRate,
 		RetryBudget:    c.retries.budget,
 		MeanTokens:     c.traffic.meanTokens,
@@ -170,15 +170,15 @@
 	if err := json.Unmarshal(raw, &h); err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if err := c.take(now, &h, maxHandoverAge); err != nil {
+	if err := c.restore(now, &h, maxHandoverAge); err != nil {
 		return err
 	}
-	c.env.handedOver = true
+	c.env.sharingQuotas = true
 	return nil
 }
 
-// take takes what was learnt, at most some time ago. After an error nothing is taken.
-func (c *Controller) take(now time.Duration, h *handover, maxAge time.Duration) error {
+// restore takes what was learnt, at most some time ago. After an error nothing is taken.
+func (c *Controller) restore(now time.Duration, h *handover, maxAge time.Duration) error {
 	if err := h.check(now, maxAge); err != nil {
 		return err
 	}
@@ -193,7 +193,7 @@
 	c.concurrency.bound = h.Bound
 	c.traffic.latency = h.Latency
 	c.traffic.idleLatency = h.IdleLatency
-	c.traffic.answers = h.Answers
+	c.traffic.answers = h.Responses
 	c.traffic.servedRate = h.ServedRate
 	c.traffic.meanTokens = h.MeanTokens
 	c.retries.budget = h.RetryBudget
@@ -280,13 +280,13 @@
 // Remainder returned, if anything.
 func (c *Controller) EndSharing(now time.Duration, remainder []byte) error {
 	c.env.now = max(c.env.now, now)
-	if !c.env.handedOver {
+	if !c.env.sharingQuotas {
 		return nil
 	}
 	for _, t := range c.tenants.byKey {
 		c.tenants.refill(t)
 	}
-	c.unshare()
+	c.restoreQuotas()
 	if remainder == nil {
 		return nil
 	}
@@ -306,9 +306,9 @@
 	return nil
 }
 
-// share halves the buckets, the slots and the in-flight bound.
-func (c *Controller) share() {
-	if c.env.handedOver {
+// halveQuotas halves the buckets, the slots and the in-flight bound.
+func (c *Controller) halveQuotas() {
+	if c.env.sharingQuotas {
 		return
 	}
 	for _, t := range c.tenants.byKey {
@@ -318,14 +318,14 @@
 		t.slotLimit /= 2
 	}
 	c.concurrency.bound /= 2
-	c.env.handedOver = true
+	c.env.sharingQuotas = true
 }
 
-// unshare doubles the slots and the in-flight bound; the buckets refill to the whole quota from now on.
-func (c *Controller) unshare() {
+// restoreQuotas doubles the slots and the in-flight bound; the buckets refill to the whole quota from now on.
+func (c *Controller) restoreQuotas() {
 	for _, t := range c.tenants.byKey {
 		t.slotLimit *= 2
 	}
 	c.concurrency.bound *= 2
-	c.env.handedOver = false
+	c.env.sharingQuotas = false
 }
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -141,8 +141,8 @@
 		if n == nil || n.level != q.level || n.metered != q.metered || n.readEnd != q.readEnd {
 			t.Fatalf("customer %s: %+v", k, n)
 		}
-		for b := g.c.env.bin() - 2*binsPerPeriod; b <= g.c.env.bin(); b++ {
-			if d := n.sent.inPeriodBefore(b) - q.sent.inPeriodBefore(b); math.Abs(d) > 1e-6 {
+		for b := g.c.env.currentBin() - 2*binsPerPeriod; b <= g.c.env.currentBin(); b++ {
+			if d := n.sent.periodSumBefore(b) - q.sent.periodSumBefore(b); math.Abs(d) > 1e-6 {
 				t.Errorf("customer %s: %g units off in the period before bin %d", k, d, b)
 			}
 		}
@@ -196,7 +196,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.RestoreHandover(g.now, raw); err == nil || c.concurrency.bound != 0 || len(c.tenants.byKey) != 0 || c.env.handedOver || c.tenants.observingSince != 0 {
+		if err := c.RestoreHandover(g.now, raw); err == nil || c.concurrency.bound != 0 || len(c.tenants.byKey) != 0 || c.env.sharingQuotas || c.tenants.observingSince != 0 {
 			t.Errorf("%s: %v, and something was taken", name, err)
 		}
 	}
--- a/control/largefleet_test.go
+++ b/control/largefleet_test.go
@@ -79,23 +79,23 @@
 	g := newHarness(t, s, endpoints(1, 2)...)
 	k := &g.c.env.settings.Classes[0]
 	for i := 0; i < 3; i++ {
-		if w := g.c.classifier.waited(Request{TimeLeft: 3 * time.Second}, k); w != 0 {
+		if w := g.c.classifier.clientWaitTime(Request{TimeLeft: 3 * time.Second}, k); w != 0 {
 			t.Fatalf("a first try has waited %v", w)
 		}
 	}
-	g.c.env.skipped = 1500 * ms
-	if w := g.c.classifier.waited(Request{TimeLeft: 2 * time.Second}, k); w != time.Second {
+	g.c.env.sinceLastEvent = 1500 * ms
+	if w := g.c.classifier.clientWaitTime(Request{TimeLeft: 2 * time.Second}, k); w != time.Second {
 		t.Errorf("a first try that lay for 1 s through a stall has waited %v", w)
 	}
-	g.c.env.skipped = 4 * ms
-	if w := g.c.classifier.waited(Request{TimeLeft: 2 * time.Second}, k); w != 4*time.Second {
+	g.c.env.sinceLastEvent = 4 * ms
+	if w := g.c.classifier.clientWaitTime(Request{TimeLeft: 2 * time.Second}, k); w != 4*time.Second {
 		t.Errorf("a later try with 2 s of 6 s left has waited %v", w)
 	}
-	if w := g.c.classifier.waited(Request{TimeLeft: 5 * time.Second}, k); w != time.Second {
+	if w := g.c.classifier.clientWaitTime(Request{TimeLeft: 5 * time.Second}, k); w != time.Second {
 		t.Errorf("a last try, with all the rest of the time, has waited %v", w)
 	}
 	g.c.env.settings.ClientsMarkRetries = true
-	if w := g.c.classifier.waited(Request{TimeLeft: 5 * time.Second}, k); w != 0 {
+	if w := g.c.classifier.clientWaitTime(Request{TimeLeft: 5 * time.Second}, k); w != 0 {
 		t.Errorf("a try without the mark of a later one has waited %v", w)
 	}
 }
@@ -236,7 +236,7 @@
 	g := newHarness(t, settings(), endpoints(1, 2)...)
 	g.c.concurrency.bound, g.c.traffic.latency, g.c.traffic.idleLatency, g.c.traffic.answers = 80, 1.2, 0.1, 100
 	for i, want := range []float64{40, 40, 40, 20} {
-		g.c.interval.latencies, g.c.interval.answers, g.c.interval.latencySum, g.c.interval.secondsSum = 10, 10, 7, 14
+		g.c.interval.latencyCount, g.c.interval.responses, g.c.interval.latencyRatioSum, g.c.interval.latencySecondsSum = 10, 10, 7, 14
 		g.c.env.now = g.now + time.Duration(i)*time.Second
 		g.c.endInterval(1)
 		if g.c.concurrency.bound != want {
--- a/control/meter.go
+++ b/control/meter.go
@@ -17,10 +17,10 @@
 type tenantUsage struct {
 	metered          bool    // there was a reading
 	readEnd          int64   // bin in which the last period read ended
-	elsewhereRate    float64 // tokens per second that are taken to be used at other nodes
+	otherNodesRate    float64 // tokens per second that are taken to be used at other nodes
 	lastPeriodTokens float64 // of the last reading
-	ownTokens        float64 // through this node, decaying with readings
-	allTokens        float64 // through all nodes, decaying with readings
+	localTokens        float64 // through this node, decaying with readings
+	fleetTokens        float64 // through all nodes, decaying with readings
 	meanRate         float64 // tokens per second through all nodes, average
 
 	// By bin: tokens of attempts, tokens taken from the bucket, requests received and rejected.
@@ -43,16 +43,16 @@
 	// surgeShape is the shape of the belief about others' use: a small one takes more of an own surge to
 	// be a surge everywhere.
 	surgeShape = 0.5
-	// unmeteredSeconds is how much use the meter has not reported yet.
-	unmeteredSeconds = 2.0
+	// unreportedSeconds is how much use the meter has not reported yet.
+	unreportedSeconds = 2.0
 	// levelCorrection is the fraction by which a reading moves the bucket's level towards its value,
 	// where the nodes are many.
 	levelCorrection = 0.4
 )
 
-// read takes a reading that came with an answer to a request of some tokens: 1 + percent of the quota, 0
-// is none. Each period is read once.
-func (m *usageMeter) read(t *tenant, reading int, tokens float64) {
+// applyReading takes a reading that came with an answer to a request of some tokens: 1 + percent of the quota, 0
+// is none. Each period is applyReading once.
+func (m *usageMeter) applyReading(t *tenant, reading int, tokens float64) {
 	if reading <= 0 || m.env.settings.MeterPeriod == 0 {
 		return
 	}
@@ -61,17 +61,17 @@
 	percent := float64(reading-1) / t.quotaFactor // the meter knows the settings' quota only
 	used := percent / 100 * t.plan.Rate * period
 	if t.plan.Rate > 0 {
-		m.phase.learn(t, used, tokens, m.env.bin())
+		m.phase.update(t, used, tokens, m.env.currentBin())
 	}
-	end := m.phase.periodEnd(m.env.bin())
+	end := m.phase.periodEnd(m.env.currentBin())
 	if t.metered && end < t.readEnd+binsPerPeriod/2 {
 		return
 	}
 	t.metered = true
 	t.readEnd = end
-	requested := t.requested.inPeriodBefore(end)
+	requested := t.requested.periodSumBefore(end)
 	rejected := m.rejectedFraction(t, end)
-	t.read(m.env.now, used, rejected, period, t.plan.Rate, t.visibility())
+	t.addReading(m.env.now, used, rejected, period, t.plan.Rate, t.visibility())
 	if t.plan.Rate == 0 {
 		t.adjustSlots(percent, rejected, requested)
 		return
@@ -85,10 +85,10 @@
 // quota: a node would else take what it rejects itself to be rejected everywhere, and its belief would
 // run away.
 func (m *usageMeter) rejectedFraction(t *tenant, end int64) float64 {
-	asked := t.requested.inPeriodBefore(end)
+	asked := t.requested.periodSumBefore(end)
 	rejected := m.tenants.rejectionChance(t)
 	if asked > 0 {
-		rejected = t.rejected.inPeriodBefore(end) / asked
+		rejected = t.rejected.periodSumBefore(end) / asked
 	}
 	if t.plan.Rate > 0 {
 		visibility := t.visibility()
@@ -98,10 +98,10 @@
 }
 
 func (m *usageMeter) updateUsage(t *tenant, used, period float64, end int64) {
-	t.ownTokens = t.ownTokens*usageDecay + min(t.sent.inPeriodBefore(end), used)
-	t.allTokens = t.allTokens*usageDecay + used
+	t.localTokens = t.localTokens*usageDecay + min(t.sent.periodSumBefore(end), used)
+	t.fleetTokens = t.fleetTokens*usageDecay + used
 	// The lower of the last two readings is taken to go on elsewhere.
-	t.elsewhereRate = (1 - t.localFraction()) * min(min(used, t.lastPeriodTokens)/period, t.plan.Rate)
+	t.otherNodesRate = (1 - t.localFraction()) * min(min(used, t.lastPeriodTokens)/period, t.plan.Rate)
 	t.lastPeriodTokens = used
 	t.meanRate += meanRateGain * (used/period - t.meanRate)
 }
@@ -111,7 +111,7 @@
 // shows how far the bucket is from empty.
 func (m *usageMeter) correctLevel(t *tenant, used, percent float64, end int64) {
 	burst := m.env.quotaFraction() * t.plan.Burst
-	t.level = min(burst, max(-t.plan.Burst/2, t.level-used+t.charged.inPeriodBefore(end)))
+	t.level = min(burst, max(-t.plan.Burst/2, t.level-used+t.charged.periodSumBefore(end)))
 	t.level += (1 - t.visibility()) * levelCorrection * max(0, burst*(1-percent/100)-t.level)
 }
 
@@ -125,7 +125,7 @@
 
 // localFraction returns the learnt fraction of a tenant's use that comes through this node.
 func (t *tenant) localFraction() float64 {
-	return min(1, max(minLocalFraction, (localPriorTokens/t.nodes+t.ownTokens)/(localPriorTokens+t.allTokens)))
+	return min(1, max(minLocalFraction, (localPriorTokens/t.nodes+t.localTokens)/(localPriorTokens+t.fleetTokens)))
 }
 
 // fleetUsePerToken returns the tokens that all nodes are taken to have sent for each one sent here.
@@ -135,8 +135,8 @@
 		return 1 / local
 	}
 	// What goes on elsewhere in any case is in the next reading, and no sign of a surge.
-	steady := min(1, t.elsewhereRate/max(t.plan.Rate, t.elsewhereRate+epsilon))
-	return 1 + (1-steady)*(1-local)/(local+surgeShape/max(t.meanRate*unmeteredSeconds, surgeShape/10))
+	steady := min(1, t.otherNodesRate/max(t.plan.Rate, t.otherNodesRate+epsilon))
+	return 1 + (1-steady)*(1-local)/(local+surgeShape/max(t.meanRate*unreportedSeconds, surgeShape/10))
 }
 
 // meterPhase is what is learnt of the meter's clock: the bin at which its periods end, and how many bins
@@ -146,13 +146,13 @@
 	phase, lag int64
 }
 
-// learn finds the phase and the lag under which own attempts fit best with what is read. Without it a
+// update finds the phase and the lag under which own attempts fit best with what is read. Without it a
 // period would be read many times, or matched with another one's attempts.
-func (m *meterPhase) learn(t *tenant, used, tokens float64, now int64) {
+func (m *meterPhase) update(t *tenant, used, tokens float64, now int64) {
 	local := t.localFraction()
 	var misfit [binsPerPeriod + maxMeterLag]float64 // of a period that ended so many bins ago
 	for ago := range misfit {
-		own := t.sent.inPeriodBefore(now - int64(ago))
+		own := t.sent.periodSumBefore(now - int64(ago))
 		misfit[ago] = (max(0, own-used) + missingWeight*max(0, local*used-own)) / (tokens + used + own)
 	}
 	least := math.Inf(1)
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -15,7 +15,7 @@
 	read := func(pct int) float64 {
 		g.c.env.now, g.c.tenants.observingSince = g.now, g.now // own tries tell nothing
 		q.level = 0                                            // the store is empty enough for the chance to decide
-		g.c.meter.read(q, pct+1, 1)
+		g.c.meter.applyReading(q, pct+1, 1)
 		return g.c.tenants.rejectionChance(q)
 	}
 	g.c.meter.phase.lag = 0
@@ -73,10 +73,10 @@
 			}
 		}
 		if i%5 == 0 {
-			g.c.meter.read(q, 1+n*10, 1)
+			g.c.meter.applyReading(q, 1+n*10, 1)
 		}
 	}
-	end := g.c.meter.phase.periodEnd(g.c.env.bin())
+	end := g.c.meter.phase.periodEnd(g.c.env.currentBin())
 	if want := int64((g.now - late).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
 		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
 	}
@@ -127,8 +127,8 @@
 		if i%10 != 0 {
 			continue
 		}
-		g.c.meter.read(q, 1+100*20/22, 1)
-		if charged := q.charged.inPeriodBefore(g.c.env.bin()); i >= 100 && (charged > 21 || charged < 12) {
+		g.c.meter.applyReading(q, 1+100*20/22, 1)
+		if charged := q.charged.periodSumBefore(g.c.env.currentBin()); i >= 100 && (charged > 21 || charged < 12) {
 			t.Fatalf("%.1f units were charged in a period for 10 sent here and 10 elsewhere", charged)
 		}
 	}
@@ -143,7 +143,7 @@
 	g.c.meter.phase.lag = 0
 	g.now += time.Second
 	g.c.env.now = g.now
-	g.c.meter.read(q, 81, 8) // eight units, all through other gateways
+	g.c.meter.applyReading(q, 81, 8) // eight units, all through other gateways
 	if w := q.localFraction(); w < 0.125 {
 		t.Errorf("the learned part fell from 0.25 to %.3f by one request elsewhere", w)
 	}
--- a/control/nodesperserver_test.go
+++ b/control/nodesperserver_test.go
@@ -67,15 +67,15 @@
 	c, err := New(fleet(group), 1)
 	require.NoError(t, err)
 	c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: endpoints(ids...), NodesPerServer: sharers})
-	return c.concurrency.bound, c.concurrency.floor()
+	return c.concurrency.bound, c.concurrency.minBound()
 }
 
 // A node of 5,800 with 200 servers that each 13.6 of them share has the bounds of a fleet with 13.6
 // nodes to a server; by its group alone it could keep none of its servers at work.
 func TestBoundsOfAGatewayWithAPartOfTheServers(t *testing.T) {
 	first, floor := sharedFloor(t, 5800, 13.6)
-	assert.InDelta(t, 200*initialBoundPerServer/13.6, first, 1e-9)
-	assert.InDelta(t, 200*minBoundPerServer/13.6, floor, 1e-9)
+	assert.InDelta(t, 200*initialFleetBoundPerServer/13.6, first, 1e-9)
+	assert.InDelta(t, 200*minFleetBoundPerServer/13.6, floor, 1e-9)
 	asMany, asFloor := sharedFloor(t, 14, 0)
 	assert.InEpsilon(t, asMany, first, 0.05)
 	assert.InEpsilon(t, asFloor, floor, 0.05)
--- a/control/overrides_test.go
+++ b/control/overrides_test.go
@@ -115,7 +115,7 @@
 	g.c.meter.phase.lag = 0
 	g.now += 3 * time.Second
 	g.c.env.now = g.now
-	g.c.meter.read(q, 1+150, 1) // of ten units in a period
+	g.c.meter.applyReading(q, 1+150, 1) // of ten units in a period
 	assert.InDelta(t, 15, q.lastPeriodTokens, 1e-9)
 	units, rate, depth, _, _ := g.c.TenantLevel("low", "double")
 	assert.Equal(t, []float64{20, 20}, []float64{rate, depth})
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -133,7 +133,7 @@
 	var text strings.Builder
 	for i := range c.env.settings.Classes {
 		u := c.classifier.byClass[&c.env.settings.Classes[i]]
-		fmt.Fprintf(&text, " %d,%d,%d,%d", u.timeLeft.Microseconds(), u.seen, u.recurring.Microseconds(), u.recurred)
+		fmt.Fprintf(&text, " %d,%d,%d,%d", u.timeLeft.Microseconds(), u.votes, u.recurring.Microseconds(), u.recurringVotes)
 	}
 	return text.String()
 }
--- a/control/rejection.go
+++ b/control/rejection.go
@@ -2,7 +2,7 @@
 
 // reject answers that a request did not run and when to retry it.
 func (c *Controller) reject(id string) {
-	c.env.act(Reject{ID: id, RetryAfter: c.env.retryAfter()})
+	c.env.emit(Reject{ID: id, RetryAfter: c.env.retryAfter()})
 }
 
 // finish gives the final answer of a request that was not served: a rejection where that is true or
@@ -11,7 +11,7 @@
 	if r.mayBeRejected() {
 		c.reject(r.id)
 	} else {
-		c.env.act(Fail{ID: r.id})
+		c.env.emit(Fail{ID: r.id})
 	}
 	c.forget(r)
 }
--- a/control/report.go
+++ b/control/report.go
@@ -23,7 +23,7 @@
 // report writes the counts as one line and starts them anew.
 func (c *Controller) report() {
 	const precision = time.Millisecond / 10
-	c.nextReport = c.env.now + reportInterval
+	c.nextReportAt = c.env.now + reportInterval
 	n := c.counts
 	rejected := fmt.Sprintf("asked=%d late=%d store=%d chance=%d queue=%d ended=%d",
 		n.requests, n.late, n.bucket, n.chance, n.queue, n.failed)
@@ -31,6 +31,6 @@
 	latency := seconds(c.traffic.latency).Round(precision)
 	idle := seconds(c.traffic.idleLatency).Round(precision)
 	averages := fmt.Sprintf("latency=%v idle=%v retries=%.1f", latency, idle, c.retries.budget)
-	c.env.act(LogLine{Text: rejected + " " + limit + " " + averages})
+	c.env.emit(LogLine{Text: rejected + " " + limit + " " + averages})
 	c.counts = rejectionCounts{}
 }
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -46,7 +46,7 @@
 	}
 	g.c.concurrency.bound = 40
 	for i := 0; i < 10; i++ { // time-outs and refusals, many in each interval
-		g.c.interval.overloaded, g.c.interval.answers = 5, 5
+		g.c.interval.overloads, g.c.interval.responses = 5, 5
 		before := g.c.concurrency.bound
 		g.c.endInterval(1)
 		if g.c.concurrency.bound < before/2 {
@@ -61,12 +61,12 @@
 // Guards against a few long requests that pin the bound to its floor.
 func TestOneTimeOutDoesNotCutTheBound(t *testing.T) {
 	g := newHarness(t, settings(), endpoints(1, 2)...)
-	g.c.concurrency.bound, g.c.interval.overloaded, g.c.interval.answers = 40, 1, 99
+	g.c.concurrency.bound, g.c.interval.overloads, g.c.interval.responses = 40, 1, 99
 	g.c.endInterval(1)
 	if g.c.concurrency.bound < 40 {
 		t.Errorf("bound %g after one time-out in a hundred answers", g.c.concurrency.bound)
 	}
-	g.c.interval.overloaded, g.c.interval.answers = 30, 70
+	g.c.interval.overloads, g.c.interval.responses = 30, 70
 	g.c.endInterval(1)
 	if g.c.concurrency.bound != 20 {
 		t.Errorf("bound %g after thirty in a hundred", g.c.concurrency.bound)
@@ -94,7 +94,7 @@
 		s.FleetSize = group
 		g := newHarness(t, s, endpoints(1, 2, 3, 4, 5, 6, 7, 8, 9)...)
 		for range 10 {
-			g.c.interval.overloaded, g.c.interval.answers = 5, 5
+			g.c.interval.overloads, g.c.interval.responses = 5, 5
 			g.c.endInterval(1)
 		}
 		if per := g.c.concurrency.bound * float64(group) / 9; per < 3 {
@@ -135,14 +135,14 @@
 				s := fleet(group)
 				s.NodeIndex, s.HealthChecks, s.PollDiscovery = i, true, true
 				g := newHarnessOfSeed(t, s, uint64(i), endpoints(ids...)...)
-				for j := 0; j < 2*int(initialBoundPerServer)*servers/group+10; j++ {
+				for j := 0; j < 2*int(initialFleetBoundPerServer)*servers/group+10; j++ {
 					g.request(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
 				}
 				sum += len(g.sends)
 				g.advance(time.Second)
 				g.requireQuiet(fmt.Sprintf("%d gateways, %d servers", group, servers))
 			}
-			if most := int(initialBoundPerServer)*servers + group; sum > most || sum == 0 {
+			if most := int(initialFleetBoundPerServer)*servers + group; sum > most || sum == 0 {
 				t.Errorf("%d gateways, %d servers: %d in flight at the start, at most %d", group, servers, sum, most)
 			}
 		}
--- a/control/shares.go
+++ b/control/shares.go
@@ -142,10 +142,10 @@
 		lateness[i] = p.meanLateness()
 		shares[i] = p.share
 	}
-	if c.interval.answers < minShareAnswers {
+	if c.interval.responses < minShareAnswers {
 		return
 	}
-	for i, share := range c.shares.update(shares, lateness, !c.interval.cut) {
+	for i, share := range c.shares.update(shares, lateness, !c.interval.overloadDetected) {
 		plans[i].share = share
 	}
 }
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -87,7 +87,7 @@
 
 func TestSharesStayWithFewAnswers(t *testing.T) {
 	g := newHarness(t, settings(), endpoints(1)...)
-	g.c.scheduler.plans[0].lateness, g.c.scheduler.plans[1].lateness, g.c.interval.answers = 3, 0.1, minShareAnswers-1
+	g.c.scheduler.plans[0].lateness, g.c.scheduler.plans[1].lateness, g.c.interval.responses = 3, 0.1, minShareAnswers-1
 	g.c.endInterval(1)
 	if g.c.scheduler.plans[0].share != 0.5 {
 		t.Errorf("share %g after an interval of four answers", g.c.scheduler.plans[0].share)
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -12,7 +12,7 @@
 // It changes nothing.
 func (c *Controller) Snapshot(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
-	return json.Marshal(c.learnt())
+	return json.Marshal(c.learnedState())
 }
 
 // RestoreSnapshot takes what Snapshot returned, at most some time ago, before this controller has handled
@@ -23,7 +23,7 @@
 		return fmt.Errorf("kept: %w", err)
 	}
 	h.Tenants = nil
-	err := c.take(now, &h, maxAge)
+	err := c.restore(now, &h, maxAge)
 	c.tenants.observingSince = 0 // what the process before granted is not known
 	return err
 }
@@ -60,14 +60,14 @@
 }
 
 func (u *usualTimeLeft) save() handoverTimeLeft {
-	return handoverTimeLeft{TimeLeft: u.timeLeft, Recurring: u.recurring, Seen: u.seen, Recurred: u.recurred}
+	return handoverTimeLeft{TimeLeft: u.timeLeft, Recurring: u.recurring, Seen: u.votes, Recurred: u.recurringVotes}
 }
 
 func (u *usualTimeLeft) load(saved handoverTimeLeft) {
 	u.timeLeft = saved.TimeLeft
-	u.seen = saved.Seen
+	u.votes = saved.Seen
 	u.recurring = saved.Recurring
-	u.recurred = saved.Recurred
+	u.recurringVotes = saved.Recurred
 }
 
 func (s *server) save() handoverServer {
@@ -124,14 +124,14 @@
 		SlotRejectionChance: t.slotRejectionChance,
 		ChanceRemainder:     t.chanceRemainder,
 		Metered:             t.metered,
-		ElsewhereRate:       t.elsewhereRate,
+		OtherNodesRate:       t.otherNodesRate,
 		LastPeriodTokens:    t.lastPeriodTokens,
 		RequestedTokens:     t.requestedTokens,
 		ReadTokens:          t.readTokens,
 		ReadSeconds:         t.readSeconds,
 		CoveredSeconds:      t.coveredSeconds,
-		OwnTokens:           t.ownTokens,
-		AllTokens:           t.allTokens,
+		LocalTokens:           t.localTokens,
+		FleetTokens:           t.fleetTokens,
 		MeanRate:            t.meanRate,
 		ReadEnd:             t.readEnd,
 		Sent:                t.sent.save(),
@@ -163,10 +163,10 @@
 	}
 	t.metered = saved.Metered
 	t.readEnd = saved.ReadEnd
-	t.elsewhereRate = saved.ElsewhereRate
+	t.otherNodesRate = saved.OtherNodesRate
 	t.lastPeriodTokens = saved.LastPeriodTokens
-	t.ownTokens = saved.OwnTokens
-	t.allTokens = saved.AllTokens
+	t.localTokens = saved.LocalTokens
+	t.fleetTokens = saved.FleetTokens
 	t.meanRate = saved.MeanRate
 	t.sent.load(saved.Sent, lastBin)
 	t.charged.load(saved.Charged, lastBin)
--- a/control/streamedbody_test.go
+++ b/control/streamedbody_test.go
@@ -135,7 +135,7 @@
 		members[i+1].HasStartedAt, members[i+1].StartedAt = true, time.Hour-3*time.Second // 0.2 + 0.8 * 0.3 = 0.44 warm
 	}
 	g := newHarness(t, s, members...)
-	if f, want := g.c.concurrency.floor(), 4.0/36*(1+3*0.44); f < want-0.01 || f > want+0.01 {
+	if f, want := g.c.concurrency.minBound(), 4.0/36*(1+3*0.44); f < want-0.01 || f > want+0.01 {
 		t.Errorf("a floor of %g, not %g", f, want)
 	}
 	g.c.concurrency.bound = 4
--- a/control/tenant.go
+++ b/control/tenant.go
@@ -95,7 +95,7 @@
 func (table *tenantTable) refill(t *tenant) {
 	elapsed := table.env.since(t.refilledAt)
 	t.refilledAt = table.env.now
-	t.advance(table.env.bin())
+	t.advance(table.env.currentBin())
 	fraction := table.env.quotaFraction()
 	t.level = min(fraction*t.plan.Burst, t.level+fraction*elapsed*t.plan.Rate)
 	t.ceiling = min(fraction*t.plan.CeilingBurst/t.nodes, t.ceiling+fraction*elapsed*t.plan.CeilingRate/t.nodes)
--- a/control/tenant_test.go
+++ b/control/tenant_test.go
@@ -61,7 +61,7 @@
 		g.c.tenants.consume(q, 3)
 		for i := 0; i < 3; i++ {
 			g.c.env.now += 4 * time.Second
-			g.c.meter.read(q, pct+1, 3)
+			g.c.meter.applyReading(q, pct+1, 3)
 		}
 		q.level = s.Plans[0].Burst
 		if g.c.admission.hasQuota(q, 3); spread > 40 && pct > 100 && g.c.counts.chance == 0 && g.c.admission.hasQuota(q, 3) {
@@ -137,7 +137,7 @@
 	for range 3 {
 		g.now += time.Second
 		g.c.env.now = g.now
-		g.c.meter.read(q, 31, 1)
+		g.c.meter.applyReading(q, 31, 1)
 	}
 	if n := let(); n != 10 {
 		t.Errorf("%d of 10 were let in by a full store after three told periods", n)
@@ -197,7 +197,7 @@
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 60)
 	read := func(pct int) {
 		g.c.env.now += 4 * time.Second
-		g.c.meter.read(q, pct+1, 2)
+		g.c.meter.applyReading(q, pct+1, 2)
 	}
 	for i := 0; i < 4; i++ {
 		read(180)
--- a/control/traffic.go
+++ b/control/traffic.go
@@ -55,7 +55,7 @@
 // updateRates takes what an interval counted, which lasted some seconds.
 func (t *trafficStats) updateRates(interval *intervalStats, lasted float64) {
 	t.servedRate += rateGain * (interval.servedTokens/lasted - t.servedRate)
-	updateAverage(&t.answerRate, (interval.answers+interval.overloaded)/lasted, rateGain)
+	updateAverage(&t.answerRate, (interval.responses+interval.overloads)/lasted, rateGain)
 }
 
 // observationLifetime returns for how long, in seconds, an observation of one of some servers counts.
