--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	if err := c.Adopt(g.now, raw); err != nil {
+	if err := c.RestoreHandover(g.now, raw); err != nil {
 		g.t.Fatal(err)
 	}
 	return &harness{t: g.t, controller: c, now: g.now, finalAnswers: map[string]Action{}, attempts: map[string]int{}, timers: map[uint64]time.Duration{}}
@@ -68,7 +68,7 @@
 		var left []byte
 		if rest {
 			var err error
-			if left, err = old.controller.Remainder(old.now); err != nil {
+			if left, err = old.controller.RemainingTokens(old.now); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -141,8 +141,8 @@
 		if n == nil || n.level != q.level || n.metered != q.metered || n.readEnd != q.readEnd {
 			t.Fatalf("customer %s: %+v", k, n)
 		}
-		for b := g.controller.env.bin() - 2*binsPerPeriod; b <= g.controller.env.bin(); b++ {
-			if d := n.sent.inPeriodBefore(b) - q.sent.inPeriodBefore(b); math.Abs(d) > 1e-6 {
+		for b := g.controller.env.currentBin() - 2*binsPerPeriod; b <= g.controller.env.currentBin(); b++ {
+			if d := n.sent.periodSumBefore(b) - q.sent.periodSumBefore(b); math.Abs(d) > 1e-6 {
 				t.Errorf("customer %s: %g units off in the period before bin %d", k, d, b)
 			}
 		}
@@ -196,7 +196,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.Adopt(g.now, raw); err == nil || c.concurrency.bound != 0 || len(c.tenants.byKey) != 0 || c.env.handedOver || c.tenants.observingSince != 0 {
+		if err := c.RestoreHandover(g.now, raw); err == nil || c.concurrency.bound != 0 || len(c.tenants.byKey) != 0 || c.env.sharingQuotas || c.tenants.observingSince != 0 {
 			t.Errorf("%s: %v, and something was taken", name, err)
 		}
 	}
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -15,7 +15,7 @@
 	read := func(pct int) float64 {
 		g.controller.env.now, g.controller.tenants.observingSince = g.now, g.now // own tries tell nothing
 		q.level = 0                                                              // the store is empty enough for the chance to decide
-		g.controller.meter.read(q, pct+1, 1)
+		g.controller.meter.applyReading(q, pct+1, 1)
 		return g.controller.tenants.rejectionChance(q)
 	}
 	g.controller.meter.phase.lag = 0
@@ -73,10 +73,10 @@
 			}
 		}
 		if i%5 == 0 {
-			g.controller.meter.read(q, 1+n*10, 1)
+			g.controller.meter.applyReading(q, 1+n*10, 1)
 		}
 	}
-	end := g.controller.meter.phase.periodEnd(g.controller.env.bin())
+	end := g.controller.meter.phase.periodEnd(g.controller.env.currentBin())
 	if want := int64((g.now - late).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
 		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
 	}
@@ -127,8 +127,8 @@
 		if i%10 != 0 {
 			continue
 		}
-		g.controller.meter.read(q, 1+100*20/22, 1)
-		if charged := q.charged.inPeriodBefore(g.controller.env.bin()); i >= 100 && (charged > 21 || charged < 12) {
+		g.controller.meter.applyReading(q, 1+100*20/22, 1)
+		if charged := q.charged.periodSumBefore(g.controller.env.currentBin()); i >= 100 && (charged > 21 || charged < 12) {
 			t.Fatalf("%.1f units were charged in a period for 10 sent here and 10 elsewhere", charged)
 		}
 	}
@@ -143,7 +143,7 @@
 	g.controller.meter.phase.lag = 0
 	g.now += time.Second
 	g.controller.env.now = g.now
-	g.controller.meter.read(q, 81, 8) // eight units, all through other gateways
+	g.controller.meter.applyReading(q, 81, 8) // eight units, all through other gateways
 	if w := q.localFraction(); w < 0.125 {
 		t.Errorf("the learned part fell from 0.25 to %.3f by one request elsewhere", w)
 	}
--- a/control/overrides_test.go
+++ b/control/overrides_test.go
@@ -115,7 +115,7 @@
 	g.controller.meter.phase.lag = 0
 	g.now += 3 * time.Second
 	g.controller.env.now = g.now
-	g.controller.meter.read(q, 1+150, 1) // of ten units in a period
+	g.controller.meter.applyReading(q, 1+150, 1) // of ten units in a period
 	assert.InDelta(t, 15, q.lastPeriodTokens, 1e-9)
 	units, rate, depth, _, _ := g.controller.TenantLevel("low", "double")
 	assert.Equal(t, []float64{20, 20}, []float64{rate, depth})
@@ -161,7 +161,7 @@
 	require.NoError(t, err)
 	c, err := New(s, 1)
 	require.NoError(t, err)
-	require.NoError(t, c.Adopt(old.now, raw))
+	require.NoError(t, c.RestoreHandover(old.now, raw))
 	_, rate, _, _, _ := c.TenantLevel("low", "x")
 	assert.Equal(t, s.Plans[0].Rate, rate)
 }
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -133,7 +133,7 @@
 	var text strings.Builder
 	for i := range c.env.settings.Classes {
 		u := c.classifier.byClass[&c.env.settings.Classes[i]]
-		fmt.Fprintf(&text, " %d,%d,%d,%d", u.timeLeft.Microseconds(), u.seen, u.recurring.Microseconds(), u.recurred)
+		fmt.Fprintf(&text, " %d,%d,%d,%d", u.timeLeft.Microseconds(), u.votes, u.recurring.Microseconds(), u.recurringVotes)
 	}
 	return text.String()
 }
@@ -221,7 +221,7 @@
 	handed, err := c.Handover(now)
 	require.NoError(t, err)
 	compareRecorded(t, "handover.json", handed)
-	rest, err := c.Remainder(now)
+	rest, err := c.RemainingTokens(now)
 	require.NoError(t, err)
 	compareRecorded(t, "rest.json", rest)
 	for _, raw := range [][]byte{kept, handed} {
@@ -245,7 +245,7 @@
 		require.NoError(t, err)
 		now := time.Hour + 26*time.Second
 		if name == "handover" {
-			require.NoError(t, c.Adopt(now, raw))
+			require.NoError(t, c.RestoreHandover(now, raw))
 		} else {
 			require.NoError(t, c.RestoreSnapshot(now, raw, time.Minute))
 		}
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -87,7 +87,7 @@
 
 func TestSharesStayWithFewAnswers(t *testing.T) {
 	g := newHarness(t, testSettings(), endpoints(1)...)
-	g.controller.scheduler.plans[0].lateness, g.controller.scheduler.plans[1].lateness, g.controller.interval.answers = 3, 0.1, minShareAnswers-1
+	g.controller.scheduler.plans[0].lateness, g.controller.scheduler.plans[1].lateness, g.controller.interval.responses = 3, 0.1, minShareAnswers-1
 	g.controller.endInterval(1)
 	if g.controller.scheduler.plans[0].share != 0.5 {
 		t.Errorf("share %g after an interval of four answers", g.controller.scheduler.plans[0].share)
--- a/control/tenant_test.go
+++ b/control/tenant_test.go
@@ -61,7 +61,7 @@
 		g.controller.tenants.consume(q, 3)
 		for i := 0; i < 3; i++ {
 			g.controller.env.now += 4 * time.Second
-			g.controller.meter.read(q, pct+1, 3)
+			g.controller.meter.applyReading(q, pct+1, 3)
 		}
 		q.level = s.Plans[0].Burst
 		if g.controller.admission.hasQuota(q, 3); spread > 40 && pct > 100 && g.controller.counts.chance == 0 && g.controller.admission.hasQuota(q, 3) {
@@ -137,7 +137,7 @@
 	for range 3 {
 		g.now += time.Second
 		g.controller.env.now = g.now
-		g.controller.meter.read(q, 31, 1)
+		g.controller.meter.applyReading(q, 31, 1)
 	}
 	if n := let(); n != 10 {
 		t.Errorf("%d of 10 were let in by a full store after three told periods", n)
@@ -197,7 +197,7 @@
 	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 60)
 	read := func(pct int) {
 		g.controller.env.now += 4 * time.Second
-		g.controller.meter.read(q, pct+1, 2)
+		g.controller.meter.applyReading(q, pct+1, 2)
 	}
 	for i := 0; i < 4; i++ {
 		read(180)
