--- a/control/admissionfleet_test.go
+++ b/control/admissionfleet_test.go
@@ -10,60 +10,60 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// asker is one tenant of a day of many nodes, and the true store of its quota.
+// tenantLoad is the load of one tenant on a fleet, and the true state of its quota's token bucket.
 type tenantLoad struct {
 	name         string
-	demand       float64   // units asked, in parts of the rate
-	nodeWeights  []float64 // by gateway, summed up
-	level        float64
-	usedByPeriod map[int]float64 // units sent on, by meter period
+	demand       float64   // tokens requested, as a multiple of the quota's rate
+	nodeWeights  []float64 // cumulative weights with which nodes are drawn
+	level        float64   // tokens in the bucket
+	usedByPeriod map[int]float64
 }
 
-// refilled is a step's refill of a bucket.
+// refilled returns the level of a bucket after one time step.
 func refilled(level float64, p Plan, step time.Duration) float64 {
 	return min(p.Burst, level+p.Rate*step.Seconds())
 }
 
-// newAsker draws the i-th tenant, of whom one in ten asks for more than its quota.
-func newTenantLoad(i, gateways int, p Plan, rng *rand.Rand) *tenantLoad {
-	a := &tenantLoad{name: fmt.Sprint(i), demand: 0.33, level: p.Burst, usedByPeriod: map[int]float64{}}
+// newTenantLoad draws the load of the i-th tenant. One in ten requests more than its quota.
+func newTenantLoad(i, nodes int, p Plan, rng *rand.Rand) *tenantLoad {
+	l := &tenantLoad{name: fmt.Sprint(i), demand: 0.33, level: p.Burst, usedByPeriod: map[int]float64{}}
 	if i%10 == 0 {
-		a.demand = 3.5
+		l.demand = 3.5
 	}
 	sum := 0.0
-	for range gateways {
+	for range nodes {
 		sum += math.Exp(0.8 * rng.NormFloat64())
-		a.nodeWeights = append(a.nodeWeights, sum)
+		l.nodeWeights = append(l.nodeWeights, sum)
 	}
-	return a
+	return l
 }
 
 // drawNode draws the node of a request by the tenant's weights.
-func (a *tenantLoad) drawNode(rng *rand.Rand) int {
-	x := rng.Float64() * a.nodeWeights[len(a.nodeWeights)-1]
+func (l *tenantLoad) drawNode(rng *rand.Rand) int {
+	x := rng.Float64() * l.nodeWeights[len(l.nodeWeights)-1]
 	n := 0
-	for a.nodeWeights[n] < x {
+	for l.nodeWeights[n] < x {
 		n++
 	}
 	return n
 }
 
-// meterReading is what the meter tells of the last period that ended by a time, in percent of the rate
-// and one more.
-func (a *tenantLoad) meterReading(at time.Duration, rate float64) int {
-	return 1 + int(100*a.usedByPeriod[int(at/time.Second)-1]/rate)
+// meterReading returns the meter's reading for the last period that ended by a time: 1 + percent of the
+// quota.
+func (l *tenantLoad) meterReading(at time.Duration, rate float64) int {
+	return 1 + int(100*l.usedByPeriod[int(at/time.Second)-1]/rate)
 }
 
-// consume takes units from the true store where it holds them.
-func (a *tenantLoad) consume(units float64) bool {
-	if a.level < units {
+// consume takes tokens from the true bucket. It reports false and takes none if the bucket holds fewer.
+func (l *tenantLoad) consume(tokens float64) bool {
+	if l.level < tokens {
 		return false
 	}
-	a.level -= units
+	l.level -= tokens
 	return true
 }
 
-// meteredAttempt is an attempt in flight that is answered at a time, with a reading of the meter.
+// meteredAttempt is an attempt in flight whose answer carries a meter reading.
 type meteredAttempt struct {
 	endsAt time.Duration
 	node   *harness
@@ -71,110 +71,128 @@
 	tenant *tenantLoad
 }
 
-// endDueMetered answers the attempts that are due, in order, and returns the others. The meter's reading
-// lags a second.
-func endDueMetered(out []meteredAttempt, at time.Duration, metered bool, rate float64) []meteredAttempt {
+// endDueMetered ends the attempts that are due, in order, and returns the others. Readings are reported
+// one second after the end of their period.
+func endDueMetered(attempts []meteredAttempt, at time.Duration, metered bool, rate float64) []meteredAttempt {
 	const lag = time.Second
-	for len(out) > 0 && out[0].endsAt <= at {
-		o, reading := out[0], 0
+	for len(attempts) > 0 && attempts[0].endsAt <= at {
+		a, reading := attempts[0], 0
 		if metered && at >= lag+time.Second {
-			reading = o.tenant.meterReading(at-lag, rate)
+			reading = a.tenant.meterReading(at-lag, rate)
 		}
-		o.node.endAttempt(o.id, OK, reading)
-		out = out[1:]
+		a.node.endAttempt(a.id, OK, reading)
+		attempts = attempts[1:]
 	}
-	return out
+	return attempts
 }
 
-// blindDay plays 20 s of tenants, of whom one in ten asks for three and a half times its quota and the
-// rest for a third, through so many nodes that most tries are the first of their tenant at their
-// node. It gives the units inside the quotas and those beyond, in parts of what one node that saw
-// all would let in.
-func runUnseenTenants(t *testing.T, gateways int, seed uint64, metered bool, cost float64) (inside, beyond float64) {
-	const step, customers = 100 * ms, 80
+// runUnseenTenants runs 80 tenants for 20 s against so many nodes that most requests are the first of their
+// tenant at their node. One tenant in ten requests 3.5 times its quota, the others a third of theirs. It
+// returns the tokens forwarded within the quotas and those beyond them, as fractions of what a single node
+// that saw every request would admit.
+func runUnseenTenants(
+	t *testing.T, nodeCount int, seed uint64, metered bool, overQuotaCost float64,
+) (within, beyond float64) {
+	const step, tenants = 100 * ms, 80
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := largeFleetSettings()
-	s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst, s.Plans[0].OverQuotaCost = gateways, float64(gateways)/30, float64(gateways)/7.5, cost
+	s.FleetSize = nodeCount
+	s.Plans[0].Rate = float64(nodeCount) / 30
+	s.Plans[0].Burst = float64(nodeCount) / 7.5
+	s.Plans[0].OverQuotaCost = overQuotaCost
 	if !metered {
 		s.MeterPeriod = 0
 	}
 	p := s.Plans[0]
-	gates, askers := make([]*harness, gateways), make([]*tenantLoad, customers)
-	servers := make([]uint32, gateways) // so that a gateway's part of the group's bound lets each try go at once
+	nodes, loads := make([]*harness, nodeCount), make([]*tenantLoad, tenants)
+	// As many servers as nodes, so that the in-flight bound of each node delays no request.
+	servers := make([]uint32, nodeCount)
 	for i := range servers {
 		servers[i] = uint32(i + 1)
 	}
-	for i := range gates {
-		gates[i] = newHarness(t, s, endpoints(servers...)...)
-		gates[i].controller.env.random = rand.New(rand.NewPCG(seed, uint64(i))) // else all draw alike
+	for i := range nodes {
+		nodes[i] = newHarness(t, s, endpoints(servers...)...)
+		// Each node has random numbers of its own: all harnesses share one seed.
+		nodes[i].controller.env.random = rand.New(rand.NewPCG(seed, uint64(i)))
 	}
-	for i := range askers {
-		askers[i] = newTenantLoad(i, gateways, p, rng)
+	for i := range loads {
+		loads[i] = newTenantLoad(i, nodeCount, p, rng)
 	}
-	var out []meteredAttempt
-	ideal, all := make([]float64, customers), 0.0
+	var inFlight []meteredAttempt
+	ideal, admissible := make([]float64, tenants), 0.0
 	for i := range ideal {
 		ideal[i] = p.Burst
 	}
 	for at := time.Duration(0); at < 20*time.Second; at += step {
-		out = endDueMetered(out, at, metered, p.Rate)
-		for i, a := range askers {
-			a.level, ideal[i] = refilled(a.level, p, step), refilled(ideal[i], p, step)
-			// Of two units in the mean; a part of a try is one by chance.
-			for n := a.demand * p.Rate * step.Seconds() / 2; n > 0 && rng.Float64() < n; n-- {
-				units := float64(1 + rng.IntN(3))
-				if ideal[i] >= units {
-					ideal[i] -= units
-					all += units
+		inFlight = endDueMetered(inFlight, at, metered, p.Rate)
+		for i, l := range loads {
+			l.level, ideal[i] = refilled(l.level, p, step), refilled(ideal[i], p, step)
+			// A request has two tokens in the mean. A fraction of a request becomes one by chance.
+			for n := l.demand * p.Rate * step.Seconds() / 2; n > 0 && rng.Float64() < n; n-- {
+				tokens := float64(1 + rng.IntN(3))
+				if ideal[i] >= tokens {
+					ideal[i] -= tokens
+					admissible += tokens
 				}
-				g := gates[a.drawNode(rng)]
+				node := nodes[l.drawNode(rng)]
 				id := fmt.Sprint(at, i, rng.Uint64())
-				g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: a.name, TimeLeft: 5 * time.Second, Tokens: units, TenantNodes: gateways})
-				if g.attempts[id] == 0 {
+				node.handle(Request{
+					ID:          id,
+					Class:       "job",
+					Plan:        "low",
+					Tenant:      l.name,
+					TimeLeft:    5 * time.Second,
+					Tokens:      tokens,
+					TenantNodes: nodeCount,
+				})
+				if node.attempts[id] == 0 {
 					continue
 				}
-				a.usedByPeriod[int(at/time.Second)] += units
-				if a.consume(units) {
-					inside += units
+				l.usedByPeriod[int(at/time.Second)] += tokens
+				if l.consume(tokens) {
+					within += tokens
 				} else {
-					beyond += units
+					beyond += tokens
 				}
-				out = append(out, meteredAttempt{at + 2*step, g, id, a})
+				inFlight = append(inFlight, meteredAttempt{at + 2*step, node, id, l})
 			}
 		}
-		for _, g := range gates {
-			g.advance(step)
+		for _, node := range nodes {
+			node.advance(step)
 		}
 	}
-	return inside / all, beyond / all
+	return within / admissible, beyond / admissible
 }
 
-// One tenant in ten asks for 2.5 times its rate beyond its quota, the rest for a third of theirs: 0.63 of
-// what is offered is asked beyond. Three tenths of that may pass, and half of what fits has to. The gate's
-// own bound, 0.1 over a policy that sees all, is of a milder day on which clients come again.
+// One tenant in ten requests 2.5 times its rate beyond its quota, the others a third of theirs, so 0.63 of
+// the admissible tokens is requested beyond the quotas. At most three tenths of that may pass, and at least
+// half of the admissible tokens must. The scenarios' bound, 0.1 above a policy that sees every request, belongs
+// to a milder load in which clients retry.
 const maxOverQuota, minWithinQuota = 0.3 * 0.63, 0.5
 
-// Guards against nodes that each pass the first try of a heavy tenant as that of a calm one: where
-// hundreds do, most of what it asks goes through, quota or not.
-func TestManyGatewaysKeepQuotasTheyCannotSee(t *testing.T) {
-	for _, gateways := range []int{60, 300} {
+// Guards against nodes that each take the first request of a heavy tenant for one of a light tenant: with
+// hundreds of nodes most of its requests would pass, whatever its quota.
+func TestManyNodesEnforceQuotasOfTenantsTheySeldomSee(t *testing.T) {
+	for _, nodes := range []int{60, 300} {
 		for _, metered := range []bool{true, false} {
 			for seed := range uint64(3) {
-				inside, beyond := runUnseenTenants(t, gateways, seed, metered, 1)
-				t.Logf("%d gateways, metered %v: %.3f inside, %.3f beyond", gateways, metered, inside, beyond)
-				assert.Less(t, beyond, maxOverQuota, "%d gateways, metered %v, seed %d: units beyond quotas", gateways, metered, seed)
-				assert.Greater(t, inside, minWithinQuota, "%d gateways, metered %v, seed %d: units inside", gateways, metered, seed)
+				within, beyond := runUnseenTenants(t, nodes, seed, metered, 1)
+				t.Logf("%d nodes, metered %v: %.3f within, %.3f beyond", nodes, metered, within, beyond)
+				assert.Less(t, beyond, maxOverQuota,
+					"%d nodes, metered %v, seed %d: tokens beyond quotas", nodes, metered, seed)
+				assert.Greater(t, within, minWithinQuota,
+					"%d nodes, metered %v, seed %d: tokens within quotas", nodes, metered, seed)
 			}
 		}
 	}
 }
 
-// Where what goes beyond a quota costs half of its worth, more of it may pass, and more is served.
-func TestManyGatewaysServeMoreWhereItCostsLess(t *testing.T) {
-	for _, gateways := range []int{60, 300} {
-		dear, _ := runUnseenTenants(t, gateways, 1, true, 1)
-		cheap, beyond := runUnseenTenants(t, gateways, 1, true, 0.5)
-		assert.Greater(t, cheap, dear+0.1, "%d gateways: units inside", gateways)
-		assert.Less(t, beyond, 2*maxOverQuota, "%d gateways: units beyond quotas", gateways)
+// Where use beyond a quota costs only half of its value, more of it may pass, and more is served.
+func TestManyNodesServeMoreWhereOverQuotaUseCostsLess(t *testing.T) {
+	for _, nodes := range []int{60, 300} {
+		fullCost, _ := runUnseenTenants(t, nodes, 1, true, 1)
+		halfCost, beyond := runUnseenTenants(t, nodes, 1, true, 0.5)
+		assert.Greater(t, halfCost, fullCost+0.1, "%d nodes: tokens within quotas", nodes)
+		assert.Less(t, beyond, 2*maxOverQuota, "%d nodes: tokens beyond quotas", nodes)
 	}
 }
--- a/control/attempt_test.go
+++ b/control/attempt_test.go
@@ -8,214 +8,248 @@
 	"time"
 )
 
-func TestRepeatsFollowTheEffect(t *testing.T) {
+func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, k := range []struct {
-		name  string
-		class Class
-		why   Outcome
-		again bool // another attempt is sent
-		end   string
+		name        string
+		class       Class
+		outcome     Outcome
+		retried     bool
+		finalAnswer string // type of the final answer; empty where there is none yet
 	}{
-		{"free", Class{Idempotency: Idempotent}, Errored, true, ""},
-		{"unsafe maybe run", Class{Idempotency: NonIdempotent}, Errored, false, "control.Fail"},
-		{"unsafe never ran", Class{Idempotency: NonIdempotent}, Overloaded, true, ""},
-		{"keyed in window", Class{Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, IdempotencyWindow: time.Minute}, ResetByPeer, true, ""},
-		{"keyed too late", Class{Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, IdempotencyWindow: ms}, ResetByPeer, false, "control.Fail"},
-		{"keyed by all, too late", Class{Idempotency: IdempotentByKey, IdempotencyWindow: ms}, ResetByPeer, false, "control.Reject"},
+		{"idempotent", Class{Idempotency: Idempotent}, Errored, true, ""},
+		{"not idempotent, may have run", Class{Idempotency: NonIdempotent}, Errored, false, "control.Fail"},
+		{"not idempotent, never ran", Class{Idempotency: NonIdempotent}, Overloaded, true, ""},
+		{
+			"idempotent with a key, within the window",
+			Class{Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, IdempotencyWindow: time.Minute},
+			ResetByPeer, true, "",
+		},
+		{
+			"idempotent with a key, after the window",
+			Class{Idempotency: IdempotentByKey, KeyScope: KeyScopeCell, IdempotencyWindow: ms},
+			ResetByPeer, false, "control.Fail",
+		},
+		{
+			"idempotent with a key of all servers, after the window",
+			Class{Idempotency: IdempotentByKey, IdempotencyWindow: ms},
+			ResetByPeer, false, "control.Reject",
+		},
 	} {
 		s := testSettings()
 		k.class.Name, k.class.LatencyObjective, k.class.Deadline = "job", 2*time.Second, 6*time.Second
 		s.Classes = []Class{k.class}
-		g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
-		g.request("a", "job", "low", "x")
-		g.now += 10 * ms
-		g.endAttempt("a", k.why, 0)
-		if again := g.attempts["a"] == 2; again != k.again {
-			t.Errorf("%s: sent %d times", k.name, g.attempts["a"])
+		h := newHarness(t, s, endpoints(1, 2, 3, 4)...)
+		h.request("a", "job", "low", "x")
+		h.now += 10 * ms
+		h.endAttempt("a", k.outcome, 0)
+		if retried := h.attempts["a"] == 2; retried != k.retried {
+			t.Errorf("%s: %d attempts", k.name, h.attempts["a"])
 		}
-		if got := fmt.Sprintf("%T", g.finalAnswers["a"]); k.end != "" && got != k.end {
-			t.Errorf("%s: ended with %s", k.name, got)
+		if got := fmt.Sprintf("%T", h.finalAnswers["a"]); k.finalAnswer != "" && got != k.finalAnswer {
+			t.Errorf("%s: final answer is a %s", k.name, got)
 		}
 	}
 }
 
-// A repeat whose server may drop it says until when, and no other attempt does.
-func TestRepeatTellsItsWindow(t *testing.T) {
+// A retry whose server may drop it as a duplicate carries the end of the idempotency window in NotAfter. No
+// other attempt has such a limit.
+func TestRetryCarriesEndOfIdempotencyWindow(t *testing.T) {
 	for _, k := range []struct {
-		name    string
-		effect  Idempotency
-		why     Outcome
-		bounded bool
+		name        string
+		idempotency Idempotency
+		outcome     Outcome
+		limited     bool
 	}{
-		{"keyed, may have run", IdempotentByKey, ResetByPeer, true},
-		{"keyed, may still run", IdempotentByKey, TimedOut, true},
-		{"keyed, never ran", IdempotentByKey, ConnectFailed, false},
-		{"unsafe, never ran", NonIdempotent, Overloaded, false},
-		{"free", Idempotent, ResetByPeer, false},
+		{"idempotent with a key, may have run", IdempotentByKey, ResetByPeer, true},
+		{"idempotent with a key, may still be running", IdempotentByKey, TimedOut, true},
+		{"idempotent with a key, never ran", IdempotentByKey, ConnectFailed, false},
+		{"not idempotent, never ran", NonIdempotent, Overloaded, false},
+		{"idempotent", Idempotent, ResetByPeer, false},
 	} {
 		s := testSettings()
-		s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = k.effect, 100*ms
-		g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
-		g.request("a", "job", "low", "x")
-		begun := g.now
-		g.now += 10 * ms
-		g.endAttempt("a", k.why, 0)
-		if len(g.sends) != 2 || g.sends[0].NotAfter != 0 {
-			t.Fatalf("%s: %+v", k.name, g.sends)
+		s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = k.idempotency, 100*ms
+		h := newHarness(t, s, endpoints(1, 2, 3, 4)...)
+		h.request("a", "job", "low", "x")
+		firstAttemptAt := h.now
+		h.now += 10 * ms
+		h.endAttempt("a", k.outcome, 0)
+		if len(h.sends) != 2 || h.sends[0].NotAfter != 0 {
+			t.Fatalf("%s: %+v", k.name, h.sends)
 		}
 		want := time.Duration(0)
-		if k.bounded {
-			want = begun + 100*ms
+		if k.limited {
+			want = firstAttemptAt + 100*ms
 		}
-		if got := g.sends[1].NotAfter; got != want {
-			t.Errorf("%s: until %v, not %v", k.name, got, want)
+		if got := h.sends[1].NotAfter; got != want {
+			t.Errorf("%s: the retry has NotAfter %v, not %v", k.name, got, want)
 		}
 	}
 }
 
-func TestKeyedRepeatStaysInItsGroup(t *testing.T) {
+// A retry of a request with an idempotency key goes only to servers that drop duplicates together with the
+// server of the first attempt.
+func TestRetryStaysInKeyScope(t *testing.T) {
 	for scope, same := range map[KeyScope]func(a, b Endpoint) bool{
 		KeyScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 		KeyScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
 	} {
 		s := testSettings()
-		s.Classes[0].Idempotency, s.Classes[0].KeyScope, s.Classes[0].IdempotencyWindow = IdempotentByKey, scope, time.Minute
+		s.Classes[0].Idempotency = IdempotentByKey
+		s.Classes[0].KeyScope = scope
+		s.Classes[0].IdempotencyWindow = time.Minute
 		list := endpoints(1, 2, 3, 4, 5, 6)
-		g := newHarness(t, s, list...)
+		h := newHarness(t, s, list...)
 		for i := 0; i < 30; i++ {
 			id := fmt.Sprint(scope, "-", i)
-			g.request(id, "job", "low", "x")
-			g.endAttempt(id, TimedOut, 0)
-			if g.attempts[id] == 2 {
-				a, b := g.sends[len(g.sends)-2].Server, g.sends[len(g.sends)-1].Server
+			h.request(id, "job", "low", "x")
+			h.endAttempt(id, TimedOut, 0)
+			if h.attempts[id] == 2 {
+				a, b := h.sends[len(h.sends)-2].Server, h.sends[len(h.sends)-1].Server
 				if !same(list[a-1], list[b-1]) {
-					t.Fatalf("scope %v: from server %d to %d", scope, a, b)
+					t.Fatalf("scope %v: first attempt at server %d, retry at server %d", scope, a, b)
 				}
-				g.endAttempt(id, OK, 0)
+				h.endAttempt(id, OK, 0)
 			}
 		}
 	}
 }
 
-func TestAttemptLimitAndOneAtATime(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
-	g.request("a", "job", "low", "x")
+// A request has at most Settings.MaxAttempts attempts, one at a time.
+func TestAttemptsAreLimitedAndSequential(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
+	h.request("a", "job", "low", "x")
 	for i := 0; i < 3; i++ {
-		if g.attempts["a"] != i+1 {
-			t.Fatalf("%d attempts after %d failures", g.attempts["a"], i)
+		if h.attempts["a"] != i+1 {
+			t.Fatalf("%d attempts after %d failures", h.attempts["a"], i)
 		}
-		g.endAttempt("a", Overloaded, 0)
+		h.endAttempt("a", Overloaded, 0)
 	}
-	if _, ok := g.finalAnswers["a"].(Reject); !ok || g.attempts["a"] != 3 {
-		t.Errorf("%d attempts, ended with %v", g.attempts["a"], g.finalAnswers["a"])
+	if _, ok := h.finalAnswers["a"].(Reject); !ok || h.attempts["a"] != 3 {
+		t.Errorf("%d attempts, final answer %v", h.attempts["a"], h.finalAnswers["a"])
 	}
 }
 
-// Guards against a storm of fast errors that uses up the further attempts, or puts servers
-// aside that still serve half of what they are sent: twelve requests are open at a time.
-func TestStormOfFastErrorsIsRiddenOut(t *testing.T) {
+// Guards against many fast errors that use up the retry budget, or that eject servers which still serve
+// half of their attempts. Three of four servers fail every second attempt within 1 ms, while twelve requests
+// are open at a time.
+func TestFastErrorsExhaustNeitherRetriesNorServers(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 6
-	g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
+	h := newHarness(t, s, endpoints(1, 2, 3, 4)...)
 	rng := rand.New(rand.NewPCG(1, 2))
-	type outcome struct {
-		at  time.Duration
-		id  string
-		why Outcome
+	type pendingOutcome struct {
+		at      time.Duration
+		id      string
+		outcome Outcome
 	}
-	var due []outcome
-	tries, seen, asked, failed := make(map[uint32]int), 0, 0, 0
-	for len(g.finalAnswers) < 2000 {
-		for ; asked-len(g.finalAnswers) < 12; asked++ {
-			g.request(fmt.Sprint(asked), "job", "low", "x")
-		}
-		for ; seen < len(g.sends); seen++ {
-			o := outcome{g.now + 50*ms, g.sends[seen].ID, OK}
-			if srv := g.sends[seen].Server; srv > 1 && rng.IntN(2) == 0 {
-				o.at, o.why = g.now+ms, Errored
+	var pending []pendingOutcome
+	attempts, seen, requests, failed := make(map[uint32]int), 0, 0, 0
+	for len(h.finalAnswers) < 2000 {
+		for ; requests-len(h.finalAnswers) < 12; requests++ {
+			h.request(fmt.Sprint(requests), "job", "low", "x")
+		}
+		for ; seen < len(h.sends); seen++ {
+			p := pendingOutcome{h.now + 50*ms, h.sends[seen].ID, OK}
+			if server := h.sends[seen].Server; server > 1 && rng.IntN(2) == 0 {
+				p.at, p.outcome = h.now+ms, Errored
 			}
-			tries[g.sends[seen].Server]++
-			due = append(due, o)
+			attempts[h.sends[seen].Server]++
+			pending = append(pending, p)
 		}
 		first := 0
-		for i, o := range due {
-			if o.at < due[first].at {
+		for i, p := range pending {
+			if p.at < pending[first].at {
 				first = i
 			}
 		}
-		o := due[first]
-		due = slices.Delete(due, first, first+1)
-		g.advance(o.at - g.now)
-		g.endAttempt(o.id, o.why, 0)
+		p := pending[first]
+		pending = slices.Delete(pending, first, first+1)
+		h.advance(p.at - h.now)
+		h.endAttempt(p.id, p.outcome, 0)
 	}
-	for _, end := range g.finalAnswers {
-		if _, ok := end.(Send); !ok {
+	for _, answer := range h.finalAnswers {
+		if _, ok := answer.(Send); !ok {
 			failed++
 		}
 	}
 	if failed > 60 {
-		t.Errorf("%d of 2000 not served; tries by server: %v", failed, tries)
+		t.Errorf("%d of 2000 requests not served; attempts by server: %v", failed, attempts)
 	}
 }
 
-// What a group may save up for further attempts is bounded, whatever its size, and so is what all
-// of it may send again when every server fails at once.
-func TestSumOfFurtherAttempts(t *testing.T) {
-	for _, group := range []int{1, 3, 20, 80, 300} {
-		s := fleetSettings(group)
+// The retries that a fleet may save up are bounded, whatever its size. So are the retries that the whole
+// fleet makes when every server fails at once.
+func TestFleetRetriesAreBounded(t *testing.T) {
+	for _, nodes := range []int{1, 3, 20, 80, 300} {
+		s := fleetSettings(nodes)
 		s.Classes[0].Idempotency, s.MaxAttempts = Idempotent, 5
-		sum := 0
-		for i := 0; i < group; i++ {
+		retries := 0
+		for i := 0; i < nodes; i++ {
 			c, err := New(s, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			g := &harness{t: t, controller: c, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{}, timers: map[uint64]time.Duration{}}
-			g.handle(EndpointUpdate{Kind: Cached, Endpoints: endpoints(1, 2, 3, 4, 5, 6)})
+			h := &harness{
+				t:            t,
+				controller:   c,
+				now:          time.Hour,
+				finalAnswers: map[string]Action{},
+				attempts:     map[string]int{},
+				timers:       map[uint64]time.Duration{},
+			}
+			h.handle(EndpointUpdate{Kind: Cached, Endpoints: endpoints(1, 2, 3, 4, 5, 6)})
 			c.concurrency.bound, c.traffic.latency = 50, 0.2
-			for j := 0; j < 10; j++ { // each fails after as long as an answer takes
-				g.request(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
+			for j := 0; j < 10; j++ {
+				h.request(fmt.Sprint(j), "job", "low", fmt.Sprint(j))
 			}
-			for told := 0; told < len(g.sends); told++ {
-				g.now += 200 * ms
-				g.endAttempt(g.sends[told].ID, Errored, 0)
+			for next := 0; next < len(h.sends); next++ { // each attempt fails after the mean latency
+				h.now += 200 * ms
+				h.endAttempt(h.sends[next].ID, Errored, 0)
 			}
-			sum += len(g.sends) - 10
+			retries += len(h.sends) - 10
 		}
-		// Each of few has twenty, each of many three, and one for ten requests.
-		if most := max(4*20, 3*group) + group*2; sum > most || sum < group {
-			t.Errorf("%d gateways: %d further attempts, at most %d", group, sum, most)
+		// Each node of a small fleet may save up 20 retries and each of a large one 3; 10 requests earn one.
+		if limit := max(4*20, 3*nodes) + nodes*2; retries > limit || retries < nodes {
+			t.Errorf("%d nodes: %d retries, limit %d", nodes, retries, limit)
 		}
 	}
 }
 
-// Clients that give up before an answer is due make time-outs that tell nothing: neither is the bound
-// cut by them nor a server ejected, while time-outs of those who waited as long as they want an
-// answer within do both.
-func TestTimeOutsOfHastyClientsSpeakAgainstNobody(t *testing.T) {
+// Time-outs of clients that give up before an answer is due carry no information: they neither cut the
+// in-flight bound nor eject a server. Time-outs of clients that waited at least the latency objective do
+// both.
+func TestTimeoutsOfImpatientClientsAreIgnored(t *testing.T) {
 	for _, k := range []struct {
-		ttl   time.Duration
-		blame bool
+		timeLeft time.Duration
+		counted  bool
 	}{{250 * ms, false}, {3 * time.Second, true}} {
-		g := newHarness(t, testSettings(), endpoints(1, 2)...)
-		g.runWithLatency(10*time.Second, 100*ms, func(uint32) time.Duration { return 200 * ms })
-		g.controller.concurrency.bound, g.controller.interval.saturated = 8, false
-		cuts, aside := g.controller.counts.cuts, false
+		h := newHarness(t, testSettings(), endpoints(1, 2)...)
+		h.runWithLatency(10*time.Second, 100*ms, func(uint32) time.Duration { return 200 * ms })
+		h.controller.concurrency.bound, h.controller.interval.saturated = 8, false
+		cuts, ejected := h.controller.counts.cuts, false
 		for i := 0; i < 40; i++ {
 			id := fmt.Sprint("hasty", i)
-			g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: k.ttl, Tokens: 1, TenantNodes: 2})
-			if g.attempts[id] == 0 {
-				continue // kept out by the cut bound
+			h.handle(Request{
+				ID:          id,
+				Class:       "job",
+				Plan:        "low",
+				Tenant:      id,
+				TimeLeft:    k.timeLeft,
+				Tokens:      1,
+				TenantNodes: 2,
+			})
+			if h.attempts[id] == 0 {
+				continue // the bound was cut and has no capacity
 			}
-			g.advance(k.ttl)
-			g.endAttempt(id, TimedOut, 0)
-			aside = aside || g.controller.AvoidedServers(g.now) > 0
+			h.advance(k.timeLeft)
+			h.endAttempt(id, TimedOut, 0)
+			ejected = ejected || h.controller.AvoidedServers(h.now) > 0
 		}
-		if blamed := g.controller.counts.cuts > cuts || g.controller.concurrency.bound < 8; blamed != k.blame {
-			t.Errorf("after time-outs of %v the bound is %.1f", k.ttl, g.controller.concurrency.bound)
+		if cut := h.controller.counts.cuts > cuts || h.controller.concurrency.bound < 8; cut != k.counted {
+			t.Errorf("time-outs after %v: in-flight bound %.1f", k.timeLeft, h.controller.concurrency.bound)
 		}
-		if aside != k.blame {
-			t.Errorf("by time-outs of %v a server is put aside: %v", k.ttl, aside)
+		if ejected != k.counted {
+			t.Errorf("time-outs after %v: a server is ejected: %v", k.timeLeft, ejected)
 		}
 	}
 }
--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -6,175 +6,178 @@
 	"time"
 )
 
-func TestNothingGoesToADrainingServer(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1, 2)...)
-	g.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 1, Condition: Draining}}})
+func TestDrainingServerGetsNoAttempts(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1, 2)...)
+	h.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 1, Condition: Draining}}})
 	for i := 0; i < 4; i++ {
-		g.request(fmt.Sprint(i), "job", "low", "x")
+		h.request(fmt.Sprint(i), "job", "low", "x")
 	}
-	g.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(3)})
-	g.request("x", "job", "low", "x")
-	for _, s := range g.sends {
+	h.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(3)})
+	h.request("x", "job", "low", "x")
+	for _, s := range h.sends {
 		if s.Server == 1 || s.ID == "x" && s.Server != 3 {
-			t.Errorf("%s went to %d", s.ID, s.Server)
+			t.Errorf("%s was sent to server %d", s.ID, s.Server)
 		}
 	}
 }
 
-func TestDeadServerIsLeftAlone(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
-	bad := 0
+// A server that accepts no connections is ejected: it gets few attempts of 200 requests in 10 s.
+func TestUnreachableServerIsEjected(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
+	failed := 0
 	for i := 0; i < 200; i++ {
 		id := fmt.Sprint(i)
-		g.request(id, "job", "low", "x")
-		for g.finalAnswers[id] == nil {
-			if g.sends[len(g.sends)-1].Server == 2 {
-				bad++
-				g.endAttempt(id, ConnectFailed, 0)
+		h.request(id, "job", "low", "x")
+		for h.finalAnswers[id] == nil {
+			if h.sends[len(h.sends)-1].Server == 2 {
+				failed++
+				h.endAttempt(id, ConnectFailed, 0)
 			} else {
-				g.now += 50 * ms
-				g.endAttempt(id, OK, 0)
+				h.now += 50 * ms
+				h.endAttempt(id, OK, 0)
 			}
 		}
 	}
-	if bad > 12 {
-		t.Errorf("%d attempts on a server that takes no connection, in 10 s", bad)
+	if failed > 12 {
+		t.Errorf("%d attempts in 10 s at a server that accepts no connections", failed)
 	}
 }
 
-// Guards against a server that fails at once, looks idle and draws all traffic.
-func TestServerThatFailsFastDoesNotDrawTheTraffic(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
-	bad := 0
+// Guards against a server that fails at once, therefore looks idle and attracts all traffic.
+func TestFastFailingServerDoesNotAttractTraffic(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
+	failed := 0
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
-		g.request(id, "job", "low", "x")
-		for g.finalAnswers[id] == nil {
-			if g.sends[len(g.sends)-1].Server == 2 {
-				bad++
-				g.now += ms
-				g.endAttempt(id, Errored, 0)
+		h.request(id, "job", "low", "x")
+		for h.finalAnswers[id] == nil {
+			if h.sends[len(h.sends)-1].Server == 2 {
+				failed++
+				h.now += ms
+				h.endAttempt(id, Errored, 0)
 			} else {
-				g.now += 50 * ms
-				g.endAttempt(id, OK, 0)
+				h.now += 50 * ms
+				h.endAttempt(id, OK, 0)
 			}
 		}
 	}
-	if bad > 20 {
-		t.Errorf("%d attempts in 15 s on a server that only fails", bad)
+	if failed > 20 {
+		t.Errorf("%d attempts in 15 s at a server that fails every attempt", failed)
 	}
 }
 
-// Guards against servers that fail every second request at once: never ejected, they look
-// idle and draw the traffic.
-func TestServerThatFailsHalfIsChosenLess(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
-	tries := make(map[uint32]int)
+// Guards against a server that fails every second attempt at once: it is never ejected, and its short
+// failures make it look idle.
+func TestHalfFailingServerGetsLessTraffic(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
+	attempts := make(map[uint32]int)
 	for i := 0; i < 400; i++ {
 		id := fmt.Sprint(i)
-		g.request(id, "job", "low", "x")
-		for g.finalAnswers[id] == nil {
-			s := g.sends[len(g.sends)-1].Server
-			if tries[s]++; s == 2 && tries[s]%2 == 0 {
-				g.now += ms
-				g.endAttempt(id, Errored, 0)
+		h.request(id, "job", "low", "x")
+		for h.finalAnswers[id] == nil {
+			s := h.sends[len(h.sends)-1].Server
+			if attempts[s]++; s == 2 && attempts[s]%2 == 0 {
+				h.now += ms
+				h.endAttempt(id, Errored, 0)
 			} else {
-				g.now += 50 * ms
-				g.endAttempt(id, OK, 0)
+				h.now += 50 * ms
+				h.endAttempt(id, OK, 0)
 			}
 		}
 	}
-	if tries[2] > tries[1]/2 {
-		t.Errorf("tries by server: %v", tries)
+	if attempts[2] > attempts[1]/2 {
+		t.Errorf("attempts by server: %v, server 2 fails every second one", attempts)
 	}
 }
 
-// Guards against a server that takes requests and never answers.
-func TestSilentServerIsLeftAlone(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
+// Guards against a server that accepts requests and never answers.
+func TestSilentServerIsAvoided(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
 	silent := 0
 	for i := 0; i < 200; i++ {
 		id := fmt.Sprint(i)
-		g.request(id, "job", "low", "x")
-		g.advance(20 * ms)
-		if g.sends[len(g.sends)-1].Server == 2 {
+		h.request(id, "job", "low", "x")
+		h.advance(20 * ms)
+		if h.sends[len(h.sends)-1].Server == 2 {
 			silent++
-		} else if g.attempts[id] > 0 {
-			g.endAttempt(id, OK, 0)
+		} else if h.attempts[id] > 0 {
+			h.endAttempt(id, OK, 0)
 		}
 	}
 	if silent == 0 || silent > 6 {
-		t.Errorf("%d of 200 requests in 4 s went to a server that never answers", silent)
+		t.Errorf("%d of 200 requests in 4 s were sent to a server that never answers", silent)
 	}
 }
 
-// A slow server is still known for slow when a node of many comes round to it again; one that
-// sees each server often forgets sooner, as before.
-func TestSlowServerIsRememberedForSomeVisits(t *testing.T) {
-	var members []uint32
+// A node of a large fleet sends to each server seldom, so it must still know that a server was slow at its
+// next attempt there. A node that sends to each server often forgets sooner.
+func TestLargeFleetRemembersSlowServerLonger(t *testing.T) {
+	var ids []uint32
 	for id := uint32(1); id <= 60; id++ {
-		members = append(members, id)
-	}
-	g := newHarness(t, fleetSettings(80), endpoints(members...)...)
-	g.runWithLatency(30*time.Second, 200*ms, func(uint32) time.Duration { return 200 * ms })
-	slow := g.controller.servers.ordered[6]
-	slow.observeLatency(g.controller.env.now, 2)
-	g.advance(12 * time.Second) // in which it sends to each server once
-	if ratio := g.controller.balancer.cost(slow) / g.controller.balancer.cost(g.controller.servers.ordered[7]); ratio < 2 {
-		t.Errorf("a server that took ten times as long costs %.1f times as much at the next visit", ratio)
-	}
-	few := newHarness(t, fleetSettings(3), endpoints(members[:9]...)...)
-	few.runWithLatency(30*time.Second, 50*ms, func(uint32) time.Duration { return 200 * ms })
-	if r := few.controller.traffic.observationLifetime(few.controller.servers.usable); r != minObservationLifetime {
-		t.Errorf("it is remembered for %.1f s where each server answers often", r)
+		ids = append(ids, id)
+	}
+	h := newHarness(t, fleetSettings(80), endpoints(ids...)...)
+	h.runWithLatency(30*time.Second, 200*ms, func(uint32) time.Duration { return 200 * ms })
+	slow := h.controller.servers.ordered[6]
+	slow.observeLatency(h.controller.env.now, 2)
+	h.advance(12 * time.Second) // at its request rate the node sends to each server once in this time
+	if ratio := h.controller.balancer.cost(slow) /
+		h.controller.balancer.cost(h.controller.servers.ordered[7]); ratio < 2 {
+		t.Errorf("12 s after a latency ten times as long a server costs %.1f times as much as another", ratio)
+	}
+	small := newHarness(t, fleetSettings(3), endpoints(ids[:9]...)...)
+	small.runWithLatency(30*time.Second, 50*ms, func(uint32) time.Duration { return 200 * ms })
+	if lifetime := small.controller.traffic.observationLifetime(
+		small.controller.servers.usable); lifetime != minObservationLifetime {
+		t.Errorf("observations of servers that answer often count for %.1f s", lifetime)
 	}
 }
 
-// A server that others speak against gets next to nothing until the word is too old, or an own answer
-// speaks for it; no more than a third of all are taken so. A zone that is left gets nothing while
-// another is there, and all where it is the only one.
-func TestOthersWordAndZones(t *testing.T) {
-	fresh := func() *harness {
-		g := newHarness(t, testSettings(), endpoints(1, 2, 3, 4, 5, 6)...)
-		g.sendsByServer(60)
-		return g
-	}
-	g := fresh()
-	g.controller.Handle(g.now, OutlierReport{Server: 1, Reporters: 4, Until: g.now + time.Second})
-	if got := g.sendsByServer(60); got[1] > 2 {
-		t.Errorf("others speak against 1: sent %v", got)
-	}
-	g.now += time.Second
-	if got := g.sendsByServer(60); got[1] == 0 {
-		t.Errorf("the word is old: sent %v", got)
-	}
-	g = fresh()
+// A server that other nodes report as slow gets nearly no traffic until the report expires or a fast answer
+// to this node rebuts it. Reports count for at most a third of the servers. An evacuated zone gets no
+// traffic while another zone is usable, and all of it where every zone is evacuated.
+func TestOutlierReportsAndZoneEvacuations(t *testing.T) {
+	newNode := func() *harness {
+		h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4, 5, 6)...)
+		h.sendsByServer(60)
+		return h
+	}
+	h := newNode()
+	h.controller.Handle(h.now, OutlierReport{Server: 1, Reporters: 4, Until: h.now + time.Second})
+	if sends := h.sendsByServer(60); sends[1] > 2 {
+		t.Errorf("server 1 is reported as slow: sends by server %v", sends)
+	}
+	h.now += time.Second
+	if sends := h.sendsByServer(60); sends[1] == 0 {
+		t.Errorf("the report of server 1 has expired: sends by server %v", sends)
+	}
+	h = newNode()
 	for s := range uint32(6) {
-		g.controller.Handle(g.now, OutlierReport{Server: s + 1, Until: g.now + time.Minute})
+		h.controller.Handle(h.now, OutlierReport{Server: s + 1, Until: h.now + time.Minute})
 	}
-	if got := g.sendsByServer(60); len(got) != 3 {
-		t.Errorf("others speak against all of six: sent %v", got)
+	if sends := h.sendsByServer(60); len(sends) != 3 {
+		t.Errorf("all six servers are reported as slow: sends by server %v", sends)
 	}
-	g = fresh()
-	s := g.controller.servers.byID[1]
-	g.controller.Handle(g.now, OutlierReport{Server: 1, Until: g.now + time.Minute})
-	if s.latencyAt = g.now + 1; g.controller.outliers.reportedSlow(s) {
-		t.Error("an own answer as fast as others' does not speak for a server")
+	h = newNode()
+	s := h.controller.servers.byID[1]
+	h.controller.Handle(h.now, OutlierReport{Server: 1, Until: h.now + time.Minute})
+	if s.latencyAt = h.now + 1; h.controller.outliers.reportedSlow(s) {
+		t.Error("an answer to this node within the usual latency does not rebut an outlier report")
 	}
-	g = fresh()
-	for n, m := range g.controller.servers.ordered {
-		m.Zone = map[bool]string{true: "z1", false: "z2"}[n < 3]
+	h = newNode()
+	for i, server := range h.controller.servers.ordered {
+		server.Zone = map[bool]string{true: "z1", false: "z2"}[i < 3]
 	}
-	g.controller.Handle(g.now, ZoneEvacuation{Evacuated: map[string]float64{"z2": 1}})
-	if got := g.sendsByServer(60); got[4]+got[5]+got[6] > 0 {
-		t.Errorf("z2 is left: sent %v", got)
+	h.controller.Handle(h.now, ZoneEvacuation{Evacuated: map[string]float64{"z2": 1}})
+	if sends := h.sendsByServer(60); sends[4]+sends[5]+sends[6] > 0 {
+		t.Errorf("z2 is evacuated: sends by server %v", sends)
 	}
-	g.controller.Handle(g.now, ZoneEvacuation{Evacuated: map[string]float64{"z1": 1, "z2": 1}})
-	if got := g.sendsByServer(60); len(got) < 5 {
-		t.Errorf("all are left: sent %v", got)
+	h.controller.Handle(h.now, ZoneEvacuation{Evacuated: map[string]float64{"z1": 1, "z2": 1}})
+	if sends := h.sendsByServer(60); len(sends) < 5 {
+		t.Errorf("all zones are evacuated: sends by server %v", sends)
 	}
-	g.controller.Handle(g.now, ZoneEvacuation{Evacuated: map[string]float64{"z2": 0.5}})
-	if got := g.sendsByServer(400); got[4]+got[5]+got[6] < 50 || got[4]+got[5]+got[6] > 180 {
-		t.Errorf("z2 has half of its traffic: sent %v", got)
+	h.controller.Handle(h.now, ZoneEvacuation{Evacuated: map[string]float64{"z2": 0.5}})
+	if sends := h.sendsByServer(400); sends[4]+sends[5]+sends[6] < 50 || sends[4]+sends[5]+sends[6] > 180 {
+		t.Errorf("half of z2's traffic is evacuated: sends by server %v", sends)
 	}
 }
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// newRequestFunc gives a function that asks a node of a full fleet and answers it.
-func newRequestFunc(t testing.TB, servers uint32) (one func()) {
+// newRequestFunc returns a function that sends one request to a node of a fleet of 300 and answers it.
+func newRequestFunc(t testing.TB, servers uint32) (request func()) {
 	var ids []uint32
 	for id := uint32(1); id <= servers; id++ {
 		ids = append(ids, id)
@@ -21,35 +21,50 @@
 	return func() {
 		now, i = now+80*ms, i+1
 		id := fmt.Sprint(i)
-		for _, a := range c.Handle(now, Request{ID: id, Class: "job", Plan: "low", Tenant: fmt.Sprint(i % 2000),
-			TimeLeft: 5 * time.Second, Tokens: 2, TenantNodes: 200}) {
-			if x, ok := a.(Send); ok {
-				c.Handle(now+50*ms, AttemptEnded{ID: id, Server: x.Server, Outcome: OK, Done: true, MeterReading: 40, Tokens: 2})
+		for _, a := range c.Handle(now, Request{
+			ID:          id,
+			Class:       "job",
+			Plan:        "low",
+			Tenant:      fmt.Sprint(i % 2000),
+			TimeLeft:    5 * time.Second,
+			Tokens:      2,
+			TenantNodes: 200,
+		}) {
+			if send, ok := a.(Send); ok {
+				c.Handle(now+50*ms, AttemptEnded{
+					ID:           id,
+					Server:       send.Server,
+					Outcome:      OK,
+					Done:         true,
+					MeterReading: 40,
+					Tokens:       2,
+				})
 				break
 			}
 		}
 	}
 }
 
-// What a request and its answer cost a node of a full fleet among 200 servers.
+// BenchmarkRequestAmongManyServers measures the cost of a request and its answer at a node of a large fleet
+// with 200 servers.
 func BenchmarkRequestAmongManyServers(b *testing.B) {
-	one := newRequestFunc(b, 200)
+	request := newRequestFunc(b, 200)
 	for b.Loop() {
-		one()
+		request()
 	}
 }
 
-// A request is decided on without an allocation for each server or tenant: a node has a sixth of
-// a core, and what it allocates it also collects.
-func TestRequestAllocatesTheSameAmongManyServers(t *testing.T) {
-	cost := func(servers uint32) float64 {
-		one := newRequestFunc(t, servers)
-		for range 4000 { // until each customer and server is known
-			one()
+// Guards against allocations for each server or tenant when a request is decided. A node has a sixth of a
+// core, and garbage collection runs on it too.
+func TestAllocationsDoNotGrowWithServers(t *testing.T) {
+	allocations := func(servers uint32) float64 {
+		request := newRequestFunc(t, servers)
+		for range 4000 { // until every tenant and server is known
+			request()
 		}
-		return testing.AllocsPerRun(2000, one)
+		return testing.AllocsPerRun(2000, request)
 	}
-	if few, many := cost(60), cost(200); many > few+1 || many > 30 {
-		t.Errorf("%.0f allocations a request among 60 servers, %.0f among 200", few, many)
+	if few, many := allocations(60), allocations(200); many > few+1 || many > 30 {
+		t.Errorf("%.0f allocations per request with 60 servers, %.0f with 200", few, many)
 	}
 }
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -10,179 +10,228 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small deployment for tests: one free class, two plans.
+// testSettings returns the settings of a small deployment: two nodes, one idempotent class, two plans.
 func testSettings() Settings {
-	return Settings{FleetSize: 2, Zone: "z1", MaxAttempts: 3, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.2, OverloadWindow: time.Second, OverloadFactor: 2, MeterPeriod: time.Second,
-		CanCancel: true,
-		Classes:   []Class{{Name: "job", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1}},
-		Plans: []Plan{{Name: "low", PriceFactor: 0.5, Rate: 1000, Burst: 1000},
-			{Name: "high", PriceFactor: 1.5, Rate: 1000, Burst: 1000}}}
+	return Settings{
+		FleetSize:         2,
+		Zone:              "z1",
+		MaxAttempts:       3,
+		SendsRetryAfter:   true,
+		MaxRetryAfter:     2 * time.Second,
+		SlowStartDuration: 10 * time.Second,
+		SlowStartInitial:  0.2,
+		OverloadWindow:    time.Second,
+		OverloadFactor:    2,
+		MeterPeriod:       time.Second,
+		CanCancel:         true,
+		Classes: []Class{
+			{Name: "job", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1},
+		},
+		Plans: []Plan{
+			{Name: "low", PriceFactor: 0.5, Rate: 1000, Burst: 1000},
+			{Name: "high", PriceFactor: 1.5, Rate: 1000, Burst: 1000},
+		},
+	}
 }
 
-// fleetSettings is the settings of a group as large as the servers are many.
-func fleetSettings(group int) Settings {
+// fleetSettings returns testSettings for a fleet of some nodes.
+func fleetSettings(nodes int) Settings {
 	s := testSettings()
-	s.FleetSize = group
+	s.FleetSize = nodes
 	return s
 }
 
-// gate drives one controller by hand and keeps what it was told to do.
+// harness drives one controller with a manual clock and records its actions.
 type harness struct {
 	t            *testing.T
 	controller   *Controller
 	now          time.Duration
 	sends        []Send
-	finalAnswers map[string]Action
-	attempts     map[string]int // attempts by request
-	timers       map[uint64]time.Duration
+	finalAnswers map[string]Action        // by request; an empty Send stands for a served request
+	attempts     map[string]int           // number of attempts by request
+	timers       map[uint64]time.Duration // time at which each timer is due, by label
 	actions      []Action
 }
 
+// newHarness returns a harness whose controller knows some servers.
 func newHarness(t *testing.T, s Settings, servers ...Endpoint) *harness {
 	t.Helper()
 	return newHarnessWithSeed(t, s, 7, servers...)
 }
 
-// newGateOfSeed is newGate with a seed of its own for the controller's draws.
+// newHarnessWithSeed is newHarness with a given seed for the controller's random numbers.
 func newHarnessWithSeed(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *harness {
 	t.Helper()
 	c, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &harness{t: t, controller: c, now: time.Hour, finalAnswers: map[string]Action{}, attempts: map[string]int{},
-		timers: map[uint64]time.Duration{}}
-	g.handle(EndpointUpdate{Kind: Cached, Endpoints: servers})
-	return g
+	h := &harness{
+		t:            t,
+		controller:   c,
+		now:          time.Hour,
+		finalAnswers: map[string]Action{},
+		attempts:     map[string]int{},
+		timers:       map[uint64]time.Duration{},
+	}
+	h.handle(EndpointUpdate{Kind: Cached, Endpoints: servers})
+	return h
 }
 
-// do hands over one event and checks what holds for all actions.
-func (g *harness) handle(e Event) {
-	g.t.Helper()
-	acts := append([]Action{}, g.controller.Handle(g.now, e)...)
-	for _, a := range acts {
+// handle passes one event to the controller and records its actions. It fails the test if a request is sent
+// after its final answer or has two of them.
+func (h *harness) handle(e Event) {
+	h.t.Helper()
+	actions := append([]Action{}, h.controller.Handle(h.now, e)...)
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			if g.finalAnswers[a.ID] != nil {
-				g.t.Fatalf("%s was sent after its end", a.ID)
+			if h.finalAnswers[a.ID] != nil {
+				h.t.Fatalf("%s was sent after its final answer", a.ID)
 			}
-			g.attempts[a.ID]++
-			g.sends = append(g.sends, a)
+			h.attempts[a.ID]++
+			h.sends = append(h.sends, a)
 		case Reject:
-			g.recordFinalAnswer(a.ID, a)
+			h.recordFinalAnswer(a.ID, a)
 		case Fail:
-			g.recordFinalAnswer(a.ID, a)
+			h.recordFinalAnswer(a.ID, a)
 		case SetTimer:
-			g.timers[a.Label] = g.now + a.After
+			h.timers[a.Label] = h.now + a.After
 		}
 	}
-	g.actions = append(g.actions, acts...)
+	h.actions = append(h.actions, actions...)
 }
 
-func (g *harness) recordFinalAnswer(id string, a Action) {
-	g.t.Helper()
-	if g.finalAnswers[id] != nil {
-		g.t.Fatalf("%s has two final answers", id)
+func (h *harness) recordFinalAnswer(id string, a Action) {
+	h.t.Helper()
+	if h.finalAnswers[id] != nil {
+		h.t.Fatalf("%s has two final answers", id)
 	}
-	g.finalAnswers[id] = a
+	h.finalAnswers[id] = a
 }
 
-// pass lets time go by, with the timers that come due in it.
-func (g *harness) advance(d time.Duration) {
-	g.t.Helper()
-	for end := g.now + d; ; {
+// advance moves the clock on and fires the timers that come due on the way.
+func (h *harness) advance(d time.Duration) {
+	h.t.Helper()
+	for end := h.now + d; ; {
 		var label uint64
 		at := end + 1
-		for l, t := range g.timers {
+		for l, t := range h.timers {
 			if t < at || t == at && l < label {
 				label, at = l, t
 			}
 		}
 		if at > end {
-			g.now = end
+			h.now = end
 			return
 		}
-		delete(g.timers, label)
-		g.now = max(g.now, at)
-		g.handle(Timer{Label: label})
+		delete(h.timers, label)
+		h.now = max(h.now, at)
+		h.handle(Timer{Label: label})
 	}
 }
 
-func (g *harness) request(id, class, plan, customer string) {
-	g.t.Helper()
-	g.handle(Request{ID: id, Class: class, Plan: plan, Tenant: customer, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 2})
+// request sends a request of one token whose client waits 5 s.
+func (h *harness) request(id, class, plan, tenant string) {
+	h.t.Helper()
+	h.handle(Request{
+		ID:          id,
+		Class:       class,
+		Plan:        plan,
+		Tenant:      tenant,
+		TimeLeft:    5 * time.Second,
+		Tokens:      1,
+		TenantNodes: 2,
+	})
 }
 
-// reply answers the latest send of a request.
-func (g *harness) endAttempt(id string, why Outcome, used int) {
-	g.t.Helper()
-	for i := len(g.sends) - 1; i >= 0; i-- {
-		if g.sends[i].ID == id {
-			g.handle(AttemptEnded{ID: id, Attempt: g.attempts[id] - 1, Server: g.sends[i].Server, Outcome: why, Done: why == OK, MeterReading: used})
-			if why == OK {
-				g.finalAnswers[id] = Send{}
+// endAttempt ends the latest attempt of a request with an outcome and a meter reading; 0 is no reading.
+func (h *harness) endAttempt(id string, outcome Outcome, reading int) {
+	h.t.Helper()
+	for i := len(h.sends) - 1; i >= 0; i-- {
+		if h.sends[i].ID == id {
+			h.handle(AttemptEnded{
+				ID:           id,
+				Attempt:      h.attempts[id] - 1,
+				Server:       h.sends[i].Server,
+				Outcome:      outcome,
+				Done:         outcome == OK,
+				MeterReading: reading,
+			})
+			if outcome == OK {
+				h.finalAnswers[id] = Send{}
 			}
 			return
 		}
 	}
-	g.t.Fatalf("%s was never sent", id)
+	h.t.Fatalf("%s was never sent", id)
 }
 
-// runWithLatency asks every gap for a time and answers each send after what its server takes.
-func (g *harness) runWithLatency(d, gap time.Duration, takes func(server uint32) time.Duration) {
-	g.t.Helper()
-	type due struct {
+// runWithLatency sends a request in each interval for a duration, and answers each attempt after the
+// latency of its server.
+func (h *harness) runWithLatency(duration, interval time.Duration, latency func(server uint32) time.Duration) {
+	h.t.Helper()
+	type pendingAnswer struct {
 		at time.Duration
 		id string
 	}
-	var out []due
-	step, told := 10*ms, len(g.sends)
-	for i, end, next := 0, g.now+d, g.now; g.now < end || len(out) > 0; {
-		if g.now >= next && g.now < end {
-			g.request(fmt.Sprintf("%d-%d", g.now, i), "job", "low", fmt.Sprint(i))
-			i, next = i+1, next+gap
+	var pending []pendingAnswer
+	step, seen := 10*ms, len(h.sends)
+	for i, end, next := 0, h.now+duration, h.now; h.now < end || len(pending) > 0; {
+		if h.now >= next && h.now < end {
+			h.request(fmt.Sprintf("%d-%d", h.now, i), "job", "low", fmt.Sprint(i))
+			i, next = i+1, next+interval
 		}
-		for ; told < len(g.sends); told++ {
-			out = append(out, due{g.now + takes(g.sends[told].Server), g.sends[told].ID})
+		for ; seen < len(h.sends); seen++ {
+			pending = append(pending, pendingAnswer{h.now + latency(h.sends[seen].Server), h.sends[seen].ID})
 		}
-		kept := out[:0]
-		for _, o := range out {
-			if o.at <= g.now {
-				g.endAttempt(o.id, OK, 0)
+		remaining := pending[:0]
+		for _, p := range pending {
+			if p.at <= h.now {
+				h.endAttempt(p.id, OK, 0)
 			} else {
-				kept = append(kept, o)
+				remaining = append(remaining, p)
 			}
 		}
-		out = kept
-		g.advance(step)
+		pending = remaining
+		h.advance(step)
 	}
 }
 
-// sendsByServer counts to which servers some requests go, each answered at once.
-func (g *harness) sendsByServer(n int) map[uint32]int {
-	got := map[uint32]int{}
-	for i := range n {
-		id := fmt.Sprint("to", g.now, i)
-		for _, a := range g.controller.Handle(g.now, Request{ID: id, Class: "job", Plan: "high", Tenant: id, TimeLeft: 5 * time.Second, Tokens: 1, TenantNodes: 1}) {
+// sendsByServer sends some requests, answers each after 5 ms, and returns the number of attempts by server.
+func (h *harness) sendsByServer(requests int) map[uint32]int {
+	sends := map[uint32]int{}
+	for i := range requests {
+		id := fmt.Sprint("to", h.now, i)
+		for _, a := range h.controller.Handle(h.now, Request{
+			ID:          id,
+			Class:       "job",
+			Plan:        "high",
+			Tenant:      id,
+			TimeLeft:    5 * time.Second,
+			Tokens:      1,
+			TenantNodes: 1,
+		}) {
 			if s, ok := a.(Send); ok {
-				got[s.Server]++
-				g.now += 5 * ms
-				g.controller.Handle(g.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Done: true})
+				sends[s.Server]++
+				h.now += 5 * ms
+				h.controller.Handle(h.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Done: true})
 			}
 		}
 	}
-	return got
+	return sends
 }
 
+// endpoints returns list entries of servers that alternate between zones z1 and z2, two in each cell.
 func endpoints(ids ...uint32) []Endpoint {
-	var m []Endpoint
+	var list []Endpoint
 	for i, id := range ids {
-		m = append(m, Endpoint{Server: id, Zone: fmt.Sprintf("z%d", i%2+1), Cell: i / 2, Size: 1})
+		list = append(list, Endpoint{Server: id, Zone: fmt.Sprintf("z%d", i%2+1), Cell: i / 2, Size: 1})
 	}
-	return m
+	return list
 }
 
-func newRegressor(u, y []float64) *mat.VecDense {
-	return mat.NewVecDense(len(u)+len(y), append(append([]float64{}, u...), y...))
+// newRegressor returns the share controller's regressor [shares; lateness].
+func newRegressor(shares, lateness []float64) *mat.VecDense {
+	return mat.NewVecDense(len(shares)+len(lateness), append(append([]float64{}, shares...), lateness...))
 }
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -7,144 +7,151 @@
 	"time"
 )
 
-func TestChanceFollowsTheFormulaAndReadsAPeriodOnce(t *testing.T) {
+// The rejection chance after a reading is that of the operators' formula, and the reading of one period
+// counts once however often it is repeated.
+func TestRejectionChanceFollowsFormulaAndReadsPeriodOnce(t *testing.T) {
 	s := testSettings()
-	s.Plans[0].Rate, s.Plans[0].Burst = 1000, 20 // enough units for a reading to outweigh the prior
-	g := newHarness(t, s, endpoints(1, 2, 3)...)
-	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", wellObservedNodes)
-	read := func(pct int) float64 {
-		g.controller.env.now, g.controller.tenants.observingSince = g.now, g.now // own tries tell nothing
-		q.level = 0                                                              // the store is empty enough for the chance to decide
-		g.controller.meter.applyReading(q, pct+1, 1)
-		return g.controller.tenants.rejectionChance(q)
+	s.Plans[0].Rate, s.Plans[0].Burst = 1000, 20 // enough tokens for a reading to outweigh the prior belief
+	h := newHarness(t, s, endpoints(1, 2, 3)...)
+	tenant := h.controller.tenants.get(h.controller.scheduler.plans[0], "x", wellObservedNodes)
+	read := func(percent int) float64 {
+		h.controller.env.now = h.now
+		h.controller.tenants.observingSince = h.now // requests at this node carry no weight
+		tenant.level = 0                            // the bucket is low enough for the chance to decide
+		h.controller.meter.applyReading(tenant, percent+1, 1)
+		return h.controller.tenants.rejectionChance(tenant)
 	}
-	g.controller.meter.phase.lag = 0
-	asks := func(n, refused int) { // what was asked and refused in the second to come
-		g.controller.env.now = g.now
-		g.controller.tenants.refill(q)
-		q.requested.add(float64(n))
-		q.rejected.add(float64(refused))
-		g.now += 1100 * ms
+	h.controller.meter.phase.lag = 0
+	recordPeriod := func(requested, rejected int) { // counts requests and moves the clock past the period
+		h.controller.env.now = h.now
+		h.controller.tenants.refill(tenant)
+		tenant.requested.add(float64(requested))
+		tenant.rejected.add(float64(rejected))
+		h.now += 1100 * ms
 	}
-	asks(4000, 0)
-	if d := read(400); math.Abs(d-0.75) > 0.01 {
-		t.Fatalf("d = %g after a first reading of 400%%", d)
+	recordPeriod(4000, 0)
+	if chance := read(400); math.Abs(chance-0.75) > 0.01 {
+		t.Fatalf("rejection chance %g after a first reading of 400%%", chance)
 	}
 	for i := 0; i < 5; i++ {
-		g.now += 20 * ms
-		if d := read(400); math.Abs(d-0.75) > 0.02 {
-			t.Fatalf("d = %g: one period was read again", d)
+		h.now += 20 * ms
+		if chance := read(400); math.Abs(chance-0.75) > 0.02 {
+			t.Fatalf("rejection chance %g: one period was counted twice", chance)
 		}
 	}
-	g.now += 900 * ms
-	asks(4000, 3000) // with three quarters refused, 200% is left
-	if d := read(200); math.Abs(d-0.875) > 0.01 {
-		t.Errorf("d = %g after 200%% let through by a chance of 0.75", d)
+	h.now += 900 * ms
+	recordPeriod(4000, 3000) // the true demand is four times the 200% that pass
+	if chance := read(200); math.Abs(chance-0.875) > 0.01 {
+		t.Errorf("rejection chance %g after a reading of 200%% under a chance of 0.75", chance)
 	}
 	for i := 0; i < 20; i++ {
-		g.now += time.Second
-		if d := read(5000); d < 0 || d > maxRejectionChance {
-			t.Fatalf("d = %g", d)
+		h.now += time.Second
+		if chance := read(5000); chance < 0 || chance > maxRejectionChance {
+			t.Fatalf("rejection chance %g is out of range", chance)
 		}
 	}
 }
 
-// The meter's period and lateness are learned from our own sends.
-func TestClockLearnsTheLateness(t *testing.T) {
+// The end of the meter's periods and the lag of its readings are learnt from this node's own attempts.
+func TestMeterPhaseLearnsLag(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 1000
-	g := newHarness(t, s, endpoints(1, 2, 3)...)
-	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 1)
-	const late = 1300 * ms
-	var sent []time.Duration
+	h := newHarness(t, s, endpoints(1, 2, 3)...)
+	tenant := h.controller.tenants.get(h.controller.scheduler.plans[0], "x", 1)
+	const lag = 1300 * ms
+	var sentAt []time.Duration
 	for i := 0; i < 3000; i++ {
-		g.now += 10 * ms
-		g.controller.env.now = g.now
-		g.controller.tenants.refill(q)
+		h.now += 10 * ms
+		h.controller.env.now = h.now
+		h.controller.tenants.refill(tenant)
 		if i%7 == 0 && (i/300)%2 == 0 {
-			g.controller.tenants.consume(q, 1)
-			sent = append(sent, g.now)
+			h.controller.tenants.consume(tenant, 1)
+			sentAt = append(sentAt, h.now)
 		}
-		end := (g.now - late).Truncate(time.Second)
-		n := 0
-		for _, at := range sent {
+		end := (h.now - lag).Truncate(time.Second)
+		used := 0
+		for _, at := range sentAt {
 			if at >= end-time.Second && at < end {
-				n++
+				used++
 			}
 		}
 		if i%5 == 0 {
-			g.controller.meter.applyReading(q, 1+n*10, 1)
+			h.controller.meter.applyReading(tenant, 1+used*10, 1)
 		}
 	}
-	end := g.controller.meter.phase.periodEnd(g.controller.env.currentBin())
-	if want := int64((g.now - late).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
-		t.Errorf("the told period is taken to end in bin %d, it ended in %d", end, want)
+	end := h.controller.meter.phase.periodEnd(h.controller.env.currentBin())
+	if want := int64((h.now - lag).Truncate(time.Second) / (100 * ms)); end < want-1 || end > want+1 {
+		t.Errorf("the period is taken to have ended in bin %d, it ended in bin %d", end, want)
 	}
 }
 
-func TestOpenQuotaHoldsBack(t *testing.T) {
+// A tenant with a quota of attempts in flight has this node's part of them, and delays no other tenant.
+func TestConcurrencyQuotaLimitsAttemptsInFlight(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst, s.Plans[0].MaxConcurrent = 0, 0, 4
-	g := newHarness(t, s, endpoints(1, 2, 3, 4)...)
+	h := newHarness(t, s, endpoints(1, 2, 3, 4)...)
 	for i := 0; i < 4; i++ {
-		g.request(fmt.Sprint(i), "job", "low", "x")
+		h.request(fmt.Sprint(i), "job", "low", "x")
 	}
-	g.request("y", "job", "low", "y")
-	if g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 2).inFlight != 2 || g.attempts["y"] != 1 {
-		t.Fatalf("sends %v: two of x are its part of four, y is not held up", g.sends)
+	h.request("y", "job", "low", "y")
+	if h.controller.tenants.get(h.controller.scheduler.plans[0], "x", 2).inFlight != 2 ||
+		h.attempts["y"] != 1 {
+		t.Fatalf("attempts %v, want two of tenant x, half of its four, and one of tenant y", h.sends)
 	}
-	g.endAttempt("0", OK, 0)
-	if g.attempts["2"] != 1 {
-		t.Error("the next of x did not follow")
+	h.endAttempt("0", OK, 0)
+	if h.attempts["2"] != 1 {
+		t.Error("the next request of tenant x was not sent when a slot became free")
 	}
 }
 
-func TestTrueUnitsAreSettled(t *testing.T) {
+// The tokens reported with an answer replace those that the request was expected to cost.
+func TestReportedTokensReplaceExpectedOnes(t *testing.T) {
 	s := testSettings()
 	s.CostWithAnswer = true
-	g := newHarness(t, s, endpoints(1)...)
-	g.request("a", "job", "low", "x")
-	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 2)
-	before := q.level
-	g.handle(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true, Tokens: 4})
-	if got := before - q.level; math.Abs(got-3) > 1e-9 {
-		t.Errorf("settled %g units, guessed 1, true 4", got)
+	h := newHarness(t, s, endpoints(1)...)
+	h.request("a", "job", "low", "x")
+	tenant := h.controller.tenants.get(h.controller.scheduler.plans[0], "x", 2)
+	before := tenant.level
+	h.handle(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true, Tokens: 4})
+	if got := before - tenant.level; math.Abs(got-3) > 1e-9 {
+		t.Errorf("the answer took %g more tokens, not 3: 1 was expected and 4 were used", got)
 	}
 }
 
-// What a tenant uses elsewhere is charged once: under steady use within the quota, half of it
-// through this node, no more is charged in a period than is used by all.
+// What a tenant uses at other nodes is charged once: under steady use within the quota, half of it through
+// this node, no more is charged in a period than all nodes use together.
 func TestUseElsewhereIsChargedOnce(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 22, 10
-	g := newHarness(t, s, endpoints(1, 2)...)
-	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 2)
-	g.controller.meter.phase.lag = 10 // each period is told a second after its end
+	h := newHarness(t, s, endpoints(1, 2)...)
+	tenant := h.controller.tenants.get(h.controller.scheduler.plans[0], "x", 2)
+	h.controller.meter.phase.lag = 10 // bins: each period is reported a second after its end
 	for i := range 200 {
-		g.now += 100 * ms
-		g.controller.env.now = g.now
-		g.controller.tenants.consume(q, 1) // 10 units a second here, and 10 elsewhere
+		h.now += 100 * ms
+		h.controller.env.now = h.now
+		h.controller.tenants.consume(tenant, 1) // 10 tokens per second here, and 10 elsewhere
 		if i%10 != 0 {
 			continue
 		}
-		g.controller.meter.applyReading(q, 1+100*20/22, 1)
-		if charged := q.charged.periodSumBefore(g.controller.env.currentBin()); i >= 100 && (charged > 21 || charged < 12) {
-			t.Fatalf("%.1f units were charged in a period for 10 sent here and 10 elsewhere", charged)
+		h.controller.meter.applyReading(tenant, 1+100*20/22, 1)
+		if charged := tenant.charged.periodSumBefore(h.controller.env.currentBin()); i >= 100 &&
+			(charged > 21 || charged < 12) {
+			t.Fatalf("%.1f tokens were charged in a period with 10 sent here and 10 elsewhere", charged)
 		}
 	}
 }
 
-// One large request says little of how a tenant's use is spread over the nodes.
-func TestOneRequestHardlyMovesTheLearnedPart(t *testing.T) {
+// One large request says little about how a tenant's use is spread over the nodes.
+func TestOneRequestHardlyMovesLocalFraction(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 20
-	g := newHarness(t, s, endpoints(1, 2)...)
-	q := g.controller.tenants.get(g.controller.scheduler.plans[0], "x", 4)
-	g.controller.meter.phase.lag = 0
-	g.now += time.Second
-	g.controller.env.now = g.now
-	g.controller.meter.applyReading(q, 81, 8) // eight units, all through other gateways
-	if w := q.localFraction(); w < 0.125 {
-		t.Errorf("the learned part fell from 0.25 to %.3f by one request elsewhere", w)
+	h := newHarness(t, s, endpoints(1, 2)...)
+	tenant := h.controller.tenants.get(h.controller.scheduler.plans[0], "x", 4)
+	h.controller.meter.phase.lag = 0
+	h.now += time.Second
+	h.controller.env.now = h.now
+	h.controller.meter.applyReading(tenant, 81, 8) // eight tokens, all through other nodes
+	if fraction := tenant.localFraction(); fraction < 0.125 {
+		t.Errorf("the local fraction fell from 0.25 to %.3f by one request at another node", fraction)
 	}
 }
