--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -121,14 +121,14 @@
 	slow := h.controller.servers.ordered[6]
 	slow.observeLatency(h.controller.env.now, 2)
 	h.advance(12 * time.Second) // at its request rate the node sends to each server once in this time
-	if ratio := h.controller.balancer.cost(slow) /
-		h.controller.balancer.cost(h.controller.servers.ordered[7]); ratio < 2 {
+	ratio := h.controller.balancer.cost(slow) / h.controller.balancer.cost(h.controller.servers.ordered[7])
+	if ratio < 2 {
 		t.Errorf("12 s after a latency ten times as long a server costs %.1f times as much as another", ratio)
 	}
 	small := newHarness(t, fleetSettings(3), endpoints(ids[:9]...)...)
 	small.runWithLatency(30*time.Second, 50*ms, func(uint32) time.Duration { return 200 * ms })
-	if lifetime := small.controller.traffic.observationLifetime(
-		small.controller.servers.usable); lifetime != minObservationLifetime {
+	lifetime := small.controller.traffic.observationLifetime(small.controller.servers.usable)
+	if lifetime != minObservationLifetime {
 		t.Errorf("observations of servers that answer often count for %.1f s", lifetime)
 	}
 }
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -134,8 +134,8 @@
 			continue
 		}
 		h.controller.meter.applyReading(tenant, 1+100*20/22, 1)
-		if charged := tenant.charged.periodSumBefore(h.controller.env.currentBin()); i >= 100 &&
-			(charged > 21 || charged < 12) {
+		charged := tenant.charged.periodSumBefore(h.controller.env.currentBin())
+		if i >= 100 && (charged > 21 || charged < 12) {
 			t.Fatalf("%.1f tokens were charged in a period with 10 sent here and 10 elsewhere", charged)
 		}
 	}
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -412,9 +412,9 @@
 	if n := len(h.controller.tenants.byKey); n > s.MaxTenants+500 { // 500 come between two sweeps
 		t.Errorf("%d tenants in the table", n)
 	}
-	if n := len(h.controller.requests) + len(h.controller.timers.byLabel) +
-		len(h.controller.attempts); n > 100 {
-		t.Errorf("%d requests, timer labels and attempts held", n)
+	held := len(h.controller.requests) + len(h.controller.timers.byLabel) + len(h.controller.attempts)
+	if held > 100 {
+		t.Errorf("%d requests, timer labels and attempts held", held)
 	}
 	if n := len(h.controller.servers.byID); n > 10 {
 		t.Errorf("%d servers held, two are listed", n)
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -6,120 +6,154 @@
 	"time"
 )
 
-func TestUnknownClassOrPlanIsRefusedOnce(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1)...)
-	g.request("a", "other", "low", "x")
-	g.request("b", "job", "other", "x")
+// A request of an unknown class or plan is rejected once, and events that name nothing known are ignored.
+func TestUnknownClassOrPlanIsRejectedOnce(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1)...)
+	h.request("a", "other", "low", "x")
+	h.request("b", "job", "other", "x")
 	for _, id := range []string{"a", "b"} {
-		if _, ok := g.finalAnswers[id].(Reject); !ok {
-			t.Errorf("%s ended with %v", id, g.finalAnswers[id])
+		if _, ok := h.finalAnswers[id].(Reject); !ok {
+			t.Errorf("%s: final answer %v is no rejection", id, h.finalAnswers[id])
 		}
 	}
-	g.handle(ClientGone{ID: "z"})
-	g.handle(AttemptEnded{ID: "z", Server: 9, Outcome: OK})
-	g.handle(Timer{Label: 999})
-	g.handle(HealthCheckResult{Server: 77})
-	g.handle(CounterResult{Name: 4})
-	g.handle(PeerMessage{From: 1})
-	g.handle(ResponseStarted{ID: "z"})
+	h.handle(ClientGone{ID: "z"})
+	h.handle(AttemptEnded{ID: "z", Server: 9, Outcome: OK})
+	h.handle(Timer{Label: 999})
+	h.handle(HealthCheckResult{Server: 77})
+	h.handle(CounterResult{Name: 4})
+	h.handle(PeerMessage{From: 1})
+	h.handle(ResponseStarted{ID: "z"})
 }
 
 func TestQueuedRequestsAreAnsweredInTime(t *testing.T) {
-	g := newHarness(t, testSettings()) // no server at all
-	g.request("a", "job", "low", "x")
-	g.advance(5 * time.Second)
-	r, ok := g.finalAnswers["a"].(Reject)
+	h := newHarness(t, testSettings()) // no server is listed
+	h.request("a", "job", "low", "x")
+	h.advance(5 * time.Second)
+	r, ok := h.finalAnswers["a"].(Reject)
 	if !ok || r.RetryAfter != time.Second {
-		t.Errorf("ended with %#v", g.finalAnswers["a"])
+		t.Errorf("final answer %#v is no rejection with a Retry-After of 1 s", h.finalAnswers["a"])
 	}
 }
 
-// Guards against a further attempt that waits beyond the client's time.
+// Guards against a retry that waits in the queue beyond its client's time.
 func TestRequeuedRequestIsAnsweredInTime(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1)...)
-	g.request("a", "job", "low", "x")
-	g.advance(4 * time.Second)
-	g.handle(EndpointUpdate{Kind: Complete})
-	g.endAttempt("a", Errored, 0)
-	g.advance(990 * ms)
-	if g.finalAnswers["a"] != nil {
+	h := newHarness(t, testSettings(), endpoints(1)...)
+	h.request("a", "job", "low", "x")
+	h.advance(4 * time.Second)
+	h.handle(EndpointUpdate{Kind: Complete})
+	h.endAttempt("a", Errored, 0)
+	h.advance(990 * ms)
+	if h.finalAnswers["a"] != nil {
 		return
 	}
-	g.advance(10 * ms)
-	if g.finalAnswers["a"] == nil {
-		t.Error("no answer by the client's time")
+	h.advance(10 * ms)
+	if h.finalAnswers["a"] == nil {
+		t.Error("no final answer when the client gives up")
 	}
 }
 
-// Clients that give a try up soon are served like others; a later try that can only be late is
-// still rejected where the tenant's use is not known.
-func TestHastyClientsAreNotTakenForLateOnes(t *testing.T) {
-	ask := func(g *harness, n int, ttl func(i int) time.Duration) (refused int) {
+// First attempts of clients that give up sooner than most are admitted like others, though they come with an
+// unusually short time left. Retries that can only be answered late are still rejected where the tenant's
+// use is not known.
+func TestImpatientClientsAreNotTakenForRetries(t *testing.T) {
+	// send sends n requests of different tenants and returns how many were rejected.
+	send := func(h *harness, n int, timeLeft func(i int) time.Duration) (rejected int) {
 		for i := range n {
-			id := fmt.Sprint("x", g.now, i)
-			g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: fmt.Sprint(i), TimeLeft: ttl(i), Tokens: 1, TenantNodes: 2})
-			if _, ok := g.finalAnswers[id].(Reject); ok {
-				refused++
+			id := fmt.Sprint("x", h.now, i)
+			h.handle(Request{
+				ID:          id,
+				Class:       "job",
+				Plan:        "low",
+				Tenant:      fmt.Sprint(i),
+				TimeLeft:    timeLeft(i),
+				Tokens:      1,
+				TenantNodes: 2,
+			})
+			if _, ok := h.finalAnswers[id].(Reject); ok {
+				rejected++
 			} else {
-				g.endAttempt(id, OK, 0)
+				h.endAttempt(id, OK, 0)
 			}
-			g.advance(10 * ms)
+			h.advance(10 * ms)
 		}
-		return refused
+		return rejected
 	}
 	for _, k := range []struct {
-		name string
-		ttl  func(i int) time.Duration
-		most int
-		min  int
+		name     string
+		timeLeft func(i int) time.Duration
+		high     int // most and least rejections of 40 requests
+		low      int
 	}{
-		{"one short time", func(int) time.Duration { return 300 * ms }, 4, 0},
-		{"what varying answers leave", func(i int) time.Duration { return time.Duration(3000-i*37) * ms }, 40, 40},
-		{"back when told to", func(i int) time.Duration { return 3*time.Second - time.Duration(5+i%2)*ms }, 40, 40},
-		{"back when told to after waiting for a turn", func(i int) time.Duration { return 2640 * ms }, 40, 40},
+		{
+			"first attempts of impatient clients, all with one time left",
+			func(int) time.Duration { return 300 * ms }, 4, 0,
+		},
+		{
+			"retries after answers that took various times",
+			func(i int) time.Duration { return time.Duration(3000-i*37) * ms }, 40, 40,
+		},
+		{
+			"retries after the Retry-After of an immediate rejection",
+			func(i int) time.Duration { return 3*time.Second - time.Duration(5+i%2)*ms }, 40, 40,
+		},
+		{
+			"retries after the Retry-After of a rejection from the queue",
+			func(i int) time.Duration { return 2640 * ms }, 40, 40,
+		},
 	} {
 		s := testSettings()
-		s.MaxRetryAfter, s.Classes[0].LatencyObjective, s.Classes[0].Deadline = time.Second, 900*ms, 4*time.Second
-		g := newHarness(t, s, endpoints(1, 2)...)
-		ask(g, 40, func(int) time.Duration { return 3500 * ms })
-		if n := ask(g, 40, k.ttl); n > k.most || n < k.min {
-			t.Errorf("%s: %d of 40 were refused, want %d to %d", k.name, n, k.min, k.most)
+		s.MaxRetryAfter = time.Second
+		s.Classes[0].LatencyObjective = 900 * ms
+		s.Classes[0].Deadline = 4 * time.Second
+		h := newHarness(t, s, endpoints(1, 2)...)
+		send(h, 40, func(int) time.Duration { return 3500 * ms })
+		if n := send(h, 40, k.timeLeft); n > k.high || n < k.low {
+			t.Errorf("%s: %d of 40 were rejected, want %d to %d", k.name, n, k.low, k.high)
 		}
 	}
 }
 
-// A try whose client leaves soon waits for a turn only as long as an answer could still be there in
-// its time: else it is rejected at once, and takes neither units nor a place.
-func TestHastyTryDoesNotWaitForATurnInVain(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1, 2, 3)...)
-	g.runWithLatency(10*time.Second, 300*ms, func(uint32) time.Duration { return 200 * ms })
-	ask := func(id string, ttl time.Duration) {
-		g.handle(Request{ID: id, Class: "job", Plan: "low", Tenant: id, TimeLeft: ttl, Tokens: 1, TenantNodes: 2})
+// A request of an impatient client waits in the queue only while an answer can still arrive in the client's
+// time. Else it is rejected at once, and takes neither tokens nor a slot.
+func TestRequestIsNotQueuedWithoutTimeForAnswer(t *testing.T) {
+	h := newHarness(t, testSettings(), endpoints(1, 2, 3)...)
+	h.runWithLatency(10*time.Second, 300*ms, func(uint32) time.Duration { return 200 * ms })
+	request := func(id string, timeLeft time.Duration) {
+		h.handle(Request{
+			ID:          id,
+			Class:       "job",
+			Plan:        "low",
+			Tenant:      id,
+			TimeLeft:    timeLeft,
+			Tokens:      1,
+			TenantNodes: 2,
+		})
 	}
-	const hasty = 300 * ms
-	for i := 0; i < 8; i++ { // by which such clients are known
+	const impatient = 300 * ms
+	for i := 0; i < 8; i++ { // the node learns that some clients have this time
 		id := fmt.Sprint(i)
-		ask(id, hasty)
-		if g.attempts[id] > 0 {
-			g.endAttempt(id, OK, 0)
+		request(id, impatient)
+		if h.attempts[id] > 0 {
+			h.endAttempt(id, OK, 0)
 		}
 	}
-	g.controller.concurrency.bound = 1
-	ask("out", 5*time.Second)
-	if g.attempts["out"] != 1 {
-		t.Fatalf("the bound has no room for one: %v", g.controller.concurrency.busy())
+	h.controller.concurrency.bound = 1
+	request("first", 5*time.Second)
+	if h.attempts["first"] != 1 {
+		t.Fatalf("a bound of 1 has no capacity for one attempt: %v in flight", h.controller.concurrency.busy())
 	}
-	ask("hasty", hasty)
-	ask("patient", 5*time.Second)
-	g.advance(10 * ms)
-	if _, refused := g.finalAnswers["hasty"].(Reject); !refused {
-		t.Errorf("a try with 300 ms left, where answers take 200 ms, ends as %T", g.finalAnswers["hasty"])
+	request("impatient", impatient)
+	request("patient", 5*time.Second)
+	h.advance(10 * ms)
+	if _, rejected := h.finalAnswers["impatient"].(Reject); !rejected {
+		t.Errorf("a request with 300 ms left, where answers take 200 ms, has final answer %T",
+			h.finalAnswers["impatient"])
 	}
-	if g.finalAnswers["patient"] != nil {
-		t.Errorf("a try with 5 s left ends as %T without a wait", g.finalAnswers["patient"])
+	if h.finalAnswers["patient"] != nil {
+		t.Errorf("a request with 5 s left has final answer %T at once", h.finalAnswers["patient"])
 	}
-	g.endAttempt("out", OK, 0)
-	if g.attempts["patient"] != 1 || g.attempts["hasty"] != 0 {
-		t.Errorf("sent: patient %d, hasty %d", g.attempts["patient"], g.attempts["hasty"])
+	h.endAttempt("first", OK, 0)
+	if h.attempts["patient"] != 1 || h.attempts["impatient"] != 0 {
+		t.Errorf("attempts: patient client %d, impatient client %d", h.attempts["patient"], h.attempts["impatient"])
 	}
 }
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -11,16 +11,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The deploy file names each file of the package that decides, and no line of the package is over 110
-// characters.
-func TestPolicyNamesTheDecisions(t *testing.T) {
+// The deploy file lists each source file of the package that makes decisions, and no source line of the
+// package is longer than 110 characters.
+func TestDeployFileListsDecidingSources(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	require.NoError(t, err)
 	_, list, _ := strings.Cut(string(deploy), "policy = [")
 	list, _, _ = strings.Cut(list, "]")
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, name := range strings.Split(list, ",") {
-		named[strings.TrimPrefix(strings.Trim(name, " \""), "control/")] = true
+		listed[strings.TrimPrefix(strings.Trim(name, " \""), "control/")] = true
 	}
 	interfaces := map[string]bool{"doc.go": true, "settings.go": true, "events.go": true, "actions.go": true}
 	files, err := filepath.Glob("*.go")
@@ -29,19 +29,21 @@
 		if strings.HasSuffix(name, "_test.go") {
 			continue
 		}
-		assert.NotEqual(t, interfaces[name], named[name], "%s decides or is interface, and policy names it: %v", name, named[name])
-		delete(named, name)
+		assert.NotEqual(t, interfaces[name], listed[name],
+			"%s must either be listed as policy or declare only the package's interface; it is listed: %v",
+			name, listed[name])
+		delete(listed, name)
 		source, err := os.ReadFile(name)
 		require.NoError(t, err)
 		for i, line := range strings.Split(string(source), "\n") {
 			assert.LessOrEqual(t, len([]rune(line)), 110, "%s:%d", name, i+1)
 		}
 	}
-	assert.Empty(t, named, "policy names files that are not there")
+	assert.Empty(t, listed, "policy lists files that do not exist")
 }
 
-func TestNewNamesTheBadSetting(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+func TestNewNamesInvalidSetting(t *testing.T) {
+	for field, invalidate := range map[string]func(*Settings){
 		"classes":    func(s *Settings) { s.Classes = nil },
 		"plans":      func(s *Settings) { s.Plans = nil },
 		"self index": func(s *Settings) { s.NodeIndex = 2 },
@@ -52,9 +54,9 @@
 		"aim":        func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: New gave %v", field, err)
+			t.Errorf("%s: New returned error %v", field, err)
 		}
 	}
 }
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -5,91 +5,97 @@
 	"testing"
 )
 
-func TestRLSRecoversALinearSystem(t *testing.T) {
-	l := newShareController([]float64{1, 1})
-	want := [][]float64{{-2, 0.5, 0.3, 0}, {0.4, -1, 0, 0.2}}
-	y := []float64{1, 1}
+func TestLeastSquaresRecoverLinearSystem(t *testing.T) {
+	c := newShareController([]float64{1, 1})
+	system := [][]float64{{-2, 0.5, 0.3, 0}, {0.4, -1, 0, 0.2}}
+	lateness := []float64{1, 1}
 	for k := 0; k < 400; k++ {
-		u := []float64{0.5 + 0.3*math.Sin(float64(k)*1.7), 0.5 + 0.3*math.Cos(float64(k)*2.9)}
-		l.regressor = newRegressor(u, y)
+		shares := []float64{0.5 + 0.3*math.Sin(float64(k)*1.7), 0.5 + 0.3*math.Cos(float64(k)*2.9)}
+		c.regressor = newRegressor(shares, lateness)
 		next := make([]float64, 2)
 		for i := range next {
-			for j := range want[i] {
-				next[i] += want[i][j] * l.regressor.AtVec(j)
+			for j := range system[i] {
+				next[i] += system[i][j] * c.regressor.AtVec(j)
 			}
 		}
-		l.estimate(next)
-		y = next
+		c.estimate(next)
+		lateness = next
 	}
-	for i := range want {
-		for j, w := range want[i] {
-			if got := l.model.At(i, j); math.Abs(got-w) > 0.02 {
-				t.Errorf("X[%d][%d] = %.3f, the system has %.3f", i, j, got, w)
+	for i := range system {
+		for j, want := range system[i] {
+			if got := c.model.At(i, j); math.Abs(got-want) > 0.02 {
+				t.Errorf("X[%d][%d] = %.3f, the system has %.3f", i, j, got, want)
 			}
 		}
 	}
 }
 
-// Without news in a direction the covariance there must not grow.
+// Guards against a covariance that grows without bound in directions without new data.
 func TestCovarianceDoesNotWindUp(t *testing.T) {
-	l := newShareController([]float64{1, 2, 3})
-	y := []float64{0.1, 0.1, 0.1}
-	u := []float64{1. / 3, 1. / 3, 1. / 3}
+	c := newShareController([]float64{1, 2, 3})
+	lateness := []float64{0.1, 0.1, 0.1}
+	shares := []float64{1. / 3, 1. / 3, 1. / 3}
 	for k := 0; k < 5000; k++ {
-		u = l.update(u, y, true)
-		for i := range u {
-			if math.IsNaN(u[i]) || u[i] < 0 {
-				t.Fatalf("share %v at step %d", u, k)
+		shares = c.update(shares, lateness, true)
+		for i := range shares {
+			if math.IsNaN(shares[i]) || shares[i] < 0 {
+				t.Fatalf("shares %v at step %d", shares, k)
 			}
 		}
 	}
 	for i := 0; i < 6; i++ {
-		if p := l.covariance.At(i, i); p > 10*initialCovariance || p <= 0 {
+		if p := c.covariance.At(i, i); p > 10*initialCovariance || p <= 0 {
 			t.Errorf("covariance %g in direction %d", p, i)
 		}
 	}
 }
 
-func TestLawMatchesAHandWorkedCase(t *testing.T) {
+func TestSolveMatchesHandWorkedCase(t *testing.T) {
 	// W = I, B0 = -I, A1 = I, y = (3, 1): error (-2, 0); S = 1/(1+q) I, v = (2, 0)/(1+q),
-	// and (14) moves both by the same amount until the sum is one.
-	l := newShareController([]float64{1, 1})
+	// and law (14) moves both by the same amount until the sum is one.
+	c := newShareController([]float64{1, 1})
 	for i := 0; i < 2; i++ {
 		for j := 0; j < 4; j++ {
-			l.model.Set(i, j, 0)
+			c.model.Set(i, j, 0)
 		}
-		l.model.Set(i, i, -1)
-		l.model.Set(i, 2+i, 1)
+		c.model.Set(i, i, -1)
+		c.model.Set(i, 2+i, 1)
 	}
 	v := 2 / (1 + shareWeight*shareWeight)
 	u0, u1 := v-(v-1)/2, -(v-1)/2
-	least := math.Min(0, u1)
-	sum := u0 + u1 - 2*least
-	u := l.solve([]float64{3, 1})
-	if math.Abs(u[0]-(u0-least)/sum) > 1e-9 || math.Abs(u[1]-(u1-least)/sum) > 1e-9 {
-		t.Errorf("shares %v, by hand %g %g", u, (u0-least)/sum, (u1-least)/sum)
+	lowest := math.Min(0, u1)
+	sum := u0 + u1 - 2*lowest
+	shares := c.solve([]float64{3, 1})
+	if math.Abs(shares[0]-(u0-lowest)/sum) > 1e-9 || math.Abs(shares[1]-(u1-lowest)/sum) > 1e-9 {
+		t.Errorf("shares %v, worked by hand %g and %g", shares, (u0-lowest)/sum, (u1-lowest)/sum)
 	}
 }
 
-func TestDearPlanIsServedFirstUnderScarcity(t *testing.T) {
-	l := newShareController([]float64{0.5, 1.5})
-	u := []float64{0.5, 0.5}
+// Of two plans that are equally late, the one with the higher price gets the larger share. Shares stay equal
+// while both plans meet their objectives.
+func TestHigherPriceGetsLargerShareWhenLate(t *testing.T) {
+	c := newShareController([]float64{0.5, 1.5})
+	shares := []float64{0.5, 0.5}
 	for k := 0; k < 5; k++ {
-		u = l.update(u, []float64{2, 2}, true)
+		shares = c.update(shares, []float64{2, 2}, true)
 	}
-	if u[1] <= u[0] {
-		t.Errorf("equally late, the dear plan has %.2f and the cheap one %.2f", u[1], u[0])
+	if shares[1] <= shares[0] {
+		t.Errorf("equally late, the plan with the higher price has share %.2f and the other one %.2f",
+			shares[1], shares[0])
 	}
-	if u = newShareController([]float64{0.5, 1.5}).update(u, []float64{0.1, 0.1}, true); math.Abs(u[0]-0.5) > 1e-9 {
-		t.Errorf("with both in time the shares are %v", u)
+	shares = newShareController([]float64{0.5, 1.5}).update(shares, []float64{0.1, 0.1}, true)
+	if math.Abs(shares[0]-0.5) > 1e-9 {
+		t.Errorf("shares %v while both plans are in time", shares)
 	}
 }
 
 func TestSharesStayWithFewAnswers(t *testing.T) {
-	g := newHarness(t, testSettings(), endpoints(1)...)
-	g.controller.scheduler.plans[0].lateness, g.controller.scheduler.plans[1].lateness, g.controller.interval.responses = 3, 0.1, minShareAnswers-1
-	g.controller.endInterval(1)
-	if g.controller.scheduler.plans[0].share != 0.5 {
-		t.Errorf("share %g after an interval of four answers", g.controller.scheduler.plans[0].share)
+	h := newHarness(t, testSettings(), endpoints(1)...)
+	h.controller.scheduler.plans[0].lateness = 3
+	h.controller.scheduler.plans[1].lateness = 0.1
+	h.controller.interval.responses = minShareAnswers - 1
+	h.controller.endInterval(1)
+	if h.controller.scheduler.plans[0].share != 0.5 {
+		t.Errorf("share %g after an interval of four answers", h.controller.scheduler.plans[0].share)
 	}
 }
