--- a/control/admission.go
+++ b/control/admission.go
@@ -4,12 +4,12 @@
 
 // admission decides on a request when it arrives.
 type admission struct {
-	env         *environment
-	tenants     *tenantTable
-	concurrency *concurrencyLimit
-	traffic     *trafficStats
-	counts      *rejectionCounts
-	maxPriorityWeight   float64 // the largest priority weight of a class
+	env               *environment
+	tenants           *tenantTable
+	concurrency       *concurrencyLimit
+	traffic           *trafficStats
+	counts            *rejectionCounts
+	maxPriorityWeight float64 // the largest priority weight of a class
 }
 
 const (
@@ -58,7 +58,7 @@
 		return
 	}
 	t := c.tenants.get(plan, e.Tenant, e.TenantNodes)
-	t.observe(e.Bucket)
+	t.applyBucketReport(e.Bucket)
 	waited := c.classifier.clientWaitTime(e, class)
 	if !c.admission.admits(t, class, e.Tokens, waited) {
 		c.reject(e.ID)
@@ -72,12 +72,12 @@
 		rules:        c.env.rules,
 		tokens:       e.Tokens,
 		streamedBody: e.StreamedBody,
-		arrived:      c.env.now,
-		objective:    c.env.now + class.LatencyObjective - waited,
-		giveUp:       c.env.now + e.TimeLeft,
+		arrivedAt:    c.env.now,
+		objectiveAt:  c.env.now + class.LatencyObjective - waited,
+		giveUpAt:     c.env.now + e.TimeLeft,
 	}
 	c.requests[r.id] = r
-	c.retries.earn()
+	c.retries.deposit()
 	c.scheduler.enqueue(r, false)
 	c.setTimer(r, c.admission.maxQueueTime(r, e.TimeLeft))
 }
@@ -114,7 +114,7 @@
 // decides where the bucket is neither empty (a surge that the meter has not reported) nor well filled and
 // covered by readings.
 func (a *admission) hasQuota(t *tenant, tokens float64) bool {
-	if t.plan.CeilingRate > 0 && t.ceiling-t.queuedTokens < tokens {
+	if t.plan.CeilingRate > 0 && t.ceilingLevel-t.queuedTokens < tokens {
 		a.counts.bucket++
 		return false
 	}
@@ -123,7 +123,7 @@
 		if level >= requiredLevel(t, tokens) && a.tenants.isCovered(t) {
 			return true
 		}
-		if t.shared || level < minLevel(t, tokens) {
+		if t.levelReported || level < minLevel(t, tokens) {
 			a.counts.bucket++
 			return false
 		}
@@ -137,8 +137,8 @@
 
 // requiredLevel returns what the bucket must hold for a request of some tokens to be admitted without a draw.
 func requiredLevel(t *tenant, tokens float64) float64 {
-	if t.shared {
-		return SharedBucketMinimum(t.plan.Burst, tokens, t.visibility())
+	if t.levelReported {
+		return MinSharedBucketLevel(t.plan.Burst, tokens, t.visibility())
 	}
 	return max(filledFraction*t.plan.Burst, tokens)
 }
@@ -148,9 +148,9 @@
 	return (minLevelFraction + (1-minLevelFraction)*(1-t.visibility())) * tokens
 }
 
-// SharedBucketMinimum returns what a bucket must hold, by its owner's report, for a request of some
+// MinSharedBucketLevel returns what a bucket must hold, by its owner's report, for a request of some
 // tokens to be admitted. Visibility is 1 where few nodes share the tenant, and falls with their number.
-func SharedBucketMinimum(burst, tokens, visibility float64) float64 {
+func MinSharedBucketLevel(burst, tokens, visibility float64) float64 {
 	return min(tokens*(1+sharedMargin*(1-visibility)), sharedFilledFraction*burst)
 }
 
@@ -175,6 +175,6 @@
 	latency := seconds(a.traffic.latency)
 	byClass := time.Duration(fraction * float64(r.class.LatencyObjective))
 	byClient := timeLeft - seconds(minLatenciesLeft*a.traffic.latency)
-	byObjective := max(r.objective-a.env.now-latency, minQueueTime)
+	byObjective := max(r.objectiveAt-a.env.now-latency, minQueueTime)
 	return min(byClass, timeLeft/2, byClient, byObjective)
 }
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -9,19 +9,19 @@
 		c.tenants.consume(r.tenant, r.tokens)
 		c.traffic.meanTokens += meanTokensGain * (r.tokens - c.traffic.meanTokens)
 	}
-	if r.duplicates == nil && r.class.Idempotency == IdempotentByKey {
-		r.firstRun = c.env.now
+	if r.dedupServer == nil && r.class.Idempotency == IdempotentByKey {
+		r.firstRunAt = c.env.now
 	}
 	if s.warmingUp {
 		s.tokens -= r.tokens
 	}
 	if s.consecutiveFailures >= ejectionFailures {
-		s.trial = true
+		s.trialInFlight = true
 	}
 	c.recordStart(r, s)
 	send := Send{ID: r.id, Server: s.Server}
-	if r.windowed() { // its connection may take longer to open than what is left of the window
-		send.NotAfter = r.windowEnd()
+	if r.hasIdempotencyWindow() { // its connection may take longer to open than what is left of the window
+		send.NotAfter = r.idempotencyWindowEnd()
 	}
 	c.env.emit(send)
 }
@@ -29,20 +29,20 @@
 // recordStart counts an attempt that starts now. While the body of a streamed request is being sent the
 // attempt loads no server.
 func (c *Controller) recordStart(r *request, s *server) {
-	if s.working() == 0 {
-		s.lastActivity = c.env.now
+	if s.activeAttempts() == 0 {
+		s.lastActivityAt = c.env.now
 	}
 	key := attemptKey{r.id, r.attempts}
 	c.attempts[key] = &attempt{
-		request: r,
-		server:  s,
-		tenant:  r.tenant,
-		started: c.env.now,
-		sending: r.streamedBody,
+		request:     r,
+		server:      s,
+		tenant:      r.tenant,
+		startedAt:   c.env.now,
+		sendingBody: r.streamedBody,
 	}
 	r.attempts++
-	r.outstanding++
-	r.tried = append(r.tried, s.Server)
+	r.outstandingAttempts++
+	r.triedServers = append(r.triedServers, s.Server)
 	if !r.streamedBody {
 		s.inFlight++
 		c.concurrency.inFlight++
@@ -59,36 +59,36 @@
 
 // recordBodySent counts an attempt as work from now on. The time until then was the client's.
 func (c *Controller) recordBodySent(a *attempt) {
-	if !a.sending {
+	if !a.sendingBody {
 		return
 	}
-	if a.server.working() == 0 {
-		a.server.lastActivity = c.env.now
+	if a.server.activeAttempts() == 0 {
+		a.server.lastActivityAt = c.env.now
 	}
-	a.sending = false
+	a.sendingBody = false
 	a.server.inFlight++
 	c.concurrency.inFlight++
-	took := c.env.now - a.started
-	a.started = c.env.now
-	a.request.arrived += took
-	a.request.objective += took
-	a.request.giveUp += took
+	took := c.env.now - a.startedAt
+	a.startedAt = c.env.now
+	a.request.arrivedAt += took
+	a.request.objectiveAt += took
+	a.request.giveUpAt += took
 }
 
 // onResponseStarted takes the header of a streamed answer. Its server has done its work.
 func (c *Controller) onResponseStarted(e ResponseStarted) {
 	a := c.attempts[attemptKey{e.ID, e.Attempt}]
-	if a == nil || a.request.streaming {
+	if a == nil || a.request.responseStarted {
 		return
 	}
 	c.recordBodySent(a)
-	a.request.streaming = true
+	a.request.responseStarted = true
 	c.concurrency.responding++
 	a.server.responding++
-	a.server.lastActivity = c.env.now
+	a.server.lastActivityAt = c.env.now
 	c.meter.applyReading(a.tenant, e.MeterReading, a.request.tokens)
 	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
-	c.observeResponse(a, e.Delay)
+	c.observeResponse(a, e.Latency)
 }
 
 // onAttemptEnded learns from an outcome, and retries or ends the request where it has no final answer.
@@ -98,10 +98,10 @@
 		return
 	}
 	r := a.request
-	a.server.lastActivity = c.env.now
+	a.server.lastActivityAt = c.env.now
 	c.concurrency.pauseFractionalSlot()
 	if a.tenant.plan.MaxConcurrent > 0 {
-		a.tenant.pause(c.env.now, c.env.now-a.started)
+		a.tenant.pause(c.env.now, c.env.now-a.startedAt)
 	}
 	c.meter.applyReading(a.tenant, e.MeterReading, r.tokens)
 	c.applyOutcome(a, e)
@@ -109,8 +109,8 @@
 	case c.requests[r.id] != r: // it has its final answer
 	case e.Done:
 		c.forget(r)
-	case !r.queued && r.outstanding == 0:
-		c.retryOrFinish(r, a, e)
+	case !r.queued && r.outstandingAttempts == 0:
+		c.retryOrEnd(r, a, e)
 	}
 }
 
@@ -121,14 +121,14 @@
 		return nil
 	}
 	delete(c.attempts, key)
-	a.request.outstanding--
+	a.request.outstandingAttempts--
 	a.tenant.inFlight--
-	if a.sending {
+	if a.sendingBody {
 		return a
 	}
 	a.server.inFlight--
 	c.concurrency.inFlight--
-	if a.request.streaming {
+	if a.request.responseStarted {
 		c.concurrency.responding--
 		a.server.responding--
 	}
@@ -138,7 +138,7 @@
 // applyOutcome applies an outcome to the server, the in-flight bound and the request.
 func (c *Controller) applyOutcome(a *attempt, e AttemptEnded) {
 	s, r := a.server, a.request
-	took := c.env.since(a.started)
+	took := c.env.since(a.startedAt)
 	switch e.Outcome {
 	case OK:
 		c.applySuccess(a, e)
@@ -150,7 +150,7 @@
 	case ResetByPeer, Errored:
 		c.outliers.recordError(s)
 	case NeverSent: // no evidence about the server
-		s.trial = false
+		s.trialInFlight = false
 	case TimedOut:
 		// A client that gives up before its answer is due speaks neither against the server nor for a
 		// lower bound.
@@ -167,8 +167,8 @@
 	ran := goesOn || e.Outcome == Errored || e.Outcome == ResetByPeer
 	if ran && !r.mayHaveRun {
 		r.mayHaveRun = true
-		r.firstRun = a.started
-		r.duplicates = s
+		r.firstRunAt = a.startedAt
+		r.dedupServer = s
 	}
 }
 
@@ -178,8 +178,8 @@
 		c.interval.servedTokens += a.request.tokens
 	}
 	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
-	if !a.request.streaming {
-		c.observeResponse(a, c.env.now-a.started)
+	if !a.request.responseStarted {
+		c.observeResponse(a, c.env.now-a.startedAt)
 	}
 }
 
@@ -197,6 +197,6 @@
 	c.interval.latencyCount++
 	c.interval.responses++
 	if c.tenants.rejectionChance(a.tenant) == 0 {
-		a.request.plan.observeLateness(c.env.since(a.request.arrived) / objective)
+		a.request.plan.observeLateness(c.env.since(a.request.arrivedAt) / objective)
 	}
 }
--- a/control/balancer.go
+++ b/control/balancer.go
@@ -17,12 +17,12 @@
 
 // Factors on the cost of a server.
 const (
-	triedCostFactor   = 4.0 // this request has tried it
-	nonPreferredCostFactor  = 3.0 // it is not preferred by this node
-	reportedSlowCostFactor  = 10.0
-	avoidedCostFactor = 1e6 // ejected, under trial, or in an evacuated zone: taken where there is no other
-	failureCostFactor       = 5.0 // times the square of its failure rate beyond that of a single failure
-	maxCostJitter        = 0.02
+	triedCostFactor        = 4.0 // this request has tried it
+	nonPreferredCostFactor = 3.0 // it is not preferred by this node
+	reportedSlowCostFactor = 10.0
+	avoidedCostFactor      = 1e6 // ejected, under trial, or in an evacuated zone: taken where there is no other
+	failureCostFactor      = 5.0 // times the square of its failure rate beyond that of a single failure
+	maxCostJitter          = 0.02
 )
 
 const (
@@ -41,7 +41,7 @@
 	avoidClosed := b.avoidsClosedZones(r)
 	spread := b.env.largeFleet() && b.servers.count((*server).usableWarmingUp) > 0
 	for _, s := range b.servers.ordered {
-		if !s.usable() || !dropsDuplicates(r, s) || (avoidClosed && r.rules.closes(s)) {
+		if !s.usable() || !dropsDuplicates(r, s) || (avoidClosed && r.rules.closesZoneOf(s)) {
 			continue
 		}
 		if !b.slowStart.admits(s, r.tokens) {
@@ -51,7 +51,7 @@
 		if spread {
 			cost *= math.Pow(b.env.random.ExpFloat64(), spreadExponent)
 		}
-		for _, id := range r.tried {
+		for _, id := range r.triedServers {
 			if id == s.Server {
 				cost *= triedCostFactor
 			}
@@ -69,21 +69,21 @@
 
 // avoids reports whether the server is taken only where there is no other.
 func (b *balancer) avoids(r *request, s *server, evacuationDraw float64) bool {
-	return b.outliers.ejected(s) || s.trial || b.env.now < s.rejectsPlanUntil[r.plan] ||
+	return b.outliers.ejected(s) || s.trialInFlight || b.env.now < s.rejectsPlanUntil[r.plan] ||
 		b.env.evacuated[s.Zone] > evacuationDraw
 }
 
 // dropsDuplicates reports whether the server drops duplicates of the request, where it may have run and is
 // bound to a set of servers by its key.
 func dropsDuplicates(r *request, s *server) bool {
-	if r.duplicates == nil || r.class.Idempotency != IdempotentByKey {
+	if r.dedupServer == nil || r.class.Idempotency != IdempotentByKey {
 		return true
 	}
 	switch r.class.KeyScope {
 	case KeyScopeZone:
-		return r.duplicates.Zone == s.Zone
+		return r.dedupServer.Zone == s.Zone
 	case KeyScopeCell:
-		return r.duplicates.Cell == s.Cell
+		return r.dedupServer.Cell == s.Cell
 	}
 	return true
 }
@@ -91,7 +91,7 @@
 // cost returns the expected wait at a server in seconds, its latency times the attempts that it has from this
 // node, times the factors that speak against it.
 func (b *balancer) cost(s *server) float64 {
-	attempts := float64(s.working() + s.abandoned)
+	attempts := float64(s.activeAttempts() + s.abandoned)
 	cost := b.expectedLatency(s) * (attempts + 1)
 	if s.warmingUp && !b.env.largeFleet() { // in a large fleet slowStart.admits goes by the warm-up
 		cost /= b.slowStart.warmupFraction(s)
@@ -119,8 +119,8 @@
 		weight := decay(b.env.since(s.latencyAt), b.traffic.observationLifetime(b.servers.usable))
 		latency = mean + (s.latency-mean)*weight
 	}
-	if s.working() > 0 {
-		latency = max(latency, b.env.since(s.lastActivity))
+	if s.activeAttempts() > 0 {
+		latency = max(latency, b.env.since(s.lastActivityAt))
 	}
 	return latency
 }
@@ -142,6 +142,6 @@
 		return false
 	}
 	return slices.ContainsFunc(b.servers.ordered, func(s *server) bool {
-		return s.usable() && dropsDuplicates(r, s) && !r.rules.closes(s)
+		return s.usable() && dropsDuplicates(r, s) && !r.rules.closesZoneOf(s)
 	})
 }
--- a/control/classify.go
+++ b/control/classify.go
@@ -15,10 +15,10 @@
 // usualTimeLeft is the time left that most first attempts of a class come with, and the one that recurs
 // most among the others: some clients give up sooner than most.
 type usualTimeLeft struct {
-	timeLeft  time.Duration
-	votes      int // attempts that had it, less those that had not
-	recurring time.Duration
-	recurringVotes  int // other attempts that had recurring, less those that had not
+	timeLeft       time.Duration
+	votes          int // attempts that had it, less those that had not
+	recurring      time.Duration
+	recurringVotes int // other attempts that had recurring, less those that had not
 }
 
 const (
@@ -27,8 +27,8 @@
 	timeLeftTolerance = 100 * time.Millisecond
 	// recurringTolerance is by how much two recurring times may differ.
 	recurringTolerance = 3 * time.Millisecond
-	minRecurringVotes     = 4  // attempts from which a recurring time is one of first attempts
-	maxRecurringVotes     = 50 // that are counted
+	minRecurringVotes  = 4  // attempts from which a recurring time is one of first attempts
+	maxRecurringVotes  = 50 // that are counted
 )
 
 func newAttemptClassifier(env *environment) attemptClassifier {
@@ -39,8 +39,8 @@
 	return c
 }
 
-// clientWaitTime returns how long the client of a request has clientWaitTime, for earlier attempts or for this node: the
-// deadline over all attempts less the time left. A node that stood still finds first attempts late: those
+// clientWaitTime returns how long the client of a request has waited, for earlier attempts or for this node:
+// the deadline over all attempts less the time left. A node that stood still finds first attempts late: those
 // lack what its clock skipped.
 func (c *attemptClassifier) clientWaitTime(e Request, class *Class) time.Duration {
 	usual := c.byClass[class]
@@ -67,7 +67,9 @@
 // hasShortDeadline reports whether an attempt with an unusual time left is the first one of a client that
 // gives up sooner than most. The times of retries vary with the answers before them, except where a
 // rejection, at once or after the wait for a dispatch slot, advised when to come back.
-func (c *attemptClassifier) hasShortDeadline(usual *usualTimeLeft, timeLeft time.Duration, class *Class) bool {
+func (c *attemptClassifier) hasShortDeadline(
+	usual *usualTimeLeft, timeLeft time.Duration, class *Class,
+) bool {
 	sinceAdvised := class.Deadline - timeLeft - c.env.retryAfter()
 	longestQueueTime := time.Duration(maxSlotQueueFraction * float64(class.LatencyObjective))
 	if timeLeft > usual.timeLeft || (sinceAdvised >= 0 && sinceAdvised < longestQueueTime+timeLeftTolerance) {
--- a/control/concurrency.go
+++ b/control/concurrency.go
@@ -12,10 +12,10 @@
 	slowStart *slowStart
 	traffic   *trafficStats
 
-	bound      float64 // attempts in flight; 0 until the first endpoint list
-	rulesBound float64 // the most that the operators' rules allow
+	bound                float64 // attempts in flight; 0 until the first endpoint list
+	rulesBound           float64 // the most that the operators' rules allow
 	fractionalSlotFreeAt time.Duration
-	lastCutAt    time.Duration
+	lastCutAt            time.Duration
 
 	inFlight   int             // attempts at work
 	responding int             // those of them whose answer has begun
@@ -37,8 +37,8 @@
 
 	boundGrowth = 1.25 // factor after an interval without overload in which the bound was reached
 	boundCut    = 0.5  // factor on overload
-	// minCutIntervalLatencies is the least time between two cuts, in mean latencies: answers to attempts after the
-	// last one.
+	// minCutIntervalLatencies is the least time between two cuts, in mean latencies: answers to attempts
+	// after the last one.
 	minCutIntervalLatencies = 2.0
 
 	// The bound is cut where answers take this fraction of their objective in the mean, and more than
--- a/control/controller.go
+++ b/control/controller.go
@@ -79,15 +79,15 @@
 	c.meter = usageMeter{env: env, tenants: &c.tenants, phase: meterPhase{lag: initialMeterLag}}
 	c.classifier = newAttemptClassifier(env)
 	c.admission = admission{
-		env:         env,
-		tenants:     &c.tenants,
-		concurrency: &c.concurrency,
-		traffic:     &c.traffic,
-		counts:      &c.counts,
-		maxPriorityWeight:   maxPriorityWeight(s.Classes),
+		env:               env,
+		tenants:           &c.tenants,
+		concurrency:       &c.concurrency,
+		traffic:           &c.traffic,
+		counts:            &c.counts,
+		maxPriorityWeight: maxPriorityWeight(s.Classes),
 	}
 	c.scheduler = newScheduler(env, &c.balancer)
-	c.shares = newShareController(c.scheduler.prices())
+	c.shares = newShareController(c.scheduler.priceFactors())
 	c.retries = newRetryPolicy(env, &c.traffic)
 	return c, nil
 }
@@ -172,8 +172,8 @@
 
 // timerTable holds the requests that wait for a timer. A request has one label for all its timers.
 type timerTable struct {
-	lastLabel    uint64
-	byLabel map[uint64]*request
+	lastLabel uint64
+	byLabel   map[uint64]*request
 }
 
 // setTimer asks for a Timer event of a request.
--- a/control/demand.go
+++ b/control/demand.go
@@ -49,7 +49,8 @@
 	d.requestedAt = now
 }
 
-// addReading adds a reading of tokens that were used in a period, while a fraction of the demand was rejected.
+// addReading adds a reading of tokens that were used in a period, while a fraction of the demand was
+// rejected.
 func (d *tenantDemand) addReading(now time.Duration, used, rejected, period, rate, visibility float64) {
 	weight := decay((now - d.readAt).Seconds(), demandLifetime)
 	d.coveredSeconds = d.coveredSeconds*weight + period
@@ -64,7 +65,8 @@
 func (table *tenantTable) isCovered(t *tenant) bool {
 	possible := demandLifetime * (1 - decay(table.env.since(t.firstSeen), demandLifetime))
 	required := 1 - (1-minCoverage)*t.visibility()
-	return t.shared || t.coveredSeconds*decay(table.env.since(t.readAt), demandLifetime) > required*possible
+	return t.levelReported ||
+		t.coveredSeconds*decay(table.env.since(t.readAt), demandLifetime) > required*possible
 }
 
 // rejectionChance returns the chance with which a request of mean size is rejected, 1-(1-d')*100/p in the
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -8,9 +8,9 @@
 
 // endpointWatch asks for a watch of the endpoint list where the settings have the list polled.
 type endpointWatch struct {
-	env      *environment
-	watching bool
-	nextPollAt   time.Duration
+	env        *environment
+	watching   bool
+	nextPollAt time.Duration
 }
 
 // onUpdate notes whether the watch is open after an update.
@@ -35,9 +35,9 @@
 	if e.Kind == Failed {
 		return
 	}
-	c.servers.replace(e, func(s *server, listed Endpoint) {
+	c.servers.applyUpdate(e, func(s *server, listed Endpoint) {
 		if listed.HasStartedAt && (!s.HasStartedAt || listed.StartedAt > s.StartedAt) {
-			s.forgetObservations()
+			s.resetObservations()
 		}
 		c.slowStart.begin(s, listed)
 	})
--- a/control/environment.go
+++ b/control/environment.go
@@ -8,14 +8,14 @@
 // environment is what every rule may read: the settings, the time of the event being handled and the
 // source of random numbers. The Controller alone changes it.
 type environment struct {
-	settings Settings
-	random   *rand.Rand
-	now      time.Duration // time of the event being handled
-	sinceLastEvent  time.Duration // time between the last two events that differ in time
-	actions  []Action      // of the event being handled
+	settings       Settings
+	random         *rand.Rand
+	now            time.Duration // time of the event being handled
+	sinceLastEvent time.Duration // time between the last two events that differ in time
+	actions        []Action      // of the event being handled
 
-	rules      *Rules             // in force for new requests
-	evacuated  map[string]float64 // by zone: fraction of its traffic that stays away
+	rules         *Rules             // in force for new requests
+	evacuated     map[string]float64 // by zone: fraction of its traffic that stays away
 	sharingQuotas bool               // another process decides for this node too; see handover.go
 }
 
--- a/control/events.go
+++ b/control/events.go
@@ -87,9 +87,9 @@
 
 // SharedBucket is what the owner of a tenant's token bucket reported of it.
 type SharedBucket struct {
-	Tokens  float64       // that it holds, less what this node has consumed since
-	AtLeast bool          // it holds Tokens or more
-	Age     time.Duration // since it was true
+	Tokens     float64       // that it holds, less what this node has consumed since
+	LowerBound bool          // it holds Tokens or more
+	Age        time.Duration // since it was true
 }
 
 // BodySent reports that an attempt of a request with a streamed body is written completely. Only now its
@@ -105,7 +105,7 @@
 	ID           string
 	Attempt      int
 	Server       uint32
-	Delay        time.Duration
+	Latency      time.Duration
 	Tokens       float64 // true cost; 0 is not reported
 	MeterReading int     // as in AttemptEnded
 }
@@ -117,8 +117,8 @@
 	Server       uint32
 	Outcome      Outcome
 	Done         bool // the request has its final answer
-	BodySpent    bool // the request can't be sent again: a part of its body is gone
-	Delay        time.Duration
+	BodyConsumed bool // the request can't be sent again: a part of its body is gone
+	Latency      time.Duration
 	Tokens       float64 // true cost; 0 is not reported
 	MeterReading int     // 1 + percent of the quota used in the last metered period; 0 is not reported
 	LoadReport   *LoadReport
@@ -134,7 +134,7 @@
 type HealthCheckResult struct {
 	Server     uint32
 	Outcome    Outcome
-	Delay      time.Duration
+	Latency    time.Duration
 	LoadReport *LoadReport
 }
 
@@ -148,7 +148,7 @@
 type CounterResult struct {
 	Name    uint64
 	Total   float64
-	Delay   time.Duration
+	Latency time.Duration
 	Outcome Outcome
 }
 
--- a/control/handover.go
+++ b/control/handover.go
@@ -29,7 +29,7 @@
 	Bound          float64
 	Latency        float64
 	IdleLatency    float64                             `json:"Idle"`
-	Responses        float64                             `json:"Seen"`
+	Responses      float64                             `json:"Seen"`
 	ServedRate     float64                             `json:"Served"`
 	RetryBudget    float64                             `json:"Retries"`
 	MeanTokens     float64                             `json:"Units"`
@@ -86,14 +86,14 @@
 	SlotRejectionChance float64 `json:"Chance"`
 	ChanceRemainder     float64 `json:"Carry"`
 	Metered             bool
-	OtherNodesRate       float64 `json:"Base"`
+	OtherNodesRate      float64 `json:"Base"`
 	LastPeriodTokens    float64 `json:"LastUsed"`
 	RequestedTokens     float64 `json:"Tries"`
 	ReadTokens          float64 `json:"Told"`
 	ReadSeconds         float64 `json:"ToldFor"`
 	CoveredSeconds      float64 `json:"Cover"`
-	LocalTokens           float64 `json:"OwnSum"`
-	FleetTokens           float64 `json:"AllSum"`
+	LocalTokens         float64 `json:"OwnSum"`
+	FleetTokens         float64 `json:"AllSum"`
 	MeanRate            float64 `json:"Smooth"`
 	ReadEnd             int64
 	Sent                [][2]float64 `json:"Own"` // bin and amount
@@ -135,7 +135,7 @@
 		Bound:          c.concurrency.bound,
 		Latency:        c.traffic.latency,
 		IdleLatency:    c.traffic.idleLatency,
-		Responses:        c.traffic.answers,
+		Responses:      c.traffic.responses,
 		ServedRate:     c.traffic.servedRate,
 		RetryBudget:    c.retries.budget,
 		MeanTokens:     c.traffic.meanTokens,
@@ -163,8 +163,8 @@
 	return h
 }
 
-// RestoreHandover takes what another controller handed over, before this one has handled an event. It shares its
-// quotas with that one until EndSharing. After an error nothing is taken.
+// RestoreHandover takes what another controller handed over, before this one has handled an event. It shares
+// its quotas with that one until EndSharing. After an error nothing is taken.
 func (c *Controller) RestoreHandover(now time.Duration, raw []byte) error {
 	var h handover
 	if err := json.Unmarshal(raw, &h); err != nil {
@@ -193,7 +193,7 @@
 	c.concurrency.bound = h.Bound
 	c.traffic.latency = h.Latency
 	c.traffic.idleLatency = h.IdleLatency
-	c.traffic.answers = h.Responses
+	c.traffic.responses = h.Responses
 	c.traffic.servedRate = h.ServedRate
 	c.traffic.meanTokens = h.MeanTokens
 	c.retries.budget = h.RetryBudget
@@ -264,14 +264,14 @@
 	return nil
 }
 
-// RemainingTokens returns what this controller's half of the buckets still holds, for the other process. It is
-// the last call: what is given here must not be granted here as well.
+// RemainingTokens returns what this controller's half of the buckets still holds, for the other process. It
+// is the last call: what is given here must not be granted here as well.
 func (c *Controller) RemainingTokens(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
 	remainder := map[string][2]float64{}
 	for key, t := range c.tenants.byKey {
 		c.tenants.refill(t)
-		remainder[key] = [2]float64{t.level, t.ceiling}
+		remainder[key] = [2]float64{t.level, t.ceilingLevel}
 	}
 	return json.Marshal(remainder)
 }
@@ -301,7 +301,7 @@
 			continue
 		}
 		t.level = math.Min(t.plan.Burst, t.level+level)
-		t.ceiling += ceiling
+		t.ceilingLevel += ceiling
 	}
 	return nil
 }
@@ -314,7 +314,7 @@
 	for _, t := range c.tenants.byKey {
 		c.tenants.refill(t)
 		t.level /= 2
-		t.ceiling /= 2
+		t.ceilingLevel /= 2
 		t.slotLimit /= 2
 	}
 	c.concurrency.bound /= 2
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -13,7 +13,7 @@
 // settings is a small deployment for tests: one free class, two plans.
 func settings() Settings {
 	return Settings{FleetSize: 2, Zone: "z1", MaxAttempts: 3, SendsRetryAfter: true, MaxRetryAfter: 2 * time.Second,
-		SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.2, OverloadWindow: time.Second, OverloadFactor: 2, MeterPeriod: time.Second,
+		SlowStartDuration: 10 * time.Second, SlowStartInitialFraction: 0.2, OverloadWindow: time.Second, OverloadFactor: 2, MeterPeriod: time.Second,
 		CanCancel: true,
 		Classes:   []Class{{Name: "job", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1}},
 		Plans: []Plan{{Name: "low", PriceFactor: 0.5, Rate: 1000, Burst: 1000},
--- a/control/history.go
+++ b/control/history.go
@@ -22,7 +22,7 @@
 // history holds running sums of an amount by bin, for the last historyBins bins.
 type history struct {
 	lastBin int64
-	sums  [historyBins]float64 // up to the end of a bin
+	sums    [historyBins]float64 // up to the end of a bin
 }
 
 // advance begins the bins up to b.
--- a/control/interval.go
+++ b/control/interval.go
@@ -4,27 +4,27 @@
 
 const (
 	// tickInterval is how often queued requests are looked at without an event.
-	tickInterval      = 100 * time.Millisecond
-	tickLabel = 0 // of the timer; requests have labels from 1 on
+	tickInterval = 100 * time.Millisecond
+	tickLabel    = 0 // of the timer; requests have labels from 1 on
 
 	// controlInterval is the interval in which the in-flight bound and the shares are set. It lasts
 	// longer, by intervalExtension at most, while it has fewer outcomes than minIntervalOutcomes: their
 	// mean means little.
-	controlInterval     = time.Second
-	maxIntervalExtension   = 4 * time.Second
-	minIntervalOutcomes = 5
+	controlInterval      = time.Second
+	maxIntervalExtension = 4 * time.Second
+	minIntervalOutcomes  = 5
 )
 
 // intervalStats is what is counted in one control interval.
 type intervalStats struct {
-	overloadDetected          bool    // overload was found
-	saturated    bool    // the in-flight bound was reached
+	overloadDetected  bool    // overload was found
+	saturated         bool    // the in-flight bound was reached
 	latencyRatioSum   float64 // of latencies over their objectives, each 1 at most
-	latencySecondsSum   float64 // of latencies in seconds, each its objective at most
-	latencyCount    float64 // number of values in the sums
-	responses      float64
-	overloads   float64 // rejections of servers and time-outs
-	servedTokens float64 // by servers that are not warming up
+	latencySecondsSum float64 // of latencies in seconds, each its objective at most
+	latencyCount      float64 // number of values in the sums
+	responses         float64
+	overloads         float64 // rejections of servers and time-outs
+	servedTokens      float64 // by servers that are not warming up
 }
 
 // overloadFraction returns the fraction of outcomes that are a rejection or a time-out.
@@ -50,7 +50,7 @@
 	// A request that is not served counts with its deadline: a starved plan would else look punctual.
 	r.plan.observeLateness(max(1, r.class.Deadline.Seconds()/r.class.LatencyObjective.Seconds()))
 	c.counts.queue++
-	c.finish(r)
+	c.rejectOrFail(r)
 }
 
 func (c *Controller) onTick() {
--- a/control/largefleet_test.go
+++ b/control/largefleet_test.go
@@ -56,7 +56,7 @@
 // Guards against bounds below one that stop the work: a place is used, then rests.
 func TestPartOfAPlaceRestsAndFlows(t *testing.T) {
 	g := newHarness(t, large(), endpoints(1)...)
-	g.c.concurrency.bound, g.c.traffic.latency, g.c.traffic.idleLatency, g.c.traffic.answers = 0.25, 0.1, 0.1, 100
+	g.c.concurrency.bound, g.c.traffic.latency, g.c.traffic.idleLatency, g.c.traffic.responses = 0.25, 0.1, 0.1, 100
 	g.request("a", "job", "high", "x")
 	g.request("b", "job", "high", "y")
 	if len(g.sends) != 1 {
@@ -131,7 +131,7 @@
 // Guards against servers that refuse one plan: they cut no bound and are not tried again for it.
 func TestServersThatRefuseOnePlan(t *testing.T) {
 	g := newHarness(t, settings(), endpoints(1, 2, 3, 4)...)
-	g.c.traffic.latency, g.c.traffic.idleLatency, g.c.traffic.answers = 0.1, 0.1, 100
+	g.c.traffic.latency, g.c.traffic.idleLatency, g.c.traffic.responses = 0.1, 0.1, 100
 	before := g.c.concurrency.bound
 	refusals := 0
 	for i := 0; i < 30; i++ {
@@ -234,7 +234,7 @@
 // Guards against a second cut of the bound for answers to sends from before the first.
 func TestBoundIsCutOncePerAnswerTime(t *testing.T) {
 	g := newHarness(t, settings(), endpoints(1, 2)...)
-	g.c.concurrency.bound, g.c.traffic.latency, g.c.traffic.idleLatency, g.c.traffic.answers = 80, 1.2, 0.1, 100
+	g.c.concurrency.bound, g.c.traffic.latency, g.c.traffic.idleLatency, g.c.traffic.responses = 80, 1.2, 0.1, 100
 	for i, want := range []float64{40, 40, 40, 20} {
 		g.c.interval.latencyCount, g.c.interval.responses, g.c.interval.latencyRatioSum, g.c.interval.latencySecondsSum = 10, 10, 7, 14
 		g.c.env.now = g.now + time.Duration(i)*time.Second
--- a/control/meter.go
+++ b/control/meter.go
@@ -17,10 +17,10 @@
 type tenantUsage struct {
 	metered          bool    // there was a reading
 	readEnd          int64   // bin in which the last period read ended
-	otherNodesRate    float64 // tokens per second that are taken to be used at other nodes
+	otherNodesRate   float64 // tokens per second that are taken to be used at other nodes
 	lastPeriodTokens float64 // of the last reading
-	localTokens        float64 // through this node, decaying with readings
-	fleetTokens        float64 // through all nodes, decaying with readings
+	localTokens      float64 // through this node, decaying with readings
+	fleetTokens      float64 // through all nodes, decaying with readings
 	meanRate         float64 // tokens per second through all nodes, average
 
 	// By bin: tokens of attempts, tokens taken from the bucket, requests received and rejected.
@@ -45,13 +45,13 @@
 	surgeShape = 0.5
 	// unreportedSeconds is how much use the meter has not reported yet.
 	unreportedSeconds = 2.0
-	// levelCorrection is the fraction by which a reading moves the bucket's level towards its value,
+	// levelCorrectionGain is the fraction by which a reading moves the bucket's level towards its value,
 	// where the nodes are many.
-	levelCorrection = 0.4
+	levelCorrectionGain = 0.4
 )
 
-// applyReading takes a reading that came with an answer to a request of some tokens: 1 + percent of the quota, 0
-// is none. Each period is applyReading once.
+// applyReading takes a reading that came with an answer to a request of some tokens: 1 + percent of the
+// quota, 0 is none. Each period is applyReading once.
 func (m *usageMeter) applyReading(t *tenant, reading int, tokens float64) {
 	if reading <= 0 || m.env.settings.MeterPeriod == 0 {
 		return
@@ -112,7 +112,7 @@
 func (m *usageMeter) correctLevel(t *tenant, used, percent float64, end int64) {
 	burst := m.env.quotaFraction() * t.plan.Burst
 	t.level = min(burst, max(-t.plan.Burst/2, t.level-used+t.charged.periodSumBefore(end)))
-	t.level += (1 - t.visibility()) * levelCorrection * max(0, burst*(1-percent/100)-t.level)
+	t.level += (1 - t.visibility()) * levelCorrectionGain * max(0, burst*(1-percent/100)-t.level)
 }
 
 // advance brings the histories up to a bin.
@@ -125,7 +125,8 @@
 
 // localFraction returns the learnt fraction of a tenant's use that comes through this node.
 func (t *tenant) localFraction() float64 {
-	return min(1, max(minLocalFraction, (localPriorTokens/t.nodes+t.localTokens)/(localPriorTokens+t.fleetTokens)))
+	return min(1, max(minLocalFraction,
+		(localPriorTokens/t.nodes+t.localTokens)/(localPriorTokens+t.fleetTokens)))
 }
 
 // fleetUsePerToken returns the tokens that all nodes are taken to have sent for each one sent here.
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -101,7 +101,7 @@
 
 func TestTrueUnitsAreSettled(t *testing.T) {
 	s := settings()
-	s.CostWithAnswer = true
+	s.ResponsesReportTokens = true
 	g := newHarness(t, s, endpoints(1)...)
 	g.request("a", "job", "low", "x")
 	q := g.c.tenants.get(g.c.scheduler.plans[0], "x", 2)
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -15,7 +15,7 @@
 	consecutiveFailures int
 	ejectedUntil        time.Duration
 	ejectionTime        time.Duration // length of the last ejection; 0 once an attempt succeeds
-	trial               bool          // an attempt at an ejected server is in flight
+	trialInFlight       bool          // an attempt at an ejected server is in flight
 	failureRate         float64       // average of attempts that failed
 	failureRateAt       time.Duration
 	rejectsPlanUntil    map[*planQueue]time.Duration // rejected an attempt of the plan: chosen last until then
@@ -24,14 +24,14 @@
 }
 
 const (
-	ejectionFailures   = 3 // consecutive failures that eject a server
-	ejectionBase       = time.Second
-	maxEjection        = 8 * time.Second // each ejection is twice the one before, up to this
-	planRejectionTime  = 15 * time.Second
-	failureRateGain    = 0.15
-	maxFailureRate     = 0.75 // from which an error counts as a consecutive failure
-	maxReportedServers = 0.34 // fraction of the usable servers that may be reported as slow at once
-	reportRebuttal     = 2.0  // times the mean latency: an own answer below it rebuts a report
+	ejectionFailures        = 3 // consecutive failures that eject a server
+	baseEjectionTime        = time.Second
+	maxEjectionTime         = 8 * time.Second // each ejection is twice the one before, up to this
+	planAvoidanceTime       = 15 * time.Second
+	failureRateGain         = 0.15
+	maxFailureRate          = 0.75 // from which an error counts as a consecutive failure
+	maxReportedFraction     = 0.34 // fraction of the usable servers that may be reported as slow at once
+	rebuttalLatencyMultiple = 2.0  // times the mean latency: an own answer below it rebuts a report
 )
 
 // ejected reports whether a server is out of use for its failures.
@@ -42,9 +42,9 @@
 // recordFailure counts failures of the server as a whole, and ejects it after ejectionFailures in a row.
 func (d *outlierDetector) recordFailure(s *server, count int) {
 	s.consecutiveFailures += count
-	s.trial = false
+	s.trialInFlight = false
 	if s.consecutiveFailures >= ejectionFailures && d.env.now >= s.ejectedUntil {
-		s.ejectionTime = min(max(ejectionBase, 2*s.ejectionTime), maxEjection)
+		s.ejectionTime = min(max(baseEjectionTime, 2*s.ejectionTime), maxEjectionTime)
 		s.ejectedUntil = d.env.now + s.ejectionTime
 	}
 }
@@ -52,7 +52,7 @@
 // recordSuccess ends an ejection: an attempt has succeeded.
 func (d *outlierDetector) recordSuccess(s *server) {
 	s.consecutiveFailures = 0
-	s.trial = false
+	s.trialInFlight = false
 	s.ejectionTime = 0
 	d.recordOutcome(s, 0)
 }
@@ -60,7 +60,7 @@
 // recordRejection records that a server rejected an attempt. Some servers reject one plan only.
 func (d *outlierDetector) recordRejection(s *server, plan *planQueue) {
 	d.recordFailure(s, 1)
-	s.rejectsPlanUntil[plan] = d.env.now + planRejectionTime
+	s.rejectsPlanUntil[plan] = d.env.now + planAvoidanceTime
 }
 
 // recordError records an error or a reset. A server that fails at once would look idle and attract traffic,
@@ -70,7 +70,7 @@
 	if d.failureRate(s) > maxFailureRate {
 		d.recordFailure(s, 1)
 	}
-	s.trial = false
+	s.trialInFlight = false
 }
 
 // recordOutcome adds an outcome to the average of failures: 1 for a failure, 0 for a success.
@@ -96,7 +96,7 @@
 	if s == nil {
 		return
 	}
-	if d.env.now >= s.reportedUntil && d.servers.count(d.reportedSlow) >= maxReportedServers*d.servers.usable {
+	if d.env.now >= s.reportedUntil && d.servers.count(d.reportedSlow) >= maxReportedFraction*d.servers.usable {
 		return
 	}
 	s.reportedAt = d.env.now
@@ -105,7 +105,7 @@
 
 // reportedSlow reports whether other nodes' report on a server is valid and no own answer since rebuts it.
 func (d *outlierDetector) reportedSlow(s *server) bool {
-	rebutted := s.latencyAt > s.reportedAt && s.latency < reportRebuttal*d.traffic.latency
+	rebutted := s.latencyAt > s.reportedAt && s.latency < rebuttalLatencyMultiple*d.traffic.latency
 	return d.env.now < s.reportedUntil && !rebutted
 }
 
@@ -114,7 +114,7 @@
 func (c *Controller) AvoidedServers(now time.Duration) int {
 	avoided := func(s *server) bool {
 		ejected := s.consecutiveFailures >= ejectionFailures && now < s.ejectedUntil
-		return s.usable() && (s.trial || ejected || now < s.reportedUntil)
+		return s.usable() && (s.trialInFlight || ejected || now < s.reportedUntil)
 	}
 	return int(c.servers.count(avoided))
 }
--- a/control/overrides.go
+++ b/control/overrides.go
@@ -15,7 +15,7 @@
 	if e.MaxInFlight > 0 {
 		c.concurrency.rulesBound = float64(lowerLimit(e.MaxInFlight, c.env.settings.MaxInFlight))
 	}
-	c.shares.setPrices(e.prices(c.scheduler.plans))
+	c.shares.setPrices(e.priceFactors(c.scheduler.plans))
 	for key, t := range c.tenants.byKey {
 		c.tenants.refill(t)
 		c.tenants.applyRules(t, key)
@@ -38,8 +38,8 @@
 	t.plan = &plan
 }
 
-// prices returns the plans' price factors by the rules. NaN leaves the settings'.
-func (e *Rules) prices(plans []*planQueue) []float64 {
+// priceFactors returns the plans' price factors by the rules. NaN leaves the settings'.
+func (e *Rules) priceFactors(plans []*planQueue) []float64 {
 	prices := make([]float64, len(plans))
 	for i, p := range plans {
 		prices[i] = p.PriceFactor
@@ -62,8 +62,8 @@
 	return factor
 }
 
-// closes reports whether the rules close a server's zone.
-func (e *Rules) closes(s *server) bool { return slices.Contains(e.ClosedZones, s.Zone) }
+// closesZoneOf reports whether the rules close a server's zone.
+func (e *Rules) closesZoneOf(s *server) bool { return slices.Contains(e.ClosedZones, s.Zone) }
 
 // maxAttempts returns how many attempts a request may have, by the settings and its rules; 0 is no limit.
 func (s *Settings) maxAttempts(r *request) int {
--- a/control/preferred_test.go
+++ b/control/preferred_test.go
@@ -142,7 +142,7 @@
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
 	s := settings()
-	s.PollDiscovery, s.PollWithin = true, 10*time.Second
+	s.PollDiscovery, s.MaxPollInterval = true, 10*time.Second
 	g := newHarness(t, s, endpoints(1)...)
 	follows := func() (n int) {
 		for _, a := range g.acts {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -61,9 +61,9 @@
 
 func varied(rng *rand.Rand) Settings {
 	s := Settings{FleetSize: []int{1, 2, 4, 60, 300, 100000}[rng.IntN(6)], Zone: "z1", MaxAttempts: 1 + rng.IntN(5), SendsRetryAfter: rng.IntN(2) == 0,
-		MaxRetryAfter: time.Second, SlowStartDuration: 10 * time.Second, SlowStartInitial: 0.2, OverloadWindow: time.Second, OverloadFactor: 2,
-		CostWithAnswer: rng.IntN(2) == 0, PollDiscovery: rng.IntN(2) == 0, PollWithin: 10 * time.Second,
-		CanCancel: rng.IntN(2) == 0, HealthChecks: rng.IntN(2) == 0, MaxTokens: 4}
+		MaxRetryAfter: time.Second, SlowStartDuration: 10 * time.Second, SlowStartInitialFraction: 0.2, OverloadWindow: time.Second, OverloadFactor: 2,
+		ResponsesReportTokens: rng.IntN(2) == 0, PollDiscovery: rng.IntN(2) == 0, MaxPollInterval: 10 * time.Second,
+		CanCancel: rng.IntN(2) == 0, HealthChecks: rng.IntN(2) == 0, MaxRequestTokens: 4}
 	if rng.IntN(4) > 0 {
 		s.MeterPeriod = time.Second
 	}
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -44,7 +44,7 @@
 		{Name: "high", PriceFactor: 1.5, Rate: 400, Burst: 500, OverQuotaCost: 1},
 		{Name: "open", PriceFactor: 1, MaxConcurrent: 6},
 	}
-	s.CostWithAnswer = true
+	s.ResponsesReportTokens = true
 	return s
 }
 
@@ -167,7 +167,7 @@
 	if rng.Float64() < w.failed {
 		reasons := []Outcome{Errored, Overloaded, TimedOut, ConnectFailed, ResetByPeer, Cancelled, NeverSent}
 		e.Outcome, e.Done, e.Tokens, e.MeterReading = reasons[rng.IntN(len(reasons))], false, 0, 0
-		e.BodySpent = rng.IntN(30) == 0
+		e.BodyConsumed = rng.IntN(30) == 0
 	}
 	return e
 }
--- a/control/rejection.go
+++ b/control/rejection.go
@@ -5,9 +5,9 @@
 	c.env.emit(Reject{ID: id, RetryAfter: c.env.retryAfter()})
 }
 
-// finish gives the final answer of a request that was not served: a rejection where that is true or
+// rejectOrFail gives the final answer of a request that was not served: a rejection where that is true or
 // harmless, else a failure, which promises nothing.
-func (c *Controller) finish(r *request) {
+func (c *Controller) rejectOrFail(r *request) {
 	if r.mayBeRejected() {
 		c.reject(r.id)
 	} else {
@@ -22,7 +22,7 @@
 	switch {
 	case r.class.Idempotency == Idempotent:
 		return true
-	case !r.mayHaveRun && r.outstanding == 0:
+	case !r.mayHaveRun && r.outstandingAttempts == 0:
 		return true
 	}
 	return r.class.Idempotency == IdempotentByKey && r.class.KeyScope == KeyScopeAll
--- a/control/retry.go
+++ b/control/retry.go
@@ -19,23 +19,23 @@
 	// fleet may save up is bounded, as many nodes spend it at once at their start and when a zone is
 	// lost.
 	fullBudgetNodes = 4.0
-	// retryMargin is the time that must be left to the client for a retry.
-	retryMargin = time.Millisecond
+	// minRetryTime is the time that must be left to the client for a retry.
+	minRetryTime = time.Millisecond
 )
 
 func newRetryPolicy(env *environment, traffic *trafficStats) retryPolicy {
 	p := retryPolicy{env: env, traffic: traffic}
-	p.budget = p.limit()
+	p.budget = p.maxBudget()
 	return p
 }
 
-// limit returns how many retries may be saved up.
-func (p *retryPolicy) limit() float64 {
+// maxBudget returns how many retries may be saved up.
+func (p *retryPolicy) maxBudget() float64 {
 	return max(minRetryBudgetLimit, maxRetryBudget*min(1, fullBudgetNodes/float64(p.env.settings.FleetSize)))
 }
 
-// earn adds what a request earns.
-func (p *retryPolicy) earn() { p.budget = min(p.limit(), p.budget+retryBudgetPerRequest) }
+// deposit adds what a request earns.
+func (p *retryPolicy) deposit() { p.budget = min(p.maxBudget(), p.budget+retryBudgetPerRequest) }
 
 // cost returns what a retry costs after an outcome. An attempt that failed at once took little work and
 // costs little.
@@ -43,7 +43,7 @@
 	if outcome != Errored && outcome != ResetByPeer && outcome != ConnectFailed {
 		return 1
 	}
-	took := p.env.since(a.started)
+	took := p.env.since(a.startedAt)
 	return min(1, max(minRetryCost, took/max(p.traffic.latency, epsilon)))
 }
 
@@ -51,35 +51,35 @@
 // its class is idempotent, or by key within the idempotency window; all by the budget, the limit of
 // attempts and the client's time.
 func (p *retryPolicy) allows(r *request, e AttemptEnded, cost float64) bool {
-	if e.Outcome == NeverSent || e.BodySpent {
+	if e.Outcome == NeverSent || e.BodyConsumed {
 		return false
 	}
 	if limit := p.env.settings.maxAttempts(r); limit > 0 && r.attempts >= limit {
 		return false
 	}
-	if p.budget < cost || p.env.now >= r.giveUp-retryMargin {
+	if p.budget < cost || p.env.now >= r.giveUpAt-minRetryTime {
 		return false
 	}
 	if r.mayHaveRun && r.class.Idempotency != Idempotent {
-		return r.windowed() && p.env.now < r.windowEnd()
+		return r.hasIdempotencyWindow() && p.env.now < r.idempotencyWindowEnd()
 	}
 	return true
 }
 
-// retryOrFinish queues a request for another attempt where the retry policy allows one, and else ends it.
+// retryOrEnd queues a request for another attempt where the retry policy allows one, and else ends it.
 // A retry does not wait beyond the client's time, nor beyond its idempotency window.
-func (c *Controller) retryOrFinish(r *request, a *attempt, e AttemptEnded) {
+func (c *Controller) retryOrEnd(r *request, a *attempt, e AttemptEnded) {
 	cost := c.retries.cost(a, e.Outcome)
 	if !c.retries.allows(r, e, cost) {
 		c.counts.failed++
-		c.finish(r)
+		c.rejectOrFail(r)
 		return
 	}
 	c.retries.budget -= cost
 	c.scheduler.enqueue(r, true)
-	until := r.giveUp
-	if r.windowed() {
-		until = min(until, r.windowEnd())
+	until := r.giveUpAt
+	if r.hasIdempotencyWindow() {
+		until = min(until, r.idempotencyWindowEnd())
 	}
-	c.setTimer(r, until-c.env.now-retryMargin)
+	c.setTimer(r, until-c.env.now-minRetryTime)
 }
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -17,9 +17,9 @@
 	share    float64 // of the dispatch slots
 	credit   float64 // dispatch slots that it is owed
 
-	latenessSum float64 // of latency over objective, in this control interval
-	latenesses  float64 // number of values in latenessSum
-	lateness    float64 // mean of the last interval that had any
+	latenessSum   float64 // of latency over objective, in this control interval
+	latenessCount float64 // number of values in latenessSum
+	lateness      float64 // mean of the last interval that had any
 
 	candidate       *request // that may be dispatched now, during one dispatch slot
 	candidateServer *server
@@ -36,8 +36,8 @@
 	return s
 }
 
-// prices returns the price factors of the plans.
-func (s *scheduler) prices() []float64 {
+// priceFactors returns the price factors of the plans.
+func (s *scheduler) priceFactors() []float64 {
 	prices := make([]float64, len(s.plans))
 	for i, p := range s.plans {
 		prices[i] = p.PriceFactor
@@ -78,13 +78,13 @@
 			r.tenant.slotsExhausted = true
 			continue
 		}
-		if r.windowed() && s.env.now >= r.windowEnd() {
+		if r.hasIdempotencyWindow() && s.env.now >= r.idempotencyWindowEnd() {
 			continue // its timer ends it
 		}
 		if server := s.balancer.pick(r); server != nil {
 			return r, server
 		}
-		if r.duplicates == nil {
+		if r.dedupServer == nil {
 			return nil, nil
 		}
 	}
@@ -124,16 +124,16 @@
 // observeLateness adds the latency of an answer over its objective.
 func (p *planQueue) observeLateness(lateness float64) {
 	p.latenessSum += lateness
-	p.latenesses++
+	p.latenessCount++
 }
 
-// meanLateness returns the mean lateness of the control interval that ends now, or the last known, and begins
+// endInterval returns the mean lateness of the control interval that ends now, or the last known, and begins
 // the next interval.
-func (p *planQueue) meanLateness() float64 {
-	if p.latenesses > 0 {
-		p.lateness = p.latenessSum / p.latenesses
+func (p *planQueue) endInterval() float64 {
+	if p.latenessCount > 0 {
+		p.lateness = p.latenessSum / p.latenessCount
 	}
 	p.latenessSum = 0
-	p.latenesses = 0
+	p.latenessCount = 0
 	return p.lateness
 }
--- a/control/server.go
+++ b/control/server.go
@@ -11,10 +11,10 @@
 	listed    bool
 	preferred bool // see serverSet.isPreferred
 
-	inFlight     int           // attempts at work
-	responding   int           // those of them whose answer has begun
-	abandoned    int           // attempts given up whose work is assumed to go on
-	lastActivity time.Duration // last outcome, or first attempt since it had none
+	inFlight       int           // attempts at work
+	responding     int           // those of them whose answer has begun
+	abandoned      int           // attempts given up whose work is assumed to go on
+	lastActivityAt time.Duration // last outcome, or first attempt since it had none
 
 	latency   float64 // s: average of its answers; 0 is none yet
 	latencyAt time.Duration
@@ -35,9 +35,9 @@
 // usable reports whether new attempts may go to the server.
 func (s *server) usable() bool { return s.listed && s.Condition == Active }
 
-// working returns the number of attempts that keep the server at work. One whose answer has begun waits
-// for its client at most.
-func (s *server) working() int { return s.inFlight - s.responding }
+// activeAttempts returns the number of attempts that keep the server at work. One whose answer has begun
+// waits for its client at most.
+func (s *server) activeAttempts() int { return s.inFlight - s.responding }
 
 // observeLatency adds the latency of an attempt, in seconds.
 func (s *server) observeLatency(now time.Duration, latency float64) {
@@ -45,8 +45,8 @@
 	s.latencyAt = now
 }
 
-// forgetObservations drops what was observed of a server that has started anew.
-func (s *server) forgetObservations() {
+// resetObservations drops what was observed of a server that has started anew.
+func (s *server) resetObservations() {
 	s.latency = 0
 	s.failureRate = 0
 	s.consecutiveFailures = 0
@@ -64,9 +64,9 @@
 	nodesPerServer float64   // nodes that send to each of them, in the mean, as of the last update
 }
 
-// replace brings the set up to an update. It calls observe with each entry before the entry replaces what
+// applyUpdate brings the set up to an update. It calls observe with each entry before the entry replaces what
 // was listed.
-func (set *serverSet) replace(update EndpointUpdate, observe func(*server, Endpoint)) {
+func (set *serverSet) applyUpdate(update EndpointUpdate, observe func(*server, Endpoint)) {
 	set.nodesPerServer = update.NodesPerServer
 	if !(update.NodesPerServer > 0) {
 		set.nodesPerServer = float64(set.env.settings.FleetSize)
--- a/control/settings.go
+++ b/control/settings.go
@@ -62,29 +62,29 @@
 	Classes   []Class
 	Plans     []Plan
 
-	PollDiscovery         bool          // the endpoint list has to be watched or fetched
-	PollWithin            time.Duration // longest time between two fetches without a watch
-	DrainGrace            time.Duration // how long attempts at a draining server are forgiven
-	SlowStartDuration     time.Duration // a server has its full capacity this long after its start
-	SlowStartInitial      float64       // fraction of its capacity that a server has at its start
-	OverloadWindow        time.Duration // window over which a warming-up server's load is counted
-	OverloadFactor        float64       // multiple of its present capacity that it bears over the window
-	MeterPeriod           time.Duration // period of the usage meter; 0 is no meter
-	CostWithAnswer        bool          // the true tokens of a request arrive with its answer
-	MaxTokens             float64       // of one request
-	HasCounter            bool          // there is a counter service
-	PeerMessagesPerSecond float64
-	MaxAttempts           int // of one request
-	MaxInFlight           int // requests held at once
-	CanCancel             bool
-	ClientsMarkRetries    bool // clients mark their retries
-	HealthChecks          bool // servers may be checked
-	PeerMessages          bool // nodes may talk with each other
-	HedgedRequests        bool
-	SendsRetryAfter       bool
-	MaxRetryAfter         time.Duration
-	CrossZoneCost         float64 // price of an attempt that leaves the node's zone
-	MaxTenants            int     // remembered, beyond which idle ones are forgotten sooner
+	PollDiscovery            bool          // the endpoint list has to be watched or fetched
+	MaxPollInterval          time.Duration // longest time between two fetches without a watch
+	DrainGrace               time.Duration // how long attempts at a draining server are forgiven
+	SlowStartDuration        time.Duration // a server has its full capacity this long after its start
+	SlowStartInitialFraction float64       // fraction of its capacity that a server has at its start
+	OverloadWindow           time.Duration // window over which a warming-up server's load is counted
+	OverloadFactor           float64       // multiple of its present capacity that it bears over the window
+	MeterPeriod              time.Duration // period of the usage meter; 0 is no meter
+	ResponsesReportTokens    bool          // the true tokens of a request arrive with its answer
+	MaxRequestTokens         float64       // of one request
+	HasCounter               bool          // there is a counter service
+	PeerMessagesPerSecond    float64
+	MaxAttempts              int // of one request
+	MaxInFlight              int // requests held at once
+	CanCancel                bool
+	ClientsMarkRetries       bool // clients mark their retries
+	HealthChecks             bool // servers may be checked
+	PeerMessages             bool // nodes may talk with each other
+	HedgedRequests           bool
+	SendsRetryAfter          bool
+	MaxRetryAfter            time.Duration
+	CrossZoneCost            float64 // price of an attempt that leaves the node's zone
+	MaxTenants               int     // remembered, beyond which idle ones are forgotten sooner
 }
 
 // maxFleetSize keeps what is computed for a whole fleet from overflowing.
@@ -110,17 +110,17 @@
 	case s.NodeIndex < 0 || s.NodeIndex >= s.FleetSize:
 		return fmt.Errorf("settings: self index: %d is outside a group of %d", s.NodeIndex, s.FleetSize)
 	}
-	numbers := s.numbers()
+	numbers := s.numericSettings()
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		if class.LatencyObjective <= 0 || class.Deadline <= 0 {
 			return fmt.Errorf("settings: class %s: aim and deadline: %v and %v are not both positive", class.Name,
 				class.LatencyObjective, class.Deadline)
 		}
-		numbers = append(numbers, class.numbers()...)
+		numbers = append(numbers, class.numericSettings()...)
 	}
 	for i := range s.Plans {
-		numbers = append(numbers, s.Plans[i].numbers()...)
+		numbers = append(numbers, s.Plans[i].numericSettings()...)
 	}
 	for _, n := range numbers {
 		if math.IsNaN(n.value) || math.IsInf(n.value, 0) || n.value < 0 {
@@ -130,15 +130,15 @@
 	return nil
 }
 
-func (s *Settings) numbers() []setting {
+func (s *Settings) numericSettings() []setting {
 	return []setting{
-		{"cold from", s.SlowStartInitial},
+		{"cold from", s.SlowStartInitialFraction},
 		{"fall multiple", s.OverloadFactor},
-		{"units top", s.MaxTokens},
+		{"units top", s.MaxRequestTokens},
 		{"inbox per second", s.PeerMessagesPerSecond},
 		{"cross-zone price", s.CrossZoneCost},
 		{"cold", s.SlowStartDuration.Seconds()},
-		{"ask within", s.PollWithin.Seconds()},
+		{"ask within", s.MaxPollInterval.Seconds()},
 		{"drain grace", s.DrainGrace.Seconds()},
 		{"fall", s.OverloadWindow.Seconds()},
 		{"meter period", s.MeterPeriod.Seconds()},
@@ -148,7 +148,7 @@
 	}
 }
 
-func (c *Class) numbers() []setting {
+func (c *Class) numericSettings() []setting {
 	prefix := "class " + c.Name + ": "
 	return []setting{
 		{prefix + "worth", c.PriorityWeight},
@@ -157,7 +157,7 @@
 	}
 }
 
-func (p *Plan) numbers() []setting {
+func (p *Plan) numericSettings() []setting {
 	prefix := "plan " + p.Name + ": "
 	return []setting{
 		{prefix + "price", p.PriceFactor},
--- a/control/shares.go
+++ b/control/shares.go
@@ -19,15 +19,15 @@
 }
 
 const (
-	minShareAnswers   = 5    // answers in an interval, below which the shares stay
-	forgettingFactor  = 0.95 // lambda of the least squares
-	shareWeight       = 0.3  // diagonal of Q: the cost of large shares
-	initialCovariance = 1.0
-	initialGain       = 3.0 // B0(0): lateness that a share above the equal one takes off
-	initialPersist    = 0.9 // A1(0): lateness that stays to the next interval
-	minInformation    = 1e-9
-	maxEstimate       = 1e4  // norm of the model and the covariance, beyond which the estimate starts anew
-	shareSumTolerance = 1e-6 // by which the sum of the shares may differ from 1
+	minShareResponses  = 5    // answers in an interval, below which the shares stay
+	forgettingFactor   = 0.95 // lambda of the least squares
+	shareCostWeight    = 0.3  // diagonal of Q: the cost of large shares
+	initialCovariance  = 1.0
+	initialGain        = 3.0 // B0(0): lateness that a share above the equal one takes off
+	initialPersistence = 0.9 // A1(0): lateness that stays to the next interval
+	minInformation     = 1e-9
+	maxEstimateNorm    = 1e4  // norm of the model and the covariance, beyond which the estimate starts anew
+	shareSumTolerance  = 1e-6 // by which the sum of the shares may differ from 1
 )
 
 func newShareController(prices []float64) *shareController {
@@ -63,7 +63,7 @@
 			l.model.Set(i, j, initialGain/float64(n))
 		}
 		l.model.Set(i, i, initialGain/float64(n)-initialGain)
-		l.model.Set(i, n+i, initialPersist)
+		l.model.Set(i, n+i, initialPersistence)
 	}
 }
 
@@ -97,7 +97,7 @@
 	l.model.RankOne(l.model, 1/(forgettingFactor+r), &residual, &gain)
 	beta := forgettingFactor - (1-forgettingFactor)/r
 	l.covariance.RankOne(l.covariance, -beta/(1+beta*r), &gain, &gain)
-	if !(mat.Norm(l.covariance, 1) < maxEstimate) || !(mat.Norm(l.model, 1) < maxEstimate) {
+	if !(mat.Norm(l.covariance, 1) < maxEstimateNorm) || !(mat.Norm(l.model, 1) < maxEstimateNorm) {
 		l.reset()
 	}
 }
@@ -116,7 +116,7 @@
 		// A plan that meets its objective has no error: law (14) would else slow an expensive plan first
 		// while all plans are better than their objectives.
 		err.SetVec(i, min(0, 1-err.AtVec(i)))
-		normal.Set(i, i, normal.At(i, i)+shareWeight*shareWeight)
+		normal.Set(i, i, normal.At(i, i)+shareCostWeight*shareCostWeight)
 		ones.SetVec(i, 1)
 	}
 	if inverse.Inverse(&normal) != nil {
@@ -139,10 +139,10 @@
 	lateness := make([]float64, len(plans))
 	shares := make([]float64, len(plans))
 	for i, p := range plans {
-		lateness[i] = p.meanLateness()
+		lateness[i] = p.endInterval()
 		shares[i] = p.share
 	}
-	if c.interval.responses < minShareAnswers {
+	if c.interval.responses < minShareResponses {
 		return
 	}
 	for i, share := range c.shares.update(shares, lateness, !c.interval.overloadDetected) {
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -61,7 +61,7 @@
 		l.model.Set(i, i, -1)
 		l.model.Set(i, 2+i, 1)
 	}
-	v := 2 / (1 + shareWeight*shareWeight)
+	v := 2 / (1 + shareCostWeight*shareCostWeight)
 	u0, u1 := v-(v-1)/2, -(v-1)/2
 	least := math.Min(0, u1)
 	sum := u0 + u1 - 2*least
@@ -87,7 +87,7 @@
 
 func TestSharesStayWithFewAnswers(t *testing.T) {
 	g := newHarness(t, settings(), endpoints(1)...)
-	g.c.scheduler.plans[0].lateness, g.c.scheduler.plans[1].lateness, g.c.interval.responses = 3, 0.1, minShareAnswers-1
+	g.c.scheduler.plans[0].lateness, g.c.scheduler.plans[1].lateness, g.c.interval.responses = 3, 0.1, minShareResponses-1
 	g.c.endInterval(1)
 	if g.c.scheduler.plans[0].share != 0.5 {
 		t.Errorf("share %g after an interval of four answers", g.c.scheduler.plans[0].share)
--- a/control/slots.go
+++ b/control/slots.go
@@ -17,8 +17,8 @@
 }
 
 const (
-	slotGrowth       = 1.25 // the most that one reading adds to the limit
-	maxSlotReduction = 0.85 // the most that one reading takes off the limit, as a factor
+	maxSlotFactor = 1.25 // the most that one reading adds to the limit
+	minSlotFactor = 0.85 // the most that one reading takes off the limit, as a factor
 )
 
 // hasFreeSlot reports whether another attempt of the tenant may start.
@@ -45,7 +45,7 @@
 		t.slotRejectionChance = min(maxRejectionChance, max(0, 1-(1-rejected)*100/max(percent, 1)))
 	}
 	if percent > 100 || t.slotsExhausted {
-		t.slotLimit *= max(maxSlotReduction, min(slotGrowth, 100/max(percent, 1)))
+		t.slotLimit *= max(minSlotFactor, min(maxSlotFactor, 100/max(percent, 1)))
 	}
 	t.slotLimit = min(float64(t.plan.MaxConcurrent), max(t.minSlots(), t.slotLimit))
 	t.slotsExhausted = false
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -37,10 +37,10 @@
 	// preferredReserve is the fraction of a server's capacity that is for the nodes that prefer it: they reuse
 	// their connections to it. Without it nearly each attempt would open a new one.
 	preferredReserve = 0.8
-	// initialAnswerRate is the rate of answers per second that a node is taken to have right after its start.
-	initialAnswerRate = 10.0
-	// maxCatchUp times its part is what a node of a large fleet sends at most where its bucket is full.
-	maxCatchUp = 1.5
+	// initialOutcomeRate is the rate of answers per second that a node is taken to have right after its start.
+	initialOutcomeRate = 10.0
+	// maxCatchUpFactor times its part is what a node of a large fleet sends at most where its bucket is full.
+	maxCatchUpFactor = 1.5
 )
 
 // usableWarmingUp reports whether the server is usable and warming up.
@@ -67,7 +67,7 @@
 		return 1
 	}
 	elapsed := w.env.since(s.warmingSince) / settings.SlowStartDuration.Seconds()
-	initial := settings.SlowStartInitial
+	initial := settings.SlowStartInitialFraction
 	return min(1, max(minWarmupFraction, initial)+(1-initial)*max(0, elapsed))
 }
 
@@ -83,11 +83,11 @@
 		return true
 	}
 	fraction := w.warmupFraction(s)
-	if float64(s.working()+s.abandoned) >= max(1, math.Floor(fraction*maxInFlightWarm)) {
+	if float64(s.activeAttempts()+s.abandoned) >= max(1, math.Floor(fraction*maxInFlightWarm)) {
 		return false
 	}
 	if w.env.largeFleet() {
-		return w.admitsOfLargeFleet(s, w.rateOfLargeFleet(s, fraction))
+		return w.admitsInLargeFleet(s, w.largeFleetRate(s, fraction))
 	}
 	rate := max(slowStartSafety*w.observedCapacity(fraction), 1/w.servers.nodesPerServer)
 	s.tokens += rate * w.env.since(s.refilledAt)
@@ -108,10 +108,10 @@
 	return w.env.settings.OverloadFactor * fraction * w.traffic.servedRate / max(1, warm)
 }
 
-// rateOfLargeFleet returns the tokens per second that a node of a large fleet may send to a server. Too
+// largeFleetRate returns the tokens per second that a node of a large fleet may send to a server. Too
 // little passes through each node to measure what a server does, so its capacity is estimated from the idle
 // latency. Most of it is for the nodes that prefer the server.
-func (w *slowStart) rateOfLargeFleet(s *server, fraction float64) float64 {
+func (w *slowStart) largeFleetRate(s *server, fraction float64) float64 {
 	requestsPerSecond := assumedConcurrency / max(w.traffic.idleLatency, minIdleLatency) // of all nodes
 	capacity := w.env.settings.OverloadFactor * fraction * w.traffic.meanTokens * requestsPerSecond
 	part := capacity / w.servers.nodesPerServer
@@ -124,10 +124,10 @@
 	return slowStartSafety * rate
 }
 
-// admitsOfLargeFleet refills the bucket and reports whether it lets a request through. Any request may
+// admitsInLargeFleet refills the bucket and reports whether it lets a request through. Any request may
 // take the bucket into debt, as small ones would else keep it too low for large ones. A node with a full
 // bucket sends by chance, so that not all nodes send at one moment.
-func (w *slowStart) admitsOfLargeFleet(s *server, rate float64) bool {
+func (w *slowStart) admitsInLargeFleet(s *server, rate float64) bool {
 	s.tokens += rate * w.env.since(s.refilledAt)
 	s.refilledAt = w.env.now
 	full := w.burst(rate)
@@ -138,6 +138,6 @@
 	if s.tokens < full {
 		return true
 	}
-	answers := cmp.Or(w.traffic.answerRate, initialAnswerRate)
-	return w.env.random.Float64()*w.traffic.meanTokens*answers < maxCatchUp*rate
+	answers := cmp.Or(w.traffic.outcomeRate, initialOutcomeRate)
+	return w.env.random.Float64()*w.traffic.meanTokens*answers < maxCatchUpFactor*rate
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -104,7 +104,7 @@
 		cold = append(cold, Endpoint{Server: id, Zone: "z1", Size: 1, StartedAt: time.Hour - 20*time.Second, HasStartedAt: true})
 	}
 	g := newHarness(t, s, cold...)
-	g.c.concurrency.bound, g.c.traffic.idleLatency, g.c.traffic.latency, g.c.traffic.answers, g.c.traffic.meanTokens = 4, 0.2, 0.2, 100, 2
+	g.c.concurrency.bound, g.c.traffic.idleLatency, g.c.traffic.latency, g.c.traffic.responses, g.c.traffic.meanTokens = 4, 0.2, 0.2, 100, 2
 	large := map[string]bool{}
 	for i := 0; i < 200; i++ {
 		id, units := fmt.Sprint(i), 1.0
@@ -236,7 +236,7 @@
 		if i > 0 {
 			continue
 		}
-		g.c.concurrency.bound, g.c.traffic.idleLatency, g.c.traffic.latency, g.c.traffic.answers, g.c.traffic.meanTokens = 4, 0.1, 0.1, 100, 1
+		g.c.concurrency.bound, g.c.traffic.idleLatency, g.c.traffic.latency, g.c.traffic.responses, g.c.traffic.meanTokens = 4, 0.1, 0.1, 100, 1
 		g.run(20*time.Second, 100*ms, func(uint32) time.Duration { return 100 * ms })
 		used := map[uint32]bool{}
 		for _, x := range g.sends {
--- a/control/slowstartfleet_test.go
+++ b/control/slowstartfleet_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	f := &warmupFleet{warmupCase: x, t: t, set: fleet(x.group), seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(x.group))),
 		busy: make([]time.Duration, x.servers), sends: make([][]warmupSend, x.cold), told: make([]bool, x.group)}
-	f.set.SlowStartDuration, f.set.SlowStartInitial, f.set.OverloadWindow = coldFor, x.from, 1500*ms
+	f.set.SlowStartDuration, f.set.SlowStartInitialFraction, f.set.OverloadWindow = coldFor, x.from, 1500*ms
 	f.set.FleetSize = max(x.group, x.size)
 	for i := range x.servers {
 		f.members = append(f.members, Endpoint{Server: uint32(i + 1), HashKey: uint32(i+1) * 2654435761, Zone: fmt.Sprint("z", i%3), Size: 1})
--- a/control/slowstartsum_test.go
+++ b/control/slowstartsum_test.go
@@ -29,7 +29,7 @@
 	const does, takes = 18.0, 0.17
 	rng := rand.New(rand.NewPCG(seed, uint64(gateways)))
 	up, group := time.Hour, s.FleetSize
-	s.SlowStartDuration, s.SlowStartInitial, s.OverloadWindow = 16*time.Second, from, 1500*ms
+	s.SlowStartDuration, s.SlowStartInitialFraction, s.OverloadWindow = 16*time.Second, from, 1500*ms
 	var members []Endpoint
 	for id := uint32(1); id <= uint32(servers); id++ {
 		members = append(members, Endpoint{Server: id, HashKey: id * 2654435761, Zone: "z1"})
@@ -41,9 +41,9 @@
 		s.NodeIndex = i * group / gateways
 		c, err := New(s, seed<<32+uint64(i))
 		require.NoError(t, err)
-		c.traffic.latency, c.traffic.idleLatency, c.traffic.answers, c.traffic.meanTokens = takes, takes, 100, 1
+		c.traffic.latency, c.traffic.idleLatency, c.traffic.responses, c.traffic.meanTokens = takes, takes, 100, 1
 		c.Handle(up, EndpointUpdate{Kind: Cached, Endpoints: members, NodesPerServer: sharers})
-		c.traffic.servedRate, c.traffic.answerRate = asked/float64(gateways), asked/float64(gateways)
+		c.traffic.servedRate, c.traffic.outcomeRate = asked/float64(gateways), asked/float64(gateways)
 		gates[i] = c
 	}
 	type send struct {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -38,9 +38,11 @@
 	return t.level, t.plan.Rate, t.plan.Burst, int(t.nodes), true
 }
 
-// RestoreTenant sets what the bucket of a tenant holds that is not known here yet: at most tokens, and no
-// more than a bucket can.
-func (c *Controller) RestoreTenant(now time.Duration, plan, tenant string, nodes int, tokens float64) error {
+// RestoreTenantLevel sets what the bucket of a tenant holds that is not known here yet: at most tokens, and
+// no more than a bucket can.
+func (c *Controller) RestoreTenantLevel(
+	now time.Duration, plan, tenant string, nodes int, tokens float64,
+) error {
 	p := c.scheduler.byName[plan]
 	switch {
 	case p == nil || p.Rate == 0:
@@ -60,7 +62,12 @@
 }
 
 func (u *usualTimeLeft) save() handoverTimeLeft {
-	return handoverTimeLeft{TimeLeft: u.timeLeft, Recurring: u.recurring, Seen: u.votes, Recurred: u.recurringVotes}
+	return handoverTimeLeft{
+		TimeLeft:  u.timeLeft,
+		Recurring: u.recurring,
+		Seen:      u.votes,
+		Recurred:  u.recurringVotes,
+	}
 }
 
 func (u *usualTimeLeft) load(saved handoverTimeLeft) {
@@ -98,7 +105,7 @@
 	s.failureRate = saved.FailureRate
 	s.failureRateAt = saved.FailureRateAt
 	s.consecutiveFailures = saved.ConsecutiveFailures
-	s.ejectedUntil = min(saved.EjectedUntil, now+maxEjection)
+	s.ejectedUntil = min(saved.EjectedUntil, now+maxEjectionTime)
 	s.ejectionTime = saved.EjectionTime
 	s.warmingUp = saved.WarmingUp
 	s.warmingSince = saved.WarmingSince
@@ -119,19 +126,19 @@
 		ReadAt:              t.readAt,
 		RequestedAt:         t.requestedAt,
 		Level:               max(-limit, min(t.level, limit)),
-		Ceiling:             t.ceiling,
+		Ceiling:             t.ceilingLevel,
 		SlotLimit:           t.slotLimit,
 		SlotRejectionChance: t.slotRejectionChance,
 		ChanceRemainder:     t.chanceRemainder,
 		Metered:             t.metered,
-		OtherNodesRate:       t.otherNodesRate,
+		OtherNodesRate:      t.otherNodesRate,
 		LastPeriodTokens:    t.lastPeriodTokens,
 		RequestedTokens:     t.requestedTokens,
 		ReadTokens:          t.readTokens,
 		ReadSeconds:         t.readSeconds,
 		CoveredSeconds:      t.coveredSeconds,
-		LocalTokens:           t.localTokens,
-		FleetTokens:           t.fleetTokens,
+		LocalTokens:         t.localTokens,
+		FleetTokens:         t.fleetTokens,
 		MeanRate:            t.meanRate,
 		ReadEnd:             t.readEnd,
 		Sent:                t.sent.save(),
@@ -149,7 +156,7 @@
 		firstSeen:       saved.FirstSeen,
 		refilledAt:      saved.RefilledAt,
 		level:           saved.Level,
-		ceiling:         saved.Ceiling,
+		ceilingLevel:    saved.Ceiling,
 		chanceRemainder: saved.ChanceRemainder,
 	}
 	t.tenantSlots = tenantSlots{slotLimit: saved.SlotLimit, slotRejectionChance: saved.SlotRejectionChance}
--- a/control/streamedbody_test.go
+++ b/control/streamedbody_test.go
@@ -51,7 +51,7 @@
 	for _, spent := range []bool{false, true} {
 		g := newHarness(t, settings(), endpoints(1, 2)...)
 		g.requestStreamed("a")
-		g.handle(AttemptEnded{ID: "a", Server: g.sends[0].Server, Outcome: ConnectFailed, BodySpent: spent})
+		g.handle(AttemptEnded{ID: "a", Server: g.sends[0].Server, Outcome: ConnectFailed, BodyConsumed: spent})
 		if again := len(g.sends) == 2; again == spent {
 			t.Errorf("spent %v: sent again %v", spent, again)
 		}
@@ -65,13 +65,13 @@
 // what the answer's head tells counts at once.
 func TestAnswerThatStreamsLoadsNobody(t *testing.T) {
 	s := settings()
-	s.CostWithAnswer = true
+	s.ResponsesReportTokens = true
 	g := newHarness(t, s, endpoints(1)...)
 	g.request("a", "job", "low", "c")
 	g.advance(50 * ms)
 	q := g.c.tenants.byKey["low c"]
 	level := q.level
-	g.handle(ResponseStarted{ID: "a", Server: 1, Delay: 50 * ms, Tokens: 11, MeterReading: 1})
+	g.handle(ResponseStarted{ID: "a", Server: 1, Latency: 50 * ms, Tokens: 11, MeterReading: 1})
 	if d := level - q.level; d < 7 || d > 11 {
 		t.Errorf("%g units settled, not about 10", d)
 	}
@@ -79,8 +79,8 @@
 		t.Error("the use told in the head is not read")
 	}
 	g.advance(20 * time.Second)
-	if srv := g.c.servers.byID[1]; g.c.concurrency.busy() != 0 || srv.working() != 0 {
-		t.Errorf("%g at work, %d at the server", g.c.concurrency.busy(), srv.working())
+	if srv := g.c.servers.byID[1]; g.c.concurrency.busy() != 0 || srv.activeAttempts() != 0 {
+		t.Errorf("%g at work, %d at the server", g.c.concurrency.busy(), srv.activeAttempts())
 	}
 	g.handle(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true})
 	if srv := g.c.servers.byID[1]; g.c.concurrency.inFlight != 0 || g.c.concurrency.responding != 0 || srv.inFlight != 0 || srv.responding != 0 {
--- a/control/tenant.go
+++ b/control/tenant.go
@@ -14,11 +14,11 @@
 	nodes       float64       // that the tenant may come through
 	firstSeen   time.Duration // at this node
 
-	level        float64 // tokens of the quota's bucket
-	ceiling      float64 // tokens of the ceiling's bucket
-	refilledAt   time.Duration
-	shared       bool    // level is what the bucket's owner reported
-	queuedTokens float64 // of requests without an attempt
+	level         float64 // tokens of the quota's bucket
+	ceilingLevel  float64 // tokens of the ceiling's bucket
+	refilledAt    time.Duration
+	levelReported bool    // level is what the bucket's owner reported
+	queuedTokens  float64 // of requests without an attempt
 
 	chanceRemainder float64 // carried over from draws of the rejection chance
 	tenantSlots
@@ -85,7 +85,7 @@
 	filled := initialCeilingFraction*plan.CeilingOverdraft + observed*plan.CeilingRate
 	t.level = fraction * t.plan.Burst
 	t.meanRate = initialUseFraction * t.plan.Rate
-	t.ceiling = fraction * filled / t.nodes
+	t.ceilingLevel = fraction * filled / t.nodes
 	t.slotLimit = fraction * float64(plan.MaxConcurrent) / t.nodes
 	return t
 }
@@ -98,16 +98,17 @@
 	t.advance(table.env.currentBin())
 	fraction := table.env.quotaFraction()
 	t.level = min(fraction*t.plan.Burst, t.level+fraction*elapsed*t.plan.Rate)
-	t.ceiling = min(fraction*t.plan.CeilingBurst/t.nodes, t.ceiling+fraction*elapsed*t.plan.CeilingRate/t.nodes)
+	t.ceilingLevel = min(fraction*t.plan.CeilingBurst/t.nodes,
+		t.ceilingLevel+fraction*elapsed*t.plan.CeilingRate/t.nodes)
 }
 
 // consume takes the tokens of a request's first attempt from the buckets, and from the quota's what the other
 // nodes are taken to have sent meanwhile.
 func (table *tenantTable) consume(t *tenant, tokens float64) {
 	table.refill(t)
-	t.ceiling -= tokens
+	t.ceilingLevel -= tokens
 	charged := tokens
-	if !t.shared { // else what others send is in the owner's report
+	if !t.levelReported { // else what others send is in the owner's report
 		charged *= t.fleetUsePerToken()
 	}
 	t.level = max(-t.plan.Burst, t.level-charged)
@@ -117,7 +118,7 @@
 
 // settle replaces the expected tokens of a request by the true ones.
 func (table *tenantTable) settle(t *tenant, expected, tokens float64) {
-	if tokens > 0 && table.env.settings.CostWithAnswer {
+	if tokens > 0 && table.env.settings.ResponsesReportTokens {
 		table.refill(t)
 		t.level -= tokens - expected
 	}
@@ -131,7 +132,7 @@
 	idle := func(_ string, t *tenant) bool {
 		return table.env.now-t.refilledAt > retention && t.inFlight == 0 && t.queuedTokens == 0
 	}
-	maps.DeleteFunc(table.byKey, func(key string, t *tenant) bool { return idle(key, t) && table.full(t) })
+	maps.DeleteFunc(table.byKey, func(key string, t *tenant) bool { return idle(key, t) && table.isFull(t) })
 	limit := maxTenants / 2
 	if table.env.settings.MaxTenants > 0 {
 		limit = min(limit, table.env.settings.MaxTenants)
@@ -143,22 +144,23 @@
 	}
 }
 
-// full reports whether an idle tenant's buckets have filled up since the last refill.
-func (table *tenantTable) full(t *tenant) bool {
+// isFull reports whether an idle tenant's buckets have filled up since the last refill.
+func (table *tenantTable) isFull(t *tenant) bool {
 	elapsed := table.env.since(t.refilledAt)
 	quotaFull := t.plan.Rate == 0 || t.level+elapsed*t.plan.Rate >= t.plan.Burst
 	ceilingFull := t.plan.CeilingRate == 0 ||
-		t.ceiling+elapsed*t.plan.CeilingRate/t.nodes >= t.plan.CeilingBurst/t.nodes
+		t.ceilingLevel+elapsed*t.plan.CeilingRate/t.nodes >= t.plan.CeilingBurst/t.nodes
 	return t.plan.MaxConcurrent == 0 && quotaFull && ceilingFull
 }
 
-// observe takes what the bucket's owner reported in place of what is reckoned here; nil is nothing reported.
-func (t *tenant) observe(bucket *SharedBucket) {
-	t.shared = bucket != nil
-	if !t.shared {
+// applyBucketReport takes what the bucket's owner reported in place of what is reckoned here; nil is
+// nothing reported.
+func (t *tenant) applyBucketReport(bucket *SharedBucket) {
+	t.levelReported = bucket != nil
+	if !t.levelReported {
 		return
 	}
-	if !bucket.AtLeast || bucket.Tokens > t.level {
+	if !bucket.LowerBound || bucket.Tokens > t.level {
 		t.level = math.Min(bucket.Tokens, t.plan.Burst)
 	}
 }
--- a/control/tenant_test.go
+++ b/control/tenant_test.go
@@ -164,7 +164,7 @@
 		{"told enough, empty here", &SharedBucket{Tokens: 15}, 0, 60, true},
 		{"told one request's, to many", &SharedBucket{Tokens: 2}, 20, 60, false},
 		{"told one request's, to few", &SharedBucket{Tokens: 2}, 20, 2, true},
-		{"told not low, empty here", &SharedBucket{Tokens: 14, AtLeast: true}, 0, 60, true},
+		{"told not low, empty here", &SharedBucket{Tokens: 14, LowerBound: true}, 0, 60, true},
 	} {
 		s := settings()
 		s.Plans[0].Rate, s.Plans[0].Burst = 1, 20
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -27,7 +27,7 @@
 	if small := maxTenants(32); s.MaxTenants != maxTenants(192) || small < 1500 || small*tenantBytes > 32<<20/4 {
 		t.Errorf("%d customers in 192 MB, %d in 32", s.MaxTenants, small)
 	}
-	if s.FleetSize != 2 || !s.CostWithAnswer || !s.ClientsMarkRetries || s.MaxAttempts != 6 || s.SlowStartDuration != 15*time.Second ||
+	if s.FleetSize != 2 || !s.ResponsesReportTokens || !s.ClientsMarkRetries || s.MaxAttempts != 6 || s.SlowStartDuration != 15*time.Second ||
 		len(s.Classes) != 2 || len(s.Plans) != 2 {
 		t.Errorf("settings %+v", s)
 	}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -50,7 +50,7 @@
 	if pool == nil || x.done || ctx.Err() != nil || x.bodySpent() || overLimit {
 		t.stop()
 		l.pendingEvents = append(l.pendingEvents, control.AttemptEnded{ID: a.ID, Attempt: t.number, Server: a.Server,
-			Outcome: control.NeverSent, Done: x.done, BodySpent: x.bodySpent()})
+			Outcome: control.NeverSent, Done: x.done, BodyConsumed: x.bodySpent()})
 		return
 	}
 	x.inFlight++
@@ -142,7 +142,7 @@
 	l.reportCost(x, o)
 	from, to := io.Pipe()
 	x.finish(answer{status: http.StatusOK, header: o.header, body: o.body, stream: from, length: length})
-	l.handle(control.ResponseStarted{ID: x.req.ID, Attempt: t.number, Server: t.server, Delay: time.Since(t.sentAt),
+	l.handle(control.ResponseStarted{ID: x.req.ID, Attempt: t.number, Server: t.server, Latency: time.Since(t.sentAt),
 		Tokens: o.tokens(l.maxTokens), MeterReading: o.meterReading()})
 	return to
 }
@@ -156,8 +156,8 @@
 	}
 	x.inFlight--
 	x.lastOutcome = o.reason
-	r := control.AttemptEnded{ID: x.req.ID, Attempt: t.number, Server: t.server, Outcome: o.reason, Delay: time.Since(t.sentAt),
-		BodySpent: x.bodySpent()}
+	r := control.AttemptEnded{ID: x.req.ID, Attempt: t.number, Server: t.server, Outcome: o.reason, Latency: time.Since(t.sentAt),
+		BodyConsumed: x.bodySpent()}
 	if o.header != nil && !o.streamed {
 		r.MeterReading = o.meterReading()
 		r.Tokens = o.tokens(l.maxTokens)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -49,7 +49,7 @@
 		classes:   make(map[string]control.Class),
 		plans:     make(map[string]bool),
 		fleetSize: s.FleetSize,
-		maxTokens: s.MaxTokens,
+		maxTokens: s.MaxRequestTokens,
 		sockets:   sockets,
 		stats:     counts,
 		budget:    l.upstream.budget,
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -130,7 +130,7 @@
 	}
 	s.knownBuckets.Inc()
 	s.age.Observe(k.Age.Seconds())
-	return &control.SharedBucket{Tokens: k.Tokens, AtLeast: k.AtLeast, Age: k.Age}
+	return &control.SharedBucket{Tokens: k.Tokens, LowerBound: k.AtLeast, Age: k.Age}
 }
 
 // consume reports tokens of a request that was sent; see ratelimit.Limiter.Consume.
--- a/internal/node/limitsharing_test.go
+++ b/internal/node/limitsharing_test.go
@@ -79,7 +79,7 @@
 			}
 			b.wait("word of the store", func() bool {
 				s := b.node.loop.limitSharing.bucketOf(q)
-				return s != nil && !s.AtLeast && s.Tokens < 3
+				return s != nil && !s.LowerBound && s.Tokens < 3
 			})
 			if got := askBasic(b, "b", 4, 2); got != http.StatusServiceUnavailable {
 				t.Errorf("a node that is told of an empty store answers %d", got)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -66,7 +66,7 @@
 		upstream:    up,
 		start:       time.Now(),
 		maxAttempts: cfg.Settings.MaxAttempts,
-		maxTokens:   cfg.Settings.MaxTokens,
+		maxTokens:   cfg.Settings.MaxRequestTokens,
 		stats:       counts,
 		life:        life,
 		endLife:     end,
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -192,7 +192,7 @@
 		if !ok {
 			continue // the bucket is full again, or the clock went back
 		}
-		if err := k.loop.controller.RestoreTenant(now, r.Plan, r.Tenant, r.Nodes, units); err != nil {
+		if err := k.loop.controller.RestoreTenantLevel(now, r.Plan, r.Tenant, r.Nodes, units); err != nil {
 			k.dropped.Inc()
 			continue
 		}
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -61,12 +61,12 @@
 func (g *facts) settings() control.Settings {
 	s := control.Settings{
 		NodeIndex: int(g.num("self-index")), FleetSize: int(g.num("group-size")), Zone: g.m["zone"],
-		PollDiscovery: g.m["discovery"] == "on_request",
-		PollWithin:    g.ms("contract.ask-within", false), DrainGrace: g.ms("contract.drain-grace", false),
-		SlowStartDuration: g.ms("contract.cold", false), SlowStartInitial: g.num("contract.cold-from"),
+		PollDiscovery:   g.m["discovery"] == "on_request",
+		MaxPollInterval: g.ms("contract.ask-within", false), DrainGrace: g.ms("contract.drain-grace", false),
+		SlowStartDuration: g.ms("contract.cold", false), SlowStartInitialFraction: g.num("contract.cold-from"),
 		OverloadWindow: g.ms("contract.fall", false), OverloadFactor: g.num("contract.fall-multiple"),
-		MeterPeriod: g.ms("domain.meter-period", false), CostWithAnswer: g.flag("domain.cost-after"),
-		MaxTokens: g.num("domain.units-top"), HasCounter: g.flag("domain.has-counter"),
+		MeterPeriod: g.ms("domain.meter-period", false), ResponsesReportTokens: g.flag("domain.cost-after"),
+		MaxRequestTokens: g.num("domain.units-top"), HasCounter: g.flag("domain.has-counter"),
 		PeerMessagesPerSecond: g.num("domain.inbox-per-s"),
 		MaxAttempts:           int(g.num("limits.send-cap")), MaxInFlight: int(g.num("limits.open-cap")),
 		CanCancel: g.flag("limits.may-cancel"), ClientsMarkRetries: g.flag("clients.marks-retry"), HealthChecks: g.flag("limits.probes"),
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -123,7 +123,7 @@
 		in.Event = request(f)
 	case "started":
 		in.Event = control.ResponseStarted{ID: f.text("xid", true), Attempt: int(f.integer("n", false)),
-			Server: f.server(), Delay: f.ms("delay-seen", false)}
+			Server: f.server(), Latency: f.ms("delay-seen", false)}
 	case "response":
 		in.Event = response(f)
 	case "hangup":
@@ -132,12 +132,12 @@
 		in.Event = control.Timer{Label: f.unsigned("label", true)}
 	case "ping_result":
 		in.Event = control.HealthCheckResult{Server: f.server(), Outcome: control.Outcome(f.integer("reason", true)),
-			Delay: f.ms("delay-seen", false), LoadReport: load(f)}
+			Latency: f.ms("delay-seen", false), LoadReport: load(f)}
 	case "peer":
 		in.Event = control.PeerMessage{From: int(f.integer("src", true)), Raw: f.bytes("raw")}
 	case "reckoned":
 		in.Event = control.CounterResult{Name: f.unsigned("cname", true), Total: f.number("total", false),
-			Delay: f.ms("delay-seen", false), Outcome: control.Outcome(f.integer("reason", true))}
+			Latency: f.ms("delay-seen", false), Outcome: control.Outcome(f.integer("reason", true))}
 	default:
 		return in, false, nil
 	}
@@ -165,7 +165,7 @@
 func response(f *fields) control.AttemptEnded {
 	return control.AttemptEnded{ID: f.text("xid", true), Attempt: int(f.integer("n", false)), Server: f.server(),
 		Outcome: control.Outcome(f.integer("reason", true)), Done: f.boolean("no-more"),
-		Delay: f.ms("delay-seen", false), Tokens: f.number("cost", false),
+		Latency: f.ms("delay-seen", false), Tokens: f.number("cost", false),
 		MeterReading: int(f.integer("use-pct", false)), LoadReport: load(f)}
 }
 
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -42,7 +42,7 @@
 	if p.Rate != 0.84 || p.Burst != 4 || p.MaxConcurrent != 2 || p.CeilingRate != 17 {
 		t.Errorf("plan %+v", p)
 	}
-	if !s.PollDiscovery || !s.CostWithAnswer || !s.HealthChecks || s.FleetSize != 2 || s.NodeIndex != 1 || s.MaxAttempts != 3 {
+	if !s.PollDiscovery || !s.ResponsesReportTokens || !s.HealthChecks || s.FleetSize != 2 || s.NodeIndex != 1 || s.MaxAttempts != 3 {
 		t.Errorf("settings %+v", s)
 	}
 }
--- a/internal/testbed/scale/exchange/fleet.go
+++ b/internal/testbed/scale/exchange/fleet.go
@@ -182,7 +182,7 @@
 	f.requests.begin()
 	k, ok := n.Level(f.now(node), uint64(which)+1, t.plan, t.set)
 	f.requests.end()
-	need := control.SharedBucketMinimum(f.load.quotas[t.plan].Burst, estimate, min(1, 4/float64(t.set.Count)))
+	need := control.MinSharedBucketLevel(f.load.quotas[t.plan].Burst, estimate, min(1, 4/float64(t.set.Count)))
 	if ok && !k.AtLeast && k.Tokens < need {
 		return
 	}
--- a/internal/testbed/scale/outage/gateway.go
+++ b/internal/testbed/scale/outage/gateway.go
@@ -78,7 +78,7 @@
 // gatewaySettings are a deployment with a slow start of 16 s from 0.3 of a server's capacity.
 func gatewaySettings(node, group int) control.Settings {
 	return control.Settings{NodeIndex: node, FleetSize: group, Zone: "none", MaxAttempts: 3, SendsRetryAfter: true,
-		MaxRetryAfter: 2 * time.Second, SlowStartDuration: coldFor, SlowStartInitial: coldFrom, OverloadWindow: coldSpan, OverloadFactor: coldMultiple,
+		MaxRetryAfter: 2 * time.Second, SlowStartDuration: coldFor, SlowStartInitialFraction: coldFrom, OverloadWindow: coldSpan, OverloadFactor: coldMultiple,
 		Classes: []control.Class{{Name: "rate", LatencyObjective: time.Second, Deadline: 2 * clientWaits, PriorityWeight: 1}},
 		Plans:   []control.Plan{{Name: "plan", PriceFactor: 1, Rate: 1000, Burst: 1000}}, CanCancel: true}
 }
--- a/internal/testbed/scale/outage/sharefleet.go
+++ b/internal/testbed/scale/outage/sharefleet.go
@@ -171,7 +171,7 @@
 func (s *shareFleet) admits(n *shareNode, i, tenant int) bool {
 	t := &s.tenants[tenant]
 	if known, ok := n.Level(s.clock(i), t.key, 0, t.set); ok {
-		return known.AtLeast || known.Tokens >= control.SharedBucketMinimum(tenantBurst, 1, min(1, 4.0/shareSpread))
+		return known.AtLeast || known.Tokens >= control.MinSharedBucketLevel(tenantBurst, 1, min(1, 4.0/shareSpread))
 	}
 	s.counts.blind++
 	store := n.alone[tenant]
--- a/internal/testbed/scale/request/hollow.go
+++ b/internal/testbed/scale/request/hollow.go
@@ -200,7 +200,7 @@
 	}
 	at.over = true
 	x.out--
-	r := control.AttemptEnded{ID: x.request.ID, Attempt: number, Server: at.server, Outcome: reason, Delay: n.clock.Now() - at.sent}
+	r := control.AttemptEnded{ID: x.request.ID, Attempt: number, Server: at.server, Outcome: reason, Latency: n.clock.Now() - at.sent}
 	if reason == control.OK {
 		r.MeterReading, r.Tokens = n.used, x.request.Tokens
 		n.finish(x, &n.counts.Answered)
--- a/internal/testbed/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -223,7 +223,7 @@
 		return p.alone(v, float64(a.Units))
 	}
 	_ = p.age.RecordValue(max(1, int64(k.Age/time.Microsecond)))
-	return k.AtLeast || k.Tokens >= control.SharedBucketMinimum(q.Burst, float64(a.Units), math.Min(1, 4/float64(c.Spread)))
+	return k.AtLeast || k.Tokens >= control.MinSharedBucketLevel(q.Burst, float64(a.Units), math.Min(1, 4/float64(c.Spread)))
 }
 
 // alone decides by the even part of the store that this node holds.
