--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -13,17 +13,17 @@
 // testSettings returns the settings of a small deployment: two nodes, one idempotent class, two plans.
 func testSettings() Settings {
 	return Settings{
-		FleetSize:         2,
-		Zone:              "z1",
-		MaxAttempts:       3,
-		SendsRetryAfter:   true,
-		MaxRetryAfter:     2 * time.Second,
-		SlowStartDuration: 10 * time.Second,
-		SlowStartInitial:  0.2,
-		OverloadWindow:    time.Second,
-		OverloadFactor:    2,
-		MeterPeriod:       time.Second,
-		CanCancel:         true,
+		FleetSize:                2,
+		Zone:                     "z1",
+		MaxAttempts:              3,
+		SendsRetryAfter:          true,
+		MaxRetryAfter:            2 * time.Second,
+		SlowStartDuration:        10 * time.Second,
+		SlowStartInitialFraction: 0.2,
+		OverloadWindow:           time.Second,
+		OverloadFactor:           2,
+		MeterPeriod:              time.Second,
+		CanCancel:                true,
 		Classes: []Class{
 			{Name: "job", LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1},
 		},
--- a/control/largefleet_test.go
+++ b/control/largefleet_test.go
@@ -70,7 +70,7 @@
 	h.controller.concurrency.bound = 0.25
 	h.controller.traffic.latency = 0.1
 	h.controller.traffic.idleLatency = 0.1
-	h.controller.traffic.answers = 100
+	h.controller.traffic.responses = 100
 	h.request("a", "job", "high", "x")
 	h.request("b", "job", "high", "y")
 	if len(h.sends) != 1 {
@@ -150,7 +150,7 @@
 	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
 	h.controller.traffic.latency = 0.1
 	h.controller.traffic.idleLatency = 0.1
-	h.controller.traffic.answers = 100
+	h.controller.traffic.responses = 100
 	before := h.controller.concurrency.bound
 	rejections := 0
 	for i := 0; i < 30; i++ {
@@ -284,7 +284,7 @@
 	h.controller.concurrency.bound = 80
 	h.controller.traffic.latency = 1.2
 	h.controller.traffic.idleLatency = 0.1
-	h.controller.traffic.answers = 100
+	h.controller.traffic.responses = 100
 	for i, want := range []float64{40, 40, 40, 20} {
 		h.controller.interval.latencyCount = 10
 		h.controller.interval.responses = 10
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -107,7 +107,7 @@
 // The tokens reported with an answer replace those that the request was expected to cost.
 func TestReportedTokensReplaceExpectedOnes(t *testing.T) {
 	s := testSettings()
-	s.CostWithAnswer = true
+	s.ResponsesReportTokens = true
 	h := newHarness(t, s, endpoints(1)...)
 	h.request("a", "job", "low", "x")
 	tenant := h.controller.tenants.get(h.controller.scheduler.plans[0], "x", 2)
--- a/control/preferred_test.go
+++ b/control/preferred_test.go
@@ -146,7 +146,7 @@
 // A watch that fails is requested again, and an open one is not.
 func TestWatchIsRequestedAgainAfterFailure(t *testing.T) {
 	s := testSettings()
-	s.PollDiscovery, s.PollWithin = true, 10*time.Second
+	s.PollDiscovery, s.MaxPollInterval = true, 10*time.Second
 	h := newHarness(t, s, endpoints(1)...)
 	watches := func() (n int) {
 		for _, a := range h.actions {
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -61,7 +61,7 @@
 		c.model.Set(i, i, -1)
 		c.model.Set(i, 2+i, 1)
 	}
-	v := 2 / (1 + shareWeight*shareWeight)
+	v := 2 / (1 + shareCostWeight*shareCostWeight)
 	u0, u1 := v-(v-1)/2, -(v-1)/2
 	lowest := math.Min(0, u1)
 	sum := u0 + u1 - 2*lowest
@@ -93,7 +93,7 @@
 	h := newHarness(t, testSettings(), endpoints(1)...)
 	h.controller.scheduler.plans[0].lateness = 3
 	h.controller.scheduler.plans[1].lateness = 0.1
-	h.controller.interval.responses = minShareAnswers - 1
+	h.controller.interval.responses = minShareResponses - 1
 	h.controller.endInterval(1)
 	if h.controller.scheduler.plans[0].share != 0.5 {
 		t.Errorf("share %g after an interval of four answers", h.controller.scheduler.plans[0].share)
--- a/control/slowstartfleet_test.go
+++ b/control/slowstartfleet_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	f := &warmupFleet{warmupCase: x, t: t, settings: fleetSettings(x.nodes), seed: seed, rng: rand.New(rand.NewPCG(seed, uint64(x.nodes))),
 		busyUntil: make([]time.Duration, x.servers), sends: make([][]warmupSend, x.warmingUp), informed: make([]bool, x.nodes)}
-	f.settings.SlowStartDuration, f.settings.SlowStartInitial, f.settings.OverloadWindow = warmupDuration, x.initialFraction, 1500*ms
+	f.settings.SlowStartDuration, f.settings.SlowStartInitialFraction, f.settings.OverloadWindow = warmupDuration, x.initialFraction, 1500*ms
 	f.settings.FleetSize = max(x.nodes, x.fleetSize)
 	for i := range x.servers {
 		f.endpoints = append(f.endpoints, Endpoint{Server: uint32(i + 1), HashKey: uint32(i+1) * 2654435761, Zone: fmt.Sprint("z", i%3), Size: 1})
