--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -169,7 +169,9 @@
 
 // runWithLatency sends a request in each interval for a duration, and answers each attempt after the
 // latency of its server.
-func (h *harness) runWithLatency(duration, interval time.Duration, latency func(server uint32) time.Duration) {
+func (h *harness) runWithLatency(
+	duration, interval time.Duration, latency func(server uint32) time.Duration,
+) {
 	h.t.Helper()
 	type pendingAnswer struct {
 		at time.Duration
--- a/control/largefleet_test.go
+++ b/control/largefleet_test.go
@@ -103,7 +103,8 @@
 		t.Errorf("a first attempt delayed 1 s by a stall: its client has waited %v", w)
 	}
 	h.controller.env.sinceLastEvent = 4 * ms
-	if w := h.controller.classifier.clientWaitTime(Request{TimeLeft: 2 * time.Second}, class); w != 4*time.Second {
+	w := h.controller.classifier.clientWaitTime(Request{TimeLeft: 2 * time.Second}, class)
+	if w != 4*time.Second {
 		t.Errorf("a retry with 2 s of 6 s left: its client has waited %v", w)
 	}
 	if w := h.controller.classifier.clientWaitTime(Request{TimeLeft: 5 * time.Second}, class); w != time.Second {
--- a/control/nodesperserver_test.go
+++ b/control/nodesperserver_test.go
@@ -13,7 +13,9 @@
 
 // replay passes recorded events to a new controller, with a number of nodes per server in each endpoint
 // update, and returns its actions.
-func replay(t *testing.T, s Settings, seed uint64, events []handledEvent, nodesPerServer float64) (actions []string) {
+func replay(
+	t *testing.T, s Settings, seed uint64, events []handledEvent, nodesPerServer float64,
+) (actions []string) {
 	t.Helper()
 	c, err := New(s, seed)
 	require.NoError(t, err)
@@ -67,7 +69,11 @@
 	}
 	c, err := New(fleetSettings(nodes), 1)
 	require.NoError(t, err)
-	c.Handle(time.Hour, EndpointUpdate{Kind: Cached, Endpoints: endpoints(ids...), NodesPerServer: nodesPerServer})
+	c.Handle(time.Hour, EndpointUpdate{
+		Kind:           Cached,
+		Endpoints:      endpoints(ids...),
+		NodesPerServer: nodesPerServer,
+	})
 	return c.concurrency.bound, c.concurrency.minBound()
 }
 
--- a/control/overrides_test.go
+++ b/control/overrides_test.go
@@ -69,8 +69,9 @@
 	}
 }
 
-// While rules change at random, a request keeps the version that was in force at its arrival, over its retries
-// too. Limits hold and are never looser than the settings. A closed zone gets nothing while another is open.
+// While rules change at random, a request keeps the version that was in force at its arrival, over its
+// retries too. Limits hold and are never looser than the settings. A closed zone gets nothing while another
+// is open.
 func TestRequestsKeepTheirRuleVersion(t *testing.T) {
 	retries := 0
 	for seed := uint64(1); seed <= 40; seed++ {
@@ -102,8 +103,8 @@
 	assert.Greater(t, differ, 5, "runs that rules with one attempt in flight change")
 }
 
-// The rules' quota factors multiply the quota's rate over time; a tenant's own factor replaces its plan's, and
-// a factor of zero admits nothing. Meter readings remain percentages of the settings' quota.
+// The rules' quota factors multiply the quota's rate over time; a tenant's own factor replaces its plan's,
+// and a factor of zero admits nothing. Meter readings remain percentages of the settings' quota.
 func TestRulesMultiplyQuotas(t *testing.T) {
 	s := testSettings()
 	s.FleetSize, s.Plans[0].Rate, s.Plans[0].Burst = 1, 10, 10
--- a/control/preferred_test.go
+++ b/control/preferred_test.go
@@ -80,15 +80,16 @@
 		}
 	}
 	if toPreferred < len(h.sends)/4 {
-		t.Errorf("%d of the last %d attempts went to preferred servers, an eighth of all", toPreferred, len(h.sends)/2)
+		t.Errorf("%d of the last %d attempts went to preferred servers, an eighth of all",
+			toPreferred, len(h.sends)/2)
 	}
 	if toSlow > len(h.sends)/20 {
 		t.Errorf("%d of the last %d attempts went to slow preferred servers", toSlow, len(h.sends)/2)
 	}
 }
 
-// Each node prefers about the same number of servers, however their hash keys are distributed. A node with two
-// would overload them, and one with twelve would have few observations of any.
+// Each node prefers about the same number of servers, however their hash keys are distributed. A node with
+// two would overload them, and one with twelve would have few observations of any.
 func TestEachNodePrefersSameNumberOfServers(t *testing.T) {
 	var servers []Endpoint
 	for id := uint32(1); id <= 168; id++ {
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -378,8 +378,8 @@
 	return run
 }
 
-// No sequence of valid events makes an action that breaks the checks of randomRun, and the same events lead to
-// the same actions.
+// No sequence of valid events makes an action that breaks the checks of randomRun, and the same events lead
+// to the same actions.
 func TestRandomEventsBreakNoInvariant(t *testing.T) {
 	for seed := uint64(1); seed <= 60; seed++ {
 		a := runRandomEvents(t, seed, 2500)
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -128,7 +128,8 @@
 	return due
 }
 
-// classifierState tells what the classifier of attempts holds: by class the usual time, and what recurs beside it.
+// classifierState tells what the classifier of attempts holds: by class the usual time, and what recurs
+// beside it.
 func (w recordedWorkload) classifierState(c *Controller) string {
 	var text strings.Builder
 	for i := range c.env.settings.Classes {
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// requireFewDiscoveryCalls checks that the controller requested no health check, and the endpoint list at most
-// once.
+// requireFewDiscoveryCalls checks that the controller requested no health check, and the endpoint list at
+// most once.
 func (h *harness) requireFewDiscoveryCalls(deployment string) {
 	h.t.Helper()
 	calls := 0
