--- a/control/actions.go
+++ b/control/actions.go
@@ -2,64 +2,67 @@
 
 import "time"
 
-// Action is something that the node has to do. Actions are carried out in order.
+// Action is something that the caller of Controller.Handle has to do. The caller carries out the actions of
+// one call in order.
 type Action interface{ isAction() }
 
-// Send starts an attempt. The attempts of a request count 0, 1, 2 in order.
+// Send starts an attempt of a request at a server. The attempts of a request are numbered 0, 1, 2 in the
+// order of their Send actions.
 type Send struct {
 	ID       string
 	Server   uint32
-	Timeout  time.Duration // 0 is until the client gives up
-	NotAfter time.Duration // time by which it begins, or never does; 0 is no limit
+	Timeout  time.Duration // maximum duration of the attempt; 0 means until the client gives up
+	NotAfter time.Duration // time after which the attempt must not start; 0 means no limit
 }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt cancels an outstanding attempt.
 type CancelAttempt struct {
 	ID      string
-	Attempt int
+	Attempt int // number of the attempt, from 0
 }
 
-// Reject is the final answer "did not run, safe to retry".
+// Reject is the final response to a request that the client may retry without harm: it did not run, or a
+// second run is harmless.
 type Reject struct {
 	ID         string
-	RetryAfter time.Duration // 0 is no advice
+	RetryAfter time.Duration // Retry-After of the response; 0 means none
 }
 
-// Fail is the final answer that promises nothing.
+// Fail is the final response to a request that may have run. It promises nothing about a retry.
 type Fail struct{ ID string }
 
-// SetTimer asks for a Timer event.
+// SetTimer requests a Timer event.
 type SetTimer struct {
-	After time.Duration
-	Label uint64
+	After time.Duration // delay until the event
+	Label uint64        // label of the event
 }
 
-// HealthCheck checks a server.
+// HealthCheck starts a health check of a server.
 type HealthCheck struct{ Server uint32 }
 
-// Disconnect closes idle connections to a server.
+// Disconnect closes the idle connections to a server.
 type Disconnect struct{ Server uint32 }
 
-// Watch asks for changes of the endpoint list, or stops that.
+// Watch starts a watch of the endpoint list if Active is true, and stops it otherwise.
 type Watch struct{ Active bool }
 
-// FetchList asks for the complete endpoint list once.
+// FetchList fetches the complete endpoint list once.
 type FetchList struct{}
 
-// SendToPeer sends a message to another node; To below zero is to all.
+// SendToPeer sends a message to another node.
 type SendToPeer struct {
-	To  int
-	Raw []byte
+	To  int    // index of the node; a negative value means all nodes
+	Raw []byte // body of the message
 }
 
-// AddToCounter adds to a number that the counter service keeps.
+// AddToCounter adds Add to a counter of the counter service.
 type AddToCounter struct {
-	Name uint64
+	Name uint64 // number of the counter
 	Add  float64
-	TTL  time.Duration
+	TTL  time.Duration // time until the counter expires
 }
 
-// LogLine is a line for the operators' log.
+// LogLine writes a line to the operators' log.
 type LogLine struct{ Text string }
 
 func (Send) isAction()          {}
--- a/control/admission.go
+++ b/control/admission.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// admission decides on a request when it arrives.
+// admission decides whether an arriving request is admitted.
 type admission struct {
 	env               *environment
 	tenants           *tenantTable
 	concurrency       *concurrencyLimit
 	traffic           *trafficStats
 	counts            *rejectionCounts
-	maxPriorityWeight float64 // the largest priority weight of a class
+	maxPriorityWeight float64 // largest priority weight of a class
 }
 
 const (
-	// lowPriorityFraction is the fraction of the largest priority weight below which a class yields to
-	// others.
+	// lowPriorityFraction is the fraction of the largest priority weight below which a class has a low priority:
+	// its requests are rejected while slots or tokens are scarce.
 	lowPriorityFraction = 0.5
-	// scarceFraction is the fraction of its burst below which a tenant's tokens are scarce.
+	// scarceFraction is the fraction of the burst below which a tenant's tokens are scarce.
 	scarceFraction = 0.5
-	// filledFraction is the fraction of the burst from which a well covered bucket decides alone.
+	// filledFraction is the fraction of the burst from which a bucket that readings cover admits a request
+	// without a draw of the rejection chance.
 	filledFraction = 0.08
-	// minLevelFraction is the fraction of a request's tokens that the bucket must hold at least.
+	// minLevelFraction is the minimum fraction of a request's tokens that the bucket must hold for the request
+	// to be admitted.
 	minLevelFraction = 0.5
-	// A bucket that is reported to many nodes holds sharedMargin times a request's tokens more than those, or
-	// sharedFilledFraction of the burst: each node may send one by the same report.
+	// The owner of a tenant's bucket reports one level to many nodes, and each of them may admit a request by
+	// the same report. For a tenant of many nodes the bucket must therefore hold the request's tokens plus up to
+	// sharedMargin times as many, but no more than sharedFilledFraction of the burst.
 	sharedMargin         = 2.5
 	sharedFilledFraction = 0.7
 
-	// maxQueueFraction is the fraction of its latency objective that a request may wait in the queue.
+	// maxQueueFraction is the maximum time in the queue, as a fraction of the latency objective.
 	maxQueueFraction = 0.4
-	// maxSlotQueueFraction is the same where the tenant has a quota of attempts in flight.
+	// maxSlotQueueFraction replaces maxQueueFraction where the plan limits a tenant's attempts in flight.
 	maxSlotQueueFraction = 0.7
-	// minLatenciesLeft is how many mean latencies of the client's time must be left when a request is
+	// minLatenciesLeft is the minimum time, in mean latencies, that the client must have left when a request is
 	// dispatched.
 	minLatenciesLeft = 2.0
-	// minQueueTime is the least wait of a request whose objective can't be met.
+	// minQueueTime is the queue time that is allowed to a request whose latency objective cannot be met.
 	minQueueTime = 100 * time.Millisecond
 )
 
-// maxPriorityWeight returns the largest priority weight of a class.
+// maxPriorityWeight returns the largest priority weight of the classes.
 func maxPriorityWeight(classes []Class) float64 {
 	weight := 0.0
 	for _, class := range classes {
@@ -47,7 +50,8 @@
 	return weight
 }
 
-// onRequest admits a request into the queue of its plan, or rejects it.
+// onRequest adds an admitted request to the queue of its plan and rejects any other. A request whose ID is
+// already known is ignored.
 func (c *Controller) onRequest(e Request) {
 	if c.requests[e.ID] != nil {
 		return
@@ -82,18 +86,19 @@
 	c.setTimer(r, c.admission.maxQueueTime(r, e.TimeLeft))
 }
 
-// admits decides on a request of some tokens whose client has waited for a time. A request is rejected if
-//   - its answer can only be late and too little is known of the tenant's use,
-//   - its answer can only be late, or its class has a low priority, while slots or tokens are scarce,
-//   - the tenant's ceiling or quota is used up, or the metered rejection chance hits it: hasQuota.
+// admits reports whether a request is admitted. waited is the time that its client has waited so far. A
+// request is rejected if
+//   - its response can only be late, and readings do not cover the tenant's use,
+//   - its response can only be late, or its class has a low priority, while slots or tokens are scarce,
+//   - hasQuota reports that the tenant has no quota left for it.
 func (a *admission) admits(t *tenant, class *Class, tokens float64, waited time.Duration) bool {
 	late := waited+seconds(a.traffic.latency) >= class.LatencyObjective
 	t.requested.add(1)
 	t.addRequest(a.env.now, tokens)
 	a.counts.requests++
-	yields := late || class.PriorityWeight < lowPriorityFraction*a.maxPriorityWeight
+	sheddable := late || class.PriorityWeight < lowPriorityFraction*a.maxPriorityWeight
 	switch {
-	case (late && !a.tenants.isCovered(t)) || (yields && a.isScarce(t)):
+	case (late && !a.tenants.isCovered(t)) || (sheddable && a.isScarce(t)):
 		a.counts.late++
 	case a.hasQuota(t, tokens):
 		return true
@@ -110,9 +115,10 @@
 	return t.plan.Rate > 0 && t.level-t.queuedTokens < scarceFraction*t.plan.Burst
 }
 
-// hasQuota holds a request against the tenant's ceiling, its bucket and the rejection chance. The chance
-// decides where the bucket is neither empty (a surge that the meter has not reported) nor well filled and
-// covered by readings.
+// hasQuota reports whether the tenant has quota for a request of the given tokens. A request beyond the hard
+// ceiling has none. The bucket alone decides where it is well filled and readings cover the tenant's use, and
+// where it is too low (a surge that the meter has not reported yet). In between, the rejection chance
+// decides.
 func (a *admission) hasQuota(t *tenant, tokens float64) bool {
 	if t.plan.CeilingRate > 0 && t.ceilingLevel-t.queuedTokens < tokens {
 		a.counts.bucket++
@@ -135,7 +141,8 @@
 	return true
 }
 
-// requiredLevel returns what the bucket must hold for a request of some tokens to be admitted without a draw.
+// requiredLevel returns the bucket level from which a request of the given tokens is admitted without a draw
+// of the rejection chance.
 func requiredLevel(t *tenant, tokens float64) float64 {
 	if t.levelReported {
 		return MinSharedBucketLevel(t.plan.Burst, tokens, t.visibility())
@@ -143,19 +150,20 @@
 	return max(filledFraction*t.plan.Burst, tokens)
 }
 
-// minLevel returns what the bucket must hold for a request of some tokens to be admitted at all.
+// minLevel returns the bucket level below which a request of the given tokens is rejected.
 func minLevel(t *tenant, tokens float64) float64 {
 	return (minLevelFraction + (1-minLevelFraction)*(1-t.visibility())) * tokens
 }
 
-// MinSharedBucketLevel returns what a bucket must hold, by its owner's report, for a request of some
-// tokens to be admitted. Visibility is 1 where few nodes share the tenant, and falls with their number.
+// MinSharedBucketLevel returns the level that the owner of a bucket must report for a request of the given
+// tokens to be admitted. visibility is 1 where few nodes share the tenant and falls with their number; see
+// sharedMargin.
 func MinSharedBucketLevel(burst, tokens, visibility float64) float64 {
 	return min(tokens*(1+sharedMargin*(1-visibility)), sharedFilledFraction*burst)
 }
 
-// drawChance draws a chance and reports whether it hit. The remainder is carried over from draw to draw,
-// which keeps the chance exact over few requests.
+// drawChance reports whether an event of the given chance occurs. The remainder is carried over from call to
+// call, so that the fraction of events is exact even over few requests.
 func (t *tenant) drawChance(chance float64) bool {
 	t.chanceRemainder += 1 - chance
 	if t.chanceRemainder >= 1 {
@@ -165,8 +173,8 @@
 	return true
 }
 
-// maxQueueTime returns how long a request may wait for its dispatch. An impatient client's request is
-// rejected when no answer can be there in its time any more: it would take tokens and a slot for nothing.
+// maxQueueTime returns the maximum time that a request may wait for its dispatch. It ends the wait once no
+// response could arrive within the client's time: the request would use tokens and a slot for nothing.
 func (a *admission) maxQueueTime(r *request, timeLeft time.Duration) time.Duration {
 	fraction := maxQueueFraction
 	if r.plan.MaxConcurrent > 0 {
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// startAttempt sends a request to a server.
+// startAttempt dispatches a request to a server.
 func (c *Controller) startAttempt(r *request, s *server) {
 	c.scheduler.dequeue(r)
 	if r.attempts == 0 {
@@ -20,14 +20,14 @@
 	}
 	c.recordStart(r, s)
 	send := Send{ID: r.id, Server: s.Server}
-	if r.hasIdempotencyWindow() { // its connection may take longer to open than what is left of the window
+	if r.hasIdempotencyWindow() { // opening the connection may outlast the window
 		send.NotAfter = r.idempotencyWindowEnd()
 	}
 	c.env.emit(send)
 }
 
-// recordStart counts an attempt that starts now. While the body of a streamed request is being sent the
-// attempt loads no server.
+// recordStart counts an attempt that starts now. While the body of a streamed request is being sent, the
+// attempt counts neither against the server nor against the in-flight bound.
 func (c *Controller) recordStart(r *request, s *server) {
 	if s.activeAttempts() == 0 {
 		s.lastActivityAt = c.env.now
@@ -50,14 +50,15 @@
 	r.tenant.inFlight++
 }
 
-// onBodySent notes that the work on an attempt begins now.
+// onBodySent handles the end of a streamed request body.
 func (c *Controller) onBodySent(e BodySent) {
 	if a := c.attempts[attemptKey{e.ID, e.Attempt}]; a != nil {
 		c.recordBodySent(a)
 	}
 }
 
-// recordBodySent counts an attempt as work from now on. The time until then was the client's.
+// recordBodySent counts an attempt as in flight from now on. The time until now was spent by the client on
+// its body, so the request's times are moved by it.
 func (c *Controller) recordBodySent(a *attempt) {
 	if !a.sendingBody {
 		return
@@ -75,7 +76,8 @@
 	a.request.giveUpAt += took
 }
 
-// onResponseStarted takes the header of a streamed answer. Its server has done its work.
+// onResponseStarted handles the header of a streamed response. From here on the attempt no longer counts as
+// work of its server.
 func (c *Controller) onResponseStarted(e ResponseStarted) {
 	a := c.attempts[attemptKey{e.ID, e.Attempt}]
 	if a == nil || a.request.responseStarted {
@@ -91,7 +93,8 @@
 	c.observeResponse(a, e.Latency)
 }
 
-// onAttemptEnded learns from an outcome, and retries or ends the request where it has no final answer.
+// onAttemptEnded applies the outcome of an attempt. If the request has no final response and no other attempt
+// outstanding, it is retried or ended.
 func (c *Controller) onAttemptEnded(e AttemptEnded) {
 	a := c.recordEnd(attemptKey{e.ID, e.Attempt})
 	if a == nil {
@@ -106,7 +109,7 @@
 	c.meter.applyReading(a.tenant, e.MeterReading, r.tokens)
 	c.applyOutcome(a, e)
 	switch {
-	case c.requests[r.id] != r: // it has its final answer
+	case c.requests[r.id] != r: // the request already has its final response
 	case e.Done:
 		c.forget(r)
 	case !r.queued && r.outstandingAttempts == 0:
@@ -114,7 +117,8 @@
 	}
 }
 
-// recordEnd counts the end of an attempt and returns it; nil is none with this key.
+// recordEnd counts the end of an attempt and returns it. It returns nil if no attempt with this key is
+// outstanding.
 func (c *Controller) recordEnd(key attemptKey) *attempt {
 	a := c.attempts[key]
 	if a == nil {
@@ -135,7 +139,7 @@
 	return a
 }
 
-// applyOutcome applies an outcome to the server, the in-flight bound and the request.
+// applyOutcome applies the outcome of an attempt to the server, the in-flight bound and the request.
 func (c *Controller) applyOutcome(a *attempt, e AttemptEnded) {
 	s, r := a.server, a.request
 	took := c.env.since(a.startedAt)
@@ -152,19 +156,19 @@
 	case NeverSent: // no evidence about the server
 		s.trialInFlight = false
 	case TimedOut:
-		// A client that gives up before its answer is due speaks neither against the server nor for a
-		// lower bound.
+		// A client that gives up before the latency objective is no evidence of a slow server or of
+		// overload.
 		if took >= r.class.LatencyObjective.Seconds() {
 			c.outliers.recordFailure(s, 1)
 			s.observeLatency(c.env.now, took)
 			c.interval.overloads++
 		}
 	}
-	goesOn := e.Outcome == TimedOut || e.Outcome == Cancelled
-	if goesOn {
+	mayStillRun := e.Outcome == TimedOut || e.Outcome == Cancelled
+	if mayStillRun {
 		c.concurrency.abandon(s, took)
 	}
-	ran := goesOn || e.Outcome == Errored || e.Outcome == ResetByPeer
+	ran := mayStillRun || e.Outcome == Errored || e.Outcome == ResetByPeer
 	if ran && !r.mayHaveRun {
 		r.mayHaveRun = true
 		r.firstRunAt = a.startedAt
@@ -172,6 +176,7 @@
 	}
 }
 
+// applySuccess applies a successful outcome to the server, the tenant's bucket and the averages.
 func (c *Controller) applySuccess(a *attempt, e AttemptEnded) {
 	c.outliers.recordSuccess(a.server)
 	if !a.server.warmingUp {
@@ -183,7 +188,8 @@
 	}
 }
 
-// observeResponse takes the latency of a good answer.
+// observeResponse adds the latency of a successful response to the averages. took is the time from the start
+// of the attempt.
 func (c *Controller) observeResponse(a *attempt, took time.Duration) {
 	latency := took.Seconds()
 	objective := a.request.class.LatencyObjective.Seconds()
--- a/control/balancer.go
+++ b/control/balancer.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// balancer chooses the server of an attempt: the one with the least expected wait.
+// balancer chooses the server of an attempt: the one with the lowest cost, which is mainly the expected wait.
 type balancer struct {
 	env       *environment
 	servers   *serverSet
@@ -15,25 +15,29 @@
 	slowStart *slowStart
 }
 
-// Factors on the cost of a server.
+// Factors by which the cost of a server is multiplied.
 const (
-	triedCostFactor        = 4.0 // this request has tried it
-	nonPreferredCostFactor = 3.0 // it is not preferred by this node
-	reportedSlowCostFactor = 10.0
-	avoidedCostFactor      = 1e6 // ejected, under trial, or in an evacuated zone: taken where there is no other
-	failureCostFactor      = 5.0 // times the square of its failure rate beyond that of a single failure
-	maxCostJitter          = 0.02
+	triedCostFactor        = 4.0  // for a server that the request has already tried
+	nonPreferredCostFactor = 3.0  // for a server that this node does not prefer
+	reportedSlowCostFactor = 10.0 // for a server that other nodes reported as slow
+	// avoidedCostFactor applies to a server that is ejected, has a trial attempt in flight, rejected the plan
+	// recently, or is in an evacuated zone. Such a server is chosen only if there is no other.
+	avoidedCostFactor = 1e6
+	failureCostFactor = 5.0  // times the square of the failure rate beyond that of a single failure
+	maxCostJitter     = 0.02 // maximum random increase, as a fraction of the cost
 )
 
 const (
-	minLatency = 1e-3 // s, of the expected latency
-	// spreadExponent is that of the draw that spreads a large fleet's attempts while servers warm up.
+	minLatency = 1e-3 // minimum expected latency, in seconds
+	// spreadExponent is applied to the random factor that spreads the attempts of a large fleet while servers
+	// are warming up.
 	spreadExponent = 0.25
 )
 
-// pick returns the usable server of least cost that may take an attempt now, or nil where the request has to
-// wait. While servers warm up, a large fleet spreads its attempts by chance, each server in proportion to its
-// speed and warm-up: as each node knows little of how busy a server is, all would take the same few.
+// pick returns the usable server with the lowest cost that may receive an attempt now, or nil if the request
+// has to wait. While servers are warming up, a node of a large fleet multiplies each cost by a random factor.
+// Each of these nodes knows little of how busy a server is, so without the factor all of them would choose
+// the same few servers.
 func (b *balancer) pick(r *request) *server {
 	var best *server
 	bestCost := math.Inf(1)
@@ -67,14 +71,15 @@
 	return best
 }
 
-// avoids reports whether the server is taken only where there is no other.
+// avoids reports whether the server may be chosen only if there is no other.
 func (b *balancer) avoids(r *request, s *server, evacuationDraw float64) bool {
 	return b.outliers.ejected(s) || s.trialInFlight || b.env.now < s.rejectsPlanUntil[r.plan] ||
 		b.env.evacuated[s.Zone] > evacuationDraw
 }
 
-// dropsDuplicates reports whether the server drops duplicates of the request, where it may have run and is
-// bound to a set of servers by its key.
+// dropsDuplicates reports whether the key of the request allows the server. Once a request that is idempotent
+// with a key may have run, only the servers in the scope of its key drop its duplicates, so only these are
+// allowed. Any other request may be sent to any server.
 func dropsDuplicates(r *request, s *server) bool {
 	if r.dedupServer == nil || r.class.Idempotency != IdempotentByKey {
 		return true
@@ -88,12 +93,12 @@
 	return true
 }
 
-// cost returns the expected wait at a server in seconds, its latency times the attempts that it has from this
-// node, times the factors that speak against it.
+// cost returns the expected wait at a server in seconds: its expected latency times the number of attempts
+// that it has from this node, multiplied by the cost factors.
 func (b *balancer) cost(s *server) float64 {
 	attempts := float64(s.activeAttempts() + s.abandoned)
 	cost := b.expectedLatency(s) * (attempts + 1)
-	if s.warmingUp && !b.env.largeFleet() { // in a large fleet slowStart.admits goes by the warm-up
+	if s.warmingUp && !b.env.largeFleet() { // slowStart.admits limits these servers in a large fleet
 		cost /= b.slowStart.warmupFraction(s)
 	}
 	if !s.warmingUp && !s.preferred {
@@ -106,8 +111,9 @@
 	return cost * (1 + failureCostFactor*excess*excess) * (1 + maxCostJitter*b.env.random.Float64())
 }
 
-// expectedLatency returns the latency of a server in seconds: its own average, which moves back to the
-// mean of all servers as it ages. A silent server is at least as slow as its silence.
+// expectedLatency returns the expected latency of a server in seconds: the server's own average, which moves
+// back to the mean of all servers as it ages. If the server has attempts in flight, the expected latency is
+// at least the time since its last response.
 func (b *balancer) expectedLatency(s *server) float64 {
 	mean := b.traffic.latency
 	if s.warmingUp { // its queue is new, so it is not slower than the others
@@ -125,8 +131,9 @@
 	return latency
 }
 
-// zonePenalty returns the wait, in seconds, that costs as much as, by the rules, an attempt in the server's
-// zone does: an answer that is late by its latency objective has lost its value.
+// zonePenalty returns the cost, in seconds, of an attempt in the server's zone by the rules in force. The
+// rules state the cost as a value; a response that is late by its latency objective is taken to lose its
+// whole value.
 func (b *balancer) zonePenalty(r *request, s *server) float64 {
 	if len(r.rules.CrossZoneCost) == 0 || s.Zone == b.env.settings.Zone {
 		return 0
@@ -135,8 +142,8 @@
 	return lostValue * r.class.LatencyObjective.Seconds()
 }
 
-// avoidsClosedZones reports whether the request keeps out of the zones that its rules close, as another
-// server may take it.
+// avoidsClosedZones reports whether the request must stay out of the zones that its rules close, because a
+// server in another zone may receive it.
 func (b *balancer) avoidsClosedZones(r *request) bool {
 	if len(r.rules.ClosedZones) == 0 {
 		return false
--- a/control/classify.go
+++ b/control/classify.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// attemptClassifier tells first attempts of clients from their retries, and how long a client has waited
-// so far. A retry is known by its mark, or, where clients don't mark them, by a time left that is unusual
-// for its class.
+// attemptClassifier distinguishes first attempts of clients from their retries and estimates how long a
+// client has waited. A retry is recognized by the client's mark or, where clients do not mark retries, by a
+// time left that is unusual for its class.
 type attemptClassifier struct {
 	env     *environment
 	byClass map[*Class]*usualTimeLeft
-	// shortestRetry is the shortest time seen from a client's first attempt to its retry.
+	// shortestRetry is the shortest time observed from a client's first attempt to its retry.
 	shortestRetry time.Duration
 }
 
-// usualTimeLeft is the time left that most first attempts of a class come with, and the one that recurs
-// most among the others: some clients give up sooner than most.
+// usualTimeLeft holds the time left that most first attempts of a class arrive with. It also holds the most
+// frequent one among the other attempts, as some clients have a shorter deadline than most. Both are found by
+// majority vote: a matching attempt adds a vote, any other one removes a vote.
 type usualTimeLeft struct {
-	timeLeft       time.Duration
-	votes          int // attempts that had it, less those that had not
-	recurring      time.Duration
-	recurringVotes int // other attempts that had recurring, less those that had not
+	timeLeft       time.Duration // time left of most first attempts
+	votes          int           // votes for timeLeft
+	recurring      time.Duration // most frequent time left among the others
+	recurringVotes int           // votes for recurring
 }
 
 const (
 	initialShortestRetry = time.Second
-	// timeLeftTolerance is by how much the times left of two first attempts of a class may differ.
+	// timeLeftTolerance is the maximum difference between the times left of two first attempts of a class.
 	timeLeftTolerance = 100 * time.Millisecond
-	// recurringTolerance is by how much two recurring times may differ.
+	// recurringTolerance is the maximum difference between two recurring times left.
 	recurringTolerance = 3 * time.Millisecond
-	minRecurringVotes  = 4  // attempts from which a recurring time is one of first attempts
-	maxRecurringVotes  = 50 // that are counted
+	minRecurringVotes  = 4  // votes from which a recurring time left is that of first attempts
+	maxRecurringVotes  = 50 // maximum votes that are counted
 )
 
 func newAttemptClassifier(env *environment) attemptClassifier {
@@ -40,14 +41,15 @@
 }
 
 // clientWaitTime returns how long the client of a request has waited, for earlier attempts or for this node:
-// the deadline over all attempts less the time left. A node that stood still finds first attempts late: those
-// lack what its clock skipped.
+// the class's deadline over all attempts less the time left. After this process was suspended, first attempts
+// too arrive with less time left than usual, by at most the time since the last event. They are not taken for
+// retries.
 func (c *attemptClassifier) clientWaitTime(e Request, class *Class) time.Duration {
 	usual := c.byClass[class]
 	missing := usual.timeLeft - e.TimeLeft
 	unusual := missing > max(c.env.sinceLastEvent, timeLeftTolerance) || missing < -timeLeftTolerance
-	guessed := unusual && usual.votes > 0 && !c.env.settings.ClientsMarkRetries
-	if guessed && !e.Retry && c.hasShortDeadline(usual, e.TimeLeft, class) {
+	inferred := unusual && usual.votes > 0 && !c.env.settings.ClientsMarkRetries
+	if inferred && !e.Retry && c.hasShortDeadline(usual, e.TimeLeft, class) {
 		return 0
 	}
 	if !e.Retry {
@@ -55,18 +57,20 @@
 	}
 	sinceFirst := class.Deadline - e.TimeLeft
 	switch {
-	case !e.Retry && !guessed:
+	case !e.Retry && !inferred:
 		return min(max(missing, 0), c.env.sinceLastEvent)
-	case !unusual: // as long as a first attempt's: its client has another deadline
+	case !unusual: // a marked retry with the time left of a first attempt: its client has another deadline
 		return min(c.shortestRetry, sinceFirst)
 	}
 	c.shortestRetry = min(c.shortestRetry, sinceFirst)
 	return sinceFirst
 }
 
-// hasShortDeadline reports whether an attempt with an unusual time left is the first one of a client that
-// gives up sooner than most. The times of retries vary with the answers before them, except where a
-// rejection, at once or after the wait for a dispatch slot, advised when to come back.
+// hasShortDeadline reports whether an attempt with an unusual time left is the first one of a client whose
+// deadline is shorter than that of most clients. The time left of such attempts recurs, while that of retries
+// varies with the earlier responses. The exception is a retry by a client that followed the Retry-After of a
+// rejection, received at once or after the wait for a dispatch slot: its time left may recur as well, so it
+// is never taken for a first attempt.
 func (c *attemptClassifier) hasShortDeadline(
 	usual *usualTimeLeft, timeLeft time.Duration, class *Class,
 ) bool {
@@ -79,7 +83,7 @@
 	return usual.isRecurring(timeLeft) && usual.recurringVotes >= minRecurringVotes
 }
 
-// observe follows the time left that most attempts have.
+// observe updates the time left that most attempts have.
 func (u *usualTimeLeft) observe(timeLeft time.Duration, unusual bool) {
 	if unusual && u.votes == 0 {
 		u.timeLeft = timeLeft
@@ -89,7 +93,7 @@
 	u.votes++
 }
 
-// observeRecurring follows the time left that most of the others have.
+// observeRecurring updates the time left that most of the other attempts have.
 func (u *usualTimeLeft) observeRecurring(timeLeft time.Duration) {
 	switch {
 	case u.isRecurring(timeLeft):
@@ -102,6 +106,7 @@
 	}
 }
 
+// isRecurring reports whether the time left matches the recurring one.
 func (u *usualTimeLeft) isRecurring(timeLeft time.Duration) bool {
 	return u.recurringVotes > 0 && (timeLeft-u.recurring).Abs() <= recurringTolerance
 }
--- a/control/controller.go
+++ b/control/controller.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Controller decides for one node. Each rule is a type of its own; the Controller composes them and routes
-// events to them. It is not safe for concurrent use.
+// Controller makes the decisions of one node. Each rule is a type of its own; the Controller composes the
+// rules and routes events to them. It is not safe for concurrent use.
 type Controller struct {
 	env     environment
-	started bool // has handled an event
+	started bool // an event has been handled
 
-	requests map[string]*request     // without a final answer, by ID
-	attempts map[attemptKey]*attempt // outstanding
+	requests map[string]*request     // requests without a final response, by ID
+	attempts map[attemptKey]*attempt // outstanding attempts
 	timers   timerTable
 	classes  map[string]*Class
 
@@ -34,11 +34,12 @@
 	interval    intervalStats
 	counts      rejectionCounts
 
-	intervalEndAt time.Duration // when the control interval ends, at the earliest
-	nextReportAt  time.Duration // when the next line of the operators' log is due
+	intervalEndAt time.Duration // earliest end of the control interval
+	nextReportAt  time.Duration // time of the next line of the operators' log
 }
 
-// New returns the controller of one node. All its random numbers come from seed.
+// New returns a controller for one node, or an error if the settings are not valid. All its random numbers
+// are drawn from seed.
 func New(s Settings, seed uint64) (*Controller, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
@@ -92,8 +93,9 @@
 	return c, nil
 }
 
-// Handle takes one event and returns what the node has to do, in order. The slice is the controller's own
-// and valid until the next call.
+// Handle applies one event at the time now and returns the actions that the caller has to carry out, in
+// order. The slice belongs to the controller and is valid until the next call. A time before that of the last
+// event counts as that time.
 func (c *Controller) Handle(now time.Duration, e Event) []Action {
 	c.env.actions = c.env.actions[:0]
 	if now > c.env.now {
@@ -108,6 +110,7 @@
 	return c.env.actions
 }
 
+// route passes an event to its handler. Events that no rule uses are ignored.
 func (c *Controller) route(e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
@@ -133,10 +136,10 @@
 	}
 }
 
-// start begins the controller's clock with the first event.
+// start begins the first control interval and the ticks, when the first event arrives.
 func (c *Controller) start() {
 	c.started = true
-	if c.tenants.observingSince == 0 { // else that of the process before
+	if c.tenants.observingSince == 0 { // otherwise restored from another process
 		c.tenants.observingSince = c.env.now
 	}
 	c.nextReportAt = c.env.now + reportInterval
@@ -144,7 +147,7 @@
 	c.env.emit(SetTimer{After: tickInterval, Label: tickLabel})
 }
 
-// dispatch sends queued requests while the in-flight bound has capacity.
+// dispatch starts attempts for queued requests while the in-flight bound has capacity.
 func (c *Controller) dispatch() {
 	for c.concurrency.hasCapacity() {
 		r, s := c.scheduler.next()
@@ -156,27 +159,27 @@
 	c.interval.saturated = true
 }
 
-// onClientGone drops the request of a client that has left.
+// onClientGone drops the request of a client that has closed its connection.
 func (c *Controller) onClientGone(e ClientGone) {
 	if r := c.requests[e.ID]; r != nil {
 		c.forget(r)
 	}
 }
 
-// forget drops a request that has its final answer. Its outstanding attempts go on.
+// forget drops a request that needs no further response. Its outstanding attempts are still tracked.
 func (c *Controller) forget(r *request) {
 	c.scheduler.dequeue(r)
 	delete(c.requests, r.id)
 	delete(c.timers.byLabel, r.timer)
 }
 
-// timerTable holds the requests that wait for a timer. A request has one label for all its timers.
+// timerTable holds the requests that wait for a timer, by label. All timers of a request have the same label.
 type timerTable struct {
-	lastLabel uint64
+	lastLabel uint64 // last label in use
 	byLabel   map[uint64]*request
 }
 
-// setTimer asks for a Timer event of a request.
+// setTimer requests a Timer event for a request.
 func (c *Controller) setTimer(r *request, after time.Duration) {
 	if r.timer == 0 {
 		c.timers.lastLabel++
--- a/control/demand.go
+++ b/control/demand.go
@@ -5,52 +5,55 @@
 	"time"
 )
 
-// tenantDemand is what is known of a tenant's demand: by readings of the meter, and by requests here.
+// tenantDemand is what is known of a tenant's demand, from meter readings and from requests at this node.
 type tenantDemand struct {
-	requestedTokens float64 // of requests at this node, decaying
-	requestedAt     time.Duration
-	readTokens      float64 // used by the readings, decaying
-	readSeconds     float64 // of full demand that readTokens stand for, decaying
-	coveredSeconds  float64 // of use that the readings cover, decaying
-	readAt          time.Duration
+	requestedTokens float64       // tokens of requests at this node, decaying
+	requestedAt     time.Duration // time of the last request
+	readTokens      float64       // tokens used by the readings, decaying
+	readSeconds     float64       // seconds of unrejected demand in which readTokens were used, decaying
+	coveredSeconds  float64       // seconds of use that the readings cover, decaying
+	readAt          time.Duration // time of the last reading
 }
 
 const (
-	maxRejectionChance = 0.95
-	// demandLifetime is the time after which a reading has lost 63% of its weight.
-	demandLifetime = 20.0 // s
-	// readingLifetimeTokens is the tokens of quota after which a reading has lost as much.
+	maxRejectionChance = 0.95 // maximum of the rejection chance
+	// demandLifetime is the time in seconds after which a reading has lost 63% of its weight.
+	demandLifetime = 20.0
+	// readingLifetimeTokens is the quota, in tokens, after which a reading has lost 63% of its weight.
 	readingLifetimeTokens = 8.0
 
-	// The prior belief about a tenant's demand: a gamma distribution with this shape, and a mean in parts
-	// of the tenant's rate. Few tenants request much more than their rate.
+	// The prior belief about a tenant's demand is a gamma distribution with shape demandShape. Its mean is
+	// demandMean, as a fraction of the tenant's rate: few tenants request much more than their rate.
 	demandShape = 0.5
 	demandMean  = 0.8
-	// lowVisibilityDemandMean is the mean where many nodes each know little and use beyond the quota costs its
-	// full value.
+	// lowVisibilityDemandMean replaces demandMean where each of many nodes knows little of the demand and use
+	// beyond the quota costs its full value.
 	lowVisibilityDemandMean = 1.02
-	// ownDemandWeight is the weight of requests at this node beside readings, where the nodes are many.
+	// ownDemandWeight is the weight of requests at this node relative to readings, where a tenant has many
+	// nodes.
 	ownDemandWeight = 0.1
-	// chanceBurstFraction is the part of the burst that the rejection chance grants over demandLifetime.
+	// chanceBurstFraction is the fraction of the burst that the rejection chance allows over demandLifetime in
+	// addition to the rate.
 	chanceBurstFraction = 0.5
-	// unmeteredChanceFraction is the part of the rejection chance that counts before the first reading, where
-	// use beyond the quota costs nothing.
+	// unmeteredChanceFraction is the fraction of the rejection chance that applies before the first reading,
+	// where use beyond the quota costs nothing.
 	unmeteredChanceFraction = 0.5
-	// requestSizeExponent is by how much the rejection chance of a request of mean size grows where the nodes
-	// are many.
+	// requestSizeExponent is the growth of the exponent of the rejection chance for a request of mean size,
+	// where a tenant has many nodes.
 	requestSizeExponent = 2.0
-	// minCoverage is the fraction of the use that readings must cover for the bucket to go before the chance.
+	// minCoverage is the minimum fraction of the use that readings must cover for the bucket to decide in place
+	// of the rejection chance.
 	minCoverage = 0.3
 )
 
-// addRequest adds a addRequest's tokens to the demand.
+// addRequest adds the tokens of a request to the demand.
 func (d *tenantDemand) addRequest(now time.Duration, tokens float64) {
 	d.requestedTokens = d.requestedTokens*decay((now-d.requestedAt).Seconds(), demandLifetime) + tokens
 	d.requestedAt = now
 }
 
-// addReading adds a reading of tokens that were used in a period, while a fraction of the demand was
-// rejected.
+// addReading adds a reading: the tokens used in a period of some seconds, while the given fraction of the
+// demand was rejected. rate is the tenant's quota in tokens per second.
 func (d *tenantDemand) addReading(now time.Duration, used, rejected, period, rate, visibility float64) {
 	weight := decay((now - d.readAt).Seconds(), demandLifetime)
 	d.coveredSeconds = d.coveredSeconds*weight + period
@@ -60,8 +63,9 @@
 	d.readAt = now
 }
 
-// isCovered reports whether readings cover enough of a tenant's use, of what they could since it was
-// first seen: a node that has just started is not held to have missed what was before.
+// isCovered reports whether the readings cover enough of a tenant's use for its bucket to be trusted. The use
+// counts only from the time when the tenant was first seen here, so a node that has just started does not
+// wait for readings of earlier use. A level reported by the bucket's owner is always trusted.
 func (table *tenantTable) isCovered(t *tenant) bool {
 	possible := demandLifetime * (1 - decay(table.env.since(t.firstSeen), demandLifetime))
 	required := 1 - (1-minCoverage)*t.visibility()
@@ -69,21 +73,23 @@
 		t.coveredSeconds*decay(table.env.since(t.readAt), demandLifetime) > required*possible
 }
 
-// rejectionChance returns the chance with which a request of mean size is rejected, 1-(1-d')*100/p in the
-// operators' DESIGN page, with p over the latest readings that amount to some tokens and over own
-// requests. Readings of few requests and old ones count less against a prior belief about the demand.
+// rejectionChance returns the chance with which a request of mean size is rejected: 1-(1-d')*100/p in the
+// operators' DESIGN page, where p is taken from the latest readings and from the requests at this node. The
+// fewer requests the readings stand for and the older they are, the less they count against a prior belief
+// about the demand.
 func (table *tenantTable) rejectionChance(t *tenant) float64 {
 	return table.rejectionChanceOf(t, table.traffic.meanTokens)
 }
 
-// rejectionChanceOf returns the chance for a request of some tokens. Where many nodes each know little of
-// a bucket, a large request is the more likely to find it too low.
+// rejectionChanceOf returns the rejection chance of a request of the given tokens. Where each of many nodes
+// knows little of a bucket, a large request is more likely than a small one to exceed it, so its chance is
+// higher.
 func (table *tenantTable) rejectionChanceOf(t *tenant, tokens float64) float64 {
 	if t.plan.Rate == 0 {
 		return t.slotRejectionChance
 	}
-	hidden := 1 - t.visibility()
-	exponent := 1 + hidden*requestSizeExponent*tokens/table.traffic.meanTokens
+	unseen := 1 - t.visibility()
+	exponent := 1 + unseen*requestSizeExponent*tokens/table.traffic.meanTokens
 	chance := min(maxRejectionChance, 1-math.Pow(table.admissibleFraction(t), exponent))
 	if !t.metered {
 		chance *= t.unmeteredChanceWeight()
@@ -91,7 +97,7 @@
 	return chance
 }
 
-// admissibleFraction returns the fraction of a tenant's demand that its quota holds, as far as is known.
+// admissibleFraction returns the estimated fraction of a tenant's demand that fits its quota.
 func (table *tenantTable) admissibleFraction(t *tenant) float64 {
 	rate := t.plan.Rate
 	visibility := t.visibility()
@@ -107,11 +113,11 @@
 	return min(1, (rate+visibility*chanceBurstFraction*t.plan.Burst/demandLifetime)/demand)
 }
 
-// unmeteredChanceWeight returns the part of the rejection chance that counts before the first reading: all of
-// it where many nodes decide without one and use beyond the quota costs its full value, as the heavy
-// tenants' requests would else nearly all pass.
+// unmeteredChanceWeight returns the fraction of the rejection chance that applies before the first reading.
+// It is near 1 where many nodes decide without a reading and use beyond the quota costs its full value:
+// otherwise nearly all requests of the heaviest tenants would be admitted.
 func (t *tenant) unmeteredChanceWeight() float64 {
-	hidden := 1 - t.visibility()
+	unseen := 1 - t.visibility()
 	cost := min(1, t.plan.OverQuotaCost*t.plan.OverQuotaCost)
-	return hidden * (unmeteredChanceFraction + cost*(hidden-unmeteredChanceFraction))
+	return unseen * (unmeteredChanceFraction + cost*(unseen-unmeteredChanceFraction))
 }
--- a/control/discovery.go
+++ b/control/discovery.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// pollInterval is the time between two requests for a watch. After a failure the next one comes within half
-// to one and a half of it, so that nodes do not poll together.
+// pollInterval is the minimum time between two requests for a watch. After a failure the next request follows
+// after a random delay of between half and one and a half times pollInterval, so that nodes do not poll at
+// the same time.
 const pollInterval = 2 * time.Second
 
-// endpointWatch asks for a watch of the endpoint list where the settings have the list polled.
+// endpointWatch requests a watch of the endpoint list if the settings require polling.
 type endpointWatch struct {
 	env        *environment
-	watching   bool
-	nextPollAt time.Duration
+	watching   bool          // a watch is open
+	nextPollAt time.Duration // time from which the next request for a watch is due
 }
 
-// onUpdate notes whether the watch is open after an update.
+// onUpdate records whether a watch is open after an update of the given kind.
 func (w *endpointWatch) onUpdate(kind UpdateKind) {
 	w.watching = w.env.settings.PollDiscovery && kind != Cached && kind != Failed
 	if kind == Failed {
@@ -21,7 +22,7 @@
 	}
 }
 
-// poll asks for a watch where none is open and one is due.
+// poll requests a watch if none is open and a request is due.
 func (w *endpointWatch) poll() {
 	if w.env.settings.PollDiscovery && !w.watching && w.env.now >= w.nextPollAt {
 		w.env.emit(Watch{Active: true})
@@ -29,7 +30,7 @@
 	}
 }
 
-// onEndpointUpdate takes a change of the endpoint list.
+// onEndpointUpdate applies a change of the endpoint list.
 func (c *Controller) onEndpointUpdate(e EndpointUpdate) {
 	c.watch.onUpdate(e.Kind)
 	if e.Kind == Failed {
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,44 +1,48 @@
-// Package control decides for one edge node what becomes of each request: whether it is admitted, when
-// it is dispatched, which server gets it, whether it is retried, and with which answer it ends. The
-// operators' protocol page and DESIGN page specify it; docs/architecture.md shows the way of a request.
+// Package control decides, for one edge node, how each request is handled: whether it is admitted, when it
+// is dispatched, which server receives it, whether it is retried, and which final response its client gets.
+// The operators' protocol page and DESIGN page specify the decisions; docs/architecture.md shows the path of
+// a request through the node.
 //
-// The package is pure. A Controller is given events (events.go) with the time of the caller's clock and
-// returns actions (actions.go). It has no clock, socket or goroutine, and draws all random numbers from
-// one seed, so the same events give the same actions.
+// The package does no I/O. The caller passes events (events.go) to Controller.Handle together with the time
+// of its own clock, and carries out the actions (actions.go) that Handle returns. A Controller has no clock,
+// socket or goroutine and draws all its random numbers from one seed, so the same events produce the same
+// actions.
 //
 // # The path of a request
 //
-//	Request -> admission (tenant's quota) -> queue of its plan -> weighted round robin among plans
-//	        -> in-flight bound -> choice of a server -> Send -> AttemptEnded -> retry or final answer
+//	Request -> admission (quota of the tenant) -> queue of the plan -> weighted round robin among plans
+//	        -> in-flight bound -> choice of a server -> Send -> AttemptEnded -> retry or final response
 //
-// # Questions at night
+// # Questions of an engineer on call
 //
 // Why was this request rejected?
-//   - On arrival: admission.admits (admission.go) names the checks in order, and the operators' log line
-//     counts them: "late", "store" and "chance" (rejectionCounts, report.go).
-//   - After a wait: Controller.onTimer (interval.go) rejects a request whose time in the queue is over:
-//     admission.maxQueueTime; counted as "queue".
-//   - After a failed attempt: Controller.retryOrFinish (retry.go); counted as "ended".
-//   - Rejection or failure? Controller.finish (rejection.go): a rejection promises that nothing ran.
-//
-// Why did it wait? concurrencyLimit.hasCapacity (concurrency.go) bounds the attempts in flight,
-// scheduler.next (scheduler.go) gives plans their dispatch slots, scheduler.firstDispatchable skips requests
-// of tenants without a free slot (tenant.hasFreeSlot, slots.go).
-//
-// Why did it go to that server? balancer.pick (balancer.go) takes the server with the least expected wait;
-// balancer.cost lists what a server's cost is made of. Preferred servers: preferred.go.
-//
-// Why was it retried or not? Controller.retryOrFinish asks retryPolicy.allows (retry.go): the class's
-// idempotency and its window, the limit of attempts, the retry budget (0.1 attempts earned by each request),
-// and the time that the client has left.
+//   - On arrival: admission.admits (admission.go) lists the checks in order. The operators' log line counts
+//     the rejections by check as "late", "store" (the token bucket) and "chance" (rejectionCounts in
+//     report.go).
+//   - After a wait in the queue: Controller.onTimer (interval.go) ends a request that has been queued for
+//     admission.maxQueueTime; the log line counts it as "queue".
+//   - After a failed attempt: Controller.retryOrEnd (retry.go); the log line counts it as "ended".
+//   - Controller.rejectOrFail (rejection.go) chooses between a rejection and a failure: a rejection promises
+//     that the request did not run, or that a retry does no harm.
+//
+// Why did it wait? concurrencyLimit.hasCapacity (concurrency.go) bounds the attempts in flight.
+// scheduler.next (scheduler.go) assigns the dispatch slots to the plans, and scheduler.firstDispatchable
+// skips requests of tenants without a free slot (tenantSlots.hasFreeSlot, slots.go).
+//
+// Why did it go to that server? balancer.pick (balancer.go) chooses the server with the lowest cost, and
+// balancer.cost computes the cost of a server. preferred.go determines the preferred servers.
+//
+// Why was it retried, or not? Controller.retryOrEnd calls retryPolicy.allows (retry.go), which checks the
+// idempotency of the class and its idempotency window, the maximum number of attempts, the retry budget (each
+// request adds 0.1 retries), and the time that the client has left.
 //
 // Why was this server ejected, and for how long? outlierDetector.recordFailure (outlier.go): three
-// failures in a row eject it for 1 s, doubled with each ejection up to 8 s. Reports of other nodes only
-// raise its cost: outlierDetector.onReport.
+// consecutive failures eject a server for 1 s, and each further ejection lasts twice as long, up to 8 s.
+// Reports of other nodes only raise the server's cost: outlierDetector.onReport.
 //
-// What may a server get that is warming up? slowStart.admits (slowstart.go): this node's part of a token
-// bucket that grows with the server's warm-up.
+// How much may a server receive while it is warming up? slowStart.admits (slowstart.go) holds this node to
+// its part of a token bucket whose rate grows with the server's warm-up fraction.
 //
-// Why did the shares move? shareController.update (shares.go): at the end of each control interval, by the
-// lateness of each plan's answers and its price.
+// Why did the shares of the plans change? shareController.update (shares.go) computes them at the end of each
+// control interval from the price of each plan and the lateness of its responses.
 package control
--- a/control/events.go
+++ b/control/events.go
@@ -2,112 +2,115 @@
 
 import "time"
 
-// Event is something that happened to a node. Times are those of the caller's clock, which only moves
-// forward.
+// Event is something that happened to a node. The times in events are those of the caller's clock, which only
+// moves forward.
 type Event interface{ isEvent() }
 
-// Condition is a server's state in the endpoint list.
+// Condition is the state of a server in the endpoint list.
 type Condition int
 
 // The conditions of a listed server.
 const (
-	Active   Condition = iota // takes requests
-	Draining                  // finishes what it has
-	Removed                   // is gone
+	Active   Condition = iota // the server accepts requests
+	Draining                  // the server only finishes its requests
+	Removed                   // the server is no longer listed
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	Server       uint32 // identifies the server at this node
-	HashKey      uint32 // identifies the server at every node, where Server is this node's own; 0 is Server
+	Server       uint32 // number of the server at this node
+	HashKey      uint32 // number of the server that is the same at all nodes; 0 means that Server is used
 	Condition    Condition
 	Zone         string
-	Cell         int
-	Flavor       string
-	Size         float64
-	StartedAt    time.Duration // time of the latest start
-	HasStartedAt bool          // false: long ago
+	Cell         int           // number of the server's cell: a set of servers that may drop duplicates together
+	Flavor       string        // model of the server's machine
+	Size         float64       // capacity of the server
+	StartedAt    time.Duration // time of the server's latest start, if HasStartedAt
+	HasStartedAt bool          // StartedAt is known; false means that the server started long ago
 }
 
-// UpdateKind is what an EndpointUpdate holds.
+// UpdateKind is the kind of content of an EndpointUpdate.
 type UpdateKind int
 
 // The kinds of endpoint updates.
 const (
 	Delta    UpdateKind = iota // the entries that changed
 	Complete                   // the complete list
-	Cached                     // the complete list as it was last known, maybe out of date
-	Failed                     // a fetch failed or a watch ended; no entries
+	Cached                     // the complete list as last known, possibly out of date
+	Failed                     // none: a fetch failed or a watch ended
 )
 
-// Outcome is how an attempt, a health check or a call of the counter ended.
+// Outcome is the way in which an attempt, a health check or a call of the counter service ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes. The values are those on the wire. "May have run" means that the server may have begun the
+// work of the request.
 const (
 	OK            Outcome = 100
-	Errored       Outcome = 301 // may have run
-	Overloaded    Outcome = 302 // rejected by the server, never ran
-	TimedOut      Outcome = 303 // may have run, may be running
-	ConnectFailed Outcome = 304 // never ran
-	ResetByPeer   Outcome = 305 // may have run
-	Cancelled     Outcome = 306 // may have run
-	NeverSent     Outcome = 307 // never ran
+	Errored       Outcome = 301 // the server returned an error; may have run
+	Overloaded    Outcome = 302 // the server rejected the attempt; never ran
+	TimedOut      Outcome = 303 // no response in time; may have run, and may still be running
+	ConnectFailed Outcome = 304 // no connection could be opened; never ran
+	ResetByPeer   Outcome = 305 // the connection was reset; may have run
+	Cancelled     Outcome = 306 // the attempt was cancelled; may have run
+	NeverSent     Outcome = 307 // the attempt was not sent; never ran
 )
 
-// LoadReport is what a server reports of its load; a negative number was not reported.
+// LoadReport is the load that a server reported: active and waiting requests, CPU utilization, mean latency
+// in milliseconds, and requests and errors per second. A negative number means that the server did not report
+// it.
 type LoadReport struct {
 	Active, Waiting, CPU, AvgMS, RPS, ErrRPS float64
 }
 
-// EndpointUpdate is a change of the endpoint list, or the whole list.
+// EndpointUpdate is a change of the endpoint list, or the complete list.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
-	// NodesPerServer is the mean number of nodes that send to each listed server, where each node uses
-	// a subset of the servers; 0 is Settings.FleetSize.
+	// NodesPerServer is the mean number of nodes that send to each listed server, where each node uses a subset
+	// of the servers. 0 means Settings.FleetSize.
 	NodesPerServer float64
 }
 
-// Request is a client's request. It is owed exactly one final answer.
+// Request is a request of a client. It receives exactly one final response.
 type Request struct {
 	ID           string
 	Class        string
 	Plan         string
 	Tenant       string
-	TimeLeft     time.Duration // until the client gives up
-	Tokens       float64       // that the request is expected to cost
-	TenantNodes  int           // number of nodes that this tenant may come through
-	FirstNode    int           // index of the first of them
-	Retry        bool          // the client marked it as a retry
-	Write        bool
-	StreamedBody bool          // its body is passed on while it comes: BodySent follows when it is complete
-	Bucket       *SharedBucket // nil is nothing known
+	TimeLeft     time.Duration // time until the client gives up
+	Tokens       float64       // expected cost of the request
+	TenantNodes  int           // number of nodes that the tenant's requests may arrive at
+	FirstNode    int           // index of the first of these nodes
+	Retry        bool          // the client marked the request as a retry
+	Write        bool          // the request may change data: its method is not GET
+	StreamedBody bool          // the body is forwarded while it arrives; BodySent follows when it is complete
+	Bucket       *SharedBucket // report of the owner of the tenant's token bucket; nil means none
 }
 
-// SharedBucket is what the owner of a tenant's token bucket reported of it.
+// SharedBucket is the state of a tenant's token bucket by the last report of the bucket's owner.
 type SharedBucket struct {
-	Tokens     float64       // that it holds, less what this node has consumed since
-	LowerBound bool          // it holds Tokens or more
-	Age        time.Duration // since it was true
+	Tokens     float64       // tokens in the bucket, less what this node has consumed since the report
+	LowerBound bool          // the bucket holds Tokens or more
+	Age        time.Duration // age of the report
 }
 
-// BodySent reports that an attempt of a request with a streamed body is written completely. Only now its
-// server begins the work, and the client's time runs.
+// BodySent reports that an attempt of a request with a streamed body has been sent completely. The server's
+// work and the client's time begin now.
 type BodySent struct {
 	ID      string
 	Attempt int
 }
 
-// ResponseStarted reports that a streamed answer has begun. What its header reports comes here, as the rest
-// may take long.
+// ResponseStarted reports that the header of a streamed response has arrived. What the header reports is in
+// this event, as the rest of the response may take long.
 type ResponseStarted struct {
 	ID           string
 	Attempt      int
 	Server       uint32
-	Latency      time.Duration
-	Tokens       float64 // true cost; 0 is not reported
-	MeterReading int     // as in AttemptEnded
+	Latency      time.Duration // time from the start of the attempt
+	Tokens       float64       // true cost of the request; 0 means not reported
+	MeterReading int           // as in AttemptEnded
 }
 
 // AttemptEnded reports how an attempt ended.
@@ -116,18 +119,18 @@
 	Attempt      int
 	Server       uint32
 	Outcome      Outcome
-	Done         bool // the request has its final answer
-	BodyConsumed bool // the request can't be sent again: a part of its body is gone
-	Latency      time.Duration
-	Tokens       float64 // true cost; 0 is not reported
-	MeterReading int     // 1 + percent of the quota used in the last metered period; 0 is not reported
+	Done         bool          // the request has its final response
+	BodyConsumed bool          // the request cannot be sent again, as a part of its body is no longer held
+	Latency      time.Duration // time from the start of the attempt
+	Tokens       float64       // true cost of the request; 0 means not reported
+	MeterReading int           // 1 + percent of the quota used in the last metered period; 0 means not reported
 	LoadReport   *LoadReport
 }
 
-// ClientGone reports that the client has left.
+// ClientGone reports that the client has closed its connection.
 type ClientGone struct{ ID string }
 
-// Timer reports that a timer is due.
+// Timer reports that the timer of a SetTimer action has expired.
 type Timer struct{ Label uint64 }
 
 // HealthCheckResult reports how a health check ended.
@@ -138,13 +141,13 @@
 	LoadReport *LoadReport
 }
 
-// PeerMessage is a message of another node.
+// PeerMessage is a message from another node.
 type PeerMessage struct {
 	From int
 	Raw  []byte
 }
 
-// CounterResult is the answer to AddToCounter.
+// CounterResult is the result of an AddToCounter action.
 type CounterResult struct {
 	Name    uint64
 	Total   float64
@@ -152,29 +155,30 @@
 	Outcome Outcome
 }
 
-// OutlierReport reports that enough other nodes, each by attempts of its own, found a server's process far
-// slower than is usual.
+// OutlierReport reports that enough other nodes, each by its own attempts, found a server's process to be far
+// slower than usual.
 type OutlierReport struct {
 	Server    uint32
-	Reporters int
+	Reporters int           // number of nodes that found the server slow
 	Until     time.Duration // time at which the report expires
 }
 
-// ZoneEvacuation reports which fraction of its usual traffic is to stay away from each zone that is not
-// to have all of it; 1 is to send there only where nothing else is.
+// ZoneEvacuation reports the evacuated zones: by zone, the fraction of its usual traffic that has to be kept
+// away. At 1 the zone receives attempts only if no other zone can. Zones that are not named receive their
+// usual traffic.
 type ZoneEvacuation struct{ Evacuated map[string]float64 }
 
-// Rules puts a version of the operators' rules in force, in place of the one before. What it does not
-// name is as in the settings; the zero value is the settings alone. A request goes by the version that was
-// in force when it began, to its end. The caller must not change what the fields hold.
+// Rules puts a version of the operators' rules in force, in place of the version before. Whatever it does not
+// name is as in the settings, and the zero value means the settings alone. A request keeps the version in
+// force at its start until it ends. The caller must not modify what the fields refer to.
 type Rules struct {
 	Version           uint64
-	PriceFactor       []float64          // by plan; NaN is the settings'
-	QuotaFactor       []float64          // by plan: times the settings' rate and burst
-	TenantQuotaFactor map[string]float64 // by tenantKey, in place of QuotaFactor
-	MaxAttempts       []int              // by class, if the settings allow as many; 0 is no limit
-	MaxInFlight       int                // attempts in flight, if the settings allow as many; 0 is no limit
-	ClosedZones       []string           // zones that get nothing new where another is open
+	PriceFactor       []float64          // by plan; NaN means the price factor of the settings
+	QuotaFactor       []float64          // by plan: factor on the rate and burst of the settings
+	TenantQuotaFactor map[string]float64 // by tenantKey; replaces QuotaFactor for the tenant
+	MaxAttempts       []int              // by class; 0 means no limit; the settings' limit still applies
+	MaxInFlight       int                // maximum attempts in flight; 0 means no limit; capped by the settings
+	ClosedZones       []string           // zones that receive new attempts only if no other zone can
 	CrossZoneCost     map[string]float64 // by zone: value that an attempt from another zone costs
 }
 
--- a/control/handover.go
+++ b/control/handover.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// This file hands what a controller has learnt to the one that takes its place in another process. For a
-// while both decide for one node: each then has half of every bucket and of the in-flight bound.
-// snapshot.go keeps the same form for a process that starts after this one has ended.
+// This file hands the learned state of a controller over to its successor in another process. Until the old
+// process ends, both decide for one node: each then has half of every bucket and of the in-flight bound.
+// snapshot.go uses the same format for a process that starts after this one has ended.
 
 const (
-	// handoverVersion changes with the form or the meaning of a handover.
+	// handoverVersion changes whenever the format of a handover or the meaning of a field changes.
 	handoverVersion = 1
-	// maxHandoverAge is the age of a handover at most, and by how much its clock may be ahead.
+	// maxHandoverAge is the maximum age of a handover, and the maximum time that its clock may be ahead.
 	maxHandoverAge = time.Minute
-	// maxHandoverBound is the largest in-flight bound that is believed.
+	// maxHandoverBound is the limit that the in-flight bound of a handover must stay below.
 	maxHandoverBound = 1e6
 )
 
-// handover is the form in which a controller's state is handed over or kept, as JSON. Its tags are the
-// stored names; they may not change. Times are on the caller's clock, which both processes share.
+// handover is the JSON format in which the state of a controller is handed over or stored. The tags are the
+// stored names and must not change, nor may the names of fields without a tag. Times are on the caller's
+// clock, which both processes share.
 type handover struct {
 	Version        int
 	At             time.Duration
@@ -36,19 +37,21 @@
 	ShortestRetry  time.Duration                       `json:"NextTry"`
 	Misfit         [binsPerPeriod][maxMeterLag]float64 `json:"Miss"`
 	Phase, Lag     int64
-	Shares         [3][]float64 `json:"Law"` // see shareController.save
-	Plans          map[string]handoverPlan
-	UsualTimeLeft  map[string]handoverTimeLeft `json:"Usual"` // by class
-	Servers        map[uint32]handoverServer
-	Tenants        map[string]handoverTenant `json:"Customers"` // by tenantKey
+	Shares         [3][]float64                `json:"Law"` // see shareController.save
+	Plans          map[string]handoverPlan     // by plan name
+	UsualTimeLeft  map[string]handoverTimeLeft `json:"Usual"` // by class name
+	Servers        map[uint32]handoverServer   // by Endpoint.Server
+	Tenants        map[string]handoverTenant   `json:"Customers"` // by tenantKey
 }
 
+// handoverPlan is the state of a plan; see planQueue.
 type handoverPlan struct {
 	Share    float64
 	Credit   float64
 	Lateness float64 `json:"Y"`
 }
 
+// handoverTimeLeft is the state of a usualTimeLeft.
 type handoverTimeLeft struct {
 	TimeLeft  time.Duration `json:"TTL"`
 	Recurring time.Duration `json:"Second"`
@@ -56,6 +59,7 @@
 	Recurred  int `json:"Often"`
 }
 
+// handoverServer is the state of a server; see server.
 type handoverServer struct {
 	Latency             float64
 	FailureRate         float64 `json:"Failing"`
@@ -72,6 +76,7 @@
 	StartedAt           time.Duration `json:"CameUp"`
 }
 
+// handoverTenant is the state of a tenant; see tenant.
 type handoverTenant struct {
 	Plan                string
 	Key                 string
@@ -96,14 +101,14 @@
 	FleetTokens         float64 `json:"AllSum"`
 	MeanRate            float64 `json:"Smooth"`
 	ReadEnd             int64
-	Sent                [][2]float64 `json:"Own"` // bin and amount
+	Sent                [][2]float64 `json:"Own"` // pairs of bin and amount, here and below
 	Charged             [][2]float64
 	Requested           [][2]float64 `json:"Asked"`
 	Rejected            [][2]float64 `json:"Refused"`
 }
 
-// Handover returns what was learnt, with half of each bucket; the other half stays here. From now on the
-// controller shares its quotas with the process that adopts it, until EndSharing.
+// Handover returns the learned state and half of each bucket; the other half stays here. From now on the
+// controller shares its quotas with the process that restores the handover, until EndSharing.
 func (c *Controller) Handover(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
 	h := c.learnedState()
@@ -126,7 +131,7 @@
 	return json.Marshal(h)
 }
 
-// learnedState returns what was learnedState of all but tenants.
+// learnedState returns the learned state except for tenants.
 func (c *Controller) learnedState() handover {
 	h := handover{
 		Version:        handoverVersion,
@@ -163,8 +168,9 @@
 	return h
 }
 
-// RestoreHandover takes what another controller handed over, before this one has handled an event. It shares
-// its quotas with that one until EndSharing. After an error nothing is taken.
+// RestoreHandover restores what Handover of another controller returned. It must be called before this
+// controller handles an event. The controllers share the quotas until EndSharing. After an error this
+// controller is unchanged.
 func (c *Controller) RestoreHandover(now time.Duration, raw []byte) error {
 	var h handover
 	if err := json.Unmarshal(raw, &h); err != nil {
@@ -177,7 +183,7 @@
 	return nil
 }
 
-// restore takes what was learnt, at most some time ago. After an error nothing is taken.
+// restore restores a learned state that is at most maxAge old. After an error the controller is unchanged.
 func (c *Controller) restore(now time.Duration, h *handover, maxAge time.Duration) error {
 	if err := h.check(now, maxAge); err != nil {
 		return err
@@ -208,7 +214,7 @@
 	for class, usual := range c.classifier.byClass {
 		usual.load(h.UsualTimeLeft[class.Name])
 	}
-	for id, saved := range h.Servers { // not listed until an endpoint list names them
+	for id, saved := range h.Servers { // these are not listed until an endpoint list contains them
 		s := loadServer(id, saved, c.env.now)
 		c.servers.byID[id] = s
 		c.servers.ordered = append(c.servers.ordered, s)
@@ -222,17 +228,17 @@
 	return nil
 }
 
-// check reports whether a handover's version, times and numbers can be used.
+// check returns an error if the version, a time or a number of the handover cannot be used.
 func (h *handover) check(now, maxAge time.Duration) error {
 	switch {
 	case h.Version != handoverVersion:
-		return fmt.Errorf("handover: version %d, not %d", h.Version, handoverVersion)
+		return fmt.Errorf("handover: version is %d, not %d", h.Version, handoverVersion)
 	case h.At > now+maxHandoverAge || h.At < now-maxAge || h.ObservingSince > now:
-		return fmt.Errorf("handover: its time %v is too far from %v", h.At, now)
+		return fmt.Errorf("handover: its time %v is too far from the present time %v", h.At, now)
 	case len(h.Tenants) > maxTenants:
-		return fmt.Errorf("handover: %d tenants are over %d", len(h.Tenants), maxTenants)
+		return fmt.Errorf("handover: %d tenants are more than the maximum of %d", len(h.Tenants), maxTenants)
 	case !(h.Bound >= 0 && h.Bound < maxHandoverBound):
-		return fmt.Errorf("handover: bound %g is out of range", h.Bound)
+		return fmt.Errorf("handover: in-flight bound %g is out of range", h.Bound)
 	case h.Phase < 0 || h.Phase >= binsPerPeriod || h.Lag < 0 || h.Lag >= maxMeterLag:
 		return fmt.Errorf("handover: meter phase %d with lag %d is out of range", h.Phase, h.Lag)
 	case h.Latency < 0 || h.IdleLatency < 0 || h.ServedRate < 0 || h.MeanTokens < 0:
@@ -245,27 +251,28 @@
 	return nil
 }
 
-// checkPlans reports whether a handover's plans and tenants fit those of the settings.
+// checkPlans returns an error if the plans and tenants of a handover do not match the settings.
 func (c *Controller) checkPlans(h *handover) error {
 	for _, p := range h.Plans {
 		if !(p.Share >= 0 && p.Share <= 1) || len(h.Plans) != len(c.scheduler.plans) {
-			return fmt.Errorf("handover: a share of %g in %d plans", p.Share, len(h.Plans))
+			return fmt.Errorf("handover: a share of %g with %d plans does not match the settings",
+				p.Share, len(h.Plans))
 		}
 	}
 	for key, t := range h.Tenants {
 		plan := c.scheduler.byName[t.Plan]
 		if plan == nil || key != t.Key {
-			return fmt.Errorf("handover: tenant %q has plan %q and key %q", key, t.Plan, t.Key)
+			return fmt.Errorf("handover: tenant %q does not match its plan %q and key %q", key, t.Plan, t.Key)
 		}
 		if !(t.Nodes >= 1) || t.RefilledAt > h.At || math.Abs(t.Level) > 2*plan.Burst {
-			return fmt.Errorf("handover: tenant %q is out of range", key)
+			return fmt.Errorf("handover: tenant %q: its nodes, refill time or level are out of range", key)
 		}
 	}
 	return nil
 }
 
 // RemainingTokens returns what this controller's half of the buckets still holds, for the other process. It
-// is the last call: what is given here must not be granted here as well.
+// must be the last call: the other process uses the tokens from then on, so this one must not.
 func (c *Controller) RemainingTokens(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
 	remainder := map[string][2]float64{}
@@ -276,8 +283,9 @@
 	return json.Marshal(remainder)
 }
 
-// EndSharing gives the whole quotas to this controller: the other process has ended, and left what
-// Remainder returned, if anything.
+// EndSharing returns the whole quotas to this controller after the other process has ended. remainder is what
+// RemainingTokens returned there; nil means that nothing was received. An error means that the remainder is
+// lost; the quotas are whole nonetheless. Without a handover EndSharing does nothing.
 func (c *Controller) EndSharing(now time.Duration, remainder []byte) error {
 	c.env.now = max(c.env.now, now)
 	if !c.env.sharingQuotas {
@@ -306,7 +314,7 @@
 	return nil
 }
 
-// halveQuotas halves the buckets, the slots and the in-flight bound.
+// halveQuotas halves the buckets, the slots and the in-flight bound, unless that is already done.
 func (c *Controller) halveQuotas() {
 	if c.env.sharingQuotas {
 		return
@@ -321,7 +329,7 @@
 	c.env.sharingQuotas = true
 }
 
-// restoreQuotas doubles the slots and the in-flight bound; the buckets refill to the whole quota from now on.
+// restoreQuotas doubles the slots and the in-flight bound. The buckets refill at the whole rate from now on.
 func (c *Controller) restoreQuotas() {
 	for _, t := range c.tenants.byKey {
 		t.slotLimit *= 2
--- a/control/interval.go
+++ b/control/interval.go
@@ -3,13 +3,14 @@
 import "time"
 
 const (
-	// tickInterval is how often queued requests are looked at without an event.
+	// tickInterval is the interval at which the controller checks, without another event, whether periodic work
+	// is due and queued requests can be dispatched.
 	tickInterval = 100 * time.Millisecond
-	tickLabel    = 0 // of the timer; requests have labels from 1 on
+	tickLabel    = 0 // label of this timer; the timers of requests have labels from 1 on
 
-	// controlInterval is the interval in which the in-flight bound and the shares are set. It lasts
-	// longer, by intervalExtension at most, while it has fewer outcomes than minIntervalOutcomes: their
-	// mean means little.
+	// controlInterval is the interval at which the in-flight bound and the shares are set. While the interval
+	// has fewer than minIntervalOutcomes outcomes, too few for a meaningful mean, it is extended by up to
+	// maxIntervalExtension.
 	controlInterval      = time.Second
 	maxIntervalExtension = 4 * time.Second
 	minIntervalOutcomes  = 5
@@ -17,27 +18,27 @@
 
 // intervalStats is what is counted in one control interval.
 type intervalStats struct {
-	overloadDetected  bool    // overload was found
+	overloadDetected  bool    // set by concurrencyLimit.adjust
 	saturated         bool    // the in-flight bound was reached
-	latencyRatioSum   float64 // of latencies over their objectives, each 1 at most
-	latencySecondsSum float64 // of latencies in seconds, each its objective at most
-	latencyCount      float64 // number of values in the sums
-	responses         float64
-	overloads         float64 // rejections of servers and time-outs
-	servedTokens      float64 // by servers that are not warming up
+	latencyRatioSum   float64 // sum of latency over latency objective, each at most 1
+	latencySecondsSum float64 // sum of latencies in seconds, each at most its latency objective
+	latencyCount      float64 // number of values in each sum
+	responses         float64 // successful responses
+	overloads         float64 // rejections by servers, and timeouts
+	servedTokens      float64 // tokens served by servers that are not warming up
 }
 
-// overloadFraction returns the fraction of outcomes that are a rejection or a time-out.
+// overloadFraction returns the fraction of outcomes that are a rejection or a timeout.
 func (i *intervalStats) overloadFraction() float64 {
 	return i.overloads / max(1, i.overloads+i.responses)
 }
 
-// meanLatencyExceeds reports whether the mean latency is over a multiple of the idle latency.
+// meanLatencyExceeds reports whether the mean latency exceeds a multiple of the idle latency.
 func (i *intervalStats) meanLatencyExceeds(multiple, idleLatency float64) bool {
 	return i.latencySecondsSum > i.latencyCount*multiple*idleLatency
 }
 
-// onTimer handles a timer: the controller's own tick, or the end of a request's time in the queue.
+// onTimer handles an expired timer: the tick, or the end of a request's maximum time in the queue.
 func (c *Controller) onTimer(label uint64) {
 	if label == tickLabel {
 		c.onTick()
@@ -47,12 +48,14 @@
 	if r == nil || !r.queued {
 		return
 	}
-	// A request that is not served counts with its deadline: a starved plan would else look punctual.
+	// A request that is not served counts with its deadline. Otherwise a starved plan would seem to meet its
+	// objectives.
 	r.plan.observeLateness(max(1, r.class.Deadline.Seconds()/r.class.LatencyObjective.Seconds()))
 	c.counts.queue++
 	c.rejectOrFail(r)
 }
 
+// onTick requests the next tick and does the periodic work that is due.
 func (c *Controller) onTick() {
 	c.env.emit(SetTimer{After: tickInterval, Label: tickLabel})
 	if c.env.now >= c.nextReportAt {
@@ -69,7 +72,8 @@
 	}
 }
 
-// endInterval sets the in-flight bound and the shares by an interval that lasted some seconds.
+// endInterval sets the in-flight bound and the shares from a control interval that lasted some seconds, and
+// begins the next one.
 func (c *Controller) endInterval(lasted float64) {
 	c.traffic.updateIdleLatency()
 	if c.concurrency.adjust(&c.interval) {
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -2,44 +2,49 @@
 
 import "time"
 
-// outlierDetector ejects servers that fail several times in a row, and raises the cost of those that fail
-// often or that other nodes report as slow.
+// outlierDetector ejects servers after consecutive failures, and raises the cost of servers that fail often
+// or that other nodes report as slow.
 type outlierDetector struct {
 	env     *environment
 	servers *serverSet
 	traffic *trafficStats
 }
 
-// outlierState is the evidence against one server.
+// outlierState is the state of the outlier detection for one server.
 type outlierState struct {
 	consecutiveFailures int
-	ejectedUntil        time.Duration
-	ejectionTime        time.Duration // length of the last ejection; 0 once an attempt succeeds
-	trialInFlight       bool          // an attempt at an ejected server is in flight
-	failureRate         float64       // average of attempts that failed
-	failureRateAt       time.Duration
-	rejectsPlanUntil    map[*planQueue]time.Duration // rejected an attempt of the plan: chosen last until then
-	reportedAt          time.Duration                // when other nodes reported it as slow
-	reportedUntil       time.Duration                // when that report expires
+	ejectedUntil        time.Duration                // end of the last ejection
+	ejectionTime        time.Duration                // length of the last ejection; 0 once an attempt succeeds
+	trialInFlight       bool                         // an attempt that tests an ejected server is in flight
+	failureRate         float64                      // average fraction of attempts that failed
+	failureRateAt       time.Duration                // time of the last update of failureRate
+	rejectsPlanUntil    map[*planQueue]time.Duration // by plan: end of the avoidance after a rejection
+	reportedAt          time.Duration                // time at which other nodes reported the server as slow
+	reportedUntil       time.Duration                // time at which that report expires
 }
 
 const (
-	ejectionFailures        = 3 // consecutive failures that eject a server
-	baseEjectionTime        = time.Second
-	maxEjectionTime         = 8 * time.Second // each ejection is twice the one before, up to this
-	planAvoidanceTime       = 15 * time.Second
-	failureRateGain         = 0.15
-	maxFailureRate          = 0.75 // from which an error counts as a consecutive failure
-	maxReportedFraction     = 0.34 // fraction of the usable servers that may be reported as slow at once
-	rebuttalLatencyMultiple = 2.0  // times the mean latency: an own answer below it rebuts a report
+	ejectionFailures  = 3                // consecutive failures that eject a server
+	baseEjectionTime  = time.Second      // length of the first ejection
+	maxEjectionTime   = 8 * time.Second  // each ejection lasts twice as long as the last one, up to this
+	planAvoidanceTime = 15 * time.Second // time for which a server is avoided for a plan that it rejected
+	failureRateGain   = 0.15             // gain of the average failure rate
+	maxFailureRate    = 0.75             // failure rate above which an error is a consecutive failure
+	// maxReportedFraction is the fraction of the usable servers that may be reported as slow at once. From there
+	// on, reports on other servers are ignored.
+	maxReportedFraction = 0.34
+	// rebuttalLatencyMultiple is the multiple of the mean latency below which this node's own average latency of
+	// a server, observed after a report, rebuts the report.
+	rebuttalLatencyMultiple = 2.0
 )
 
-// ejected reports whether a server is out of use for its failures.
+// ejected reports whether a server is ejected now.
 func (d *outlierDetector) ejected(s *server) bool {
 	return s.consecutiveFailures >= ejectionFailures && d.env.now < s.ejectedUntil
 }
 
-// recordFailure counts failures of the server as a whole, and ejects it after ejectionFailures in a row.
+// recordFailure adds count consecutive failures of the server as a whole, and ejects it once it has
+// ejectionFailures of them.
 func (d *outlierDetector) recordFailure(s *server, count int) {
 	s.consecutiveFailures += count
 	s.trialInFlight = false
@@ -49,7 +54,7 @@
 	}
 }
 
-// recordSuccess ends an ejection: an attempt has succeeded.
+// recordSuccess resets the failures and the ejection time of a server after a successful attempt.
 func (d *outlierDetector) recordSuccess(s *server) {
 	s.consecutiveFailures = 0
 	s.trialInFlight = false
@@ -57,14 +62,15 @@
 	d.recordOutcome(s, 0)
 }
 
-// recordRejection records that a server rejected an attempt. Some servers reject one plan only.
+// recordRejection records that a server rejected an attempt. It is avoided for the plan for some time, as
+// some servers reject one plan only.
 func (d *outlierDetector) recordRejection(s *server, plan *planQueue) {
 	d.recordFailure(s, 1)
 	s.rejectsPlanUntil[plan] = d.env.now + planAvoidanceTime
 }
 
-// recordError records an error or a reset. A server that fails at once would look idle and attract traffic,
-// so errors raise its cost before they eject it.
+// recordError records an error or a connection reset. Errors raise the cost of a server before they eject it:
+// a server that fails at once would otherwise look idle and attract traffic.
 func (d *outlierDetector) recordError(s *server) {
 	d.recordOutcome(s, 1)
 	if d.failureRate(s) > maxFailureRate {
@@ -73,24 +79,24 @@
 	s.trialInFlight = false
 }
 
-// recordOutcome adds an outcome to the average of failures: 1 for a failure, 0 for a success.
+// recordOutcome adds an outcome to the average failure rate: 1 for a failure, 0 for a success.
 func (d *outlierDetector) recordOutcome(s *server, failed float64) {
 	rate := d.failureRate(s)
 	s.failureRate = rate + failureRateGain*(failed-rate)
 	s.failureRateAt = d.env.now
 }
 
-// failureRate returns the fraction of a server's attempts that fail. It decays, as a server that is not
-// chosen can't improve it.
+// failureRate returns the average fraction of a server's attempts that fail. It decays with time, as a server
+// that is not chosen has no attempt that could lower it.
 func (d *outlierDetector) failureRate(s *server) float64 {
-	if s.failureRate == 0 { // a shortcut: most servers have none, and each choice looks at all
+	if s.failureRate == 0 { // shortcut for most servers, as each choice of a server computes the cost of all
 		return 0
 	}
 	return s.failureRate * decay(d.env.since(s.failureRateAt), d.traffic.observationLifetime(d.servers.usable))
 }
 
-// onReport takes that other nodes found a server slow. Where a third of the servers is reported, further
-// reports are ignored, so that reports never take most servers out of use.
+// onReport records that other nodes found a server to be slow. While maxReportedFraction of the usable
+// servers are reported, reports on others are ignored, so that reports never make a node avoid most servers.
 func (d *outlierDetector) onReport(e OutlierReport) {
 	s := d.servers.byID[e.Server]
 	if s == nil {
@@ -103,14 +109,15 @@
 	s.reportedUntil = e.Until
 }
 
-// reportedSlow reports whether other nodes' report on a server is valid and no own answer since rebuts it.
+// reportedSlow reports whether other nodes' report on a server is in force: it has not expired, and this
+// node's own observations since do not rebut it.
 func (d *outlierDetector) reportedSlow(s *server) bool {
 	rebutted := s.latencyAt > s.reportedAt && s.latency < rebuttalLatencyMultiple*d.traffic.latency
 	return d.env.now < s.reportedUntil && !rebutted
 }
 
-// AvoidedServers returns, for the operators' metrics, how many usable servers get nothing now while there is
-// another. It changes nothing.
+// AvoidedServers returns, for the operators' metrics, the number of usable servers that are avoided while
+// there is another: those ejected, with a trial attempt in flight, or reported as slow. It changes nothing.
 func (c *Controller) AvoidedServers(now time.Duration) int {
 	avoided := func(s *server) bool {
 		ejected := s.consecutiveFailures >= ejectionFailures && now < s.ejectedUntil
--- a/control/overrides.go
+++ b/control/overrides.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// minQuotaFactor is the least that rules make of a quota, as zero would be no quota.
+// minQuotaFactor is the smallest factor on a quota: a rate of zero would mean that there is no quota.
 const minQuotaFactor = 1e-6
 
-// onRules puts other rules in force. A tenant keeps what its bucket holds.
+// onRules puts a version of the operators' rules in force. The buckets keep their levels.
 func (c *Controller) onRules(e Rules) {
 	c.env.rules = &e
 	c.concurrency.rulesBound = math.Inf(1)
@@ -22,7 +22,7 @@
 	}
 }
 
-// applyRules gives a tenant the quota that the rules in force make of the settings'.
+// applyRules sets a tenant's quota from the settings and the rules in force.
 func (table *tenantTable) applyRules(t *tenant, key string) {
 	settings := &t.queue.Plan
 	t.plan = settings
@@ -38,7 +38,8 @@
 	t.plan = &plan
 }
 
-// priceFactors returns the plans' price factors by the rules. NaN leaves the settings'.
+// priceFactors returns the price factors of the plans by the rules. Where the rules have none, or NaN, it is
+// that of the settings.
 func (e *Rules) priceFactors(plans []*planQueue) []float64 {
 	prices := make([]float64, len(plans))
 	for i, p := range plans {
@@ -50,7 +51,7 @@
 	return prices
 }
 
-// quotaFactor returns by how much the rules multiply the quota of a tenant.
+// quotaFactor returns the factor by which the rules multiply the quota of a tenant, 1 if they set none.
 func (e *Rules) quotaFactor(plan *planQueue, key string) float64 {
 	factor, ok := e.TenantQuotaFactor[key]
 	if !ok && plan.index < len(e.QuotaFactor) {
@@ -62,10 +63,11 @@
 	return factor
 }
 
-// closesZoneOf reports whether the rules close a server's zone.
+// closesZoneOf reports whether the rules close the zone of a server.
 func (e *Rules) closesZoneOf(s *server) bool { return slices.Contains(e.ClosedZones, s.Zone) }
 
-// maxAttempts returns how many attempts a request may have, by the settings and its rules; 0 is no limit.
+// maxAttempts returns the maximum number of attempts of a request by the settings and by its rules; 0 means
+// no limit.
 func (s *Settings) maxAttempts(r *request) int {
 	for i, limit := range r.rules.MaxAttempts {
 		if i < len(s.Classes) && r.class == &s.Classes[i] {
@@ -75,7 +77,7 @@
 	return s.MaxAttempts
 }
 
-// lowerLimit returns the lower of two limits, of which 0 is none.
+// lowerLimit returns the lower of two limits, where 0 means no limit.
 func lowerLimit(a, b int) int {
 	if a <= 0 || (b > 0 && b < a) {
 		return b
@@ -83,8 +85,8 @@
 	return a
 }
 
-// RuleVersion returns the version of the rules that a request without a final answer goes by; 0 is the
-// settings alone.
+// RuleVersion returns the version of the rules that apply to a request without a final response. It returns 0
+// if these are the settings alone or the request is not known.
 func (c *Controller) RuleVersion(id string) uint64 {
 	if r := c.requests[id]; r != nil {
 		return r.rules.Version
--- a/control/rejection.go
+++ b/control/rejection.go
@@ -1,12 +1,12 @@
 package control
 
-// reject answers that a request did not run and when to retry it.
+// reject emits the rejection of a request, with advice on when to retry.
 func (c *Controller) reject(id string) {
 	c.env.emit(Reject{ID: id, RetryAfter: c.env.retryAfter()})
 }
 
-// rejectOrFail gives the final answer of a request that was not served: a rejection where that is true or
-// harmless, else a failure, which promises nothing.
+// rejectOrFail ends a request that was not served. It rejects the request if a retry by the client does no
+// harm. Otherwise it emits a failure, which promises nothing.
 func (c *Controller) rejectOrFail(r *request) {
 	if r.mayBeRejected() {
 		c.reject(r.id)
@@ -16,8 +16,8 @@
 	c.forget(r)
 }
 
-// mayBeRejected reports whether a retry of the request by the client does no harm: it surely did
-// not run, or it may run again anywhere.
+// mayBeRejected reports whether a retry of the request by the client does no harm: the request did not run,
+// or it may run again at any server.
 func (r *request) mayBeRejected() bool {
 	switch {
 	case r.class.Idempotency == Idempotent:
--- a/control/report.go
+++ b/control/report.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// reportInterval is how often the outcomes of requests go to the operators' log.
+// reportInterval is the interval at which the counts of outcomes are written to the operators' log.
 const reportInterval = 5 * time.Second
 
-// rejectionCounts counts, between two lines of the operators' log, why requests were rejected. Without it a
-// rejection for want of a dispatch slot looks like one for want of quota.
+// rejectionCounts counts the reasons for which requests were rejected since the last line of the operators'
+// log. Without it a rejection for lack of a dispatch slot could not be distinguished from one for lack of
+// quota.
 type rejectionCounts struct {
-	requests int // that admission decided on
-	late     int // rejected: could only be answered late, or yield to others
-	bucket   int // rejected: the tenant's token bucket is empty
-	chance   int // rejected by the metered rejection chance
+	requests int // requests that admission decided on
+	late     int // rejected: the response could only be late, or the class has a low priority
+	bucket   int // rejected: the tenant's token bucket or ceiling lacks tokens
+	chance   int // rejected by the rejection chance
 	queue    int // ended: not dispatched in time
 	failed   int // ended: an attempt failed and no retry was allowed
-	cuts     int // of the in-flight bound
+	cuts     int // cuts of the in-flight bound
 }
 
-// report writes the counts as one line and starts them anew.
+// report writes the counts as one log line and resets them.
 func (c *Controller) report() {
 	const precision = time.Millisecond / 10
 	c.nextReportAt = c.env.now + reportInterval
--- a/control/request.go
+++ b/control/request.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// request is a request without a final answer.
+// request is a request without a final response.
 type request struct {
 	id                  string
 	class               *Class
 	plan                *planQueue
 	tenant              *tenant
-	tokens              float64 // that it is expected to cost
-	arrivedAt           time.Duration
-	objectiveAt         time.Duration // an answer by this time has its full value
-	giveUpAt            time.Duration // when its client gives up
-	rules               *Rules        // in force when it began
-	queued              bool
-	responseStarted     bool // an answer has begun
-	streamedBody        bool // loads its server only once its body is sent
-	mayHaveRun          bool // an attempt may have run
-	attempts            int  // started
-	outstandingAttempts int  // attempts without an outcome
-	triedServers        []uint32
+	tokens              float64       // expected cost of the request
+	arrivedAt           time.Duration // time of arrival; a streamed body counts as arrived when it has been sent
+	objectiveAt         time.Duration // time by which a response has its full value
+	giveUpAt            time.Duration // time at which the client gives up
+	rules               *Rules        // rules in force at the start of the request
+	queued              bool          // waiting in the queue of its plan
+	responseStarted     bool          // a streamed response has begun
+	streamedBody        bool          // the request loads its server only once its body has been sent
+	mayHaveRun          bool          // an attempt may have run
+	attempts            int           // number of attempts that were started
+	outstandingAttempts int           // attempts without an outcome
+	triedServers        []uint32      // servers of its attempts
 	firstRunAt          time.Duration // start of the attempt from which the idempotency window counts
-	dedupServer         *server       // a server of the set that drops its duplicates; nil: any may
-	timer               uint64        // label of its timers; 0 is none yet
+	dedupServer         *server       // server in the scope of the key; nil means that any server may be chosen
+	timer               uint64        // label of its timers; 0 means that it has none yet
 }
 
-// hasIdempotencyWindow reports whether the request may be retried only while its duplicates are dropped.
+// hasIdempotencyWindow reports whether the request may be retried only until the end of its idempotency
+// window.
 func (r *request) hasIdempotencyWindow() bool {
 	return r.mayHaveRun && r.class.Idempotency == IdempotentByKey
 }
 
-// idempotencyWindowEnd returns when duplicates of a windowed request are no longer dropped.
+// idempotencyWindowEnd returns the time from which servers no longer drop duplicates of the request.
 func (r *request) idempotencyWindowEnd() time.Duration {
 	return r.firstRunAt + r.class.IdempotencyWindow
 }
@@ -40,11 +41,11 @@
 	request     *request
 	server      *server
 	tenant      *tenant
-	startedAt   time.Duration // when its body was sent completely
-	sendingBody bool          // its body is still being sent: it loads no server yet
+	startedAt   time.Duration // start of the attempt, or the time at which its streamed body had been sent
+	sendingBody bool          // a streamed body is being sent: the attempt loads no server yet
 }
 
-// attemptKey names an attempt by its request and number.
+// attemptKey identifies an attempt by its request and number.
 type attemptKey struct {
 	id     string
 	number int
--- a/control/retry.go
+++ b/control/retry.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// retryPolicy bounds retries by a budget: each request earns a part of a retry, and each retry spends one
-// or less.
+// retryPolicy limits retries by a budget: each request adds a fraction of a retry, and each retry spends at
+// most one.
 type retryPolicy struct {
 	env     *environment
 	traffic *trafficStats
-	budget  float64 // retries that may be made now
+	budget  float64 // retries that are allowed now
 }
 
 const (
-	retryBudgetPerRequest = 0.1  // retries earned by each request
-	minRetryCost          = 0.1  // least cost, in retries, of an attempt that failed at once
-	maxRetryBudget        = 20.0 // retries that each node of a small fleet may save up
-	minRetryBudgetLimit   = 3.0  // retries that each node of a large fleet may save up
-	// fullBudgetNodes is the fleet size up to which each node may save up maxRetryBudget. What the whole
-	// fleet may save up is bounded, as many nodes spend it at once at their start and when a zone is
-	// lost.
+	retryBudgetPerRequest = 0.1  // retries that each request adds to the budget
+	minRetryCost          = 0.1  // minimum cost, in retries, of a retry after an attempt that failed at once
+	maxRetryBudget        = 20.0 // maximum budget, in retries, of each node of a small fleet
+	minRetryBudgetLimit   = 3.0  // lower limit of the maximum budget of each node of a large fleet
+	// fullBudgetNodes is the largest fleet size in which each node may save up maxRetryBudget. In a larger fleet
+	// the sum over all nodes is limited, as many nodes spend their budgets at once when the fleet starts and
+	// when a zone fails.
 	fullBudgetNodes = 4.0
-	// minRetryTime is the time that must be left to the client for a retry.
+	// minRetryTime is the minimum time that the client must have left for a retry.
 	minRetryTime = time.Millisecond
 )
 
@@ -29,16 +29,16 @@
 	return p
 }
 
-// maxBudget returns how many retries may be saved up.
+// maxBudget returns the maximum budget of this node.
 func (p *retryPolicy) maxBudget() float64 {
 	return max(minRetryBudgetLimit, maxRetryBudget*min(1, fullBudgetNodes/float64(p.env.settings.FleetSize)))
 }
 
-// deposit adds what a request earns.
+// deposit adds to the budget for one request.
 func (p *retryPolicy) deposit() { p.budget = min(p.maxBudget(), p.budget+retryBudgetPerRequest) }
 
-// cost returns what a retry costs after an outcome. An attempt that failed at once took little work and
-// costs little.
+// cost returns the cost, in retries, of a retry after an attempt with the given outcome. A retry after an
+// attempt that failed at once costs less than one, as that attempt caused little work.
 func (p *retryPolicy) cost(a *attempt, outcome Outcome) float64 {
 	if outcome != Errored && outcome != ResetByPeer && outcome != ConnectFailed {
 		return 1
@@ -47,9 +47,9 @@
 	return min(1, max(minRetryCost, took/max(p.traffic.latency, epsilon)))
 }
 
-// allows reports whether a request may be retried after an attempt. What may have run is retried only if
-// its class is idempotent, or by key within the idempotency window; all by the budget, the limit of
-// attempts and the client's time.
+// allows reports whether a request may be retried after an attempt. The retry budget, the maximum number of
+// attempts and the client's time left must allow it. A request that may have run is retried only if its class
+// is idempotent, or idempotent with a key while its idempotency window lasts.
 func (p *retryPolicy) allows(r *request, e AttemptEnded, cost float64) bool {
 	if e.Outcome == NeverSent || e.BodyConsumed {
 		return false
@@ -66,8 +66,8 @@
 	return true
 }
 
-// retryOrEnd queues a request for another attempt where the retry policy allows one, and else ends it.
-// A retry does not wait beyond the client's time, nor beyond its idempotency window.
+// retryOrEnd queues a request for another attempt if the retry policy allows one, and otherwise ends it. A
+// retry waits no longer than the client does, and not beyond the idempotency window.
 func (c *Controller) retryOrEnd(r *request, a *attempt, e AttemptEnded) {
 	cost := c.retries.cost(a, e.Outcome)
 	if !c.retries.allows(r, e, cost) {
--- a/control/scheduler.go
+++ b/control/scheduler.go
@@ -1,6 +1,6 @@
 package control
 
-// scheduler queues requests by plan and dispatches them by weighted round robin: each plan gets dispatch
+// scheduler queues requests by plan and dispatches them by weighted round robin: each plan receives dispatch
 // slots in proportion to its share.
 type scheduler struct {
 	env      *environment
@@ -9,20 +9,20 @@
 	byName   map[string]*planQueue
 }
 
-// planQueue is the queue of a plan.
+// planQueue is the queue of a plan and the state of the plan in the round robin.
 type planQueue struct {
 	Plan
-	index    int // in the settings
-	requests []*request
-	share    float64 // of the dispatch slots
-	credit   float64 // dispatch slots that it is owed
+	index    int        // index of the plan in Settings.Plans
+	requests []*request // in the order of the queue
+	share    float64    // fraction of the dispatch slots
+	credit   float64    // dispatch slots that the plan is owed
 
-	latenessSum   float64 // of latency over objective, in this control interval
+	latenessSum   float64 // sum of latency over latency objective in this control interval
 	latenessCount float64 // number of values in latenessSum
-	lateness      float64 // mean of the last interval that had any
+	lateness      float64 // mean of the last interval that had a value
 
-	candidate       *request // that may be dispatched now, during one dispatch slot
-	candidateServer *server
+	candidate       *request // request that can be dispatched now; valid during one call of scheduler.next
+	candidateServer *server  // server of candidate
 }
 
 func newScheduler(env *environment, balancer *balancer) scheduler {
@@ -36,7 +36,7 @@
 	return s
 }
 
-// priceFactors returns the price factors of the plans.
+// priceFactors returns the price factors of the plans by the settings.
 func (s *scheduler) priceFactors() []float64 {
 	prices := make([]float64, len(s.plans))
 	for i, p := range s.plans {
@@ -45,9 +45,9 @@
 	return prices
 }
 
-// next returns the request to be dispatched now and its server, or nil. It is one slot of the round
-// robin: the plan with the most credit among those with a request that can be dispatched. Other plans
-// lose nothing by it.
+// next returns the request to dispatch now and its server, or nil if there is none. It is one slot of the
+// weighted round robin: each plan with a dispatchable request earns credit by its share, and the one with the
+// most credit is chosen and charged for the slot. Plans without a dispatchable request keep their credit.
 func (s *scheduler) next() (*request, *server) {
 	var chosen *planQueue
 	total := 0.0
@@ -69,9 +69,9 @@
 	return chosen.candidate, chosen.candidateServer
 }
 
-// firstDispatchable returns the first request of a plan's queue that can be sent now, and its server. A
-// request that waits for a slot of its tenant, or for a server that drops its duplicates, lets the next
-// one pass.
+// firstDispatchable returns the first request of a plan's queue that can be dispatched now, and its server. A
+// request that waits for a slot of its tenant, or for a server that drops its duplicates, does not block
+// those behind it.
 func (s *scheduler) firstDispatchable(p *planQueue) (*request, *server) {
 	for _, r := range p.requests {
 		if p.MaxConcurrent > 0 && r.attempts == 0 && !r.tenant.hasFreeSlot(s.env.now) {
@@ -79,7 +79,7 @@
 			continue
 		}
 		if r.hasIdempotencyWindow() && s.env.now >= r.idempotencyWindowEnd() {
-			continue // its timer ends it
+			continue // its timer will end the request
 		}
 		if server := s.balancer.pick(r); server != nil {
 			return r, server
@@ -91,7 +91,7 @@
 	return nil, nil
 }
 
-// enqueue adds a request to the queue of its plan; a retry goes to the front.
+// enqueue adds a request to the queue of its plan, at the front if it is a retry.
 func (s *scheduler) enqueue(r *request, front bool) {
 	r.queued = true
 	if r.attempts == 0 {
@@ -104,7 +104,7 @@
 	}
 }
 
-// dequeue removes a request from the queue, if it is in it.
+// dequeue removes a request from the queue of its plan, if it is queued.
 func (s *scheduler) dequeue(r *request) {
 	if !r.queued {
 		return
@@ -121,14 +121,14 @@
 	}
 }
 
-// observeLateness adds the latency of an answer over its objective.
+// observeLateness adds a value of latency over latency objective.
 func (p *planQueue) observeLateness(lateness float64) {
 	p.latenessSum += lateness
 	p.latenessCount++
 }
 
-// endInterval returns the mean lateness of the control interval that ends now, or the last known, and begins
-// the next interval.
+// endInterval returns the mean lateness of the control interval that ends now, or of the last one that had a
+// value, and begins the next interval.
 func (p *planQueue) endInterval() float64 {
 	if p.latenessCount > 0 {
 		p.lateness = p.latenessSum / p.latenessCount
--- a/control/server.go
+++ b/control/server.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// server is what a node knows of one server.
+// server is the state of one server at this node.
 type server struct {
 	Endpoint
-	listed    bool
+	listed    bool // the server is in the endpoint list and not removed
 	preferred bool // see serverSet.isPreferred
 
-	inFlight       int           // attempts at work
-	responding     int           // those of them whose answer has begun
-	abandoned      int           // attempts given up whose work is assumed to go on
-	lastActivityAt time.Duration // last outcome, or first attempt since it had none
+	inFlight       int           // attempts in flight whose body has been sent, including those in responding
+	responding     int           // attempts whose response has begun
+	abandoned      int           // ended attempts whose work is assumed to continue
+	lastActivityAt time.Duration // last response or outcome, or start of the first attempt after an idle time
 
-	latency   float64 // s: average of its answers; 0 is none yet
-	latencyAt time.Duration
+	latency   float64       // average latency in seconds; 0 means none yet
+	latencyAt time.Duration // time of the last observation of latency
 
 	outlierState
 	warmUp
@@ -32,20 +32,20 @@
 	return s
 }
 
-// usable reports whether new attempts may go to the server.
+// usable reports whether new attempts may be sent to the server.
 func (s *server) usable() bool { return s.listed && s.Condition == Active }
 
-// activeAttempts returns the number of attempts that keep the server at work. One whose answer has begun
-// waits for its client at most.
+// activeAttempts returns the number of attempts that load the server. An attempt whose response has begun
+// does not: at most it waits for its client.
 func (s *server) activeAttempts() int { return s.inFlight - s.responding }
 
-// observeLatency adds the latency of an attempt, in seconds.
+// observeLatency adds the latency of an attempt, in seconds, to the average.
 func (s *server) observeLatency(now time.Duration, latency float64) {
 	updateAverage(&s.latency, latency, serverLatencyGain)
 	s.latencyAt = now
 }
 
-// resetObservations drops what was observed of a server that has started anew.
+// resetObservations drops what was observed of a server before its latest start.
 func (s *server) resetObservations() {
 	s.latency = 0
 	s.failureRate = 0
@@ -55,17 +55,18 @@
 	clear(s.rejectsPlanUntil)
 }
 
-// serverSet holds the servers of the endpoint list, and those that are gone while attempts are in flight.
+// serverSet holds the servers of the endpoint list, and servers that are no longer listed but have attempts
+// in flight.
 type serverSet struct {
 	env            *environment
 	byID           map[uint32]*server
-	ordered        []*server // by ID
+	ordered        []*server // in the order of Endpoint.Server
 	usable         float64   // number of usable servers as of the last update
-	nodesPerServer float64   // nodes that send to each of them, in the mean, as of the last update
+	nodesPerServer float64   // mean number of nodes that send to each server, as of the last update
 }
 
-// applyUpdate brings the set up to an update. It calls observe with each entry before the entry replaces what
-// was listed.
+// applyUpdate applies an update of the endpoint list. It calls observe with each entry before the entry
+// replaces the server's previous one.
 func (set *serverSet) applyUpdate(update EndpointUpdate, observe func(*server, Endpoint)) {
 	set.nodesPerServer = update.NodesPerServer
 	if !(update.NodesPerServer > 0) {
@@ -90,7 +91,7 @@
 	set.usable = set.count((*server).usable)
 }
 
-// prune drops servers that are gone and have no attempt in flight.
+// prune drops the servers that are no longer listed and have no attempt in flight.
 func (set *serverSet) prune() {
 	kept := set.ordered[:0]
 	for _, s := range set.ordered {
@@ -103,7 +104,7 @@
 	set.ordered = kept
 }
 
-// count returns the number of servers for which a condition holds.
+// count returns the number of servers that satisfy a condition.
 func (set *serverSet) count(condition func(*server) bool) float64 {
 	n := 0.0
 	for _, s := range set.ordered {
--- a/control/settings.go
+++ b/control/settings.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Idempotency is what a second run of a request would do.
+// Idempotency is the effect of a second run of a request.
 type Idempotency int
 
 // The kinds of idempotency that a class can have.
 const (
 	Idempotent      Idempotency = iota // may run any number of times
-	IdempotentByKey                    // has an idempotency key: a set of servers drops duplicates for a while
+	IdempotentByKey                    // idempotent with a key: a set of servers drops duplicates for some time
 	NonIdempotent                      // must not run twice
 )
 
-// KeyScope is which servers drop duplicates of an IdempotentByKey request together.
+// KeyScope is the set of servers that together drop the duplicates of an IdempotentByKey request.
 type KeyScope int
 
 // The scopes of an idempotency key.
@@ -29,84 +29,85 @@
 // Class describes one class of requests.
 type Class struct {
 	Name              string
-	LatencyObjective  time.Duration // an answer within it has its full value
-	Deadline          time.Duration // the longest that a client waits, over all its attempts
+	LatencyObjective  time.Duration // a response within it has its full value
+	Deadline          time.Duration // maximum time that a client waits, over all its attempts
 	Idempotency       Idempotency
 	KeyScope          KeyScope      // used with IdempotentByKey
-	IdempotencyWindow time.Duration // used with IdempotentByKey: how long duplicates are dropped
+	IdempotencyWindow time.Duration // used with IdempotentByKey: time for which duplicates are dropped
 	PriorityWeight    float64       // value of a request of one token
-	LateValueFraction float64       // fraction of the value that is left after LatencyObjective
-	Stream            bool          // answers start with a ResponseStarted event
+	LateValueFraction float64       // fraction of the value that a response later than LatencyObjective has
+	Stream            bool          // responses start with a ResponseStarted event
 }
 
-// Plan describes one plan and the quotas that it gives each of its tenants over all nodes together.
-// Zero means that there is no such quota.
+// Plan describes one plan, and the quotas of each of its tenants over all nodes together. 0 means that there
+// is no such quota.
 type Plan struct {
 	Name             string
 	PriceFactor      float64 // factor on the value of a request
-	Rate             float64 // tokens per second of the quota
-	Burst            float64 // tokens that the quota's bucket can hold
-	MaxConcurrent    int     // attempts in flight
-	OverQuotaCost    float64 // fraction of its value that a request beyond the quota costs
-	OverQuotaValue   float64 // fraction of its value that a request beyond the quota earns
-	CeilingRate      float64 // tokens per second of the hard ceiling
-	CeilingBurst     float64 // tokens that the ceiling's bucket can hold
+	Rate             float64 // refill rate of the quota's token bucket, in tokens per second
+	Burst            float64 // capacity of the quota's token bucket, in tokens
+	MaxConcurrent    int     // maximum attempts in flight
+	OverQuotaCost    float64 // cost of a request beyond the quota, as a fraction of its value
+	OverQuotaValue   float64 // value of a request beyond the quota, as a fraction of its value
+	CeilingRate      float64 // refill rate of the hard ceiling's token bucket, in tokens per second
+	CeilingBurst     float64 // capacity of the ceiling's token bucket, in tokens
 	CeilingOverdraft float64 // tokens by which the ceiling's bucket may fall below zero
 }
 
-// Settings is what a node is given at its start. Zero switches a limit or a feature off.
+// Settings is the configuration of a node at its start. A limit of 0 means no limit, a duration of 0 or a
+// false flag disables the feature.
 type Settings struct {
-	NodeIndex int // of this node, from 0
-	FleetSize int // number of nodes
-	Zone      string
+	NodeIndex int    // index of this node, from 0
+	FleetSize int    // number of nodes
+	Zone      string // zone of this node
 	Classes   []Class
 	Plans     []Plan
 
-	PollDiscovery            bool          // the endpoint list has to be watched or fetched
-	MaxPollInterval          time.Duration // longest time between two fetches without a watch
-	DrainGrace               time.Duration // how long attempts at a draining server are forgiven
-	SlowStartDuration        time.Duration // a server has its full capacity this long after its start
+	PollDiscovery            bool          // the endpoint list has to be watched or fetched by the node
+	MaxPollInterval          time.Duration // maximum time between two fetches without a watch
+	DrainGrace               time.Duration // time for which a draining server still accepts attempts
+	SlowStartDuration        time.Duration // time from a server's start until it has its full capacity
 	SlowStartInitialFraction float64       // fraction of its capacity that a server has at its start
-	OverloadWindow           time.Duration // window over which a warming-up server's load is counted
-	OverloadFactor           float64       // multiple of its present capacity that it bears over the window
-	MeterPeriod              time.Duration // period of the usage meter; 0 is no meter
-	ResponsesReportTokens    bool          // the true tokens of a request arrive with its answer
-	MaxRequestTokens         float64       // of one request
-	HasCounter               bool          // there is a counter service
-	PeerMessagesPerSecond    float64
-	MaxAttempts              int // of one request
-	MaxInFlight              int // requests held at once
-	CanCancel                bool
-	ClientsMarkRetries       bool // clients mark their retries
-	HealthChecks             bool // servers may be checked
-	PeerMessages             bool // nodes may talk with each other
-	HedgedRequests           bool
-	SendsRetryAfter          bool
-	MaxRetryAfter            time.Duration
-	CrossZoneCost            float64 // price of an attempt that leaves the node's zone
-	MaxTenants               int     // remembered, beyond which idle ones are forgotten sooner
+	OverloadWindow           time.Duration // time over which the load of a server that is warming up is counted
+	OverloadFactor           float64       // multiple of its capacity that a server bears over OverloadWindow
+	MeterPeriod              time.Duration // period of the usage meter; 0 means that there is no meter
+	ResponsesReportTokens    bool          // responses report the true cost of their request
+	MaxRequestTokens         float64       // maximum tokens of one request
+	HasCounter               bool          // the platform has a counter service
+	PeerMessagesPerSecond    float64       // maximum rate of messages from other nodes
+	MaxAttempts              int           // maximum attempts of one request
+	MaxInFlight              int           // cap on the in-flight bound that Rules.MaxInFlight sets
+	CanCancel                bool          // attempts can be cancelled
+	ClientsMarkRetries       bool          // clients mark their retries
+	HealthChecks             bool          // health checks of servers are allowed
+	PeerMessages             bool          // nodes may send messages to each other
+	HedgedRequests           bool          // hedged requests are allowed
+	SendsRetryAfter          bool          // rejections may carry Retry-After
+	MaxRetryAfter            time.Duration // maximum Retry-After of a rejection; 0 means that there is none
+	CrossZoneCost            float64       // value that an attempt at a server of another zone costs
+	MaxTenants               int           // number of tenants above which idle ones are forgotten sooner
 }
 
-// maxFleetSize keeps what is computed for a whole fleet from overflowing.
+// maxFleetSize keeps numbers that are computed for the whole fleet from overflowing.
 const maxFleetSize = 1 << 20
 
-// setting is a number of the settings by the name that operators know it by.
+// setting is a numeric setting under the name that operators use.
 type setting struct {
 	name  string
 	value float64
 }
 
-// Validate returns an error that names the first setting that can't be used.
+// Validate returns an error that names the first setting that cannot be used, or nil.
 func (s *Settings) Validate() error {
 	switch {
 	case len(s.Classes) == 0:
-		return fmt.Errorf("settings: classes: there are none")
+		return fmt.Errorf("settings: classes: at least one is required")
 	case len(s.Plans) == 0:
-		return fmt.Errorf("settings: plans: there are none")
+		return fmt.Errorf("settings: plans: at least one is required")
 	case s.FleetSize < 1:
 		return fmt.Errorf("settings: group size: %d is not positive", s.FleetSize)
 	case s.FleetSize > maxFleetSize:
-		return fmt.Errorf("settings: group size: %d is over %d", s.FleetSize, maxFleetSize)
+		return fmt.Errorf("settings: group size: %d is more than the maximum of %d", s.FleetSize, maxFleetSize)
 	case s.NodeIndex < 0 || s.NodeIndex >= s.FleetSize:
 		return fmt.Errorf("settings: self index: %d is outside a group of %d", s.NodeIndex, s.FleetSize)
 	}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// slowStart limits what this node sends to servers that are warming up. A server's warm-up fraction is
-// the fraction of its capacity that it has reached; what all nodes together send must stay under
-// OverloadFactor times that capacity over any OverloadWindow. Each node has a token bucket for each such
-// server with its part of that.
+// slowStart limits what this node sends to servers that are warming up. The warm-up fraction of a server is
+// the fraction of its capacity that it has reached. All nodes together must send less than OverloadFactor
+// times that capacity over any OverloadWindow, so each node has a token bucket for each such server with its
+// part of that.
 type slowStart struct {
 	env     *environment
 	servers *serverSet
@@ -18,35 +18,38 @@
 
 // warmUp is the state of one server's slow start.
 type warmUp struct {
-	warmingUp    bool
-	warmingSince time.Duration
-	tokens       float64 // of the bucket; below zero it is in debt
-	refilledAt   time.Duration
+	warmingUp    bool          // the server is in slow start
+	warmingSince time.Duration // start of the slow start
+	tokens       float64       // level of the bucket; negative while it is in debt
+	refilledAt   time.Duration // time of the last refill
 }
 
 const (
-	minWarmupFraction = 0.1 // least warm-up fraction that is assumed
-	// maxInFlightWarm is the number of attempts that a node has in flight at a server at the end of its slow
-	// start; earlier its warm-up fraction of that, one at least.
+	minWarmupFraction = 0.1 // minimum warm-up fraction that is assumed
+	// maxInFlightWarm is the maximum number of attempts that a node has in flight at a server at the end of its
+	// slow start. Before, it is multiplied by the warm-up fraction, but is at least one.
 	maxInFlightWarm = 2.0
 	// slowStartSafety is the fraction of a server's capacity that all nodes together use.
 	slowStartSafety = 0.5
-	// assumedConcurrency is how many requests a warm server of a large fleet is taken to work on at a time.
+	// assumedConcurrency is the number of requests that a warm server of a large fleet is assumed to process
+	// concurrently.
 	assumedConcurrency = 4.0
-	minIdleLatency     = 0.1 // s, assumed at least for the servers of a large fleet
-	// preferredReserve is the fraction of a server's capacity that is for the nodes that prefer it: they reuse
-	// their connections to it. Without it nearly each attempt would open a new one.
+	minIdleLatency     = 0.1 // minimum idle latency of a server of a large fleet that is assumed, in seconds
+	// preferredReserve is the fraction of a server's capacity that is reserved for the nodes that prefer it.
+	// These reuse their connections to it; without the reserve nearly each attempt would open a new connection.
 	preferredReserve = 0.8
-	// initialOutcomeRate is the rate of answers per second that a node is taken to have right after its start.
+	// initialOutcomeRate is the rate of outcomes, per second, that is assumed until one is measured.
 	initialOutcomeRate = 10.0
-	// maxCatchUpFactor times its part is what a node of a large fleet sends at most where its bucket is full.
+	// maxCatchUpFactor is the maximum rate at which a node of a large fleet sends while its bucket is full, as a
+	// multiple of the bucket's rate.
 	maxCatchUpFactor = 1.5
 )
 
 // usableWarmingUp reports whether the server is usable and warming up.
 func (s *server) usableWarmingUp() bool { return s.usable() && s.warmingUp }
 
-// begin puts a server into slow start if it has started lately by its list entry.
+// begin begins the slow start of a server if its entry in the endpoint list shows that it has started
+// recently.
 func (w *slowStart) begin(s *server, listed Endpoint) {
 	if !listed.HasStartedAt || w.env.now >= listed.StartedAt+w.env.settings.SlowStartDuration {
 		return
@@ -55,7 +58,7 @@
 	s.warmingSince = max(listed.StartedAt, s.warmingSince)
 	s.tokens = 0
 	s.refilledAt = w.env.now
-	if w.env.largeFleet() { // so that not all nodes send at the same moment
+	if w.env.largeFleet() { // spreads the first attempts of the nodes over time
 		s.tokens = -w.env.random.Float64() * w.traffic.meanTokens
 	}
 }
@@ -71,8 +74,9 @@
 	return min(1, max(minWarmupFraction, initial)+(1-initial)*max(0, elapsed))
 }
 
-// admits reports whether a server may get a request of some tokens now. A server that is not warming up may
-// always. It refills the server's bucket, and ends a slow start that is over.
+// admits reports whether a request of the given tokens may be sent to a server now. It is always true for a
+// server that is not warming up. It also refills the server's bucket, and ends a slow start whose time is
+// over.
 func (w *slowStart) admits(s *server, tokens float64) bool {
 	if !s.warmingUp {
 		return true
@@ -96,21 +100,22 @@
 	return s.tokens >= tokens
 }
 
-// burst returns what a bucket with a rate holds at most: half of what the overload window refills.
+// burst returns the capacity of a bucket with the given rate: half of what it is refilled with in an
+// OverloadWindow.
 func (w *slowStart) burst(rate float64) float64 {
 	return rate * w.env.settings.OverloadWindow.Seconds() / 2
 }
 
-// observedCapacity returns the tokens per second that a server with a warm-up fraction can take from this
-// node, by what warm servers do for it.
+// observedCapacity returns the tokens per second that a server with the given warm-up fraction bears from
+// this node, by the rate at which warm servers serve this node.
 func (w *slowStart) observedCapacity(fraction float64) float64 {
 	warm := w.servers.count(func(s *server) bool { return s.usable() && !s.warmingUp })
 	return w.env.settings.OverloadFactor * fraction * w.traffic.servedRate / max(1, warm)
 }
 
-// largeFleetRate returns the tokens per second that a node of a large fleet may send to a server. Too
-// little passes through each node to measure what a server does, so its capacity is estimated from the idle
-// latency. Most of it is for the nodes that prefer the server.
+// largeFleetRate returns the tokens per second that a node of a large fleet may send to a server. Each node
+// sends too little to measure a server's capacity, so the capacity is estimated from the idle latency. Most
+// of it is reserved for the nodes that prefer the server.
 func (w *slowStart) largeFleetRate(s *server, fraction float64) float64 {
 	requestsPerSecond := assumedConcurrency / max(w.traffic.idleLatency, minIdleLatency) // of all nodes
 	capacity := w.env.settings.OverloadFactor * fraction * w.traffic.meanTokens * requestsPerSecond
@@ -124,9 +129,9 @@
 	return slowStartSafety * rate
 }
 
-// admitsInLargeFleet refills the bucket and reports whether it lets a request through. Any request may
-// take the bucket into debt, as small ones would else keep it too low for large ones. A node with a full
-// bucket sends by chance, so that not all nodes send at one moment.
+// admitsInLargeFleet refills the bucket and reports whether it admits a request. A request of any size may
+// take the bucket into debt, as small requests would otherwise keep the bucket too low for large ones. A node
+// with a full bucket sends with a chance below one, so that the nodes do not all send at the same time.
 func (w *slowStart) admitsInLargeFleet(s *server, rate float64) bool {
 	s.tokens += rate * w.env.since(s.refilledAt)
 	s.refilledAt = w.env.now
@@ -138,6 +143,6 @@
 	if s.tokens < full {
 		return true
 	}
-	answers := cmp.Or(w.traffic.outcomeRate, initialOutcomeRate)
-	return w.env.random.Float64()*w.traffic.meanTokens*answers < maxCatchUpFactor*rate
+	outcomes := cmp.Or(w.traffic.outcomeRate, initialOutcomeRate)
+	return w.env.random.Float64()*w.traffic.meanTokens*outcomes < maxCatchUpFactor*rate
 }
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Snapshot returns what was learnt of all but tenants, for a process that starts when this one has ended.
+// Snapshot returns the learned state except for tenants, for a process that starts after this one has ended.
 // It changes nothing.
 func (c *Controller) Snapshot(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
 	return json.Marshal(c.learnedState())
 }
 
-// RestoreSnapshot takes what Snapshot returned, at most some time ago, before this controller has handled
-// an event. After an error nothing is taken.
+// RestoreSnapshot restores what Snapshot returned at most maxAge ago. It must be called before this
+// controller handles an event. After an error this controller is unchanged.
 func (c *Controller) RestoreSnapshot(now time.Duration, raw []byte, maxAge time.Duration) error {
 	var h handover
 	if err := json.Unmarshal(raw, &h); err != nil {
@@ -24,12 +24,12 @@
 	}
 	h.Tenants = nil
 	err := c.restore(now, &h, maxAge)
-	c.tenants.observingSince = 0 // what the process before granted is not known
+	c.tenants.observingSince = 0 // what the earlier process admitted is not known
 	return err
 }
 
-// TenantLevel returns what a tenant's bucket holds, with its rate and burst and the number of nodes that
-// share it; ok is false for a tenant without such a quota here.
+// TenantLevel returns the level of a tenant's token bucket, its rate and burst, and the number of nodes that
+// share it. ok is false for a tenant that is not known here or has no such quota.
 func (c *Controller) TenantLevel(plan, tenant string) (tokens, rate, burst float64, nodes int, ok bool) {
 	t := c.tenants.byKey[tenantKey(plan, tenant)]
 	if t == nil || t.plan.Rate == 0 {
@@ -38,8 +38,8 @@
 	return t.level, t.plan.Rate, t.plan.Burst, int(t.nodes), true
 }
 
-// RestoreTenantLevel sets what the bucket of a tenant holds that is not known here yet: at most tokens, and
-// no more than a bucket can.
+// RestoreTenantLevel sets the level of a tenant's token bucket to tokens, unless the level is already lower.
+// A tenant that is not known here yet is created.
 func (c *Controller) RestoreTenantLevel(
 	now time.Duration, plan, tenant string, nodes int, tokens float64,
 ) error {
@@ -48,11 +48,11 @@
 	case p == nil || p.Rate == 0:
 		return fmt.Errorf("kept: tenant %q: plan %q has no quota", tenant, plan)
 	case nodes < 1 || nodes > c.env.settings.FleetSize:
-		return fmt.Errorf("kept: tenant %q: %d nodes of %d", tenant, nodes, c.env.settings.FleetSize)
+		return fmt.Errorf("kept: tenant %q: %d nodes in a fleet of %d", tenant, nodes, c.env.settings.FleetSize)
 	case math.IsNaN(tokens):
-		return fmt.Errorf("kept: tenant %q: its tokens are no number", tenant)
+		return fmt.Errorf("kept: tenant %q: its tokens are not a number", tenant)
 	case len(c.tenants.byKey) >= maxTenants:
-		return fmt.Errorf("kept: tenant %q: %d tenants are known already", tenant, maxTenants)
+		return fmt.Errorf("kept: tenant %q: the maximum of %d tenants is reached", tenant, maxTenants)
 	}
 	c.env.now = max(c.env.now, now)
 	c.tenants.observingSince = cmp.Or(c.tenants.observingSince, c.env.now)
@@ -114,7 +114,8 @@
 	return s
 }
 
-// save returns a tenant's state. Its level is held to what a process without rules can take.
+// save returns a tenant's state for a handover. The level is limited to the range that a process without
+// rules accepts.
 func (t *tenant) save(key string) handoverTenant {
 	limit := 2 * t.queue.Burst
 	return handoverTenant{
--- a/control/tenant.go
+++ b/control/tenant.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// tenant is what a node knows of one tenant of a plan, and its part of the tenant's quota.
+// tenant is the state of one tenant of a plan at this node, including this node's part of the tenant's
+// quotas.
 type tenant struct {
-	queue       *planQueue
-	plan        *Plan         // of the settings, with the quota that the rules in force give
-	quotaFactor float64       // times the settings' quota
-	nodes       float64       // that the tenant may come through
-	firstSeen   time.Duration // at this node
-
-	level         float64 // tokens of the quota's bucket
-	ceilingLevel  float64 // tokens of the ceiling's bucket
-	refilledAt    time.Duration
-	levelReported bool    // level is what the bucket's owner reported
-	queuedTokens  float64 // of requests without an attempt
-
-	chanceRemainder float64 // carried over from draws of the rejection chance
+	queue       *planQueue    // queue of the tenant's plan
+	plan        *Plan         // plan of the settings, with the quota by the rules in force
+	quotaFactor float64       // factor of the rules on the quota of the settings
+	nodes       float64       // number of nodes that the tenant's requests may arrive at
+	firstSeen   time.Duration // time of the first request at this node
+
+	level         float64       // level of the quota's token bucket
+	ceilingLevel  float64       // level of the hard ceiling's token bucket
+	refilledAt    time.Duration // time of the last refill of both buckets
+	levelReported bool          // level was reported by the bucket's owner
+	queuedTokens  float64       // tokens of queued requests without an attempt
+
+	chanceRemainder float64 // see drawChance
 	tenantSlots
 	tenantDemand
 	tenantUsage
 }
 
 const (
-	// initialUseFraction is the fraction of its rate that an unmetered tenant is taken to use.
+	// initialUseFraction is the fraction of its rate that a tenant is assumed to use before the first reading.
 	initialUseFraction = 0.3
-	// initialCeilingFraction is the fraction of the overdraft with which a ceiling's bucket starts: what a
-	// process before this one granted is not known.
+	// initialCeilingFraction is the initial level of a ceiling's bucket as a fraction of the overdraft. It is
+	// below one because what an earlier process admitted is not known.
 	initialCeilingFraction = 0.5
-	// wellObservedNodes is the number of nodes of a tenant up to which each sees most of its use.
+	// wellObservedNodes is the number of a tenant's nodes up to which each of them observes most of the tenant's
+	// use.
 	wellObservedNodes = 4.0
 
-	// An idle tenant with full buckets is forgotten after tenantRetention. Beyond half of maxTenants idle
-	// ones are forgotten sooner, down to minTenantRetention.
+	// An idle tenant with full buckets is forgotten after tenantRetention. Where the table has more than half of
+	// maxTenants, idle tenants are forgotten sooner, down to minTenantRetention.
 	tenantRetention    = time.Minute
 	minTenantRetention = time.Second
 	maxTenants         = 20000
@@ -47,15 +49,15 @@
 	env     *environment
 	traffic *trafficStats
 	byKey   map[string]*tenant // by tenantKey
-	// observingSince is the time since which a tenant that is not in the table has sent nothing here; 0 is
-	// before the first event.
+	// observingSince is the time since which a tenant that is not in the table has sent no request here; 0 until
+	// the first event.
 	observingSince time.Duration
 }
 
-// tenantKey names a tenant among those of all plans.
+// tenantKey returns the key of a tenant among those of all plans.
 func tenantKey(plan, tenant string) string { return plan + " " + tenant }
 
-// get returns a tenant with its buckets refilled, and makes it where it is new. Its number of nodes is
+// get returns a tenant with its buckets refilled, and creates it if it is not known. The number of nodes is
 // the largest that was reported.
 func (table *tenantTable) get(plan *planQueue, id string, nodes int) *tenant {
 	key := tenantKey(plan.Name, id)
@@ -69,6 +71,7 @@
 	return t
 }
 
+// create returns a new tenant. The caller adds it to the table.
 func (table *tenantTable) create(plan *planQueue, key string, nodes int) *tenant {
 	now := table.env.now
 	t := &tenant{
@@ -90,8 +93,8 @@
 	return t
 }
 
-// refill adds the tokens accrued since the last refill, up to the bursts. Use at other nodes is charged by
-// consume, not here, so that it is not counted twice.
+// refill adds the tokens that accrued since the last refill, up to the bursts. Use at other nodes is charged
+// by consume and not here, so that it is not counted twice.
 func (table *tenantTable) refill(t *tenant) {
 	elapsed := table.env.since(t.refilledAt)
 	t.refilledAt = table.env.now
@@ -102,13 +105,13 @@
 		t.ceilingLevel+fraction*elapsed*t.plan.CeilingRate/t.nodes)
 }
 
-// consume takes the tokens of a request's first attempt from the buckets, and from the quota's what the other
-// nodes are taken to have sent meanwhile.
+// consume charges the tokens of a request's first attempt to the buckets. The quota's bucket is also charged
+// for what the other nodes are assumed to have sent meanwhile.
 func (table *tenantTable) consume(t *tenant, tokens float64) {
 	table.refill(t)
 	t.ceilingLevel -= tokens
 	charged := tokens
-	if !t.levelReported { // else what others send is in the owner's report
+	if !t.levelReported { // otherwise the owner's report contains the use at other nodes
 		charged *= t.fleetUsePerToken()
 	}
 	t.level = max(-t.plan.Burst, t.level-charged)
@@ -116,7 +119,7 @@
 	t.charged.add(charged)
 }
 
-// settle replaces the expected tokens of a request by the true ones.
+// settle replaces the expected cost of a request by the true one, in tokens.
 func (table *tenantTable) settle(t *tenant, expected, tokens float64) {
 	if tokens > 0 && table.env.settings.ResponsesReportTokens {
 		table.refill(t)
@@ -124,9 +127,9 @@
 	}
 }
 
-// sweep forgets tenants that have been idle for long and are as good as new; where there are many, sooner
-// and all that are idle. Their ceilings' buckets may not be full then, so observingSince moves: new ones
-// fill from there.
+// sweep forgets idle tenants whose state equals that of a new one. Where there are too many tenants it
+// forgets all idle ones, after a shorter time. The ceilings' buckets of these may not be full, so
+// observingSince is moved: the bucket of a new tenant is filled from that time on.
 func (table *tenantTable) sweep() {
 	retention := tenantRetention
 	idle := func(_ string, t *tenant) bool {
@@ -153,8 +156,8 @@
 	return t.plan.MaxConcurrent == 0 && quotaFull && ceilingFull
 }
 
-// applyBucketReport takes what the bucket's owner reported in place of what is reckoned here; nil is
-// nothing reported.
+// applyBucketReport sets the level to the one that the bucket's owner reported. nil means that there is no
+// report.
 func (t *tenant) applyBucketReport(bucket *SharedBucket) {
 	t.levelReported = bucket != nil
 	if !t.levelReported {
@@ -165,7 +168,7 @@
 	}
 }
 
-// visibility is 1 for a tenant that comes through so few nodes that each sees most of its use, and
-// falls with their number. Where it is low, little is known of a tenant's use: readings, own observations
-// and the bucket's level then count less.
+// visibility returns 1 for a tenant with so few nodes that each observes most of its use, and less the more
+// nodes there are. Where it is low, this node knows little of the tenant's use, and readings, own
+// observations and the bucket's level count less.
 func (t *tenant) visibility() float64 { return min(1, wellObservedNodes/t.nodes) }
--- a/control/traffic.go
+++ b/control/traffic.go
@@ -2,41 +2,43 @@
 
 import "math"
 
-// trafficStats are moving averages of this node's traffic that several rules go by.
+// trafficStats holds the moving averages of this node's traffic that several rules use.
 type trafficStats struct {
-	latency          float64 // s: mean of answers, each counted up to its latency objective
-	responses        float64 // number of answers in latency
-	idleLatency      float64 // s: the least mean latency, which an idle server takes
-	slowStartLatency float64 // s: mean of answers of servers that are warming up; 0 is none yet
-	outcomeRate      float64 // answers and overload outcomes per second
-	servedRate       float64 // tokens per second, served by servers that are not warming up
-	meanTokens       float64 // of a request
+	latency          float64 // mean latency in seconds, each response counted up to its latency objective
+	responses        float64 // number of responses in latency
+	idleLatency      float64 // lowest mean latency in seconds: that of an idle server
+	slowStartLatency float64 // mean latency in seconds of servers that are warming up; 0 means none yet
+	outcomeRate      float64 // responses, rejections by servers and timeouts per second; 0 means none yet
+	servedRate       float64 // tokens per second served by servers that are not warming up
+	meanTokens       float64 // mean tokens of a request
 }
 
 const (
-	initialMeanTokens    = 3.0  // of a request, until some are seen
-	meanTokensGain       = 0.05 // of the average of tokens
-	latencyGain          = 0.02 // of the average latency, once 50 answers are seen
-	slowStartLatencyGain = 0.05 // of the average latency of warming-up servers
-	rateGain             = 0.2  // of the averages of rates, by control interval
+	initialMeanTokens    = 3.0  // mean tokens of a request until the first request
+	meanTokensGain       = 0.05 // gain of the mean tokens
+	latencyGain          = 0.02 // gain of the mean latency, after the first 50 responses
+	slowStartLatencyGain = 0.05 // gain of the mean latency of servers that are warming up
+	rateGain             = 0.2  // gain of the rates, per control interval
 
-	idleLatencyGrowth = 1.005 // growth of the idle latency in an interval without a shorter one
-	minIdleResponses  = 25    // answers before an idle latency is kept
+	idleLatencyGrowth = 1.005 // factor on the idle latency in an interval without a shorter one
+	minIdleResponses  = 25    // responses before an idle latency is kept
 
-	// An observation of a server counts for as long as each server answers observedResponses times, within
-	// these limits. A node among many would otherwise forget which server is slow before it is back there.
+	// An observation of a server counts for the time in which each server responds observedResponses times,
+	// within these limits. With a fixed time, a node of a large fleet would forget which server is slow before
+	// it sends to it again.
 	observedResponses      = 6.0
-	minObservationLifetime = 5.0  // s
-	maxObservationLifetime = 60.0 // s
+	minObservationLifetime = 5.0  // seconds
+	maxObservationLifetime = 60.0 // seconds
 )
 
-// observe adds the latency of an answer.
+// observe adds the latency of a response, in seconds.
 func (t *trafficStats) observe(latency float64) {
 	t.responses++
 	t.latency += max(latencyGain, 1/t.responses) * (latency - t.latency)
 }
 
-// observeSlowStart adds the latency of an answer of a server that is warming up.
+// observeSlowStart adds the latency of a response of a server that is warming up. Both arguments are in
+// seconds.
 func (t *trafficStats) observeSlowStart(latency, objective float64) {
 	if t.slowStartLatency == 0 {
 		t.slowStartLatency = latency
@@ -44,7 +46,7 @@
 	t.slowStartLatency += slowStartLatencyGain * (min(latency, objective) - t.slowStartLatency)
 }
 
-// updateIdleLatency follows the least mean latency at the end of a control interval.
+// updateIdleLatency updates the idle latency at the end of a control interval.
 func (t *trafficStats) updateIdleLatency() {
 	t.idleLatency = min(t.idleLatency*idleLatencyGrowth, t.latency)
 	if t.responses < minIdleResponses || t.idleLatency == 0 {
@@ -52,13 +54,14 @@
 	}
 }
 
-// updateRates takes what an interval counted, which lasted some seconds.
+// updateRates updates the rates from a control interval that lasted some seconds.
 func (t *trafficStats) updateRates(interval *intervalStats, lasted float64) {
 	t.servedRate += rateGain * (interval.servedTokens/lasted - t.servedRate)
 	updateAverage(&t.outcomeRate, (interval.responses+interval.overloads)/lasted, rateGain)
 }
 
-// observationLifetime returns for how long, in seconds, an observation of one of some servers counts.
+// observationLifetime returns the time, in seconds, after which an observation of a server has decayed to 1/e
+// of its weight. servers is the number of usable servers.
 func (t *trafficStats) observationLifetime(servers float64) float64 {
 	if t.outcomeRate == 0 {
 		return minObservationLifetime
@@ -66,5 +69,5 @@
 	return min(maxObservationLifetime, max(minObservationLifetime, observedResponses*servers/t.outcomeRate))
 }
 
-// decay returns the weight that is left after some seconds, 1/e after a lifetime.
+// decay returns the weight that is left after elapsed seconds: 1/e after one lifetime.
 func decay(elapsed, lifetime float64) float64 { return math.Exp(-elapsed / lifetime) }
