--- a/control/admissionfleet_test.go
+++ b/control/admissionfleet_test.go
@@ -63,7 +63,7 @@
 	return true
 }
 
-// meteredAttempt is an attempt in flight whose answer carries a meter reading.
+// meteredAttempt is an attempt in flight whose response carries a meter reading.
 type meteredAttempt struct {
 	endsAt time.Duration
 	node   *harness
--- a/control/attempt_test.go
+++ b/control/attempt_test.go
@@ -215,7 +215,7 @@
 	}
 }
 
-// Time-outs of clients that give up before an answer is due carry no information: they neither cut the
+// Time-outs of clients that give up before a response is due carry no information: they neither cut the
 // in-flight bound nor eject a server. Time-outs of clients that waited at least the latency objective do
 // both.
 func TestTimeoutsOfImpatientClientsAreIgnored(t *testing.T) {
@@ -228,7 +228,7 @@
 		h.controller.concurrency.bound, h.controller.interval.saturated = 8, false
 		cuts, ejected := h.controller.counts.cuts, false
 		for i := 0; i < 40; i++ {
-			id := fmt.Sprint("hasty", i)
+			id := fmt.Sprint("impatient", i)
 			h.handle(Request{
 				ID:          id,
 				Class:       "job",
--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// Guards against a server that accepts requests and never answers.
+// Guards against a server that accepts requests and never responds.
 func TestSilentServerIsAvoided(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4)...)
 	silent := 0
@@ -105,7 +105,7 @@
 		}
 	}
 	if silent == 0 || silent > 6 {
-		t.Errorf("%d of 200 requests in 4 s were sent to a server that never answers", silent)
+		t.Errorf("%d of 200 requests in 4 s were sent to a server that never responds", silent)
 	}
 }
 
@@ -129,11 +129,11 @@
 	small.runWithLatency(30*time.Second, 50*ms, func(uint32) time.Duration { return 200 * ms })
 	lifetime := small.controller.traffic.observationLifetime(small.controller.servers.usable)
 	if lifetime != minObservationLifetime {
-		t.Errorf("observations of servers that answer often count for %.1f s", lifetime)
+		t.Errorf("observations of servers that respond often count for %.1f s", lifetime)
 	}
 }
 
-// A server that other nodes report as slow gets nearly no traffic until the report expires or a fast answer
+// A server that other nodes report as slow gets nearly no traffic until the report expires or a fast response
 // to this node rebuts it. Reports count for at most a third of the servers. An evacuated zone gets no
 // traffic while another zone is usable, and all of it where every zone is evacuated.
 func TestOutlierReportsAndZoneEvacuations(t *testing.T) {
@@ -162,7 +162,7 @@
 	s := h.controller.servers.byID[1]
 	h.controller.Handle(h.now, OutlierReport{Server: 1, Until: h.now + time.Minute})
 	if s.latencyAt = h.now + 1; h.controller.outliers.reportedSlow(s) {
-		t.Error("an answer to this node within the usual latency does not rebut an outlier report")
+		t.Error("a response to this node within the usual latency does not rebut an outlier report")
 	}
 	h = newNode()
 	for i, server := range h.controller.servers.ordered {
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// BenchmarkRequestAmongManyServers measures the cost of a request and its answer at a node of a large fleet
+// BenchmarkRequestAmongManyServers measures the cost of a request and its response at a node of a large fleet
 // with 200 servers.
 func BenchmarkRequestAmongManyServers(b *testing.B) {
 	request := newRequestFunc(b, 200)
--- a/control/largefleet_test.go
+++ b/control/largefleet_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// Shares move where a node receives two answers per second: the control interval is extended until it has
+// Shares move where a node receives two responses per second: the control interval is extended until it has
 // enough outcomes.
 func TestSharesMoveAtLowRequestRate(t *testing.T) {
 	s := largeFleetSettings()
@@ -265,7 +265,7 @@
 	}
 }
 
-// Guards against a first control interval with many answers that leaves the idle latency at zero.
+// Guards against a first control interval with many responses that leaves the idle latency at zero.
 func TestIdleLatencyIsSetInFirstInterval(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1, 2)...)
 	for i := 0; i < 60; i++ {
@@ -275,11 +275,11 @@
 	}
 	h.controller.endInterval(1)
 	if h.controller.traffic.idleLatency < 0.015 || h.controller.traffic.idleLatency > 0.03 {
-		t.Errorf("idle latency %g s after answers within 20 ms", h.controller.traffic.idleLatency)
+		t.Errorf("idle latency %g s after responses within 20 ms", h.controller.traffic.idleLatency)
 	}
 }
 
-// Guards against a second cut of the in-flight bound by answers to attempts from before the first cut.
+// Guards against a second cut of the in-flight bound by responses to attempts from before the first cut.
 func TestBoundIsCutOncePerTwoMeanLatencies(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1, 2)...)
 	h.controller.concurrency.bound = 80
@@ -294,7 +294,7 @@
 		h.controller.env.now = h.now + time.Duration(i)*time.Second
 		h.controller.endInterval(1)
 		if h.controller.concurrency.bound != want {
-			t.Errorf("in-flight bound %g after %d s of late answers, want %g",
+			t.Errorf("in-flight bound %g after %d s of late responses, want %g",
 				h.controller.concurrency.bound, i+1, want)
 		}
 	}
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// The tokens reported with an answer replace those that the request was expected to cost.
+// The tokens reported with a response replace those that the request was expected to cost.
 func TestReportedTokensReplaceExpectedOnes(t *testing.T) {
 	s := testSettings()
 	s.ResponsesReportTokens = true
@@ -114,7 +114,7 @@
 	before := tenant.level
 	h.handle(AttemptEnded{ID: "a", Server: 1, Outcome: OK, Done: true, Tokens: 4})
 	if got := before - tenant.level; math.Abs(got-3) > 1e-9 {
-		t.Errorf("the answer took %g more tokens, not 3: 1 was expected and 4 were used", got)
+		t.Errorf("the response took %g more tokens, not 3: 1 was expected and 4 were used", got)
 	}
 }
 
--- a/control/overrides_test.go
+++ b/control/overrides_test.go
@@ -155,7 +155,7 @@
 }
 
 // The rules' prices set the share controller's weights; NaN leaves the settings' price. The cost of a zone
-// counts as the wait that costs as much of an answer's value, for nodes of other zones only.
+// counts as the wait that costs as much of a response's value, for nodes of other zones only.
 func TestRulesSetPricesAndZoneCosts(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1, 2, 3, 4, 5, 6)...)
 	h.handle(Rules{Version: 1, PriceFactor: []float64{4.5, math.NaN()}})
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -89,7 +89,7 @@
 			func(int) time.Duration { return 300 * ms }, 4, 0,
 		},
 		{
-			"retries after answers that took various times",
+			"retries after responses that took various times",
 			func(i int) time.Duration { return time.Duration(3000-i*37) * ms }, 40, 40,
 		},
 		{
@@ -113,9 +113,9 @@
 	}
 }
 
-// A request of an impatient client waits in the queue only while an answer can still arrive in the client's
+// A request of an impatient client waits in the queue only while a response can still arrive in the client's
 // time. Else it is rejected at once, and takes neither tokens nor a slot.
-func TestRequestIsNotQueuedWithoutTimeForAnswer(t *testing.T) {
+func TestRequestIsNotQueuedWithoutTimeForResponse(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1, 2, 3)...)
 	h.runWithLatency(10*time.Second, 300*ms, func(uint32) time.Duration { return 200 * ms })
 	request := func(id string, timeLeft time.Duration) {
@@ -146,7 +146,7 @@
 	request("patient", 5*time.Second)
 	h.advance(10 * ms)
 	if _, rejected := h.finalAnswers["impatient"].(Reject); !rejected {
-		t.Errorf("a request with 300 ms left, where answers take 200 ms, has final answer %T",
+		t.Errorf("a request with 300 ms left, where responses take 200 ms, has final answer %T",
 			h.finalAnswers["impatient"])
 	}
 	if h.finalAnswers["patient"] != nil {
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -96,6 +96,6 @@
 	h.controller.interval.responses = minShareResponses - 1
 	h.controller.endInterval(1)
 	if h.controller.scheduler.plans[0].share != 0.5 {
-		t.Errorf("share %g after an interval of four answers", h.controller.scheduler.plans[0].share)
+		t.Errorf("share %g after an interval of four responses", h.controller.scheduler.plans[0].share)
 	}
 }
