--- a/control/admissionfleet_test.go
+++ b/control/admissionfleet_test.go
@@ -96,17 +96,14 @@
 	const step, tenants = 100 * ms, 80
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := largeFleetSettings()
-	s.FleetSize = nodeCount
-	s.Plans[0].Rate = float64(nodeCount) / 30
-	s.Plans[0].Burst = float64(nodeCount) / 7.5
-	s.Plans[0].OverQuotaCost = overQuotaCost
+	s.FleetSize, s.Plans[0].OverQuotaCost = nodeCount, overQuotaCost
+	s.Plans[0].Rate, s.Plans[0].Burst = float64(nodeCount)/30, float64(nodeCount)/7.5
 	if !metered {
 		s.MeterPeriod = 0
 	}
 	p := s.Plans[0]
 	nodes, loads := make([]*harness, nodeCount), make([]*tenantLoad, tenants)
-	// As many servers as nodes, so that the in-flight bound of each node delays no request.
-	servers := make([]uint32, nodeCount)
+	servers := make([]uint32, nodeCount) // as many as nodes, so that no in-flight bound delays a request
 	for i := range servers {
 		servers[i] = uint32(i + 1)
 	}
@@ -137,13 +134,8 @@
 				node := nodes[l.drawNode(rng)]
 				id := fmt.Sprint(at, i, rng.Uint64())
 				node.handle(Request{
-					ID:          id,
-					Class:       "job",
-					Plan:        "low",
-					Tenant:      l.name,
-					TimeLeft:    5 * time.Second,
-					Tokens:      tokens,
-					TenantNodes: nodeCount,
+					ID: id, Class: "job", Plan: "low", Tenant: l.name,
+					TimeLeft: 5 * time.Second, Tokens: tokens, TenantNodes: nodeCount,
 				})
 				if node.attempts[id] == 0 {
 					continue
--- a/control/overrides_test.go
+++ b/control/overrides_test.go
@@ -54,7 +54,7 @@
 	}
 	class := slices.IndexFunc(run.settings.Classes, func(k Class) bool { return k.Name == r.class.Name })
 	if class < len(r.rules.MaxAttempts) && r.rules.MaxAttempts[class] > 0 {
-		require.Less(run.t, r.attempts, r.rules.MaxAttempts[class], "attempts of the request before another one")
+		require.Less(run.t, r.attempts, r.rules.MaxAttempts[class], "attempts of the request before this one")
 	}
 	if !slices.Contains(r.rules.ClosedZones, run.endpoints[a.Server].Zone) {
 		return
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -17,7 +17,7 @@
 	controller           *Controller
 	now                  time.Duration
 	log                  []string                  // events and their actions
-	endpoints            map[uint32]*Endpoint      // all servers that were ever listed
+	endpoints            map[uint32]*Endpoint      // all servers, listed or not
 	unusable             map[uint32]bool           // servers that are draining or removed
 	requests             map[string]*issuedRequest // requests without a final answer
 	inFlight             []runAttempt
--- a/control/slowstartfleet_test.go
+++ b/control/slowstartfleet_test.go
@@ -20,7 +20,7 @@
 	loadSigma                 float64       // standard deviation of the logarithms of the nodes' loads
 	discoveryDelay            time.Duration // longest time from the servers' start until a node learns of it
 	restartInterval           time.Duration // time between restarts of nodes, which lose their state; 0 is none
-	startTimesUnknown         bool          // the endpoint list lacks the start times, so nodes can't slow start
+	startTimesUnknown         bool          // the endpoint list lacks the start times, so no slow start applies
 	loadFraction              float64       // load as a fraction of the warm servers' capacity
 	fleetSize                 int           // nodes of the fleet, of which some are simulated; 0 means all are
 	nodesPerServer            float64       // as in EndpointUpdate; 0 means the fleet's size
@@ -45,7 +45,7 @@
 	controllers []*Controller
 	endpoints   []Endpoint
 	informed    []bool          // by node: it knows of the servers' start
-	busyUntil   []time.Duration // by server
+	busyUntil   []time.Duration // by server: time until which it has work
 	sends       [][]warmupSend  // by server that warms up: attempts of the last overload window
 	lastID      int             // number of the latest request or started controller
 	maxOverload float64         // most work in an overload window at a server, as a fraction of its bound
