--- a/control/admissionfleet_test.go
+++ b/control/admissionfleet_test.go
@@ -96,8 +96,8 @@
 	const step, tenants = 100 * ms, 80
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := largeFleetSettings()
-	s.FleetSize, s.Plans[0].OverQuotaCost = nodeCount, overQuotaCost
-	s.Plans[0].Rate, s.Plans[0].Burst = float64(nodeCount)/30, float64(nodeCount)/7.5
+	s.FleetSize, s.Plans[0].Rate = nodeCount, float64(nodeCount)/30
+	s.Plans[0].Burst, s.Plans[0].OverQuotaCost = float64(nodeCount)/7.5, overQuotaCost
 	if !metered {
 		s.MeterPeriod = 0
 	}
