--- a/control/attempt.go
+++ b/control/attempt.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// startAttempt sends a request to a server.
+// startAttempt dispatches a request to a server.
 func (c *Controller) startAttempt(r *request, s *server) {
 	c.scheduler.dequeue(r)
 	if r.attempts == 0 {
 		c.tenants.consume(r.tenant, r.tokens)
 		c.traffic.meanTokens += meanTokensGain * (r.tokens - c.traffic.meanTokens)
 	}
-	if r.duplicates == nil && r.class.Idempotency == IdempotentByKey {
-		r.firstRun = c.env.now
+	if r.dedupServer == nil && r.class.Idempotency == IdempotentByKey {
+		r.firstRunAt = c.env.now
 	}
 	if s.warmingUp {
 		s.tokens -= r.tokens
 	}
 	if s.consecutiveFailures >= ejectionFailures {
-		s.trial = true
+		s.trialInFlight = true
 	}
 	c.recordStart(r, s)
 	send := Send{ID: r.id, Server: s.Server}
-	if r.windowed() { // its connection may take longer to open than what is left of the window
-		send.NotAfter = r.windowEnd()
+	if r.hasIdempotencyWindow() { // opening the connection may outlast the window
+		send.NotAfter = r.idempotencyWindowEnd()
 	}
-	c.env.act(send)
+	c.env.emit(send)
 }
 
-// recordStart counts an attempt that starts now. While the body of a streamed request is being sent the
-// attempt loads no server.
+// recordStart counts an attempt that starts now. While the body of a streamed request is being sent, the
+// attempt counts neither against the server nor against the in-flight bound.
 func (c *Controller) recordStart(r *request, s *server) {
-	if s.working() == 0 {
-		s.lastActivity = c.env.now
+	if s.activeAttempts() == 0 {
+		s.lastActivityAt = c.env.now
 	}
 	key := attemptKey{r.id, r.attempts}
 	c.attempts[key] = &attempt{
-		request: r,
-		server:  s,
-		tenant:  r.tenant,
-		started: c.env.now,
-		sending: r.streamedBody,
+		request:     r,
+		server:      s,
+		tenant:      r.tenant,
+		startedAt:   c.env.now,
+		sendingBody: r.streamedBody,
 	}
 	r.attempts++
-	r.outstanding++
-	r.tried = append(r.tried, s.Server)
+	r.outstandingAttempts++
+	r.triedServers = append(r.triedServers, s.Server)
 	if !r.streamedBody {
 		s.inFlight++
 		c.concurrency.inFlight++
@@ -50,141 +50,147 @@
 	r.tenant.inFlight++
 }
 
-// onBodySent notes that the work on an attempt begins now.
+// onBodySent handles the end of a streamed request body.
 func (c *Controller) onBodySent(e BodySent) {
 	if a := c.attempts[attemptKey{e.ID, e.Attempt}]; a != nil {
 		c.recordBodySent(a)
 	}
 }
 
-// recordBodySent counts an attempt as work from now on. The time until then was the client's.
+// recordBodySent counts an attempt as in flight from now on. The time until now was spent by the client on
+// its body, so the request's times are moved by it.
 func (c *Controller) recordBodySent(a *attempt) {
-	if !a.sending {
+	if !a.sendingBody {
 		return
 	}
-	if a.server.working() == 0 {
-		a.server.lastActivity = c.env.now
+	if a.server.activeAttempts() == 0 {
+		a.server.lastActivityAt = c.env.now
 	}
-	a.sending = false
+	a.sendingBody = false
 	a.server.inFlight++
 	c.concurrency.inFlight++
-	took := c.env.now - a.started
-	a.started = c.env.now
-	a.request.arrived += took
-	a.request.objective += took
-	a.request.giveUp += took
+	took := c.env.now - a.startedAt
+	a.startedAt = c.env.now
+	a.request.arrivedAt += took
+	a.request.objectiveAt += took
+	a.request.giveUpAt += took
 }
 
-// onResponseStarted takes the header of a streamed answer. Its server has done its work.
+// onResponseStarted handles the header of a streamed response. From here on the attempt no longer counts as
+// work of its server.
 func (c *Controller) onResponseStarted(e ResponseStarted) {
 	a := c.attempts[attemptKey{e.ID, e.Attempt}]
-	if a == nil || a.request.streaming {
+	if a == nil || a.request.responseStarted {
 		return
 	}
 	c.recordBodySent(a)
-	a.request.streaming = true
+	a.request.responseStarted = true
 	c.concurrency.responding++
 	a.server.responding++
-	a.server.lastActivity = c.env.now
-	c.meter.read(a.tenant, e.MeterReading, a.request.tokens)
+	a.server.lastActivityAt = c.env.now
+	c.meter.applyReading(a.tenant, e.MeterReading, a.request.tokens)
 	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
-	c.observeAnswer(a, e.Delay)
+	c.observeResponse(a, e.Latency)
 }
 
-// onAttemptEnded learns from an outcome, and retries or ends the request where it has no final answer.
+// onAttemptEnded applies the outcome of an attempt. If the request has no final response and no other attempt
+// outstanding, it is retried or ended.
 func (c *Controller) onAttemptEnded(e AttemptEnded) {
 	a := c.recordEnd(attemptKey{e.ID, e.Attempt})
 	if a == nil {
 		return
 	}
 	r := a.request
-	a.server.lastActivity = c.env.now
-	c.concurrency.restFraction()
+	a.server.lastActivityAt = c.env.now
+	c.concurrency.pauseFractionalSlot()
 	if a.tenant.plan.MaxConcurrent > 0 {
-		a.tenant.pause(c.env.now, c.env.now-a.started)
+		a.tenant.pause(c.env.now, c.env.now-a.startedAt)
 	}
-	c.meter.read(a.tenant, e.MeterReading, r.tokens)
-	c.learn(a, e)
+	c.meter.applyReading(a.tenant, e.MeterReading, r.tokens)
+	c.applyOutcome(a, e)
 	switch {
-	case c.requests[r.id] != r: // it has its final answer
+	case c.requests[r.id] != r: // the request already has its final response
 	case e.Done:
 		c.forget(r)
-	case !r.queued && r.outstanding == 0:
-		c.retryOrFinish(r, a, e)
+	case !r.queued && r.outstandingAttempts == 0:
+		c.retryOrEnd(r, a, e)
 	}
 }
 
-// recordEnd counts the end of an attempt and returns it; nil is none with this key.
+// recordEnd counts the end of an attempt and returns it. It returns nil if no attempt with this key is
+// outstanding.
 func (c *Controller) recordEnd(key attemptKey) *attempt {
 	a := c.attempts[key]
 	if a == nil {
 		return nil
 	}
 	delete(c.attempts, key)
-	a.request.outstanding--
+	a.request.outstandingAttempts--
 	a.tenant.inFlight--
-	if a.sending {
+	if a.sendingBody {
 		return a
 	}
 	a.server.inFlight--
 	c.concurrency.inFlight--
-	if a.request.streaming {
+	if a.request.responseStarted {
 		c.concurrency.responding--
 		a.server.responding--
 	}
 	return a
 }
 
-// learn applies an outcome to the server, the in-flight bound and the request.
-func (c *Controller) learn(a *attempt, e AttemptEnded) {
+// applyOutcome applies the outcome of an attempt to the server, the in-flight bound and the request.
+func (c *Controller) applyOutcome(a *attempt, e AttemptEnded) {
 	s, r := a.server, a.request
-	took := c.env.since(a.started)
+	took := c.env.since(a.startedAt)
 	switch e.Outcome {
 	case OK:
-		c.learnSuccess(a, e)
+		c.applySuccess(a, e)
 	case Overloaded:
 		c.outliers.recordRejection(s, r.plan)
-		c.interval.overloaded++
+		c.interval.overloads++
 	case ConnectFailed:
 		c.outliers.recordFailure(s, ejectionFailures)
 	case ResetByPeer, Errored:
 		c.outliers.recordError(s)
 	case NeverSent: // no evidence about the server
-		s.trial = false
+		s.trialInFlight = false
 	case TimedOut:
-		// A client that gives up before its answer is due speaks neither against the server nor for a
-		// lower bound.
+		// A client that gives up before the latency objective is no evidence of a slow server or of
+		// overload.
 		if took >= r.class.LatencyObjective.Seconds() {
 			c.outliers.recordFailure(s, 1)
 			s.observeLatency(c.env.now, took)
-			c.interval.overloaded++
+			c.interval.overloads++
 		}
 	}
-	goesOn := e.Outcome == TimedOut || e.Outcome == Cancelled
-	if goesOn {
+	mayStillRun := e.Outcome == TimedOut || e.Outcome == Cancelled
+	if mayStillRun {
 		c.concurrency.abandon(s, took)
 	}
-	ran := goesOn || e.Outcome == Errored || e.Outcome == ResetByPeer
+	ran := mayStillRun || e.Outcome == Errored || e.Outcome == ResetByPeer
 	if ran && !r.mayHaveRun {
 		r.mayHaveRun = true
-		r.firstRun = a.started
-		r.duplicates = s
+		r.firstRunAt = a.startedAt
+		r.dedupServer = s
 	}
 }
 
-func (c *Controller) learnSuccess(a *attempt, e AttemptEnded) {
+// applySuccess applies a successful outcome to the server, the tenant's bucket and the averages.
+func (c *Controller) applySuccess(a *attempt, e AttemptEnded) {
 	c.outliers.recordSuccess(a.server)
 	if !a.server.warmingUp {
 		c.interval.servedTokens += a.request.tokens
 	}
 	c.tenants.settle(a.tenant, a.request.tokens, e.Tokens)
-	if !a.request.streaming {
-		c.observeAnswer(a, c.env.now-a.started)
+	if !a.request.responseStarted {
+		c.observeResponse(a, c.env.now-a.startedAt)
 	}
 }
 
-// observeAnswer takes the latency of a good answer.
-func (c *Controller) observeAnswer(a *attempt, took time.Duration) {
+// observeResponse adds the latency of a successful response to the averages. took is the time from the start
+// of the attempt.
+func (c *Controller) observeResponse(a *attempt, took time.Duration) {
 	latency := took.Seconds()
 	objective := a.request.class.LatencyObjective.Seconds()
 	a.server.observeLatency(c.env.now, latency)
@@ -192,11 +198,11 @@
 		c.traffic.observeSlowStart(latency, objective)
 	}
 	c.traffic.observe(min(latency, objective))
-	c.interval.secondsSum += min(latency, objective)
-	c.interval.latencySum += min(1, latency/objective)
-	c.interval.latencies++
-	c.interval.answers++
+	c.interval.latencySecondsSum += min(latency, objective)
+	c.interval.latencyRatioSum += min(1, latency/objective)
+	c.interval.latencyCount++
+	c.interval.responses++
 	if c.tenants.rejectionChance(a.tenant) == 0 {
-		a.request.plan.observeLateness(c.env.since(a.request.arrived) / objective)
+		a.request.plan.observeLateness(c.env.since(a.request.arrivedAt) / objective)
 	}
 }
--- a/control/rejection.go
+++ b/control/rejection.go
@@ -1,28 +1,28 @@
 package control
 
-// reject answers that a request did not run and when to retry it.
+// reject emits the rejection of a request, with advice on when to retry.
 func (c *Controller) reject(id string) {
-	c.env.act(Reject{ID: id, RetryAfter: c.env.retryAfter()})
+	c.env.emit(Reject{ID: id, RetryAfter: c.env.retryAfter()})
 }
 
-// finish gives the final answer of a request that was not served: a rejection where that is true or
-// harmless, else a failure, which promises nothing.
-func (c *Controller) finish(r *request) {
+// rejectOrFail ends a request that was not served. It rejects the request if a retry by the client does no
+// harm. Otherwise it emits a failure, which promises nothing.
+func (c *Controller) rejectOrFail(r *request) {
 	if r.mayBeRejected() {
 		c.reject(r.id)
 	} else {
-		c.env.act(Fail{ID: r.id})
+		c.env.emit(Fail{ID: r.id})
 	}
 	c.forget(r)
 }
 
-// mayBeRejected reports whether a retry of the request by the client does no harm: it surely did
-// not run, or it may run again anywhere.
+// mayBeRejected reports whether a retry of the request by the client does no harm: the request did not run,
+// or it may run again at any server.
 func (r *request) mayBeRejected() bool {
 	switch {
 	case r.class.Idempotency == Idempotent:
 		return true
-	case !r.mayHaveRun && r.outstanding == 0:
+	case !r.mayHaveRun && r.outstandingAttempts == 0:
 		return true
 	}
 	return r.class.Idempotency == IdempotentByKey && r.class.KeyScope == KeyScopeAll
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Snapshot returns what was learnt of all but tenants, for a process that starts when this one has ended.
+// Snapshot returns the learned state except for tenants, for a process that starts after this one has ended.
 // It changes nothing.
 func (c *Controller) Snapshot(now time.Duration) ([]byte, error) {
 	c.env.now = max(c.env.now, now)
-	return json.Marshal(c.learnt())
+	return json.Marshal(c.learnedState())
 }
 
-// RestoreSnapshot takes what Snapshot returned, at most some time ago, before this controller has handled
-// an event. After an error nothing is taken.
+// RestoreSnapshot restores what Snapshot returned at most maxAge ago. It must be called before this
+// controller handles an event. After an error this controller is unchanged.
 func (c *Controller) RestoreSnapshot(now time.Duration, raw []byte, maxAge time.Duration) error {
 	var h handover
 	if err := json.Unmarshal(raw, &h); err != nil {
 		return fmt.Errorf("kept: %w", err)
 	}
 	h.Tenants = nil
-	err := c.take(now, &h, maxAge)
-	c.tenants.observingSince = 0 // what the process before granted is not known
+	err := c.restore(now, &h, maxAge)
+	c.tenants.observingSince = 0 // what the earlier process admitted is not known
 	return err
 }
 
-// TenantLevel returns what a tenant's bucket holds, with its rate and burst and the number of nodes that
-// share it; ok is false for a tenant without such a quota here.
+// TenantLevel returns the level of a tenant's token bucket, its rate and burst, and the number of nodes that
+// share it. ok is false for a tenant that is not known here or has no such quota.
 func (c *Controller) TenantLevel(plan, tenant string) (tokens, rate, burst float64, nodes int, ok bool) {
 	t := c.tenants.byKey[tenantKey(plan, tenant)]
 	if t == nil || t.plan.Rate == 0 {
@@ -38,19 +38,21 @@
 	return t.level, t.plan.Rate, t.plan.Burst, int(t.nodes), true
 }
 
-// RestoreTenant sets what the bucket of a tenant holds that is not known here yet: at most tokens, and no
-// more than a bucket can.
-func (c *Controller) RestoreTenant(now time.Duration, plan, tenant string, nodes int, tokens float64) error {
+// RestoreTenantLevel sets the level of a tenant's token bucket to tokens, unless the level is already lower.
+// A tenant that is not known here yet is created.
+func (c *Controller) RestoreTenantLevel(
+	now time.Duration, plan, tenant string, nodes int, tokens float64,
+) error {
 	p := c.scheduler.byName[plan]
 	switch {
 	case p == nil || p.Rate == 0:
 		return fmt.Errorf("kept: tenant %q: plan %q has no quota", tenant, plan)
 	case nodes < 1 || nodes > c.env.settings.FleetSize:
-		return fmt.Errorf("kept: tenant %q: %d nodes of %d", tenant, nodes, c.env.settings.FleetSize)
+		return fmt.Errorf("kept: tenant %q: %d nodes in a fleet of %d", tenant, nodes, c.env.settings.FleetSize)
 	case math.IsNaN(tokens):
-		return fmt.Errorf("kept: tenant %q: its tokens are no number", tenant)
+		return fmt.Errorf("kept: tenant %q: its tokens are not a number", tenant)
 	case len(c.tenants.byKey) >= maxTenants:
-		return fmt.Errorf("kept: tenant %q: %d tenants are known already", tenant, maxTenants)
+		return fmt.Errorf("kept: tenant %q: the maximum of %d tenants is reached", tenant, maxTenants)
 	}
 	c.env.now = max(c.env.now, now)
 	c.tenants.observingSince = cmp.Or(c.tenants.observingSince, c.env.now)
@@ -60,14 +62,19 @@
 }
 
 func (u *usualTimeLeft) save() handoverTimeLeft {
-	return handoverTimeLeft{TimeLeft: u.timeLeft, Recurring: u.recurring, Seen: u.seen, Recurred: u.recurred}
+	return handoverTimeLeft{
+		TimeLeft:  u.timeLeft,
+		Recurring: u.recurring,
+		Seen:      u.votes,
+		Recurred:  u.recurringVotes,
+	}
 }
 
 func (u *usualTimeLeft) load(saved handoverTimeLeft) {
 	u.timeLeft = saved.TimeLeft
-	u.seen = saved.Seen
+	u.votes = saved.Seen
 	u.recurring = saved.Recurring
-	u.recurred = saved.Recurred
+	u.recurringVotes = saved.Recurred
 }
 
 func (s *server) save() handoverServer {
@@ -98,7 +105,7 @@
 	s.failureRate = saved.FailureRate
 	s.failureRateAt = saved.FailureRateAt
 	s.consecutiveFailures = saved.ConsecutiveFailures
-	s.ejectedUntil = min(saved.EjectedUntil, now+maxEjection)
+	s.ejectedUntil = min(saved.EjectedUntil, now+maxEjectionTime)
 	s.ejectionTime = saved.EjectionTime
 	s.warmingUp = saved.WarmingUp
 	s.warmingSince = saved.WarmingSince
@@ -107,7 +114,8 @@
 	return s
 }
 
-// save returns a tenant's state. Its level is held to what a process without rules can take.
+// save returns a tenant's state for a handover. The level is limited to the range that a process without
+// rules accepts.
 func (t *tenant) save(key string) handoverTenant {
 	limit := 2 * t.queue.Burst
 	return handoverTenant{
@@ -119,19 +127,19 @@
 		ReadAt:              t.readAt,
 		RequestedAt:         t.requestedAt,
 		Level:               max(-limit, min(t.level, limit)),
-		Ceiling:             t.ceiling,
+		Ceiling:             t.ceilingLevel,
 		SlotLimit:           t.slotLimit,
 		SlotRejectionChance: t.slotRejectionChance,
 		ChanceRemainder:     t.chanceRemainder,
 		Metered:             t.metered,
-		ElsewhereRate:       t.elsewhereRate,
+		OtherNodesRate:      t.otherNodesRate,
 		LastPeriodTokens:    t.lastPeriodTokens,
 		RequestedTokens:     t.requestedTokens,
 		ReadTokens:          t.readTokens,
 		ReadSeconds:         t.readSeconds,
 		CoveredSeconds:      t.coveredSeconds,
-		OwnTokens:           t.ownTokens,
-		AllTokens:           t.allTokens,
+		LocalTokens:         t.localTokens,
+		FleetTokens:         t.fleetTokens,
 		MeanRate:            t.meanRate,
 		ReadEnd:             t.readEnd,
 		Sent:                t.sent.save(),
@@ -149,7 +157,7 @@
 		firstSeen:       saved.FirstSeen,
 		refilledAt:      saved.RefilledAt,
 		level:           saved.Level,
-		ceiling:         saved.Ceiling,
+		ceilingLevel:    saved.Ceiling,
 		chanceRemainder: saved.ChanceRemainder,
 	}
 	t.tenantSlots = tenantSlots{slotLimit: saved.SlotLimit, slotRejectionChance: saved.SlotRejectionChance}
@@ -163,10 +171,10 @@
 	}
 	t.metered = saved.Metered
 	t.readEnd = saved.ReadEnd
-	t.elsewhereRate = saved.ElsewhereRate
+	t.otherNodesRate = saved.OtherNodesRate
 	t.lastPeriodTokens = saved.LastPeriodTokens
-	t.ownTokens = saved.OwnTokens
-	t.allTokens = saved.AllTokens
+	t.localTokens = saved.LocalTokens
+	t.fleetTokens = saved.FleetTokens
 	t.meanRate = saved.MeanRate
 	t.sent.load(saved.Sent, lastBin)
 	t.charged.load(saved.Charged, lastBin)
