--- a/fleet/ratelimit/exchange_test.go
+++ b/fleet/ratelimit/exchange_test.go
@@ -189,13 +189,13 @@
 	x, set := f.x[0], NodeRange{0, 1}
 	x.Consume(f.now, 77, 1, set, 1, false)
 	x.Leave(f.now)
-	x.SetLive(f.now, nil)
-	x.SetLive(f.now, []Peer{{1, x.incarnations[1]}})
+	x.SetLivePeers(f.now, nil)
+	x.SetLivePeers(f.now, []Peer{{1, x.incarnations[1]}})
 	if x.ownedTenants[77] == nil {
 		t.Fatal("the store is gone")
 	}
 	x.Rejoin()
-	x.SetLive(f.now, nil)
+	x.SetLivePeers(f.now, nil)
 	if k, ok := x.Level(f.now+ownershipSettleTime+1, 77, 1, set); !ok || k.Tokens >= x.config.Quotas[1].Burst+1 {
 		t.Fatalf("after its return: %+v, %v", k, ok)
 	}
--- a/fleet/ratelimit/fleet_test.go
+++ b/fleet/ratelimit/fleet_test.go
@@ -42,7 +42,7 @@
 				others = append(others, Peer{j, uint64(j + 1)})
 			}
 		}
-		x.SetLive(f.at(i), others)
+		x.SetLivePeers(f.at(i), others)
 	}
 }
 
@@ -52,7 +52,9 @@
 	f.x[i].Consume(f.at(i), customer, plan, f.set, units, false)
 }
 
-func (f *fleet) level(i int) (KnownLevel, bool) { return f.x[i].Level(f.at(i), customer, plan, f.set) }
+func (f *fleet) level(i int) (LevelEstimate, bool) {
+	return f.x[i].Level(f.at(i), customer, plan, f.set)
+}
 
 func (f *fleet) owner() int {
 	o, _ := Owner(customer, f.set, len(f.x), func(i int) bool { return f.alive[i] })
--- a/fleet/ratelimit/limiter.go
+++ b/fleet/ratelimit/limiter.go
@@ -52,13 +52,13 @@
 // Counts are counters for the operators' metrics.
 type Counts struct {
 	Sent, Received int64 // messages
-	Late           int64 // reports dropped because they had expired
+	Expired        int64 // reports dropped because they had expired
 	UnknownAge     int64 // messages whose reports were dropped because their age is not known
 	UnknownSender  int64 // messages of a process that is not live
 	Resent         int64 // messages sent again
 	Duplicates     int64 // messages whose consumption was applied before
 	Unowned        int64 // consumption for which there is no live owner
-	SlowReports    int64 // own reports on slow servers
+	OutlierReports int64 // own reports on slow servers
 	Outliers       int64 // outliers found
 	TransferredOut int64 // buckets handed to another owner
 	TransferredIn  int64 // buckets taken over
@@ -106,7 +106,7 @@
 	flushAt         time.Duration // below zero is never
 }
 
-// NewLimiter returns a node's part; it is alone until SetLive names other nodes.
+// NewLimiter returns a node's part; it is alone until SetLivePeers names other nodes.
 func NewLimiter(cfg Config, now time.Duration) *Limiter {
 	l := &Limiter{
 		config:          cfg,
@@ -140,9 +140,9 @@
 	}
 }
 
-// SetLive takes the other nodes that are live. Buckets whose owner is another node now go to it, and so does the
+// SetLivePeers takes the other nodes that are live. Buckets whose owner is another node now go to it, and so does the
 // consumption that the owner before has not acknowledged.
-func (l *Limiter) SetLive(now time.Duration, others []Peer) {
+func (l *Limiter) SetLivePeers(now time.Duration, others []Peer) {
 	l.applyMembership(others)
 	lost := l.dropDeadLinks()
 	for _, key := range slices.Sorted(maps.Keys(l.ownedTenants)) {
@@ -224,7 +224,7 @@
 	}
 }
 
-// Rejoin takes back a Leave: this node may own buckets again. SetLive is to be called after it.
+// Rejoin takes back a Leave: this node may own buckets again. SetLivePeers is to be called after it.
 func (l *Limiter) Rejoin() {
 	l.epoch++
 	l.left = false
@@ -235,13 +235,13 @@
 func (l *Limiter) transfer(t *tenantState, now time.Duration) {
 	link := l.sendBy(t.owner, now)
 	link.transfers = append(link.transfers, Transfer{
-		Tenant:    t.key,
-		Plan:      t.plan,
-		First:     t.nodes.First,
-		Count:     t.nodes.Count,
-		Level:     float32(t.bucket.Level(now)),
-		Consumed:  float32(math.Min(maxTokens, t.bucket.consumed)),
-		Inherited: t.bucket.inherited,
+		Tenant:      t.key,
+		Plan:        t.plan,
+		First:       t.nodes.First,
+		Count:       t.nodes.Count,
+		Level:       float32(t.bucket.Level(now)),
+		Consumed:    float32(math.Min(maxTokens, t.bucket.consumed)),
+		Provisional: t.bucket.inherited,
 	})
 	if t.bucket.inherited && (link.oldestTransfer == 0 || t.bucket.createdAt < link.oldestTransfer) {
 		link.oldestTransfer = t.bucket.createdAt
--- a/fleet/ratelimit/message.go
+++ b/fleet/ratelimit/message.go
@@ -38,11 +38,11 @@
 	Acknowledged uint32        `cbor:"8,keyasint,omitempty"` // the receiver's Sequence that was applied last
 	Consumptions []Consumption `cbor:"9,keyasint,omitempty"`
 	Transfers    []Transfer    `cbor:"10,keyasint,omitempty"`
-	// Hop counts how often Levels, Owners and SlowReports were forwarded; 0 is by the owner for its receiver alone.
-	Hop         int           `cbor:"11,keyasint,omitempty"`
-	Levels      []LevelReport `cbor:"12,keyasint,omitempty"`
-	Owners      []OwnerReport `cbor:"13,keyasint,omitempty"`
-	SlowReports []SlowReport  `cbor:"14,keyasint,omitempty"`
+	// Hop counts how often Levels, Owners and OutlierReports were forwarded; 0 is by the owner for its receiver alone.
+	Hop            int             `cbor:"11,keyasint,omitempty"`
+	Levels         []LevelReport   `cbor:"12,keyasint,omitempty"`
+	Owners         []OwnerReport   `cbor:"13,keyasint,omitempty"`
+	OutlierReports []OutlierReport `cbor:"14,keyasint,omitempty"`
 
 	ConsumptionAge uint32 `cbor:"15,keyasint,omitempty"` // ms that the oldest of Consumptions has waited
 	TransferAge    uint32 `cbor:"16,keyasint,omitempty"` // ms since the oldest inherited bucket of Transfers was made
@@ -61,14 +61,14 @@
 
 // Transfer is a bucket that an owner hands to the next one.
 type Transfer struct {
-	_         struct{} `cbor:",toarray"`
-	Tenant    uint64
-	Plan      uint32
-	First     int // of the tenant's nodes
-	Count     int
-	Level     float32
-	Consumed  float32 // since it was made
-	Inherited bool    // made to follow an owner that was not heard
+	_           struct{} `cbor:",toarray"`
+	Tenant      uint64
+	Plan        uint32
+	First       int // of the tenant's nodes
+	Count       int
+	Level       float32
+	Consumed    float32 // since it was made
+	Provisional bool    // made to follow an owner that was not heard
 }
 
 // LevelReport is the level of a tenant's bucket.
@@ -83,10 +83,10 @@
 
 // OwnerReport says that an owner has reported all its low buckets.
 type OwnerReport struct {
-	_        struct{} `cbor:",toarray"`
-	Node     int
-	MaxRange int    // how far from it, by index, its tenants' nodes are
-	Age      uint32 // ms
+	_           struct{} `cbor:",toarray"`
+	Node        int
+	MaxDistance int    // how far from it, by index, its tenants' nodes are
+	Age         uint32 // ms
 }
 
 var (
@@ -138,19 +138,19 @@
 		return errAge
 	}
 	if len(m.Consumptions) > maxConsumptions || len(m.Transfers) > maxConsumptions || len(m.Levels) > maxLevels ||
-		len(m.Owners) > maxOwners || len(m.SlowReports) > maxSlowReports {
+		len(m.Owners) > maxOwners || len(m.OutlierReports) > maxSlowReports {
 		return errCount
 	}
 	if err := m.checkBuckets(fleetSize); err != nil {
 		return err
 	}
-	for _, r := range m.SlowReports {
-		if !isNode(r.Node) || r.Age > maxAgeMillis {
+	for _, r := range m.OutlierReports {
+		if !isNode(r.Reporter) || r.Age > maxAgeMillis {
 			return errSlowReport
 		}
 	}
 	for _, o := range m.Owners {
-		if !isNode(o.Node) || !isNode(o.MaxRange) || o.Age > maxAgeMillis {
+		if !isNode(o.Node) || !isNode(o.MaxDistance) || o.Age > maxAgeMillis {
 			return errOwner
 		}
 	}
--- a/fleet/ratelimit/outliers.go
+++ b/fleet/ratelimit/outliers.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// SlowReportLifetime is the age at which a report on a slow server counts no more.
-	SlowReportLifetime = 2 * time.Second
+	// OutlierReportLifetime is the age at which a report on a slow server counts no more.
+	OutlierReportLifetime = 2 * time.Second
 	// agreementWindow is the time within which reports have to agree: odd long requests of a fleet come further apart.
 	agreementWindow = 700 * time.Millisecond
 
@@ -32,12 +32,12 @@
 	StartedAt uint64 // ms; a server that started anew is another one
 }
 
-// SlowReport is one node's report that an attempt of its own was far slower at a server than is usual.
-type SlowReport struct {
+// OutlierReport is one node's report that an attempt of its own was far slower at a server than is usual.
+type OutlierReport struct {
 	_         struct{} `cbor:",toarray"`
 	ServerKey uint64
 	StartedAt uint64
-	Node      int    // the reporter
+	Reporter  int    // the reporter
 	Age       uint32 // ms
 }
 
@@ -72,9 +72,9 @@
 	return slowReportSet{reports: make(map[Server]map[int]time.Duration), changed: make(map[Server]bool)}
 }
 
-// ReportSlow reports a server: an attempt of this node's own there takes far longer than is usual.
-func (l *Limiter) ReportSlow(now time.Duration, s Server) {
-	l.Counts.SlowReports++
+// ReportOutlier reports a server: an attempt of this node's own there takes far longer than is usual.
+func (l *Limiter) ReportOutlier(now time.Duration, s Server) {
+	l.Counts.OutlierReports++
 	key := slowReportKey{s, l.config.Node}
 	l.slowReports.add(key, now)
 	l.ownReports.addSlow(key, now)
@@ -102,7 +102,7 @@
 func (set *slowReportSet) makeRoom(now time.Duration) {
 	for server, reporters := range set.reports {
 		maps.DeleteFunc(reporters, func(_ int, reportedAt time.Duration) bool {
-			return now > reportedAt+SlowReportLifetime
+			return now > reportedAt+OutlierReportLifetime
 		})
 		if len(reporters) == 0 {
 			delete(set.reports, server)
@@ -147,7 +147,7 @@
 		last = max(last, reportedAt)
 	}
 	for node, reportedAt := range set.reports[server] {
-		agrees := reportedAt+agreementWindow >= last && last+SlowReportLifetime >= now
+		agrees := reportedAt+agreementWindow >= last && last+OutlierReportLifetime >= now
 		if agrees && set.serversReportedBy(node, now) <= credible {
 			count++
 		}
@@ -158,7 +158,7 @@
 // serversReportedBy counts the servers on which a node's reports are valid.
 func (set *slowReportSet) serversReportedBy(node int, now time.Duration) (count float64) {
 	for _, reporters := range set.reports {
-		if reportedAt, ok := reporters[node]; ok && now <= reportedAt+SlowReportLifetime {
+		if reportedAt, ok := reporters[node]; ok && now <= reportedAt+OutlierReportLifetime {
 			count++
 		}
 	}
--- a/fleet/ratelimit/receive.go
+++ b/fleet/ratelimit/receive.go
@@ -23,7 +23,7 @@
 	if m.Sequence > 0 {
 		l.receiveConsumptions(link, m, now)
 	}
-	if len(m.Levels)+len(m.Owners)+len(m.SlowReports) > 0 {
+	if len(m.Levels)+len(m.Owners)+len(m.OutlierReports) > 0 {
 		l.receiveReports(link, m, now)
 		if !link.hasSent || now > link.lastSentAt+echoInterval {
 			l.sendBy(m.Sender, now) // so that the ages of its reports are known
@@ -70,7 +70,7 @@
 			continue
 		}
 		l.Counts.TransferredIn++
-		l.bucketOf(t, now).Merge(float64(tr.Level), float64(tr.Consumed), tr.Inherited, age, now)
+		l.bucketOf(t, now).Merge(float64(tr.Level), float64(tr.Consumed), tr.Provisional, age, now)
 		l.consume(t, 0, 0, now)
 	}
 }
@@ -85,31 +85,31 @@
 	for _, r := range m.Levels {
 		validAt := sent - time.Duration(r.Age)*time.Millisecond
 		if validAt+ReportLifetime < now {
-			l.Counts.Late++
+			l.Counts.Expired++
 			continue
 		}
 		l.receiveLevel(r, validAt, now)
 		level := queuedLevel{float64(r.Tokens), validAt, NodeRange{r.First, r.Count}}
 		l.forward(m.Hop, func(q *reportQueue) { q.addLevel(r.Tenant, level) }, now)
 	}
-	for _, r := range m.SlowReports {
+	for _, r := range m.OutlierReports {
 		reportedAt := sent - time.Duration(r.Age)*time.Millisecond
-		if reportedAt+SlowReportLifetime < now {
-			l.Counts.Late++
+		if reportedAt+OutlierReportLifetime < now {
+			l.Counts.Expired++
 			continue
 		}
-		key := slowReportKey{Server{r.ServerKey, r.StartedAt}, r.Node}
+		key := slowReportKey{Server{r.ServerKey, r.StartedAt}, r.Reporter}
 		l.slowReports.add(key, reportedAt)
 		l.forward(m.Hop, func(q *reportQueue) { q.addSlow(key, reportedAt) }, now)
 	}
 	for _, r := range m.Owners {
 		validAt := sent - time.Duration(r.Age)*time.Millisecond
 		if validAt+ReportLifetime < now {
-			l.Counts.Late++
+			l.Counts.Expired++
 			continue
 		}
 		l.coveredUntil[r.Node] = max(l.coveredUntil[r.Node], validAt)
-		l.forward(m.Hop, func(q *reportQueue) { q.addOwner(r.Node, queuedOwner{validAt, r.MaxRange}) }, now)
+		l.forward(m.Hop, func(q *reportQueue) { q.addOwner(r.Node, queuedOwner{validAt, r.MaxDistance}) }, now)
 	}
 }
 
--- a/fleet/ratelimit/reports.go
+++ b/fleet/ratelimit/reports.go
@@ -59,7 +59,7 @@
 type reportBatch struct {
 	levels []LevelReport
 	owners []OwnerReport
-	slow   []SlowReport
+	slow   []OutlierReport
 }
 
 // drain returns all queued reports with their ages and empties the queue.
@@ -80,13 +80,13 @@
 	}
 	for _, node := range slices.Sorted(maps.Keys(q.owners)) {
 		o := q.owners[node]
-		batch.owners = append(batch.owners, OwnerReport{Node: node, MaxRange: o.maxRange, Age: age(o.validAt)})
+		batch.owners = append(batch.owners, OwnerReport{Node: node, MaxDistance: o.maxRange, Age: age(o.validAt)})
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(q.slow), compareKeys) {
-		batch.slow = append(batch.slow, SlowReport{
+		batch.slow = append(batch.slow, OutlierReport{
 			ServerKey: key.server.Key,
 			StartedAt: key.server.StartedAt,
-			Node:      key.node,
+			Reporter:  key.node,
 			Age:       age(q.slow[key]),
 		})
 	}
--- a/fleet/ratelimit/send.go
+++ b/fleet/ratelimit/send.go
@@ -198,7 +198,7 @@
 	}
 	var owners []OwnerReport
 	for _, r := range batch.owners {
-		if concerns(rangeAround(r.Node, r.MaxRange, l.config.FleetSize)) {
+		if concerns(rangeAround(r.Node, r.MaxDistance, l.config.FleetSize)) {
 			owners = append(owners, r)
 		}
 	}
@@ -208,7 +208,7 @@
 		m := &Message{Hop: hop}
 		switch {
 		case len(slow) > 0:
-			m.SlowReports, slow = split(slow, maxSlowReports)
+			m.OutlierReports, slow = split(slow, maxSlowReports)
 		case len(levels) > maxLevels:
 			m.Levels, levels = split(levels, maxLevels)
 		default:
--- a/fleet/ratelimit/share_test.go
+++ b/fleet/ratelimit/share_test.go
@@ -207,7 +207,7 @@
 			t.Fatalf("%+v can't be written again: %v", m, err)
 		}
 		x := NewLimiter(Config{Node: 0, FleetSize: 4, Incarnation: 1, Quotas: map[uint32]Quota{1: {2, 20}}, MaxTenants: 100}, 0)
-		x.SetLive(0, []Peer{{1, m.Incarnation}, {2, 5}, {3, 6}})
+		x.SetLivePeers(0, []Peer{{1, m.Incarnation}, {2, 5}, {3, 6}})
 		m.Sender = 1
 		x.Receive(time.Second, m)
 		x.Flush(2 * time.Second)
--- a/fleet/ratelimit/tenant.go
+++ b/fleet/ratelimit/tenant.go
@@ -103,16 +103,16 @@
 	return t.bucket
 }
 
-// KnownLevel is what a node knows of a tenant's bucket.
-type KnownLevel struct {
-	Tokens  float64       // that it holds, less what this node has consumed since
-	AtLeast bool          // it holds Tokens or more
-	Age     time.Duration // since it was true
+// LevelEstimate is what a node knows of a tenant's bucket.
+type LevelEstimate struct {
+	Tokens       float64       // that it holds, less what this node has consumed since
+	IsLowerBound bool          // it holds Tokens or more
+	Age          time.Duration // since it was true
 }
 
 // Level returns what is known of a tenant's bucket, if it may be used: no report older than ReportLifetime, none for
 // ownershipSettleTime after the owner changed, and none without a quorum of the tenant's nodes.
-func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (k KnownLevel, ok bool) {
+func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (k LevelEstimate, ok bool) {
 	t := l.lookUp(key, plan, nodes, now)
 	if t == nil {
 		return k, false
@@ -126,14 +126,14 @@
 		if now < l.quietUntil {
 			return k, false
 		}
-		return KnownLevel{Tokens: l.bucketOf(t, now).Level(now)}, true
+		return LevelEstimate{Tokens: l.bucketOf(t, now).Level(now)}, true
 	}
 	l.applyCoverage(t, now)
 	if !t.cached.Fresh(now) {
 		return k, false
 	}
 	level := t.cached.Level(t.quota, now)
-	return KnownLevel{Tokens: level, AtLeast: t.cached.atLeast, Age: now - t.cached.validAt}, true
+	return LevelEstimate{Tokens: level, IsLowerBound: t.cached.atLeast, Age: now - t.cached.validAt}, true
 }
 
 // applyCoverage takes that an owner has reported all its low buckets and not this one: it held lowFraction at least. A
--- a/fleet/ratelimit/verdict_test.go
+++ b/fleet/ratelimit/verdict_test.go
@@ -28,7 +28,7 @@
 					got[i] = map[Server]int{}
 				}
 				got[i][v.Server] = v.Reporters
-				if v.ReportedAt > f.at(i) || v.ReportedAt < f.at(i)-SlowReportLifetime {
+				if v.ReportedAt > f.at(i) || v.ReportedAt < f.at(i)-OutlierReportLifetime {
 					t.Errorf("node %d is told a verdict of %v, now is %v", i, v.ReportedAt, f.at(i))
 				}
 			}
@@ -48,28 +48,28 @@
 	}{
 		{"four are silent to at one server", func(f *fleet) {
 			for i := range 4 {
-				f.x[i].ReportSlow(f.at(i), slow)
+				f.x[i].ReportOutlier(f.at(i), slow)
 			}
 		}, 10, all, 1},
 		{"one node's own link is bad: all servers are silent to it", func(f *fleet) {
 			for n := range uint64(5) {
-				f.x[0].ReportSlow(f.at(0), Server{Key: n, StartedAt: 1})
+				f.x[0].ReportOutlier(f.at(0), Server{Key: n, StartedAt: 1})
 			}
 		}, 0, all, 0},
 		{"four nodes' links are bad", func(f *fleet) {
 			for i := range 4 {
 				for n := range uint64(5) {
-					f.x[i].ReportSlow(f.at(i), Server{Key: n, StartedAt: 1})
+					f.x[i].ReportOutlier(f.at(i), Server{Key: n, StartedAt: 1})
 				}
 			}
 		}, 0, all, 0},
 		{"they speak of two starts of a server", func(f *fleet) {
-			f.x[0].ReportSlow(f.at(0), slow)
-			f.x[1].ReportSlow(f.at(1), Server{Key: 3, StartedAt: 2})
+			f.x[0].ReportOutlier(f.at(0), slow)
+			f.x[1].ReportOutlier(f.at(1), Server{Key: 3, StartedAt: 2})
 		}, 0, all, 0},
 		{"no word comes through", func(f *fleet) {
 			for i := range 4 {
-				f.x[i].ReportSlow(f.at(i), slow)
+				f.x[i].ReportOutlier(f.at(i), slow)
 			}
 		}, 0, func(int, int) int { return 0 }, 0},
 	} {
@@ -93,7 +93,7 @@
 func TestWitnessesAgreeInTime(t *testing.T) {
 	f := courtroom(t)
 	for i := range 6 {
-		f.x[i].ReportSlow(f.at(i), Server{Key: 3, StartedAt: 1})
+		f.x[i].ReportOutlier(f.at(i), Server{Key: 3, StartedAt: 1})
 		if got := f.condemned(t, 800*time.Millisecond, all); len(got) > 0 {
 			t.Fatalf("told of %v by witnesses 0.8 s apart", got)
 		}
--- a/fleet/straggler/watch.go
+++ b/fleet/straggler/detector.go
@@ -17,8 +17,8 @@
 	most         = 4096                   // attempts out at once that are watched
 )
 
-// Watch is what is known of the attempts that are out, by their numbers, each at a server.
-type Watch[S any] struct {
+// Detector is what is known of the attempts that are out, by their numbers, each at a server.
+type Detector[S any] struct {
 	mean, seen float64 // s, of answers; and their number
 	out        map[uint64]attempt[S]
 	order      []uint64 // of out, by their start; those that ended are skipped
@@ -31,28 +31,28 @@
 }
 
 // New makes a watch.
-func New[S any]() *Watch[S] { return &Watch[S]{out: make(map[uint64]attempt[S])} }
+func New[S any]() *Detector[S] { return &Detector[S]{out: make(map[uint64]attempt[S])} }
 
-// Limit is how long an attempt may take; ok is false until enough answers are seen.
-func (w *Watch[S]) Limit() (limit time.Duration, ok bool) {
+// Threshold is how long an attempt may take; ok is false until enough answers are seen.
+func (w *Detector[S]) Threshold() (limit time.Duration, ok bool) {
 	if w.seen < answersLeast {
 		return 0, false
 	}
 	return max(least, time.Duration(times*w.mean*float64(time.Second))), true
 }
 
-// Began takes that an attempt goes out. Beyond so many at once it is not watched.
-func (w *Watch[S]) Began(now time.Duration, number uint64, server S) {
+// AttemptStarted takes that an attempt goes out. Beyond so many at once it is not watched.
+func (w *Detector[S]) AttemptStarted(now time.Duration, number uint64, server S) {
 	if len(w.out) < most {
 		w.out[number] = attempt[S]{server: server, began: now}
 		w.order = append(w.order, number)
 	}
 }
 
-// Ended takes how an attempt ended: answered is that it brought an answer. It gives its server and
-// how long it took, and whether it was late and Late has not told so; ok is false for one that was
+// AttemptEnded takes how an attempt ended: answered is that it brought an answer. It gives its server and
+// how long it took, and whether it was late and Stragglers has not told so; ok is false for one that was
 // not watched.
-func (w *Watch[S]) Ended(now time.Duration, number uint64, answered bool) (server S, took time.Duration, late, ok bool) {
+func (w *Detector[S]) AttemptEnded(now time.Duration, number uint64, answered bool) (server S, took time.Duration, late, ok bool) {
 	a, ok := w.out[number]
 	if !ok {
 		return server, 0, false, false
@@ -60,7 +60,7 @@
 	delete(w.out, number)
 	w.trim()
 	took = now - a.began
-	limit, known := w.Limit()
+	limit, known := w.Threshold()
 	late = known && took > limit && !a.late
 	if answered {
 		w.seen++
@@ -74,7 +74,7 @@
 }
 
 // trim drops those at the head that have ended.
-func (w *Watch[S]) trim() {
+func (w *Detector[S]) trim() {
 	for len(w.order) > 0 {
 		if _, out := w.out[w.order[0]]; out {
 			return
@@ -83,9 +83,9 @@
 	}
 }
 
-// Late gives the servers of attempts that have become late, each attempt once.
-func (w *Watch[S]) Late(now time.Duration) (servers []S) {
-	limit, ok := w.Limit()
+// Stragglers gives the servers of attempts that have become late, each attempt once.
+func (w *Detector[S]) Stragglers(now time.Duration) (servers []S) {
+	limit, ok := w.Threshold()
 	for ok && len(w.order) > 0 {
 		a := w.out[w.order[0]]
 		if now < a.began+limit {
@@ -100,9 +100,9 @@
 	return servers
 }
 
-// Next gives when Late is to be asked next; ok is false where nothing is out.
-func (w *Watch[S]) Next() (when time.Duration, ok bool) {
-	limit, ok := w.Limit()
+// NextCheck gives when Stragglers is to be asked next; ok is false where nothing is out.
+func (w *Detector[S]) NextCheck() (when time.Duration, ok bool) {
+	limit, ok := w.Threshold()
 	if !ok || len(w.order) == 0 {
 		return 0, false
 	}
--- a/fleet/zone/golden_test.go
+++ b/fleet/zone/golden_test.go
@@ -15,7 +15,7 @@
 		text += s.String() + "\n"
 	}
 	text += "orders:\n"
-	for o := None; o <= Return; o++ {
+	for o := NoOrder; o <= Return; o++ {
 		text += o.String() + "\n"
 		back, err := ParseOrder(o.String())
 		require.NoError(t, err)
--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -68,10 +68,10 @@
 
 // The orders.
 const (
-	None   Order = iota
-	Leave        // send nothing there while another zone is there
-	Hold         // change nothing
-	Return       // come back now, in steps
+	NoOrder Order = iota
+	Leave         // send nothing there while another zone is there
+	Hold          // change nothing
+	Return        // come back now, in steps
 )
 
 var orders = [...]string{"none", "leave", "hold", "return"}
@@ -90,7 +90,7 @@
 	if i := slices.Index(orders[:], name); i >= 0 {
 		return Order(i), nil
 	}
-	return None, &OrderError{name}
+	return NoOrder, &OrderError{name}
 }
 
 // Zone is one zone. Name, Distance and Capacity are given to New.
@@ -143,7 +143,7 @@
 		if z.state == Evacuated {
 			z.setState(now, Returning, initialRampFraction, "ordered")
 		}
-		z.order = None
+		z.order = NoOrder
 	}
 	return true
 }
@@ -165,7 +165,7 @@
 	for i, z := range p.zones {
 		rest := p.evidenceElsewhere(seen, i)
 		switch {
-		case z.order != None:
+		case z.order != NoOrder:
 		case z.state == Evacuated:
 			if now >= z.since+z.evacuationTime {
 				z.setState(now, Returning, initialRampFraction, "returning")
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -71,13 +71,13 @@
 	for name, of := range map[string]func(*ratelimit.Counts) int64{
 		"node_share_sent_total":     func(c *ratelimit.Counts) int64 { return c.Sent },
 		"node_share_heard_total":    func(c *ratelimit.Counts) int64 { return c.Received },
-		"node_share_late_total":     func(c *ratelimit.Counts) int64 { return c.Late },
+		"node_share_late_total":     func(c *ratelimit.Counts) int64 { return c.Expired },
 		"node_share_ageless_total":  func(c *ratelimit.Counts) int64 { return c.UnknownAge },
 		"node_share_strange_total":  func(c *ratelimit.Counts) int64 { return c.UnknownSender },
 		"node_share_resent_total":   func(c *ratelimit.Counts) int64 { return c.Resent },
 		"node_share_repeated_total": func(c *ratelimit.Counts) int64 { return c.Duplicates },
 		"node_share_untold_total":   func(c *ratelimit.Counts) int64 { return c.Unowned },
-		"node_share_charges_total":  func(c *ratelimit.Counts) int64 { return c.SlowReports },
+		"node_share_charges_total":  func(c *ratelimit.Counts) int64 { return c.OutlierReports },
 		"node_share_verdicts_total": func(c *ratelimit.Counts) int64 { return c.Outliers },
 		"node_share_handed_total":   func(c *ratelimit.Counts) int64 { return c.TransferredOut },
 		"node_share_taken_total":    func(c *ratelimit.Counts) int64 { return c.TransferredIn },
@@ -130,7 +130,7 @@
 	}
 	s.knownBuckets.Inc()
 	s.age.Observe(k.Age.Seconds())
-	return &control.SharedBucket{Tokens: k.Tokens, AtLeast: k.AtLeast, Age: k.Age}
+	return &control.SharedBucket{Tokens: k.Tokens, AtLeast: k.IsLowerBound, Age: k.Age}
 }
 
 // consume reports tokens of a request that was sent; see ratelimit.Limiter.Consume.
@@ -157,7 +157,7 @@
 // reportSlow reports a server as slow to the other nodes.
 func (s *limitSharing) reportSlow(server uint32) {
 	if v, ok := s.serverByID[server]; ok && s.limiter != nil && s.peersConfig.OutlierReports {
-		s.limiter.ReportSlow(s.loop.now(), v)
+		s.limiter.ReportOutlier(s.loop.now(), v)
 		s.scheduleFlush()
 	}
 }
@@ -168,7 +168,7 @@
 	for _, v := range s.limiter.Outliers(s.loop.now(), len(s.idByServer)) {
 		if id, ok := s.idByServer[v.Server]; ok {
 			slog.Info("outlier reports: nodes report a server as slow", "server", id, "reporters", v.Reporters)
-			s.loop.handle(control.OutlierReport{Server: id, Reporters: v.Reporters, Until: v.ReportedAt + ratelimit.SlowReportLifetime})
+			s.loop.handle(control.OutlierReport{Server: id, Reporters: v.Reporters, Until: v.ReportedAt + ratelimit.OutlierReportLifetime})
 		}
 	}
 }
@@ -186,7 +186,7 @@
 			nodes = append(nodes, ratelimit.Peer{Index: m.Index, Incarnation: m.Incarnation})
 		}
 	}
-	s.limiter.SetLive(s.loop.now(), nodes)
+	s.limiter.SetLivePeers(s.loop.now(), nodes)
 	s.scheduleFlush()
 }
 
--- a/internal/node/limitsharing_test.go
+++ b/internal/node/limitsharing_test.go
@@ -107,7 +107,7 @@
 	s := newLimitSharing(&control.Settings{FleetSize: 3}, config.Peers{SharedLimits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
 	s.limiter = ratelimit.NewLimiter(ratelimit.Config{Node: 0, FleetSize: 3, Incarnation: 1, MaxTenants: 1000,
 		Quotas: map[uint32]ratelimit.Quota{planKey("basic"): {Rate: 1e9, Burst: 1e9}}}, s.loop.now())
-	s.limiter.SetLive(s.loop.now(), []ratelimit.Peer{{Index: 1, Incarnation: 1}, {Index: 2, Incarnation: 1}})
+	s.limiter.SetLivePeers(s.loop.now(), []ratelimit.Peer{{Index: 1, Incarnation: 1}, {Index: 2, Incarnation: 1}})
 	b.ReportAllocs()
 	for b.Loop() {
 		s.bucketOf(q)
--- a/internal/node/stragglers.go
+++ b/internal/node/stragglers.go
@@ -10,7 +10,7 @@
 // stragglerWatch notices attempts that take far longer than usual. It is owned by the event loop.
 type stragglerWatch struct {
 	loop    *loop
-	watch   *straggler.Watch[uint32]
+	watch   *straggler.Detector[uint32]
 	lastID  uint64        // number given to an attempt
 	timerAt time.Duration // when the timer fires; zero is no timer
 	onLate  []func(server uint32)
@@ -29,7 +29,7 @@
 // began starts to watch an attempt and returns its number.
 func (w *stragglerWatch) began(server uint32) uint64 {
 	w.lastID++
-	w.watch.Began(w.loop.now(), w.lastID, server)
+	w.watch.AttemptStarted(w.loop.now(), w.lastID, server)
 	w.scheduleCheck()
 	return w.lastID
 }
@@ -40,7 +40,7 @@
 
 // ended takes the outcome of an attempt.
 func (w *stragglerWatch) ended(number uint64, how control.Outcome) {
-	server, took, late, ok := w.watch.Ended(w.loop.now(), number, how == control.OK)
+	server, took, late, ok := w.watch.AttemptEnded(w.loop.now(), number, how == control.OK)
 	switch {
 	case !ok:
 	case late:
@@ -65,7 +65,7 @@
 
 // scheduleCheck has check called when the oldest attempt becomes late.
 func (w *stragglerWatch) scheduleCheck() {
-	when, ok := w.watch.Next()
+	when, ok := w.watch.NextCheck()
 	if !ok || (w.timerAt != 0 && w.timerAt <= when) {
 		return
 	}
@@ -82,7 +82,7 @@
 // check notices the attempts that have become late.
 func (w *stragglerWatch) check() {
 	w.timerAt = 0
-	for _, server := range w.watch.Late(w.loop.now()) {
+	for _, server := range w.watch.Stragglers(w.loop.now()) {
 		w.notifyLate(server)
 	}
 	w.scheduleCheck()
--- a/internal/testbed/scale/exchange/fleet.go
+++ b/internal/testbed/scale/exchange/fleet.go
@@ -86,7 +86,7 @@
 		n.skew = time.Duration(f.rng.Int64N(int64(time.Hour)))
 		n.Limiter = ratelimit.NewLimiter(ratelimit.Config{Node: i, FleetSize: cfg.nodes, Incarnation: lifeOf(i), Quotas: f.load.quotas,
 			MaxTenants: max(tenantsLeast, 2*cfg.tenants)}, n.skew)
-		n.SetLive(n.skew, all)
+		n.SetLivePeers(n.skew, all)
 	}
 	return f
 }
@@ -183,7 +183,7 @@
 	k, ok := n.Level(f.now(node), uint64(which)+1, t.plan, t.set)
 	f.requests.end()
 	need := control.SharedBucketMinimum(f.load.quotas[t.plan].Burst, estimate, min(1, 4/float64(t.set.Count)))
-	if ok && !k.AtLeast && k.Tokens < need {
+	if ok && !k.IsLowerBound && k.Tokens < need {
 		return
 	}
 	f.sent(node, which, estimate, false)
--- a/internal/testbed/scale/exchange/share.go
+++ b/internal/testbed/scale/exchange/share.go
@@ -141,7 +141,7 @@
 		i := rng.IntN(len(f.nodes))
 		all[(i+1)%len(all)].Incarnation++
 		from := threadCPU()
-		f.nodes[i].SetLive(f.now(i), all)
+		f.nodes[i].SetLivePeers(f.now(i), all)
 		spent += max(0, threadCPU()-from-f.messages.overhead)
 	}
 	return float64(spent.Microseconds()) / liveSample
--- a/internal/testbed/scale/outage/sharefleet.go
+++ b/internal/testbed/scale/outage/sharefleet.go
@@ -123,7 +123,7 @@
 			others = append(others, ratelimit.Peer{Index: j, Incarnation: uint64(j) + 1})
 		}
 	}
-	s.nodes[i].SetLive(s.clock(i), others)
+	s.nodes[i].SetLivePeers(s.clock(i), others)
 	s.arm(i)
 }
 
@@ -171,7 +171,7 @@
 func (s *shareFleet) admits(n *shareNode, i, tenant int) bool {
 	t := &s.tenants[tenant]
 	if known, ok := n.Level(s.clock(i), t.key, 0, t.set); ok {
-		return known.AtLeast || known.Tokens >= control.SharedBucketMinimum(tenantBurst, 1, min(1, 4.0/shareSpread))
+		return known.IsLowerBound || known.Tokens >= control.SharedBucketMinimum(tenantBurst, 1, min(1, 4.0/shareSpread))
 	}
 	s.counts.blind++
 	store := n.alone[tenant]
--- a/internal/testbed/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		x.Limiter = ratelimit.NewLimiter(ratelimit.Config{Node: i, FleetSize: len(d.Nodes), Incarnation: uint64(i) + 1, Quotas: quotas, MaxTenants: 20000}, x.skew)
-		x.SetLive(x.skew, slices.Concat(all[:i], all[i+1:]))
+		x.SetLivePeers(x.skew, slices.Concat(all[:i], all[i+1:]))
 	}
 	for i, c := range d.Customers {
 		q := quotas[uint32(c.Plan)]
@@ -223,7 +223,7 @@
 		return p.alone(v, float64(a.Units))
 	}
 	_ = p.age.RecordValue(max(1, int64(k.Age/time.Microsecond)))
-	return k.AtLeast || k.Tokens >= control.SharedBucketMinimum(q.Burst, float64(a.Units), math.Min(1, 4/float64(c.Spread)))
+	return k.IsLowerBound || k.Tokens >= control.SharedBucketMinimum(q.Burst, float64(a.Units), math.Min(1, 4/float64(c.Spread)))
 }
 
 // alone decides by the even part of the store that this node holds.
--- a/internal/testbed/virtual/window.go
+++ b/internal/testbed/virtual/window.go
@@ -124,7 +124,7 @@
 				seen = append(seen, o)
 			}
 		}
-		p.nodes[i].SetLive(p.now+p.nodes[i].skew, seen)
+		p.nodes[i].SetLivePeers(p.now+p.nodes[i].skew, seen)
 		p.flushSoon(i)
 	}
 }
