--- a/fleet/ratelimit/bucket.go
+++ b/fleet/ratelimit/bucket.go
@@ -12,13 +12,13 @@
 	updatedAt time.Duration
 	consumed  float64 // tokens since it was made here
 	// inherited says that its first level was not handed over by the owner before, which was not heard.
-	inherited bool
-	createdAt time.Duration
-	overflow  overflowHistory
+	provisional bool
+	createdAt   time.Duration
+	overflow    overflowHistory
 
-	reported    float64 // the level that was reported last
-	reportedAt  time.Duration
-	hasReported bool
+	reportedLevel float64 // the level that was reported last
+	reportedAt    time.Duration
+	hasReported   bool
 }
 
 // NewBucket returns a bucket with a level.
@@ -36,11 +36,11 @@
 // ConsumeLate takes tokens that were consumed up to some time ago and are reported only now: after a partition, or as
 // their owner died. Had they been reported at once, less of the refill since then would have overflowed; so they come
 // off that first. A bucket would else be empty by the consumption of a whole partition when it ends.
-func (b *Bucket) ConsumeLate(tokens float64, waited, now time.Duration) {
+func (b *Bucket) ConsumeLate(tokens float64, age, now time.Duration) {
 	b.advance(now)
 	b.consumed += tokens
-	if waited >= lateAfter && tokens > 0 {
-		tokens -= b.overflow.absorb(tokens, waited, now)
+	if age >= minLateAge && tokens > 0 {
+		tokens -= b.overflow.absorb(tokens, age, now)
 	}
 	b.set(b.level-tokens, now)
 }
@@ -50,9 +50,9 @@
 	if now <= b.updatedAt {
 		return
 	}
-	over := b.level + b.Rate*(now-b.updatedAt).Seconds() - b.Burst
-	if over > 0 && b.Rate > 0 {
-		b.overflow.add(over, b.Rate, now)
+	excess := b.level + b.Rate*(now-b.updatedAt).Seconds() - b.Burst
+	if excess > 0 && b.Rate > 0 {
+		b.overflow.add(excess, b.Rate, now)
 	}
 	b.set(b.Level(now), now)
 }
@@ -66,15 +66,15 @@
 // level stands, less what was consumed here since. Where the other one inherited it from this node, which was not
 // heard but lived, as on a side of a partition, what was consumed there in that time is taken from this one too. Of
 // two that are neither the lower level counts.
-func (b *Bucket) Merge(level, consumed float64, inherited bool, elapsed, now time.Duration) {
+func (b *Bucket) Merge(level, consumed float64, provisional bool, age, now time.Duration) {
 	b.advance(now)
 	switch {
-	case b.inherited && !inherited:
-		b.inherited = false
+	case b.provisional && !provisional:
+		b.provisional = false
 		b.set(level-b.consumed, now)
-	case !b.inherited && inherited:
-		if elapsed >= lateAfter {
-			consumed -= b.overflow.absorb(consumed, elapsed, now)
+	case !b.provisional && provisional:
+		if age >= minLateAge {
+			consumed -= b.overflow.absorb(consumed, age, now)
 		}
 		b.set(math.Min(b.level-consumed, level), now)
 	default:
@@ -86,13 +86,13 @@
 // reckon with another level or will soon reckon with none.
 func (b *Bucket) DueReport(now time.Duration) (level float64, ok bool) {
 	level = b.Level(now)
-	reckoned := b.levelAfter(b.reported, now-b.reportedAt)
-	fresh := b.hasReported && now < b.reportedAt+reportRenewal
-	matters := b.isLow(level) || (fresh && b.isLow(reckoned))
-	if !matters || (fresh && math.Abs(level-reckoned) < reportStep*b.Burst) {
+	assumed := b.levelAfter(b.reportedLevel, now-b.reportedAt)
+	fresh := b.hasReported && now < b.reportedAt+reportRenewalAge
+	relevant := b.isLow(level) || (fresh && b.isLow(assumed))
+	if !relevant || (fresh && math.Abs(level-assumed) < minReportChange*b.Burst) {
 		return 0, false
 	}
-	b.reported = level
+	b.reportedLevel = level
 	b.reportedAt = now
 	b.hasReported = true
 	return level, true
@@ -102,46 +102,46 @@
 
 const (
 	// lateAfter is the wait from which consumption counts as of the time when it happened.
-	lateAfter        = ReportLifetime
+	minLateAge       = ReportLifetime
 	overflowBinWidth = 500 * time.Millisecond
 	// overflowBins hold 16 s: twice what the membership takes to see that one of sixty nodes is gone.
-	overflowBins = 32
+	overflowBinCount = 32
 )
 
 // overflowHistory holds the refill that found a bucket full, in tokens by time.
 type overflowHistory struct {
-	bins [overflowBins]float32
-	last int64 // latest bin in use
+	bins    [overflowBinCount]float32
+	lastBin int64 // latest bin in use
 }
 
 // advance clears the bins that begin anew up to now, and returns the present one.
 func (h *overflowHistory) advance(now time.Duration) int64 {
 	bin := int64(now / overflowBinWidth)
-	for i := max(h.last+1, bin-overflowBins+1); i <= bin; i++ {
-		h.bins[i%overflowBins] = 0
+	for i := max(h.lastBin+1, bin-overflowBinCount+1); i <= bin; i++ {
+		h.bins[i%overflowBinCount] = 0
 	}
-	h.last = max(h.last, bin)
+	h.lastBin = max(h.lastBin, bin)
 	return bin
 }
 
 // add adds a refill that overflowed at a rate up to now.
 func (h *overflowHistory) add(tokens, rate float64, now time.Duration) {
 	bin := h.advance(now)
-	from := now - time.Duration(tokens/rate*float64(time.Second))
-	for i := max(0, bin-overflowBins+1, int64(from/overflowBinWidth)); i <= bin; i++ {
-		begin := max(from, time.Duration(i)*overflowBinWidth)
+	start := now - time.Duration(tokens/rate*float64(time.Second))
+	for i := max(0, bin-overflowBinCount+1, int64(start/overflowBinWidth)); i <= bin; i++ {
+		begin := max(start, time.Duration(i)*overflowBinWidth)
 		end := min(now, time.Duration(i+1)*overflowBinWidth)
-		h.bins[i%overflowBins] += float32(rate * (end - begin).Seconds())
+		h.bins[i%overflowBinCount] += float32(rate * (end - begin).Seconds())
 	}
 }
 
 // absorb takes up to some tokens from what overflowed in the last span, and returns how many it took.
-func (h *overflowHistory) absorb(tokens float64, span, now time.Duration) float64 {
+func (h *overflowHistory) absorb(tokens float64, period, now time.Duration) float64 {
 	left := tokens
 	bin := h.advance(now)
-	for i := max(0, bin-overflowBins+1, int64((now-span)/overflowBinWidth)); i <= bin && left > 0; i++ {
-		taken := math.Min(left, float64(h.bins[i%overflowBins]))
-		h.bins[i%overflowBins] -= float32(taken)
+	for i := max(0, bin-overflowBinCount+1, int64((now-period)/overflowBinWidth)); i <= bin && left > 0; i++ {
+		taken := math.Min(left, float64(h.bins[i%overflowBinCount]))
+		h.bins[i%overflowBinCount] -= float32(taken)
 		left -= taken
 	}
 	return tokens - math.Max(0, left)
--- a/fleet/ratelimit/cachedlevel.go
+++ b/fleet/ratelimit/cachedlevel.go
@@ -7,11 +7,11 @@
 
 // CachedLevel is what a node knows of a tenant's bucket by its owner's reports.
 type CachedLevel struct {
-	level   float64
-	validAt time.Duration // latest time at which it can have been true, on this node's clock
-	known   bool
-	low     bool // when it was reported
-	atLeast bool // no level was reported, only that the bucket was not low
+	level        float64
+	validAt      time.Duration // latest time at which it can have been true, on this node's clock
+	known        bool
+	reportedLow  bool // when it was reported
+	isLowerBound bool // no level was reported, only that the bucket was not low
 }
 
 // Update takes a level; validAt is the earliest time, on this node's clock, at which it can have been true. A report
--- a/fleet/ratelimit/fleet_test.go
+++ b/fleet/ratelimit/fleet_test.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	plan     = 1
-	customer = 42
+	planID    = 1
+	tenantKey = 42
 )
 
 var quota = Quota{Rate: 5, Burst: 40}
@@ -14,101 +14,101 @@
 
 // fleet is some exchanges, each with a clock of its own, and the messages between them.
 type fleet struct {
-	now   time.Duration
-	x     []*Limiter
-	skew  []time.Duration
-	set   NodeRange
-	alive []bool
-	air   []Outgoing // in flight
+	now          time.Duration
+	limiters     []*Limiter
+	clockOffsets []time.Duration
+	nodes        NodeRange
+	alive        []bool
+	inFlight     []Outgoing // in flight
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{set: NodeRange{0, n}}
+	f := &fleet{nodes: NodeRange{0, n}}
 	for i := range n {
-		f.skew = append(f.skew, time.Duration(i)*time.Hour)
+		f.clockOffsets = append(f.clockOffsets, time.Duration(i)*time.Hour)
 		f.alive = append(f.alive, true)
-		f.x = append(f.x, NewLimiter(Config{Node: i, FleetSize: n, Incarnation: uint64(i + 1), Quotas: map[uint32]Quota{plan: quota}, MaxTenants: 1000}, f.skew[i]))
+		f.limiters = append(f.limiters, NewLimiter(Config{Node: i, FleetSize: n, Incarnation: uint64(i + 1), Quotas: map[uint32]Quota{planID: quota}, MaxTenants: 1000}, f.clockOffsets[i]))
 	}
-	f.tellLive(func(a, b int) bool { return true })
+	f.updateMembership(func(a, b int) bool { return true })
 	return f
 }
 
 // tellLive tells each node which others it sees.
-func (f *fleet) tellLive(sees func(a, b int) bool) {
-	for i, x := range f.x {
+func (f *fleet) updateMembership(sees func(a, b int) bool) {
+	for i, limiter := range f.limiters {
 		var others []Peer
-		for j := range f.x {
+		for j := range f.limiters {
 			if i != j && f.alive[j] && sees(i, j) {
 				others = append(others, Peer{j, uint64(j + 1)})
 			}
 		}
-		x.SetLivePeers(f.at(i), others)
+		limiter.SetLivePeers(f.clock(i), others)
 	}
 }
 
-func (f *fleet) at(i int) time.Duration { return f.now + f.skew[i] }
+func (f *fleet) clock(i int) time.Duration { return f.now + f.clockOffsets[i] }
 
-func (f *fleet) send(i int, units float64) {
-	f.x[i].Consume(f.at(i), customer, plan, f.set, units, false)
+func (f *fleet) consume(i int, tokens float64) {
+	f.limiters[i].Consume(f.clock(i), tenantKey, planID, f.nodes, tokens, false)
 }
 
 func (f *fleet) level(i int) (LevelEstimate, bool) {
-	return f.x[i].Level(f.at(i), customer, plan, f.set)
+	return f.limiters[i].Level(f.clock(i), tenantKey, planID, f.nodes)
 }
 
 func (f *fleet) owner() int {
-	o, _ := Owner(customer, f.set, len(f.x), func(i int) bool { return f.alive[i] })
+	o, _ := Owner(tenantKey, f.nodes, len(f.limiters), func(i int) bool { return f.alive[i] })
 	return o
 }
 
 // flush lets the nodes send what is due.
 func (f *fleet) flush() {
-	for i, x := range f.x {
-		if when, ok := x.NextFlush(); ok && when <= f.at(i) && f.alive[i] {
-			f.air = append(f.air, x.Flush(f.at(i))...)
+	for i, limiter := range f.limiters {
+		if when, ok := limiter.NextFlush(); ok && when <= f.clock(i) && f.alive[i] {
+			f.inFlight = append(f.inFlight, limiter.Flush(f.clock(i))...)
 		}
 	}
 }
 
 // hear delivers a message, as a copy, by way of its bytes.
-func (f *fleet) hear(t fataler, o Outgoing) {
+func (f *fleet) deliver(t fataler, o Outgoing) {
 	raw, err := o.Message.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := Decode(raw, len(f.x))
+	m, err := Decode(raw, len(f.limiters))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if f.alive[o.To] {
-		f.x[o.To].Receive(f.at(o.To), m)
+		f.limiters[o.To].Receive(f.clock(o.To), m)
 	}
 }
 
 // run lets time pass; carry gives how often each message arrives.
-func (f *fleet) run(t fataler, d time.Duration, carry func(from, to int) int) {
+func (f *fleet) run(t fataler, d time.Duration, copies func(from, to int) int) {
 	const step = 10 * time.Millisecond
 	for end := f.now + d; f.now < end; f.now += step {
 		f.flush()
-		air := f.air
-		f.air = nil
-		for _, o := range air {
-			for range carry(o.Message.Sender, o.To) {
-				f.hear(t, o)
+		inFlight := f.inFlight
+		f.inFlight = nil
+		for _, o := range inFlight {
+			for range copies(o.Message.Sender, o.To) {
+				f.deliver(t, o)
 			}
 		}
 	}
 }
 
 // taken is what the owner has counted.
-func (f *fleet) taken(owner int) float64 {
-	if e := f.x[owner].ownedTenants[customer]; e != nil {
-		return e.bucket.consumed
+func (f *fleet) consumed(owner int) float64 {
+	if tenant := f.limiters[owner].ownedTenants[tenantKey]; tenant != nil {
+		return tenant.bucket.consumed
 	}
 	return 0
 }
 
-func all(int, int) int { return 1 }
+func deliverOnce(int, int) int { return 1 }
 
 func seq(n int) (s []int) {
 	for i := range n {
--- a/fleet/ratelimit/limiter.go
+++ b/fleet/ratelimit/limiter.go
@@ -24,7 +24,7 @@
 	// tenantRetention is when tenants that sent nothing are forgotten: their buckets are full again.
 	tenantRetention = 15 * time.Second
 	// rememberedNumbers is how many message numbers have their time remembered; an older echo tells no age.
-	rememberedNumbers = 16
+	maxSendTimes = 16
 	// lastHop is the number of hops of a report: from its owner to the owner's relay, to all relays, to all nodes.
 	lastHop = 3
 )
@@ -75,7 +75,7 @@
 	epoch        uint64   // counts membership changes
 	liveNodes    []int    // this one among them, in order
 	alive        []bool   // by index
-	left         bool     // this node is leaving: it notifies owners, and owns nothing
+	hasLeft      bool     // this node is leaving: it notifies owners, and owns nothing
 	incarnations []uint64 // of the nodes' processes, by index; of a dead node, the last; 0 is not known
 	relayGroups  relayGroups
 	relay        int   // of this node's group; itself where it is one
@@ -87,45 +87,45 @@
 	ownedTenants  map[uint64]*tenantState // with a bucket here
 	lowTenants    map[uint64]*tenantState // of them, with a low one
 
-	links        map[int]*peerLink
-	activeLinks  map[int]*peerLink     // with something to send, or waiting for an acknowledgement
-	lastNumbers  map[int]uint32        // of links that are gone, so that no number is used twice
-	sequence     uint32                // of the last consumption, to any node
-	coveredUntil map[int]time.Duration // by owner: until when its low buckets are known
+	links              map[int]*peerLink
+	activeLinks        map[int]*peerLink     // with something to send, or waiting for an acknowledgement
+	lastMessageNumbers map[int]uint32        // of links that are gone, so that no number is used twice
+	sequence           uint32                // of the last consumption, to any node
+	ownerReportedAt    map[int]time.Duration // by owner: until when its low buckets are known
 
-	slowReports slowReportSet
-	ownReports  reportQueue // to be published as an owner
-	toRelays    reportQueue // to be forwarded to the other relays
-	toGroup     reportQueue // to be forwarded to the nodes of this relay's group
+	outlierReports outlierReportSet
+	ownReports     reportQueue // to be published as an owner
+	toRelays       reportQueue // to be forwarded to the other relays
+	toGroup        reportQueue // to be forwarded to the nodes of this relay's group
 
-	lastConsumption time.Duration // of a tenant that is owned here
-	publishAt       time.Duration
-	relayAt         time.Duration // when reports are forwarded next; 0 is none to forward
-	maxRange        int           // the largest distance of a node of a tenant that was owned here
-	quietUntil      time.Duration // after a suspension: nothing is published
-	flushAt         time.Duration // below zero is never
+	lastConsumptionAt time.Duration // of a tenant that is owned here
+	publishAt         time.Duration
+	relayAt           time.Duration // when reports are forwarded next; 0 is none to forward
+	maxDistance       int           // the largest distance of a node of a tenant that was owned here
+	quietUntil        time.Duration // after a suspension: nothing is published
+	flushAt           time.Duration // below zero is never
 }
 
 // NewLimiter returns a node's part; it is alone until SetLivePeers names other nodes.
 func NewLimiter(cfg Config, now time.Duration) *Limiter {
 	l := &Limiter{
-		config:          cfg,
-		incarnations:    make([]uint64, cfg.FleetSize),
-		recentTenants:   make(map[uint64]*tenantState),
-		olderTenants:    make(map[uint64]*tenantState),
-		rotatedAt:       now,
-		ownedTenants:    make(map[uint64]*tenantState),
-		lowTenants:      make(map[uint64]*tenantState),
-		links:           make(map[int]*peerLink),
-		activeLinks:     make(map[int]*peerLink),
-		lastNumbers:     make(map[int]uint32),
-		coveredUntil:    make(map[int]time.Duration),
-		slowReports:     newSlowReportSet(),
-		ownReports:      newReportQueue(),
-		toRelays:        newReportQueue(),
-		toGroup:         newReportQueue(),
-		lastConsumption: now - publishDuration,
-		flushAt:         -1,
+		config:             cfg,
+		incarnations:       make([]uint64, cfg.FleetSize),
+		recentTenants:      make(map[uint64]*tenantState),
+		olderTenants:       make(map[uint64]*tenantState),
+		rotatedAt:          now,
+		ownedTenants:       make(map[uint64]*tenantState),
+		lowTenants:         make(map[uint64]*tenantState),
+		links:              make(map[int]*peerLink),
+		activeLinks:        make(map[int]*peerLink),
+		lastMessageNumbers: make(map[int]uint32),
+		ownerReportedAt:    make(map[int]time.Duration),
+		outlierReports:     newOutlierReportSet(),
+		ownReports:         newReportQueue(),
+		toRelays:           newReportQueue(),
+		toGroup:            newReportQueue(),
+		lastConsumptionAt:  now - publishDuration,
+		flushAt:            -1,
 	}
 	l.applyMembership(nil)
 	return l
@@ -134,7 +134,7 @@
 // NextFlush returns when Flush is to be called next, if at all.
 func (l *Limiter) NextFlush() (when time.Duration, ok bool) { return l.flushAt, l.flushAt >= 0 }
 
-func (l *Limiter) flushBy(when time.Duration) {
+func (l *Limiter) scheduleFlush(when time.Duration) {
 	if l.flushAt < 0 || when < l.flushAt {
 		l.flushAt = when
 	}
@@ -144,7 +144,7 @@
 // consumption that the owner before has not acknowledged.
 func (l *Limiter) SetLivePeers(now time.Duration, others []Peer) {
 	l.applyMembership(others)
-	lost := l.dropDeadLinks()
+	undelivered := l.dropDeadLinks()
 	for _, key := range slices.Sorted(maps.Keys(l.ownedTenants)) {
 		// A bucket that this node has left and for which there is no other owner stays here.
 		t := l.ownedTenants[key]
@@ -152,10 +152,10 @@
 			l.transfer(t, now)
 		}
 	}
-	for _, c := range lost {
-		t := l.lookUp(c.Tenant, c.Plan, NodeRange{c.First, c.Count}, now)
+	for _, c := range undelivered {
+		t := l.tenantWithQuota(c.Tenant, c.Plan, NodeRange{c.First, c.Count}, now)
 		if t != nil {
-			l.notifyOwner(t, float64(c.Tokens), c.since, now, now+batchInterval)
+			l.notifyOwner(t, float64(c.Tokens), c.consumedAt, now, now+batchInterval)
 		}
 	}
 }
@@ -163,18 +163,18 @@
 // dropDeadLinks drops the links to processes that are gone and returns the consumption that they have not
 // acknowledged.
 func (l *Limiter) dropDeadLinks() []pendingConsumption {
-	var lost []pendingConsumption
+	var undelivered []pendingConsumption
 	for _, node := range slices.Sorted(maps.Keys(l.links)) {
 		link := l.links[node]
 		if l.alive[node] && link.incarnation == l.incarnations[node] {
 			continue
 		}
-		lost = append(lost, link.unacknowledgedConsumptions()...)
-		l.lastNumbers[node] = link.number
+		undelivered = append(undelivered, link.undeliveredConsumptions()...)
+		l.lastMessageNumbers[node] = link.number
 		delete(l.links, node)
 		delete(l.activeLinks, node)
 	}
-	return lost
+	return undelivered
 }
 
 // applyMembership puts a membership in force.
@@ -182,13 +182,13 @@
 	l.epoch++
 	l.liveNodes = l.liveNodes[:0]
 	l.alive = make([]bool, l.config.FleetSize)
-	if !l.left {
+	if !l.hasLeft {
 		l.liveNodes = append(l.liveNodes, l.config.Node)
 		l.alive[l.config.Node] = true
 	}
 	for _, peer := range others {
-		known := peer.Index >= 0 && peer.Index < l.config.FleetSize
-		if !known || peer.Index == l.config.Node || l.alive[peer.Index] {
+		valid := peer.Index >= 0 && peer.Index < l.config.FleetSize
+		if !valid || peer.Index == l.config.Node || l.alive[peer.Index] {
 			continue
 		}
 		l.liveNodes = append(l.liveNodes, peer.Index)
@@ -197,14 +197,14 @@
 	}
 	slices.Sort(l.liveNodes)
 	l.relayGroups = newRelayGroups(l.config.FleetSize, l.liveNodes)
-	group := l.relayGroups.of(l.config.Node)
+	group := l.relayGroups.groupOf(l.config.Node)
 	l.relay = l.relayGroups.relays[group]
 	l.groupMembers = l.groupMembers[:0]
 	if l.relay != l.config.Node {
 		return
 	}
 	for _, node := range l.liveNodes {
-		if node != l.config.Node && l.relayGroups.of(node) == group {
+		if node != l.config.Node && l.relayGroups.groupOf(node) == group {
 			l.groupMembers = append(l.groupMembers, node)
 		}
 	}
@@ -214,7 +214,7 @@
 // notifies those of what it consumes. Flush is to be called after it.
 func (l *Limiter) Leave(now time.Duration) {
 	l.epoch++
-	l.left = true
+	l.hasLeft = true
 	l.alive[l.config.Node] = false
 	for _, key := range slices.Sorted(maps.Keys(l.ownedTenants)) {
 		t := l.ownedTenants[key]
@@ -227,13 +227,13 @@
 // Rejoin takes back a Leave: this node may own buckets again. SetLivePeers is to be called after it.
 func (l *Limiter) Rejoin() {
 	l.epoch++
-	l.left = false
+	l.hasLeft = false
 	l.alive[l.config.Node] = true
 }
 
 // transfer hands a bucket to its new owner.
 func (l *Limiter) transfer(t *tenantState, now time.Duration) {
-	link := l.sendBy(t.owner, now)
+	link := l.scheduleSend(t.owner, now)
 	link.transfers = append(link.transfers, Transfer{
 		Tenant:      t.key,
 		Plan:        t.plan,
@@ -241,10 +241,10 @@
 		Count:       t.nodes.Count,
 		Level:       float32(t.bucket.Level(now)),
 		Consumed:    float32(math.Min(maxTokens, t.bucket.consumed)),
-		Provisional: t.bucket.inherited,
+		Provisional: t.bucket.provisional,
 	})
-	if t.bucket.inherited && (link.oldestTransfer == 0 || t.bucket.createdAt < link.oldestTransfer) {
-		link.oldestTransfer = t.bucket.createdAt
+	if t.bucket.provisional && (link.oldestProvisionalAt == 0 || t.bucket.createdAt < link.oldestProvisionalAt) {
+		link.oldestProvisionalAt = t.bucket.createdAt
 	}
 	l.Counts.TransferredOut++
 	t.cached.Update(t.bucket.Level(now), now)
--- a/fleet/ratelimit/message.go
+++ b/fleet/ratelimit/message.go
@@ -117,40 +117,40 @@
 
 // Errors of a message that holds what is out of range.
 var (
-	errHeader      = errors.New("message header out of range")
-	errAge         = errors.New("message age out of range")
-	errCount       = errors.New("message with too many entries")
-	errConsumption = errors.New("consumption out of range")
-	errTransfer    = errors.New("transferred bucket out of range")
-	errLevel       = errors.New("level report out of range")
-	errSlowReport  = errors.New("slow report out of range")
-	errOwner       = errors.New("owner report out of range")
+	errHeader        = errors.New("message header out of range")
+	errAge           = errors.New("message age out of range")
+	errCount         = errors.New("message with too many entries")
+	errConsumption   = errors.New("consumption out of range")
+	errTransfer      = errors.New("transferred bucket out of range")
+	errLevel         = errors.New("level report out of range")
+	errOutlierReport = errors.New("slow report out of range")
+	errOwner         = errors.New("owner report out of range")
 )
 
 // check reports what of a message is out of range in a fleet of some size.
 func (m *Message) check(fleetSize int) error {
-	isNode := func(i int) bool { return i >= 0 && i < fleetSize }
+	validNode := func(i int) bool { return i >= 0 && i < fleetSize }
 	unsequenced := m.Sequence == 0 && len(m.Consumptions)+len(m.Transfers) > 0
-	if !isNode(m.Sender) || m.Number == 0 || m.Hop < 0 || m.Hop > lastHop || unsequenced {
+	if !validNode(m.Sender) || m.Number == 0 || m.Hop < 0 || m.Hop > lastHop || unsequenced {
 		return errHeader
 	}
 	if m.ConsumptionAge > maxAgeMillis || m.TransferAge > maxAgeMillis {
 		return errAge
 	}
 	if len(m.Consumptions) > maxConsumptions || len(m.Transfers) > maxConsumptions || len(m.Levels) > maxLevels ||
-		len(m.Owners) > maxOwners || len(m.OutlierReports) > maxSlowReports {
+		len(m.Owners) > maxOwners || len(m.OutlierReports) > maxOutlierReports {
 		return errCount
 	}
 	if err := m.checkBuckets(fleetSize); err != nil {
 		return err
 	}
 	for _, r := range m.OutlierReports {
-		if !isNode(r.Reporter) || r.Age > maxAgeMillis {
-			return errSlowReport
+		if !validNode(r.Reporter) || r.Age > maxAgeMillis {
+			return errOutlierReport
 		}
 	}
 	for _, o := range m.Owners {
-		if !isNode(o.Node) || !isNode(o.MaxDistance) || o.Age > maxAgeMillis {
+		if !validNode(o.Node) || !validNode(o.MaxDistance) || o.Age > maxAgeMillis {
 			return errOwner
 		}
 	}
@@ -159,22 +159,22 @@
 
 // checkBuckets checks what a message says of tenants' buckets.
 func (m *Message) checkBuckets(fleetSize int) error {
-	isRange := func(first, count int) bool {
+	validRange := func(first, count int) bool {
 		return first >= 0 && first < fleetSize && count >= 1 && count <= fleetSize
 	}
-	inRange := func(tokens float32) bool { return math.Abs(float64(tokens)) <= maxTokens } // false for a NaN
+	validTokens := func(tokens float32) bool { return math.Abs(float64(tokens)) <= maxTokens } // false for a NaN
 	for _, c := range m.Consumptions {
-		if !isRange(c.First, c.Count) || !inRange(c.Tokens) {
+		if !validRange(c.First, c.Count) || !validTokens(c.Tokens) {
 			return errConsumption
 		}
 	}
 	for _, t := range m.Transfers {
-		if !isRange(t.First, t.Count) || !inRange(t.Level) || !inRange(t.Consumed) {
+		if !validRange(t.First, t.Count) || !validTokens(t.Level) || !validTokens(t.Consumed) {
 			return errTransfer
 		}
 	}
 	for _, l := range m.Levels {
-		if !isRange(l.First, l.Count) || !inRange(l.Tokens) || l.Age > maxAgeMillis {
+		if !validRange(l.First, l.Count) || !validTokens(l.Tokens) || l.Age > maxAgeMillis {
 			return errLevel
 		}
 	}
--- a/fleet/ratelimit/outliers.go
+++ b/fleet/ratelimit/outliers.go
@@ -23,7 +23,7 @@
 	maxReportedFraction = 0.34
 
 	maxReportedServers = 64 // remembered
-	maxSlowReports     = 30 // in a message
+	maxOutlierReports  = 30 // in a message
 )
 
 // Server is a server's process as all nodes name it.
@@ -49,7 +49,7 @@
 }
 
 // slowReportKey names a report by its server and reporter.
-type slowReportKey struct {
+type outlierReportKey struct {
 	server Server
 	node   int
 }
@@ -58,36 +58,36 @@
 	return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(a.StartedAt, b.StartedAt))
 }
 
-func compareKeys(a, b slowReportKey) int {
+func compareReportKeys(a, b outlierReportKey) int {
 	return cmp.Or(compareServers(a.server, b.server), cmp.Compare(a.node, b.node))
 }
 
 // slowReportSet holds this node's and others' reports on slow servers.
-type slowReportSet struct {
+type outlierReportSet struct {
 	reports map[Server]map[int]time.Duration // by server and reporter: when
 	changed map[Server]bool                  // reported anew since the last call of Outliers
 }
 
-func newSlowReportSet() slowReportSet {
-	return slowReportSet{reports: make(map[Server]map[int]time.Duration), changed: make(map[Server]bool)}
+func newOutlierReportSet() outlierReportSet {
+	return outlierReportSet{reports: make(map[Server]map[int]time.Duration), changed: make(map[Server]bool)}
 }
 
 // ReportOutlier reports a server: an attempt of this node's own there takes far longer than is usual.
 func (l *Limiter) ReportOutlier(now time.Duration, s Server) {
 	l.Counts.OutlierReports++
-	key := slowReportKey{s, l.config.Node}
-	l.slowReports.add(key, now)
-	l.ownReports.addSlow(key, now)
+	key := outlierReportKey{s, l.config.Node}
+	l.outlierReports.add(key, now)
+	l.ownReports.addOutlierReport(key, now)
 	l.publishAt = min(l.publishAt, now+batchInterval)
-	l.flushBy(max(l.publishAt, l.quietUntil))
+	l.scheduleFlush(max(l.publishAt, l.quietUntil))
 }
 
 // add remembers a report, if it is newer than the last one of its reporter.
-func (set *slowReportSet) add(key slowReportKey, reportedAt time.Duration) {
+func (set *outlierReportSet) add(key outlierReportKey, reportedAt time.Duration) {
 	reporters := set.reports[key.server]
 	if reporters == nil {
 		if len(set.reports) >= maxReportedServers {
-			set.makeRoom(reportedAt)
+			set.evict(reportedAt)
 		}
 		reporters = make(map[int]time.Duration)
 		set.reports[key.server] = reporters
@@ -99,7 +99,7 @@
 }
 
 // makeRoom drops expired reports, and where none is, all reports on one server.
-func (set *slowReportSet) makeRoom(now time.Duration) {
+func (set *outlierReportSet) evict(now time.Duration) {
 	for server, reporters := range set.reports {
 		maps.DeleteFunc(reporters, func(_ int, reportedAt time.Duration) bool {
 			return now > reportedAt+OutlierReportLifetime
@@ -121,17 +121,17 @@
 // Outliers returns the servers that have come to be reported by enough nodes since the last call, among some number
 // of servers.
 func (l *Limiter) Outliers(now time.Duration, servers int) []Outlier {
-	set := &l.slowReports
+	set := &l.outlierReports
 	if len(set.changed) == 0 {
 		return nil
 	}
 	var outliers []Outlier
-	wanted := math.Max(minReportersNeeded, reporterFraction*float64(len(l.liveNodes)))
-	needed := int(math.Ceil(math.Min(maxReportersNeeded, wanted)))
-	credible := math.Max(1, maxReportedFraction*float64(servers))
+	minByFraction := math.Max(minReportersNeeded, reporterFraction*float64(len(l.liveNodes)))
+	minReporters := int(math.Ceil(math.Min(maxReportersNeeded, minByFraction)))
+	maxServers := math.Max(1, maxReportedFraction*float64(servers))
 	for _, server := range slices.SortedFunc(maps.Keys(set.changed), compareServers) {
-		count, last := set.agreeing(server, credible, now)
-		if count >= needed {
+		count, last := set.countAgreeing(server, maxServers, now)
+		if count >= minReporters {
 			l.Counts.Outliers++
 			outliers = append(outliers, Outlier{server, count, last})
 		}
@@ -142,13 +142,13 @@
 
 // agreeing returns how many reporters of a server agree in time with the latest one, and when that reported. A
 // reporter of more servers than is credible does not count.
-func (set *slowReportSet) agreeing(server Server, credible float64, now time.Duration) (count int, last time.Duration) {
+func (set *outlierReportSet) countAgreeing(server Server, maxServers float64, now time.Duration) (count int, last time.Duration) {
 	for _, reportedAt := range set.reports[server] {
 		last = max(last, reportedAt)
 	}
 	for node, reportedAt := range set.reports[server] {
 		agrees := reportedAt+agreementWindow >= last && last+OutlierReportLifetime >= now
-		if agrees && set.serversReportedBy(node, now) <= credible {
+		if agrees && set.countServersReportedBy(node, now) <= maxServers {
 			count++
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // serversReportedBy counts the servers on which a node's reports are valid.
-func (set *slowReportSet) serversReportedBy(node int, now time.Duration) (count float64) {
+func (set *outlierReportSet) countServersReportedBy(node int, now time.Duration) (count float64) {
 	for _, reporters := range set.reports {
 		if reportedAt, ok := reporters[node]; ok && now <= reportedAt+OutlierReportLifetime {
 			count++
--- a/fleet/ratelimit/ratelimit.go
+++ b/fleet/ratelimit/ratelimit.go
@@ -19,13 +19,13 @@
 	// ReportLifetime is the age at which a reported level is no longer used.
 	ReportLifetime = time.Second
 	// reportRenewal is the age at which the level of a low bucket is reported again, before the last report expires.
-	reportRenewal = 700 * time.Millisecond
+	reportRenewalAge = 700 * time.Millisecond
 	// lowFraction is the fraction of its burst below which a bucket is low. The control package admits without a
 	// draw where the level is at least this.
 	lowFraction = 0.7
 	// reportStep is the fraction of its burst by which a level must differ from what the others reckon with to be
 	// reported.
-	reportStep = 0.08
+	minReportChange = 0.08
 )
 
 // Quota is what a tenant may consume.
--- a/fleet/ratelimit/receive.go
+++ b/fleet/ratelimit/receive.go
@@ -17,7 +17,7 @@
 	if link.unacknowledged != nil && m.Acknowledged == link.unacknowledged.Sequence {
 		link.unacknowledged = nil
 		if link.hasPending() {
-			l.sendBy(m.Sender, now+batchInterval)
+			l.scheduleSend(m.Sender, now+batchInterval)
 		}
 	}
 	if m.Sequence > 0 {
@@ -26,7 +26,7 @@
 	if len(m.Levels)+len(m.Owners)+len(m.OutlierReports) > 0 {
 		l.receiveReports(link, m, now)
 		if !link.hasSent || now > link.lastSentAt+echoInterval {
-			l.sendBy(m.Sender, now) // so that the ages of its reports are known
+			l.scheduleSend(m.Sender, now) // so that the ages of its reports are known
 		}
 	}
 }
@@ -34,28 +34,28 @@
 // receiveConsumptions applies transfers and consumption, each once, and has them acknowledged.
 func (l *Limiter) receiveConsumptions(link *peerLink, m *Message, now time.Duration) {
 	link.ackDue = true
-	l.sendBy(m.Sender, now)
-	first := int32(m.Sequence-link.appliedSequence) > 0
-	if first {
+	l.scheduleSend(m.Sender, now)
+	isNew := int32(m.Sequence-link.appliedSequence) > 0
+	if isNew {
 		link.appliedSequence = m.Sequence
 		l.applyTransfers(m, now)
 	} else {
 		l.Counts.Duplicates++
 	}
-	waited := time.Duration(m.ConsumptionAge) * time.Millisecond
+	age := time.Duration(m.ConsumptionAge) * time.Millisecond
 	for _, c := range m.Consumptions {
-		t := l.lookUp(c.Tenant, c.Plan, NodeRange{c.First, c.Count}, now)
+		t := l.tenantWithQuota(c.Tenant, c.Plan, NodeRange{c.First, c.Count}, now)
 		if t == nil {
 			continue
 		}
 		if l.ownerOf(t, now) != l.config.Node {
-			if first { // the sender does not know of the owner's change yet
-				l.notifyOwner(t, float64(c.Tokens), now-waited, now, now+batchInterval)
+			if isNew { // the sender does not know of the owner's change yet
+				l.notifyOwner(t, float64(c.Tokens), now-age, now, now+batchInterval)
 			}
 			continue
 		}
-		if first {
-			l.consume(t, float64(c.Tokens), waited, now)
+		if isNew {
+			l.consume(t, float64(c.Tokens), age, now)
 		}
 		link.ackLevels[t.key] = t
 	}
@@ -65,7 +65,7 @@
 func (l *Limiter) applyTransfers(m *Message, now time.Duration) {
 	age := time.Duration(m.TransferAge) * time.Millisecond
 	for _, tr := range m.Transfers {
-		t := l.lookUp(tr.Tenant, tr.Plan, NodeRange{tr.First, tr.Count}, now)
+		t := l.tenantWithQuota(tr.Tenant, tr.Plan, NodeRange{tr.First, tr.Count}, now)
 		if t == nil {
 			continue
 		}
@@ -77,13 +77,13 @@
 
 // receiveReports takes reports by their ages, and has them forwarded where this node is a relay.
 func (l *Limiter) receiveReports(link *peerLink, m *Message, now time.Duration) {
-	sent, ok := link.sentAtLeastAt(m, l.config.Incarnation)
-	if !ok || sent > now {
+	sentAt, ok := link.earliestSendTime(m, l.config.Incarnation)
+	if !ok || sentAt > now {
 		l.Counts.UnknownAge++
 		return
 	}
 	for _, r := range m.Levels {
-		validAt := sent - time.Duration(r.Age)*time.Millisecond
+		validAt := sentAt - time.Duration(r.Age)*time.Millisecond
 		if validAt+ReportLifetime < now {
 			l.Counts.Expired++
 			continue
@@ -93,22 +93,22 @@
 		l.forward(m.Hop, func(q *reportQueue) { q.addLevel(r.Tenant, level) }, now)
 	}
 	for _, r := range m.OutlierReports {
-		reportedAt := sent - time.Duration(r.Age)*time.Millisecond
+		reportedAt := sentAt - time.Duration(r.Age)*time.Millisecond
 		if reportedAt+OutlierReportLifetime < now {
 			l.Counts.Expired++
 			continue
 		}
-		key := slowReportKey{Server{r.ServerKey, r.StartedAt}, r.Reporter}
-		l.slowReports.add(key, reportedAt)
-		l.forward(m.Hop, func(q *reportQueue) { q.addSlow(key, reportedAt) }, now)
+		key := outlierReportKey{Server{r.ServerKey, r.StartedAt}, r.Reporter}
+		l.outlierReports.add(key, reportedAt)
+		l.forward(m.Hop, func(q *reportQueue) { q.addOutlierReport(key, reportedAt) }, now)
 	}
 	for _, r := range m.Owners {
-		validAt := sent - time.Duration(r.Age)*time.Millisecond
+		validAt := sentAt - time.Duration(r.Age)*time.Millisecond
 		if validAt+ReportLifetime < now {
 			l.Counts.Expired++
 			continue
 		}
-		l.coveredUntil[r.Node] = max(l.coveredUntil[r.Node], validAt)
+		l.ownerReportedAt[r.Node] = max(l.ownerReportedAt[r.Node], validAt)
 		l.forward(m.Hop, func(q *reportQueue) { q.addOwner(r.Node, queuedOwner{validAt, r.MaxDistance}) }, now)
 	}
 }
@@ -119,7 +119,7 @@
 	newer := !t.cached.known || validAt > t.cached.validAt
 	t.cached.Update(float64(r.Tokens), validAt)
 	// A tenant whose quota is not known here was reported because its bucket is low.
-	t.cached.low = t.quota.Burst == 0 || float64(r.Tokens) < lowFraction*t.quota.Burst
+	t.cached.reportedLow = t.quota.Burst == 0 || float64(r.Tokens) < lowFraction*t.quota.Burst
 	if newer {
 		l.deductUnacknowledged(t)
 	}
@@ -137,5 +137,5 @@
 	if l.relayAt == 0 {
 		l.relayAt = now + relayInterval
 	}
-	l.flushBy(l.relayAt)
+	l.scheduleFlush(l.relayAt)
 }
--- a/fleet/ratelimit/relay.go
+++ b/fleet/ratelimit/relay.go
@@ -10,18 +10,18 @@
 // membership change moves the relay of at most one group.
 type relayGroups struct {
 	fleetSize int
-	width     int   // nodes of a group
+	groupSize int   // nodes of a group
 	relays    []int // by group; below zero is none live
 }
 
 func newRelayGroups(fleetSize int, live []int) relayGroups {
-	g := relayGroups{fleetSize: fleetSize, width: int(math.Ceil(math.Sqrt(float64(fleetSize))))}
-	g.relays = make([]int, (fleetSize+g.width-1)/g.width)
+	g := relayGroups{fleetSize: fleetSize, groupSize: int(math.Ceil(math.Sqrt(float64(fleetSize))))}
+	g.relays = make([]int, (fleetSize+g.groupSize-1)/g.groupSize)
 	for i := range g.relays {
 		g.relays[i] = -1
 	}
 	for _, node := range live {
-		relay := &g.relays[g.of(node)]
+		relay := &g.relays[g.groupOf(node)]
 		if *relay < 0 || weight(relayHashKey, node) > weight(relayHashKey, *relay) {
 			*relay = node
 		}
@@ -30,9 +30,9 @@
 }
 
 // of returns the group of a node.
-func (g *relayGroups) of(node int) int { return node / g.width }
+func (g *relayGroups) groupOf(node int) int { return node / g.groupSize }
 
 // overlaps reports whether a range has nodes of a group.
 func (g *relayGroups) overlaps(nodes NodeRange, group int) bool {
-	return nodes.overlaps(group*g.width, min(g.fleetSize, (group+1)*g.width), g.fleetSize)
+	return nodes.overlaps(group*g.groupSize, min(g.fleetSize, (group+1)*g.groupSize), g.fleetSize)
 }
--- a/fleet/ratelimit/reports.go
+++ b/fleet/ratelimit/reports.go
@@ -9,9 +9,9 @@
 
 // reportQueue holds reports that are to be forwarded, the latest of each subject.
 type reportQueue struct {
-	levels map[uint64]queuedLevel          // by tenant
-	owners map[int]queuedOwner             // by node
-	slow   map[slowReportKey]time.Duration // when each was made
+	levels         map[uint64]queuedLevel             // by tenant
+	owners         map[int]queuedOwner                // by node
+	outlierReports map[outlierReportKey]time.Duration // when each was made
 }
 
 // queuedLevel is a level with the time at which it was true, and the nodes that it is for.
@@ -29,13 +29,13 @@
 
 func newReportQueue() reportQueue {
 	return reportQueue{
-		levels: make(map[uint64]queuedLevel),
-		owners: make(map[int]queuedOwner),
-		slow:   make(map[slowReportKey]time.Duration),
+		levels:         make(map[uint64]queuedLevel),
+		owners:         make(map[int]queuedOwner),
+		outlierReports: make(map[outlierReportKey]time.Duration),
 	}
 }
 
-func (q *reportQueue) isEmpty() bool { return len(q.levels)+len(q.owners)+len(q.slow) == 0 }
+func (q *reportQueue) isEmpty() bool { return len(q.levels)+len(q.owners)+len(q.outlierReports) == 0 }
 
 func (q *reportQueue) addLevel(tenant uint64, level queuedLevel) {
 	if old, ok := q.levels[tenant]; !ok || level.validAt > old.validAt {
@@ -43,9 +43,9 @@
 	}
 }
 
-func (q *reportQueue) addSlow(key slowReportKey, reportedAt time.Duration) {
-	if old, ok := q.slow[key]; !ok || reportedAt > old {
-		q.slow[key] = reportedAt
+func (q *reportQueue) addOutlierReport(key outlierReportKey, reportedAt time.Duration) {
+	if old, ok := q.outlierReports[key]; !ok || reportedAt > old {
+		q.outlierReports[key] = reportedAt
 	}
 }
 
@@ -57,9 +57,9 @@
 
 // reportBatch is queued reports in the form and order in which they are sent.
 type reportBatch struct {
-	levels []LevelReport
-	owners []OwnerReport
-	slow   []OutlierReport
+	levels         []LevelReport
+	owners         []OwnerReport
+	outlierReports []OutlierReport
 }
 
 // drain returns all queued reports with their ages and empties the queue.
@@ -82,12 +82,12 @@
 		o := q.owners[node]
 		batch.owners = append(batch.owners, OwnerReport{Node: node, MaxDistance: o.maxRange, Age: age(o.validAt)})
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(q.slow), compareKeys) {
-		batch.slow = append(batch.slow, OutlierReport{
+	for _, key := range slices.SortedFunc(maps.Keys(q.outlierReports), compareReportKeys) {
+		batch.outlierReports = append(batch.outlierReports, OutlierReport{
 			ServerKey: key.server.Key,
 			StartedAt: key.server.StartedAt,
 			Reporter:  key.node,
-			Age:       age(q.slow[key]),
+			Age:       age(q.outlierReports[key]),
 		})
 	}
 	*q = newReportQueue()
--- a/fleet/ratelimit/send.go
+++ b/fleet/ratelimit/send.go
@@ -29,18 +29,18 @@
 	if link.unacknowledged != nil && now >= link.unacknowledgedSentAt+resendInterval {
 		l.Counts.Resent++
 		link.unacknowledgedSentAt = now
-		again := *link.unacknowledged
-		again.ConsumptionAge = milliseconds(now - link.oldestConsumption)
-		out = append(out, l.stamp(node, &again, now))
+		resent := *link.unacknowledged
+		resent.ConsumptionAge = milliseconds(now - link.oldestConsumptionAt)
+		out = append(out, l.addHeader(node, &resent, now))
 	}
 	if link.sendAt >= 0 && link.sendAt <= now {
 		out = append(out, l.sendPending(node, link, now))
 	}
 	if link.unacknowledged != nil {
-		l.flushBy(link.unacknowledgedSentAt + resendInterval)
+		l.scheduleFlush(link.unacknowledgedSentAt + resendInterval)
 	}
 	if link.sendAt >= 0 {
-		l.flushBy(link.sendAt)
+		l.scheduleFlush(link.sendAt)
 	} else if link.unacknowledged == nil {
 		delete(l.activeLinks, node)
 	}
@@ -60,10 +60,10 @@
 		m.Sequence = l.sequence
 		link.addConsumptions(m, now)
 		if link.hasPending() {
-			l.sendBy(node, now+batchInterval)
+			l.scheduleSend(node, now+batchInterval)
 		}
 	}
-	return l.stamp(node, m, now)
+	return l.addHeader(node, m, now)
 }
 
 // addAcknowledgement adds what was applied last, with the levels of its tenants.
@@ -88,25 +88,25 @@
 // addConsumptions moves transfers and consumption to a message, as many as fit, and remembers them until they are
 // acknowledged.
 func (p *peerLink) addConsumptions(m *Message, now time.Duration) {
-	transfers := min(len(p.transfers), maxConsumptions-maxAckLevels)
-	m.Transfers = p.transfers[:transfers:transfers]
-	p.transfers = p.transfers[transfers:]
-	since := now
+	transferCount := min(len(p.transfers), maxConsumptions-maxAckLevels)
+	m.Transfers = p.transfers[:transferCount:transferCount]
+	p.transfers = p.transfers[transferCount:]
+	oldest := now
 	for _, key := range slices.Sorted(maps.Keys(p.pending)) {
-		if len(m.Consumptions)+transfers >= maxConsumptions {
+		if len(m.Consumptions)+transferCount >= maxConsumptions {
 			break
 		}
 		pending := p.pending[key]
 		m.Consumptions = append(m.Consumptions, pending.Consumption)
-		since = min(since, pending.since)
+		oldest = min(oldest, pending.consumedAt)
 		delete(p.pending, key)
 	}
-	m.ConsumptionAge = milliseconds(now - since)
-	if p.oldestTransfer > 0 {
-		m.TransferAge = milliseconds(now - p.oldestTransfer)
+	m.ConsumptionAge = milliseconds(now - oldest)
+	if p.oldestProvisionalAt > 0 {
+		m.TransferAge = milliseconds(now - p.oldestProvisionalAt)
 	}
 	if len(p.transfers) == 0 {
-		p.oldestTransfer = 0
+		p.oldestProvisionalAt = 0
 	}
 	p.unacknowledged = &Message{
 		Sequence:     m.Sequence,
@@ -115,7 +115,7 @@
 		TransferAge:  m.TransferAge,
 	}
 	p.unacknowledgedSentAt = now
-	p.oldestConsumption = since
+	p.oldestConsumptionAt = oldest
 }
 
 // milliseconds returns a time as messages hold it.
@@ -125,26 +125,26 @@
 
 // publish reports, as an owner, the levels that are due, and that all other buckets are not low.
 func (l *Limiter) publish(now time.Duration, out []Outgoing) []Outgoing {
-	if l.left {
+	if l.hasLeft {
 		l.ownReports = newReportQueue()
 		return out
 	}
-	if now > l.lastConsumption+publishDuration && l.ownReports.isEmpty() {
+	if now > l.lastConsumptionAt+publishDuration && l.ownReports.isEmpty() {
 		return out
 	}
 	if now < l.publishAt || now < l.quietUntil {
-		l.flushBy(max(l.publishAt, l.quietUntil))
+		l.scheduleFlush(max(l.publishAt, l.quietUntil))
 		return out
 	}
 	l.publishAt = now + publishInterval
-	l.flushBy(l.publishAt)
+	l.scheduleFlush(l.publishAt)
 	for _, key := range slices.Sorted(maps.Keys(l.lowTenants)) {
 		l.reportIfDue(l.lowTenants[key], now)
 	}
-	l.ownReports.addOwner(l.config.Node, queuedOwner{now, l.maxRange})
+	l.ownReports.addOwner(l.config.Node, queuedOwner{now, l.maxDistance})
 	if l.relay != l.config.Node {
-		everything := func(NodeRange) bool { return true }
-		return l.sendReports(l.ownReports.drain(now), 1, l.relay, everything, now, out)
+		anyRange := func(NodeRange) bool { return true }
+		return l.sendReports(l.ownReports.drain(now), 1, l.relay, anyRange, now, out)
 	}
 	l.forwardOwnReports(now)
 	return out
@@ -155,10 +155,10 @@
 	for tenant, level := range l.ownReports.levels {
 		l.forward(1, func(q *reportQueue) { q.addLevel(tenant, level) }, now)
 	}
-	for key, reportedAt := range l.ownReports.slow {
-		l.forward(1, func(q *reportQueue) { q.addSlow(key, reportedAt) }, now)
+	for key, reportedAt := range l.ownReports.outlierReports {
+		l.forward(1, func(q *reportQueue) { q.addOutlierReport(key, reportedAt) }, now)
 	}
-	l.forward(1, func(q *reportQueue) { q.addOwner(l.config.Node, queuedOwner{now, l.maxRange}) }, now)
+	l.forward(1, func(q *reportQueue) { q.addOwner(l.config.Node, queuedOwner{now, l.maxDistance}) }, now)
 	l.ownReports = newReportQueue()
 }
 
@@ -168,7 +168,7 @@
 		return out
 	}
 	if now < l.relayAt {
-		l.flushBy(l.relayAt)
+		l.scheduleFlush(l.relayAt)
 		return out
 	}
 	l.relayAt = 0
@@ -203,19 +203,19 @@
 		}
 	}
 	// Slow reports go first, alone, and levels before the report that all are reported.
-	slow := batch.slow
-	for len(levels)+len(owners)+len(slow) > 0 {
+	outlierReports := batch.outlierReports
+	for len(levels)+len(owners)+len(outlierReports) > 0 {
 		m := &Message{Hop: hop}
 		switch {
-		case len(slow) > 0:
-			m.OutlierReports, slow = split(slow, maxSlowReports)
+		case len(outlierReports) > 0:
+			m.OutlierReports, outlierReports = split(outlierReports, maxOutlierReports)
 		case len(levels) > maxLevels:
 			m.Levels, levels = split(levels, maxLevels)
 		default:
 			m.Levels, levels = levels, nil
 			m.Owners, owners = split(owners, maxOwners)
 		}
-		out = append(out, l.stamp(to, m, now))
+		out = append(out, l.addHeader(to, m, now))
 	}
 	return out
 }
@@ -227,11 +227,11 @@
 }
 
 // stamp puts a message's header on it.
-func (l *Limiter) stamp(node int, m *Message, now time.Duration) Outgoing {
+func (l *Limiter) addHeader(node int, m *Message, now time.Duration) Outgoing {
 	link := l.link(node)
 	link.number++
 	link.number = cmp.Or(link.number, 1)
-	link.sentAt[link.number%rememberedNumbers] = now
+	link.sentAt[link.number%maxSendTimes] = now
 	link.hasSent = true
 	link.lastSentAt = now
 	m.Sender = l.config.Node
--- a/fleet/ratelimit/tenant.go
+++ b/fleet/ratelimit/tenant.go
@@ -21,7 +21,7 @@
 
 // lookUp returns what is known of a tenant, with its plan and the largest range of nodes that was told; nil where the
 // plan has no quota.
-func (l *Limiter) lookUp(key uint64, plan uint32, nodes NodeRange, now time.Duration) *tenantState {
+func (l *Limiter) tenantWithQuota(key uint64, plan uint32, nodes NodeRange, now time.Duration) *tenantState {
 	quota, ok := l.config.Quotas[plan]
 	if !ok || quota.Rate <= 0 {
 		return nil
@@ -71,11 +71,11 @@
 	if t.epoch == l.epoch || t.nodes.Count == 0 {
 		return t.owner
 	}
-	before := t.owner
+	previous := t.owner
 	live := func(node int) bool { return l.alive[node] }
 	t.owner, t.hasQuorum = Owner(t.key, t.nodes, l.config.FleetSize, live)
 	t.epoch = l.epoch
-	if before >= 0 && before != t.owner {
+	if previous >= 0 && previous != t.owner {
 		t.ownerChanged = true
 		t.ownerChangedAt = now
 	}
@@ -88,17 +88,17 @@
 	if t.bucket != nil {
 		return t.bucket
 	}
-	inherited := t.ownerChanged && now < t.ownerChangedAt+publishDuration
+	provisional := t.ownerChanged && now < t.ownerChangedAt+publishDuration
 	level := t.quota.Burst
 	switch {
 	case t.cached.known && now < t.cached.validAt+publishDuration:
 		level = t.cached.Level(t.quota, now)
-	case inherited:
+	case provisional:
 		level = lowFraction * t.quota.Burst
 	}
 	t.bucket = NewBucket(t.quota, level, now)
 	t.bucket.createdAt = now
-	t.bucket.inherited = inherited
+	t.bucket.provisional = provisional
 	l.ownedTenants[t.key] = t
 	return t.bucket
 }
@@ -113,7 +113,7 @@
 // Level returns what is known of a tenant's bucket, if it may be used: no report older than ReportLifetime, none for
 // ownershipSettleTime after the owner changed, and none without a quorum of the tenant's nodes.
 func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (k LevelEstimate, ok bool) {
-	t := l.lookUp(key, plan, nodes, now)
+	t := l.tenantWithQuota(key, plan, nodes, now)
 	if t == nil {
 		return k, false
 	}
@@ -128,27 +128,27 @@
 		}
 		return LevelEstimate{Tokens: l.bucketOf(t, now).Level(now)}, true
 	}
-	l.applyCoverage(t, now)
+	l.applyOwnerReport(t, now)
 	if !t.cached.Fresh(now) {
 		return k, false
 	}
 	level := t.cached.Level(t.quota, now)
-	return LevelEstimate{Tokens: level, IsLowerBound: t.cached.atLeast, Age: now - t.cached.validAt}, true
+	return LevelEstimate{Tokens: level, IsLowerBound: t.cached.isLowerBound, Age: now - t.cached.validAt}, true
 }
 
 // applyCoverage takes that an owner has reported all its low buckets and not this one: it held lowFraction at least. A
 // bucket that was low when last reported is low until that report expires, as owners report no small change.
-func (l *Limiter) applyCoverage(t *tenantState, now time.Duration) {
-	covered, ok := l.coveredUntil[t.owner]
-	if !ok || now > covered+ReportLifetime || (t.cached.known && covered <= t.cached.validAt) {
+func (l *Limiter) applyOwnerReport(t *tenantState, now time.Duration) {
+	reportedAt, ok := l.ownerReportedAt[t.owner]
+	if !ok || now > reportedAt+ReportLifetime || (t.cached.known && reportedAt <= t.cached.validAt) {
 		return
 	}
-	least := lowFraction * t.quota.Burst
-	if t.cached.Fresh(now) && (t.cached.low || t.cached.Level(t.quota, now) > least) {
+	minLevel := lowFraction * t.quota.Burst
+	if t.cached.Fresh(now) && (t.cached.reportedLow || t.cached.Level(t.quota, now) > minLevel) {
 		return
 	}
-	t.cached.Update(least, covered)
-	t.cached.atLeast = true
+	t.cached.Update(minLevel, reportedAt)
+	t.cached.isLowerBound = true
 	l.deductUnacknowledged(t)
 }
 
@@ -174,7 +174,7 @@
 // Consume takes tokens that this node has consumed of a tenant's quota and notifies the owner. A correction of what was
 // consumed before may wait for longer.
 func (l *Limiter) Consume(now time.Duration, key uint64, plan uint32, nodes NodeRange, tokens float64, correction bool) {
-	t := l.lookUp(key, plan, nodes, now)
+	t := l.tenantWithQuota(key, plan, nodes, now)
 	if t == nil || tokens == 0 {
 		return
 	}
@@ -188,37 +188,37 @@
 
 // notifyOwner has consumption applied by the owner: here, or by a message that is sent by a time. since is when it was
 // to be reported first.
-func (l *Limiter) notifyOwner(t *tenantState, tokens float64, since, now, by time.Duration) {
+func (l *Limiter) notifyOwner(t *tenantState, tokens float64, consumedAt, now, sendAt time.Duration) {
 	owner := l.ownerOf(t, now)
 	if owner == l.config.Node {
-		l.consume(t, tokens, now-since, now)
+		l.consume(t, tokens, now-consumedAt, now)
 		return
 	}
 	if owner < 0 {
 		l.Counts.Unowned++
 		return
 	}
-	link := l.sendBy(owner, by)
+	link := l.scheduleSend(owner, sendAt)
 	pending := link.pending[t.key]
 	if pending == nil {
 		first := Consumption{Tenant: t.key, Plan: t.plan, First: t.nodes.First, Count: t.nodes.Count}
-		pending = &pendingConsumption{first, since}
+		pending = &pendingConsumption{first, consumedAt}
 		link.pending[t.key] = pending
 	}
 	pending.Tokens += float32(tokens)
-	pending.since = min(pending.since, since)
+	pending.consumedAt = min(pending.consumedAt, consumedAt)
 }
 
 // consume takes tokens that have waited for a time from the bucket that is owned here, and reports its level if that is
 // due.
-func (l *Limiter) consume(t *tenantState, tokens float64, waited, now time.Duration) {
-	l.bucketOf(t, now).ConsumeLate(tokens, waited, now)
-	if l.publishAt == 0 || l.lastConsumption+publishDuration < now {
+func (l *Limiter) consume(t *tenantState, tokens float64, age, now time.Duration) {
+	l.bucketOf(t, now).ConsumeLate(tokens, age, now)
+	if l.publishAt == 0 || l.lastConsumptionAt+publishDuration < now {
 		l.publishAt = now + batchInterval
 	}
-	l.lastConsumption = now
-	l.maxRange = max(l.maxRange, min(t.nodes.Count, l.config.FleetSize-1))
-	l.flushBy(max(l.publishAt, l.quietUntil))
+	l.lastConsumptionAt = now
+	l.maxDistance = max(l.maxDistance, min(t.nodes.Count, l.config.FleetSize-1))
+	l.scheduleFlush(max(l.publishAt, l.quietUntil))
 	l.reportIfDue(t, now)
 }
 
@@ -227,7 +227,7 @@
 	if level, ok := t.bucket.DueReport(now); ok {
 		l.ownReports.addLevel(t.key, queuedLevel{level, now, t.nodes})
 		l.publishAt = min(l.publishAt, now+batchInterval)
-		l.flushBy(max(l.publishAt, l.quietUntil))
+		l.scheduleFlush(max(l.publishAt, l.quietUntil))
 	}
 	if t.bucket.isLow(t.bucket.Level(now)) {
 		l.lowTenants[t.key] = t
--- a/fleet/straggler/detector.go
+++ b/fleet/straggler/detector.go
@@ -10,101 +10,101 @@
 
 // Figures, each with its reason.
 const (
-	times        = 3.0                    // the mean answer, beyond which an attempt is late
-	least        = 100 * time.Millisecond // and the least: below it a pause of the node itself looks the same
-	gain         = 0.05                   // of the mean answer
-	answersLeast = 10                     // before it is known
-	most         = 4096                   // attempts out at once that are watched
+	thresholdFactor = 3.0                    // the mean answer, beyond which an attempt is late
+	minThreshold    = 100 * time.Millisecond // and the least: below it a pause of the node itself looks the same
+	minMeanWeight   = 0.05                   // of the mean answer
+	minAnswers      = 10                     // before it is known
+	maxAttempts     = 4096                   // attempts out at once that are watched
 )
 
 // Detector is what is known of the attempts that are out, by their numbers, each at a server.
 type Detector[S any] struct {
-	mean, seen float64 // s, of answers; and their number
-	out        map[uint64]attempt[S]
-	order      []uint64 // of out, by their start; those that ended are skipped
+	meanSeconds, answers float64 // s, of answers; and their number
+	running              map[uint64]attempt[S]
+	order                []uint64 // of out, by their start; those that ended are skipped
 }
 
 type attempt[S any] struct {
-	server S
-	began  time.Duration
-	late   bool
+	server    S
+	startedAt time.Duration
+	reported  bool
 }
 
 // New makes a watch.
-func New[S any]() *Detector[S] { return &Detector[S]{out: make(map[uint64]attempt[S])} }
+func New[S any]() *Detector[S] { return &Detector[S]{running: make(map[uint64]attempt[S])} }
 
 // Threshold is how long an attempt may take; ok is false until enough answers are seen.
-func (w *Detector[S]) Threshold() (limit time.Duration, ok bool) {
-	if w.seen < answersLeast {
+func (d *Detector[S]) Threshold() (threshold time.Duration, ok bool) {
+	if d.answers < minAnswers {
 		return 0, false
 	}
-	return max(least, time.Duration(times*w.mean*float64(time.Second))), true
+	return max(minThreshold, time.Duration(thresholdFactor*d.meanSeconds*float64(time.Second))), true
 }
 
 // AttemptStarted takes that an attempt goes out. Beyond so many at once it is not watched.
-func (w *Detector[S]) AttemptStarted(now time.Duration, number uint64, server S) {
-	if len(w.out) < most {
-		w.out[number] = attempt[S]{server: server, began: now}
-		w.order = append(w.order, number)
+func (d *Detector[S]) AttemptStarted(now time.Duration, number uint64, server S) {
+	if len(d.running) < maxAttempts {
+		d.running[number] = attempt[S]{server: server, startedAt: now}
+		d.order = append(d.order, number)
 	}
 }
 
 // AttemptEnded takes how an attempt ended: answered is that it brought an answer. It gives its server and
 // how long it took, and whether it was late and Stragglers has not told so; ok is false for one that was
 // not watched.
-func (w *Detector[S]) AttemptEnded(now time.Duration, number uint64, answered bool) (server S, took time.Duration, late, ok bool) {
-	a, ok := w.out[number]
+func (d *Detector[S]) AttemptEnded(now time.Duration, number uint64, answered bool) (server S, elapsed time.Duration, isStraggler, ok bool) {
+	a, ok := d.running[number]
 	if !ok {
 		return server, 0, false, false
 	}
-	delete(w.out, number)
-	w.trim()
-	took = now - a.began
-	limit, known := w.Threshold()
-	late = known && took > limit && !a.late
+	delete(d.running, number)
+	d.trim()
+	elapsed = now - a.startedAt
+	threshold, known := d.Threshold()
+	isStraggler = known && elapsed > threshold && !a.reported
 	if answered {
-		w.seen++
-		s := took.Seconds()
+		d.answers++
+		seconds := elapsed.Seconds()
 		if known { // one slow server does not move what is usual by much
-			s = math.Min(s, limit.Seconds())
+			seconds = math.Min(seconds, threshold.Seconds())
 		}
-		w.mean += math.Max(gain, 1/w.seen) * (s - w.mean)
+		d.meanSeconds += math.Max(minMeanWeight, 1/d.answers) * (seconds - d.meanSeconds)
 	}
-	return a.server, took, late, true
+	return a.server, elapsed, isStraggler, true
 }
 
 // trim drops those at the head that have ended.
-func (w *Detector[S]) trim() {
-	for len(w.order) > 0 {
-		if _, out := w.out[w.order[0]]; out {
+func (d *Detector[S]) trim() {
+	for len(d.order) > 0 {
+		if _, isRunning := d.running[d.order[0]]; isRunning {
 			return
 		}
-		w.order = w.order[1:]
+		d.order = d.order[1:]
 	}
 }
 
 // Stragglers gives the servers of attempts that have become late, each attempt once.
-func (w *Detector[S]) Stragglers(now time.Duration) (servers []S) {
-	limit, ok := w.Threshold()
-	for ok && len(w.order) > 0 {
-		a := w.out[w.order[0]]
-		if now < a.began+limit {
+func (d *Detector[S]) Stragglers(now time.Duration) (servers []S) {
+	threshold, ok := d.Threshold()
+	for ok && len(d.order) > 0 {
+		a := d.running[d.order[0]]
+		if now < a.startedAt+threshold {
 			break
 		}
-		a.late = true
-		w.out[w.order[0]] = a
-		w.order = w.order[1:]
-		w.trim()
+		a.reported = true
+		d.running[d.order[0]] = a
+		d.order = d.order[1:]
+		d.trim()
 		servers = append(servers, a.server)
 	}
 	return servers
 }
 
 // NextCheck gives when Stragglers is to be asked next; ok is false where nothing is out.
-func (w *Detector[S]) NextCheck() (when time.Duration, ok bool) {
-	limit, ok := w.Threshold()
-	if !ok || len(w.order) == 0 {
+func (d *Detector[S]) NextCheck() (when time.Duration, ok bool) {
+	threshold, ok := d.Threshold()
+	if !ok || len(d.order) == 0 {
 		return 0, false
 	}
-	return w.out[w.order[0]].began + limit, true
+	return d.running[d.order[0]].startedAt + threshold, true
 }
--- a/fleet/zone/traffic.go
+++ b/fleet/zone/traffic.go
@@ -9,38 +9,38 @@
 // the others could not take what would come, all have some: no zone is evacuated onto zones that fail under it. offered is
 // the traffic of the whole fleet in requests a second, where capacities are known.
 func (p *Policy) TrafficFractions(offered float64) map[string]float64 {
-	parts := make(map[string]float64, len(p.zones))
-	sum, bears, known := 0.0, 0.0, true
+	fractions := make(map[string]float64, len(p.zones))
+	total, usable, capacitiesKnown := 0.0, 0.0, true
 	for _, z := range p.zones {
-		parts[z.Name] = z.fraction
-		sum += z.fraction
-		bears += z.fraction * maxFillFraction * z.Capacity
-		known = known && z.Capacity > 0
+		fractions[z.Name] = z.fraction
+		total += z.fraction
+		usable += z.fraction * maxFillFraction * z.Capacity
+		capacitiesKnown = capacitiesKnown && z.Capacity > 0
 	}
-	if sum == 0 { // no zone is better: traffic goes as if nothing were known
+	if total == 0 { // no zone is better: traffic goes as if nothing were known
 		for _, z := range p.zones {
-			parts[z.Name] = 1
+			fractions[z.Name] = 1
 		}
-		return parts
+		return fractions
 	}
-	if lack := offered - bears; known && lack > 0 {
-		p.spill(parts, lack)
+	if shortfall := offered - usable; capacitiesKnown && shortfall > 0 {
+		p.addShortfall(fractions, shortfall)
 	}
-	return parts
+	return fractions
 }
 
 // spill gives what the others can't take to zones that have less than their traffic, the nearest first and those that
 // operators ordered to leave last.
-func (p *Policy) spill(parts map[string]float64, lack float64) {
+func (p *Policy) addShortfall(fractions map[string]float64, shortfall float64) {
 	for _, ordered := range []bool{false, true} {
 		for _, z := range p.zones {
-			if (z.order == Leave) != ordered || lack <= 0 {
+			if (z.order == Leave) != ordered || shortfall <= 0 {
 				continue
 			}
-			room := (1 - parts[z.Name]) * maxFillFraction * z.Capacity
-			takes := math.Min(room, lack)
-			parts[z.Name] += takes / (maxFillFraction * z.Capacity)
-			lack -= takes
+			spare := (1 - fractions[z.Name]) * maxFillFraction * z.Capacity
+			added := math.Min(spare, shortfall)
+			fractions[z.Name] += added / (maxFillFraction * z.Capacity)
+			shortfall -= added
 		}
 	}
 }
--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -18,10 +18,10 @@
 
 // Evidence is counted over a sliding window of evidenceBins bins.
 const (
-	evidenceBin          = 100 * time.Millisecond
-	evidenceBins         = 10   // a window of one second, so that a zone can be evacuated within one
-	minAttempts          = 8    // in the window, below which a zone is not judged
-	confidenceDeviations = 1.64 // of the bounds of a failure rate: 95% one-sided
+	binWidth         = 100 * time.Millisecond
+	binCount         = 10   // a window of one second, so that a zone can be evacuated within one
+	minAttempts      = 8    // in the window, below which a zone is not judged
+	confidenceZScore = 1.64 // of the bounds of a failure rate: 95% one-sided
 )
 
 // Conditions of an evacuation.
@@ -32,20 +32,20 @@
 	minFailureRateGap   = 0.25            // by which the other zones have to fail less
 	minFailingServers   = 0.6             // fraction of the servers seen that have to fail; less is not the zone's fault
 
-	initialEvacuation = 3 * time.Second // least time of a first evacuation; it doubles with each flap
-	maxEvacuation     = 2 * time.Minute
-	flapMemory        = time.Minute // healthy time after which flaps are forgotten
+	initialEvacuationTime = 3 * time.Second // least time of a first evacuation; it doubles with each flap
+	maxEvacuationTime     = 2 * time.Minute
+	flapResetTime         = time.Minute // healthy time after which flaps are forgotten
 )
 
 // Bounds of what a zone gets that is slow, on the ramp, or takes another one's traffic.
 const (
-	slowRatio                  = 2.0 // of the answer time to that of the other zones, from which a zone gets less
-	minSlowFraction            = 0.3 // least fraction that slowness alone leaves it
-	slowSmoothing              = 0.3 // of ratio and fraction, at each Update
-	initialRampFraction        = 0.05
-	minRampStep                = time.Second
-	maxRampStepWithoutEvidence = 5 * time.Second
-	maxFillFraction            = 0.8 // of a zone's warm capacity that another one's traffic may fill
+	slowResponseRatio   = 2.0 // of the answer time to that of the other zones, from which a zone gets less
+	minSlowFraction     = 0.3 // least fraction that slowness alone leaves it
+	slowSmoothing       = 0.3 // of ratio and fraction, at each Update
+	initialRampFraction = 0.05
+	minRampStepTime     = time.Second
+	maxRampStepTime     = 5 * time.Second
+	maxFillFraction     = 0.8 // of a zone's warm capacity that another one's traffic may fill
 )
 
 // State of a zone as one node sees it.
@@ -99,15 +99,15 @@
 	Distance float64 // by region and cost of crossing; the nearest are filled first
 	Capacity float64 // requests a second that its warm servers can take; 0 is not known
 
-	state              State
-	fraction           float64 // of its usual traffic that it may have
-	since              time.Duration
-	suspectSince       time.Duration // since when; below zero is not
-	evacuationTime     time.Duration // least time of an evacuation
-	order              Order
-	reason             string
-	evidenceByBin      [evidenceBins]counts
-	relativeAnswerTime float64 // to the other zones, smoothed
+	state                State
+	fraction             float64 // of its usual traffic that it may have
+	since                time.Duration
+	suspectSince         time.Duration // since when; below zero is not
+	evacuationTime       time.Duration // least time of an evacuation
+	order                Order
+	reason               string
+	bins                 [binCount]outcomeBin
+	relativeResponseTime float64 // to the other zones, smoothed
 }
 
 // Policy is the decisions of one node. It is not safe for concurrent use.
@@ -121,7 +121,7 @@
 func New(own string, zones []Zone) *Policy {
 	p := &Policy{own: own, byName: make(map[string]*Zone)}
 	for _, z := range zones {
-		z.fraction, z.suspectSince, z.evacuationTime = 1, -1, initialEvacuation
+		z.fraction, z.suspectSince, z.evacuationTime = 1, -1, initialEvacuationTime
 		p.zones = append(p.zones, &z)
 		p.byName[z.Name] = &z
 	}
@@ -149,21 +149,21 @@
 }
 
 // setState changes a zone's state.
-func (z *Zone) setState(now time.Duration, s State, part float64, why string) {
-	if z.state != s || why != z.reason {
+func (z *Zone) setState(now time.Duration, s State, fraction float64, reason string) {
+	if z.state != s || reason != z.reason {
 		z.since = now
 	}
-	z.state, z.fraction, z.reason, z.suspectSince = s, part, why, -1
+	z.state, z.fraction, z.reason, z.suspectSince = s, fraction, reason, -1
 }
 
 // Update decides anew. It is to be called every 100 ms or so.
 func (p *Policy) Update(now time.Duration) {
-	seen := make([]evidence, len(p.zones))
+	byZone := make([]attemptStats, len(p.zones))
 	for i, z := range p.zones {
-		seen[i] = z.evidence(now)
+		byZone[i] = z.attemptStats(now)
 	}
 	for i, z := range p.zones {
-		rest := p.evidenceElsewhere(seen, i)
+		others := p.statsOfOthers(byZone, i)
 		switch {
 		case z.order != NoOrder:
 		case z.state == Evacuated:
@@ -171,24 +171,24 @@
 				z.setState(now, Returning, initialRampFraction, "returning")
 			}
 		case z.state == Returning:
-			p.rampStep(now, z, seen[i], rest)
+			p.advanceRamp(now, z, byZone[i], others)
 		default:
-			p.judge(now, z, seen[i], rest)
+			p.evaluate(now, z, byZone[i], others)
 		}
 	}
 }
 
 // judge decides on a zone that is healthy or suspect.
-func (p *Policy) judge(now time.Duration, z *Zone, e, rest evidence) {
-	if z.state == Healthy && now >= z.since+flapMemory {
-		z.evacuationTime = initialEvacuation
+func (p *Policy) evaluate(now time.Duration, z *Zone, stats, others attemptStats) {
+	if z.state == Healthy && now >= z.since+flapResetTime {
+		z.evacuationTime = initialEvacuationTime
 	}
-	bad := e.n >= minAttempts && e.failed >= minFailingServers && elsewhere(e, rest)
+	failing := stats.attempts >= minAttempts && stats.failingServers >= minFailingServers && othersHealthier(stats, others)
 	switch {
-	case bad && e.low >= evacuateFailureRate:
+	case failing && stats.failureRateLow >= evacuateFailureRate:
 		p.evacuate(now, z, "most of it fails")
 		return
-	case bad && e.low >= suspectFailureRate:
+	case failing && stats.failureRateLow >= suspectFailureRate:
 		if z.suspectSince < 0 {
 			z.suspectSince = now
 		}
@@ -203,48 +203,48 @@
 			z.setState(now, Healthy, z.fraction, "")
 		}
 	}
-	p.brownout(z, e, rest)
+	p.adjustForResponseTime(z, stats, others)
 }
 
 // brownout gives a zone that answers slower than the others less traffic, in proportion, and gives it back as the zone
 // answers faster.
-func (p *Policy) brownout(z *Zone, e, rest evidence) {
-	if e.n < minAttempts || rest.n < minAttempts || e.answer == 0 || rest.answer == 0 {
+func (p *Policy) adjustForResponseTime(z *Zone, stats, others attemptStats) {
+	if stats.attempts < minAttempts || others.attempts < minAttempts || stats.responseSeconds == 0 || others.responseSeconds == 0 {
 		return
 	}
-	z.relativeAnswerTime += slowSmoothing * (e.answer/rest.answer - z.relativeAnswerTime)
-	want := 1.0
-	if z.relativeAnswerTime > slowRatio {
-		want = math.Max(minSlowFraction, slowRatio/z.relativeAnswerTime)
+	z.relativeResponseTime += slowSmoothing * (stats.responseSeconds/others.responseSeconds - z.relativeResponseTime)
+	target := 1.0
+	if z.relativeResponseTime > slowResponseRatio {
+		target = math.Max(minSlowFraction, slowResponseRatio/z.relativeResponseTime)
 	}
-	z.fraction += slowSmoothing * (want - z.fraction)
+	z.fraction += slowSmoothing * (target - z.fraction)
 	if z.fraction > 0.99 {
 		z.fraction = 1
 	}
 }
 
 // evacuate stops sending to a zone, for longer at each flap.
-func (p *Policy) evacuate(now time.Duration, z *Zone, why string) {
-	if z.state == Returning || (now < z.since+flapMemory && z.since > 0) {
-		z.evacuationTime = min(2*z.evacuationTime, maxEvacuation)
+func (p *Policy) evacuate(now time.Duration, z *Zone, reason string) {
+	if z.state == Returning || (now < z.since+flapResetTime && z.since > 0) {
+		z.evacuationTime = min(2*z.evacuationTime, maxEvacuationTime)
 	}
-	z.setState(now, Evacuated, 0, why)
+	z.setState(now, Evacuated, 0, reason)
 }
 
 // rampStep decides on a zone on the recovery ramp: the next step where the attempts of this one succeed, the one before at
 // once where they fail, and an evacuation where that was the first step.
-func (p *Policy) rampStep(now time.Duration, z *Zone, e, rest evidence) {
-	held := now - z.since
+func (p *Policy) advanceRamp(now time.Duration, z *Zone, stats, others attemptStats) {
+	elapsed := now - z.since
 	switch {
-	case e.n >= minAttempts && e.low >= suspectFailureRate && elsewhere(e, rest):
-		z.evacuationTime = min(2*z.evacuationTime, maxEvacuation)
+	case stats.attempts >= minAttempts && stats.failureRateLow >= suspectFailureRate && othersHealthier(stats, others):
+		z.evacuationTime = min(2*z.evacuationTime, maxEvacuationTime)
 		z.fraction /= 4
 		if z.fraction < initialRampFraction {
 			z.setState(now, Evacuated, 0, "failed on return")
 			return
 		}
 		z.since = now
-	case held >= minRampStep && e.n >= minAttempts && e.high < suspectFailureRate, held >= maxRampStepWithoutEvidence && e.low < suspectFailureRate:
+	case elapsed >= minRampStepTime && stats.attempts >= minAttempts && stats.failureRateHigh < suspectFailureRate, elapsed >= maxRampStepTime && stats.failureRateLow < suspectFailureRate:
 		z.fraction = math.Min(1, 2*z.fraction)
 		if z.fraction == 1 {
 			z.setState(now, Healthy, 1, "")
