--- a/fleet/ratelimit/bucket.go
+++ b/fleet/ratelimit/bucket.go
@@ -10,18 +10,19 @@
 	Quota
 	level     float64
 	updatedAt time.Duration
-	consumed  float64 // tokens since it was made here
-	// inherited says that its first level was not handed over by the owner before, which was not heard.
+	consumed  float64 // tokens consumed since this node created the bucket
+	// provisional reports that the initial level was estimated, because the previous owner was unreachable and
+	// transferred no bucket.
 	provisional bool
 	createdAt   time.Duration
 	overflow    overflowHistory
 
-	reportedLevel float64 // the level that was reported last
+	reportedLevel float64 // level in the last report; meaningless unless hasReported
 	reportedAt    time.Duration
 	hasReported   bool
 }
 
-// NewBucket returns a bucket with a level.
+// NewBucket returns a bucket with the given level, in tokens.
 func NewBucket(q Quota, level float64, now time.Duration) *Bucket {
 	return &Bucket{Quota: q, level: level, updatedAt: now}
 }
@@ -29,13 +30,14 @@
 // Level returns the tokens that the bucket holds.
 func (b *Bucket) Level(now time.Duration) float64 { return b.levelAfter(b.level, now-b.updatedAt) }
 
-// Consume takes tokens, or gives them back where they are below zero. What the bucket does not hold went beyond the
-// quota and leaves no debt: the platform takes it from nobody.
+// Consume removes tokens from the bucket; a negative number returns them. The level stops at 0: tokens consumed beyond
+// the quota leave no debt, because the platform charges them to nobody.
 func (b *Bucket) Consume(tokens float64, now time.Duration) { b.ConsumeLate(tokens, 0, now) }
 
-// ConsumeLate takes tokens that were consumed up to some time ago and are reported only now: after a partition, or as
-// their owner died. Had they been reported at once, less of the refill since then would have overflowed; so they come
-// off that first. A bucket would else be empty by the consumption of a whole partition when it ends.
+// ConsumeLate removes tokens that were consumed up to age ago and are reported only now, as after a partition or the
+// loss of the previous owner. Had they been reported at once, less of the refill since then would have overflowed.
+// Therefore they are first taken from that overflow and only then from the level; otherwise the consumption of a whole
+// partition would empty the bucket when the partition ends.
 func (b *Bucket) ConsumeLate(tokens float64, age, now time.Duration) {
 	b.advance(now)
 	b.consumed += tokens
@@ -45,7 +47,7 @@
 	b.set(b.level-tokens, now)
 }
 
-// advance refills the bucket up to now and remembers the refill that found it full.
+// advance refills the bucket up to now and records the refill that overflowed because the bucket was full.
 func (b *Bucket) advance(now time.Duration) {
 	if now <= b.updatedAt {
 		return
@@ -57,15 +59,18 @@
 	b.set(b.Level(now), now)
 }
 
+// set sets the level as of now, limited to the range from 0 to the burst.
 func (b *Bucket) set(level float64, now time.Duration) {
 	b.level = math.Max(0, math.Min(b.Burst, level))
 	b.updatedAt = now
 }
 
-// Merge takes over the bucket of another owner. Where this one inherited the tenant from that owner, the owner's
-// level stands, less what was consumed here since. Where the other one inherited it from this node, which was not
-// heard but lived, as on a side of a partition, what was consumed there in that time is taken from this one too. Of
-// two that are neither the lower level counts.
+// Merge merges a bucket of the same tenant that another owner has transferred: its level, the tokens consumed from it,
+// whether it is provisional, and, if it is, the time since its creation (age).
+//
+// If only this bucket is provisional, the transferred level replaces its level, less the tokens consumed here. If only
+// the other one is provisional, its owner had taken this node for dead, as on the other side of a partition; the
+// tokens consumed there are removed here too. In the remaining cases the lower level is kept.
 func (b *Bucket) Merge(level, consumed float64, provisional bool, age, now time.Duration) {
 	b.advance(now)
 	switch {
@@ -82,8 +87,9 @@
 	}
 }
 
-// DueReport returns the level that is to be reported now, if one is: while the bucket is low, when the other nodes
-// reckon with another level or will soon reckon with none.
+// DueReport returns the level to be reported now and records it as reported; ok is false if no report is due. A report
+// is due when the bucket is low, or the other nodes estimate it to be, and their estimate is off by minReportChange of
+// the burst or their last report is about to expire.
 func (b *Bucket) DueReport(now time.Duration) (level float64, ok bool) {
 	level = b.Level(now)
 	assumed := b.levelAfter(b.reportedLevel, now-b.reportedAt)
@@ -101,20 +107,21 @@
 func (b *Bucket) isLow(level float64) bool { return level < lowFraction*b.Burst }
 
 const (
-	// lateAfter is the wait from which consumption counts as of the time when it happened.
+	// minLateAge is the age from which consumption is applied as of the time when it happened; see ConsumeLate.
 	minLateAge       = ReportLifetime
 	overflowBinWidth = 500 * time.Millisecond
-	// overflowBins hold 16 s: twice what the membership takes to see that one of sixty nodes is gone.
+	// overflowBinCount bins cover 16 s, twice the time that the membership needs to detect the loss of one of sixty
+	// nodes.
 	overflowBinCount = 32
 )
 
-// overflowHistory holds the refill that found a bucket full, in tokens by time.
+// overflowHistory records the refill that overflowed because the bucket was full, in tokens for each time bin.
 type overflowHistory struct {
-	bins    [overflowBinCount]float32
-	lastBin int64 // latest bin in use
+	bins    [overflowBinCount]float32 // ring, indexed by bin number modulo overflowBinCount
+	lastBin int64                     // number of the latest bin in use
 }
 
-// advance clears the bins that begin anew up to now, and returns the present one.
+// advance clears the bins that are reused up to now, and returns the number of the current bin.
 func (h *overflowHistory) advance(now time.Duration) int64 {
 	bin := int64(now / overflowBinWidth)
 	for i := max(h.lastBin+1, bin-overflowBinCount+1); i <= bin; i++ {
@@ -124,7 +131,7 @@
 	return bin
 }
 
-// add adds a refill that overflowed at a rate up to now.
+// add records tokens that overflowed up to now at the given rate, in tokens per second.
 func (h *overflowHistory) add(tokens, rate float64, now time.Duration) {
 	bin := h.advance(now)
 	start := now - time.Duration(tokens/rate*float64(time.Second))
@@ -135,7 +142,8 @@
 	}
 }
 
-// absorb takes up to some tokens from what overflowed in the last span, and returns how many it took.
+// absorb removes up to the given number of tokens from the overflow of the given period up to now, oldest first, and
+// returns the number removed.
 func (h *overflowHistory) absorb(tokens float64, period, now time.Duration) float64 {
 	left := tokens
 	bin := h.advance(now)
--- a/fleet/ratelimit/limiter.go
+++ b/fleet/ratelimit/limiter.go
@@ -8,105 +8,111 @@
 )
 
 const (
-	batchInterval   = 50 * time.Millisecond  // for which consumption for one owner is gathered
-	correctionDelay = 400 * time.Millisecond // for which corrections wait for consumption to go with
-	resendInterval  = 300 * time.Millisecond // after which what is not acknowledged is sent again
-	publishInterval = 250 * time.Millisecond // between two reports of an owner that all its low buckets are reported
-	relayInterval   = 100 * time.Millisecond // for which a relay gathers what it forwards
-	echoInterval    = time.Second            // at which a receiver of reports sends something, so that ages are known
+	batchInterval   = 50 * time.Millisecond  // time for which consumption for one owner is batched
+	correctionDelay = 400 * time.Millisecond // longest wait of a correction for consumption to be sent with
+	resendInterval  = 300 * time.Millisecond // time after which an unacknowledged message is sent again
+	publishInterval = 250 * time.Millisecond // longest time between two publications of an active owner
+	relayInterval   = 100 * time.Millisecond // time for which a relay batches the reports that it forwards
+	// echoInterval is the longest time between two messages to a peer that sends reports. The peer echoes their
+	// numbers, without which the age of its reports is unknown.
+	echoInterval = time.Second
 
-	// publishDuration is how long after the last consumption an owner goes on with its reports: buckets are full then.
+	// publishDuration is the time for which an owner continues to report after the last consumption. Its buckets are
+	// full by then.
 	publishDuration = 10 * time.Second
-	// ownershipSettleTime is how long after a change of a tenant's owner no report is used.
+	// ownershipSettleTime is the time after a change of a tenant's owner in which no level of its bucket is used.
 	ownershipSettleTime = 2 * time.Second
-	// suspendThreshold is how late a flush must be for the process to have been suspended.
+	// suspendThreshold is the delay of a flush from which the process is taken to have been suspended.
 	suspendThreshold = 500 * time.Millisecond
-	// tenantRetention is when tenants that sent nothing are forgotten: their buckets are full again.
+	// tenantRetention is the time after which unused tenants are forgotten. Their buckets are full again by then.
 	tenantRetention = 15 * time.Second
-	// rememberedNumbers is how many message numbers have their time remembered; an older echo tells no age.
+	// maxSendTimes is the number of latest messages on a link whose send times are kept. The echo of an older message
+	// gives no age.
 	maxSendTimes = 16
-	// lastHop is the number of hops of a report: from its owner to the owner's relay, to all relays, to all nodes.
+	// lastHop is the number of hops of a report: from the owner to the relay of its group, from there to all relays,
+	// and from each relay to the nodes of its group.
 	lastHop = 3
 )
 
-// Config says how a node takes part.
+// Config configures a Limiter.
 type Config struct {
-	Node, FleetSize int    // index of this node, and number of nodes
-	Incarnation     uint64 // of this process, as other nodes see it
-	Quotas          map[uint32]Quota
-	MaxTenants      int // remembered
+	Node, FleetSize int              // index of this node in the fleet, and number of nodes
+	Incarnation     uint64           // incarnation of this process, as the membership announces it
+	Quotas          map[uint32]Quota // by plan; a plan without an entry or with rate 0 has no limit
+	MaxTenants      int              // number of tenants whose state is kept
 }
 
-// Peer is another node that is live.
+// Peer is another live node.
 type Peer struct {
 	Index       int
 	Incarnation uint64
 }
 
-// Outgoing is a message to be sent.
+// Outgoing is a message to be sent to the node with index To.
 type Outgoing struct {
 	To      int
 	Message *Message
 }
 
-// Counts are counters for the operators' metrics.
+// Counts holds the counters that are exported as metrics.
 type Counts struct {
 	Sent, Received int64 // messages
 	Expired        int64 // reports dropped because they had expired
-	UnknownAge     int64 // messages whose reports were dropped because their age is not known
-	UnknownSender  int64 // messages of a process that is not live
+	UnknownAge     int64 // messages whose reports were dropped because their age is unknown
+	UnknownSender  int64 // messages dropped because the sender's incarnation is not known
 	Resent         int64 // messages sent again
-	Duplicates     int64 // messages whose consumption was applied before
-	Unowned        int64 // consumption for which there is no live owner
-	OutlierReports int64 // own reports on slow servers
+	Duplicates     int64 // messages whose consumption had been applied before
+	Unowned        int64 // notifications dropped because the tenant has no live owner
+	OutlierReports int64 // this node's own reports on slow servers
 	Outliers       int64 // outliers found
-	TransferredOut int64 // buckets handed to another owner
-	TransferredIn  int64 // buckets taken over
-	Buckets        int64 // owned here now
-	LowBuckets     int64 // of them, low ones
+	TransferredOut int64 // buckets transferred to another owner
+	TransferredIn  int64 // buckets received from another owner
+	Buckets        int64 // buckets owned now
+	LowBuckets     int64 // buckets owned now that are low
 }
 
-// Limiter is one node's part in the shared rate limits: it owns the buckets of some tenants, notifies the owners of
-// the others, and forwards reports where it is a relay. It is not safe for concurrent use.
+// Limiter is one node's part of the shared rate limits: it owns the buckets of some tenants, notifies the owners of
+// the others, and forwards reports if it is a relay. The caller passes it the live nodes (SetLivePeers) and the
+// received messages (Receive), and sends the messages that Flush returns. It is not safe for concurrent use.
 type Limiter struct {
 	Counts Counts
 	config Config
 
-	epoch        uint64   // counts membership changes
-	liveNodes    []int    // this one among them, in order
-	alive        []bool   // by index
-	hasLeft      bool     // this node is leaving: it notifies owners, and owns nothing
-	incarnations []uint64 // of the nodes' processes, by index; of a dead node, the last; 0 is not known
+	epoch        uint64   // number of membership changes
+	liveNodes    []int    // indexes of the live nodes, sorted; includes this node unless hasLeft
+	alive        []bool   // whether a node is live, by index
+	hasLeft      bool     // set by Leave: this node notifies owners but owns no bucket
+	incarnations []uint64 // last known incarnation of each node, by index; 0 means unknown
 	relayGroups  relayGroups
-	relay        int   // of this node's group; itself where it is one
-	groupMembers []int // the nodes of its group, where it is their relay
+	relay        int   // relay of this node's group; may be this node
+	groupMembers []int // other live nodes of the group if this node is its relay, else empty
 
-	recentTenants map[uint64]*tenantState // used since rotatedAt
-	olderTenants  map[uint64]*tenantState // used in the retention time before
+	recentTenants map[uint64]*tenantState // tenants used since rotatedAt
+	olderTenants  map[uint64]*tenantState // tenants used in the period before rotatedAt
 	rotatedAt     time.Duration
-	ownedTenants  map[uint64]*tenantState // with a bucket here
-	lowTenants    map[uint64]*tenantState // of them, with a low one
+	ownedTenants  map[uint64]*tenantState // tenants whose bucket is held here
+	lowTenants    map[uint64]*tenantState // those of ownedTenants whose bucket is low
 
-	links              map[int]*peerLink
-	activeLinks        map[int]*peerLink     // with something to send, or waiting for an acknowledgement
-	lastMessageNumbers map[int]uint32        // of links that are gone, so that no number is used twice
-	sequence           uint32                // of the last consumption, to any node
-	ownerReportedAt    map[int]time.Duration // by owner: until when its low buckets are known
+	links              map[int]*peerLink     // by node
+	activeLinks        map[int]*peerLink     // links with something to send or waiting for an acknowledgement
+	lastMessageNumbers map[int]uint32        // last number of a dropped link, by node; no number is used twice
+	sequence           uint32                // sequence number of the last consumption sent to any node
+	ownerReportedAt    map[int]time.Duration // time as of which an owner has reported all its low buckets, by owner
 
 	outlierReports outlierReportSet
-	ownReports     reportQueue // to be published as an owner
-	toRelays       reportQueue // to be forwarded to the other relays
-	toGroup        reportQueue // to be forwarded to the nodes of this relay's group
+	ownReports     reportQueue // reports that this node publishes as an owner
+	toRelays       reportQueue // reports to be forwarded to the other relays
+	toGroup        reportQueue // reports to be forwarded to the nodes of this relay's group
 
-	lastConsumptionAt time.Duration // of a tenant that is owned here
-	publishAt         time.Duration
-	relayAt           time.Duration // when reports are forwarded next; 0 is none to forward
-	maxDistance       int           // the largest distance of a node of a tenant that was owned here
-	quietUntil        time.Duration // after a suspension: nothing is published
-	flushAt           time.Duration // below zero is never
+	lastConsumptionAt time.Duration // time of the last consumption from a bucket owned here
+	publishAt         time.Duration // time of the next publication
+	relayAt           time.Duration // time of the next forwarding; 0 means that nothing is queued
+	maxDistance       int           // largest index distance from this node to a node of a tenant that it has owned
+	quietUntil        time.Duration // end of the quiet period after a suspension: no report, and no use of own buckets
+	flushAt           time.Duration // time of the next flush; negative means none
 }
 
-// NewLimiter returns a node's part; it is alone until SetLivePeers names other nodes.
+// NewLimiter returns the limiter of a node, with no other live nodes until SetLivePeers is called.
 func NewLimiter(cfg Config, now time.Duration) *Limiter {
 	l := &Limiter{
 		config:             cfg,
@@ -131,22 +137,23 @@
 	return l
 }
 
-// NextFlush returns when Flush is to be called next, if at all.
+// NextFlush returns the time at which Flush is to be called next; ok is false if no flush is scheduled.
 func (l *Limiter) NextFlush() (when time.Duration, ok bool) { return l.flushAt, l.flushAt >= 0 }
 
+// scheduleFlush schedules a flush at the given time, unless an earlier one is scheduled.
 func (l *Limiter) scheduleFlush(when time.Duration) {
 	if l.flushAt < 0 || when < l.flushAt {
 		l.flushAt = when
 	}
 }
 
-// SetLivePeers takes the other nodes that are live. Buckets whose owner is another node now go to it, and so does the
-// consumption that the owner before has not acknowledged.
+// SetLivePeers sets the other live nodes. Buckets that another node owns under the new membership are transferred to
+// it, and consumption that a node now dead has not acknowledged is sent to the new owner.
 func (l *Limiter) SetLivePeers(now time.Duration, others []Peer) {
 	l.applyMembership(others)
 	undelivered := l.dropDeadLinks()
 	for _, key := range slices.Sorted(maps.Keys(l.ownedTenants)) {
-		// A bucket that this node has left and for which there is no other owner stays here.
+		// After Leave, a bucket without another owner stays here.
 		t := l.ownedTenants[key]
 		if l.ownerOf(t, now) != l.config.Node && t.owner >= 0 {
 			l.transfer(t, now)
@@ -160,7 +167,7 @@
 	}
 }
 
-// dropDeadLinks drops the links to processes that are gone and returns the consumption that they have not
+// dropDeadLinks removes the links to processes that are no longer live and returns the consumption that they have not
 // acknowledged.
 func (l *Limiter) dropDeadLinks() []pendingConsumption {
 	var undelivered []pendingConsumption
@@ -177,7 +184,8 @@
 	return undelivered
 }
 
-// applyMembership puts a membership in force.
+// applyMembership replaces the set of live nodes and selects the relays anew. Peers with an index outside the fleet,
+// this node itself and repeated ones are skipped.
 func (l *Limiter) applyMembership(others []Peer) {
 	l.epoch++
 	l.liveNodes = l.liveNodes[:0]
@@ -210,8 +218,8 @@
 	}
 }
 
-// Leave hands the buckets that are owned here to the nodes that own them when this node is gone. From now on this node
-// notifies those of what it consumes. Flush is to be called after it.
+// Leave transfers the buckets that are owned here to the nodes that own them without this node. From then on this node
+// owns no bucket and notifies the owners of its consumption. The caller must call Flush afterwards.
 func (l *Limiter) Leave(now time.Duration) {
 	l.epoch++
 	l.hasLeft = true
@@ -224,14 +232,14 @@
 	}
 }
 
-// Rejoin takes back a Leave: this node may own buckets again. SetLivePeers is to be called after it.
+// Rejoin reverts Leave: this node may own buckets again. The caller must call SetLivePeers afterwards.
 func (l *Limiter) Rejoin() {
 	l.epoch++
 	l.hasLeft = false
 	l.alive[l.config.Node] = true
 }
 
-// transfer hands a bucket to its new owner.
+// transfer queues a bucket for transfer to its new owner and drops it here.
 func (l *Limiter) transfer(t *tenantState, now time.Duration) {
 	link := l.scheduleSend(t.owner, now)
 	link.transfers = append(link.transfers, Transfer{
@@ -253,7 +261,7 @@
 	delete(l.lowTenants, t.key)
 }
 
-// Stats returns the counters, with what is owned now.
+// Stats returns the counters, including the current number of buckets.
 func (l *Limiter) Stats() Counts {
 	l.Counts.Buckets = int64(len(l.ownedTenants))
 	l.Counts.LowBuckets = int64(len(l.lowTenants))
--- a/fleet/ratelimit/link.go
+++ b/fleet/ratelimit/link.go
@@ -6,38 +6,39 @@
 	"time"
 )
 
-// peerLink is what this node and another one have sent each other.
+// peerLink is the state of the message exchange with one process at another node.
 type peerLink struct {
-	incarnation uint64 // of the other process
+	incarnation uint64 // incarnation of the peer
 
-	number     uint32                      // of the last message to it
-	sentAt     [maxSendTimes]time.Duration // by number
+	number     uint32                      // number of the last message sent
+	sentAt     [maxSendTimes]time.Duration // send times, by message number modulo maxSendTimes
 	hasSent    bool
 	lastSentAt time.Duration
 
-	receivedNumber uint32 // latest number of its messages
+	receivedNumber uint32 // highest number of a message received; 0 means none
 	receivedAt     time.Duration
 
-	sendAt              time.Duration // when something is to be sent; below zero is nothing
-	pending             map[uint64]*pendingConsumption
-	transfers           []Transfer    // to be sent
-	oldestProvisionalAt time.Duration // when the oldest inherited bucket of transfers was made; 0 is none
+	sendAt              time.Duration                  // time of the next message; negative means none is due
+	pending             map[uint64]*pendingConsumption // consumption to be sent, by tenant
+	transfers           []Transfer                     // buckets to be sent
+	oldestProvisionalAt time.Duration                  // creation time of the oldest provisional bucket to be sent; 0 means none
 
-	unacknowledged       *Message // with consumption; nil is none
+	unacknowledged       *Message // last message with a Sequence, until it is acknowledged; nil means none
 	unacknowledgedSentAt time.Duration
-	oldestConsumptionAt  time.Duration // since when the oldest in unacknowledged waits
+	oldestConsumptionAt  time.Duration // time of the oldest consumption in unacknowledged
 
-	appliedSequence uint32 // of its consumption, last
+	appliedSequence uint32 // Sequence of the peer's message that was applied last
 	ackDue          bool
-	ackLevels       map[uint64]*tenantState // whose levels go with the acknowledgement
+	ackLevels       map[uint64]*tenantState // tenants whose levels are sent with the acknowledgement
 }
 
-// pendingConsumption is consumption that has not been sent, and since when it waits.
+// pendingConsumption is consumption that has not been sent, with the time of the oldest part of it.
 type pendingConsumption struct {
 	Consumption
 	consumedAt time.Duration
 }
 
+// link returns the link to a node, which is created at the first call.
 func (l *Limiter) link(node int) *peerLink {
 	link := l.links[node]
 	if link == nil {
@@ -53,7 +54,8 @@
 	return link
 }
 
-// sendBy has something sent to a node by a time.
+// scheduleSend schedules a message to a node at the given time, unless an earlier one is scheduled, and returns the
+// link to the node.
 func (l *Limiter) scheduleSend(node int, when time.Duration) *peerLink {
 	link := l.link(node)
 	if link.sendAt < 0 || when < link.sendAt {
@@ -64,10 +66,10 @@
 	return link
 }
 
-// hasPending reports whether consumption or transfers wait to be sent.
+// hasPending reports whether there is consumption or a transfer to be sent.
 func (p *peerLink) hasPending() bool { return len(p.pending)+len(p.transfers) > 0 }
 
-// unacknowledgedConsumptions returns the consumption that the other side has not acknowledged.
+// undeliveredConsumptions returns the consumption that the peer has not acknowledged, whether it was sent or not.
 func (p *peerLink) undeliveredConsumptions() []pendingConsumption {
 	var list []pendingConsumption
 	if p.unacknowledged != nil {
@@ -81,8 +83,9 @@
 	return list
 }
 
-// sentAtLeastAt returns the earliest time, on this node's clock, at which a message can have been sent: its sender had
-// received our number so long before. It is known only for numbers that were sent lately.
+// earliestSendTime returns the earliest time, on this node's clock, at which a received message can have been sent: the
+// sender had by then held this node's message Echo for EchoDelay. ok is false if the message echoes none of the last
+// maxSendTimes messages of this process.
 func (p *peerLink) earliestSendTime(m *Message, incarnation uint64) (time.Duration, bool) {
 	if m.Echo == 0 || m.EchoIncarnation != uint32(incarnation) || p.number-m.Echo >= maxSendTimes {
 		return 0, false
--- a/fleet/ratelimit/message.go
+++ b/fleet/ratelimit/message.go
@@ -9,84 +9,87 @@
 )
 
 const (
-	// MaxMessageBytes is the size of a message at most: a datagram that no link splits.
+	// MaxMessageBytes is the maximum size of a message: it fits a datagram that no link fragments.
 	MaxMessageBytes = 1300
 
-	maxConsumptions = 25     // and transfers, in a message
-	maxAckLevels    = 12     // levels beside an acknowledgement
-	maxLevels       = 28     // in a message, beside maxOwners
-	maxOwners       = 36     // in a message
-	maxTokens       = 1e6    // of a consumption or a level
-	maxAgeMillis    = 60_000 // of all that a message holds
+	maxConsumptions = 25     // consumptions and transfers in a message
+	maxAckLevels    = 12     // levels in a message with an acknowledgement
+	maxLevels       = 28     // levels in a message that also holds maxOwners owner reports
+	maxOwners       = 36     // owner reports in a message
+	maxTokens       = 1e6    // tokens of a consumption or a level
+	maxAgeMillis    = 60_000 // age of any entry, in ms
 )
 
-// Message is what one node sends another: consumptions and transfers, each to be applied once, and reports of levels,
-// owners and slow servers. It is encoded as CBOR by the numbers in its tags, which may not change; unknown fields are
-// skipped.
+// Message is a message from one node to another. It holds consumptions and transfers, each of which the receiver
+// applies once, and reports on levels, owners and slow servers. It is encoded as CBOR with the numbers in its tags as
+// keys, which must not change; unknown fields are skipped.
 type Message struct {
 	Sender      int    `cbor:"1,keyasint"` // index in the fleet
 	Incarnation uint64 `cbor:"2,keyasint"` // of the sender's process
-	Number      uint32 `cbor:"3,keyasint"` // counts its messages to this receiver
+	Number      uint32 `cbor:"3,keyasint"` // number of the message from this sender to this receiver
 
-	// Echo is the latest message number that has come of the receiver's process EchoIncarnation, EchoDelay the time
-	// since in microseconds: this message was sent no earlier than EchoDelay after the receiver sent that one.
+	// Echo is the highest message number that the sender has received from the receiver's process EchoIncarnation,
+	// and EchoDelay the time since then in microseconds. This message was therefore sent no earlier than EchoDelay
+	// after the receiver sent that one. Echo 0 means that no message has been received.
 	Echo            uint32 `cbor:"4,keyasint,omitempty"`
 	EchoIncarnation uint32 `cbor:"5,keyasint,omitempty"`
 	EchoDelay       uint32 `cbor:"6,keyasint,omitempty"`
 
-	Sequence     uint32        `cbor:"7,keyasint,omitempty"` // of Consumptions and Transfers; 0 is none
-	Acknowledged uint32        `cbor:"8,keyasint,omitempty"` // the receiver's Sequence that was applied last
+	Sequence     uint32        `cbor:"7,keyasint,omitempty"` // of Consumptions and Transfers; 0 means there are none
+	Acknowledged uint32        `cbor:"8,keyasint,omitempty"` // Sequence of the receiver's message that was applied last
 	Consumptions []Consumption `cbor:"9,keyasint,omitempty"`
 	Transfers    []Transfer    `cbor:"10,keyasint,omitempty"`
-	// Hop counts how often Levels, Owners and OutlierReports were forwarded; 0 is by the owner for its receiver alone.
+	// Hop is the number of the hop on which Levels, Owners and OutlierReports are sent, from 1 to lastHop; 0 means that
+	// the owner sends them to this receiver only.
 	Hop            int             `cbor:"11,keyasint,omitempty"`
 	Levels         []LevelReport   `cbor:"12,keyasint,omitempty"`
 	Owners         []OwnerReport   `cbor:"13,keyasint,omitempty"`
 	OutlierReports []OutlierReport `cbor:"14,keyasint,omitempty"`
 
-	ConsumptionAge uint32 `cbor:"15,keyasint,omitempty"` // ms that the oldest of Consumptions has waited
-	TransferAge    uint32 `cbor:"16,keyasint,omitempty"` // ms since the oldest inherited bucket of Transfers was made
+	ConsumptionAge uint32 `cbor:"15,keyasint,omitempty"` // age of the oldest of Consumptions, in ms
+	TransferAge    uint32 `cbor:"16,keyasint,omitempty"` // age of the oldest provisional bucket of Transfers, in ms
 }
 
-// Consumption is the tokens that one node has consumed of a tenant's quota since its last report to the owner; below
-// zero, tokens that it had counted too many.
+// Consumption is the number of tokens of a tenant's quota that one node has consumed since its last notification of the
+// owner. It is negative if the node had reported too many.
 type Consumption struct {
 	_      struct{} `cbor:",toarray"`
 	Tenant uint64
 	Plan   uint32
-	First  int // of the tenant's nodes
-	Count  int
+	First  int // NodeRange.First of the tenant
+	Count  int // NodeRange.Count of the tenant
 	Tokens float32
 }
 
-// Transfer is a bucket that an owner hands to the next one.
+// Transfer is a bucket that an owner transfers to the next one.
 type Transfer struct {
 	_           struct{} `cbor:",toarray"`
 	Tenant      uint64
 	Plan        uint32
-	First       int // of the tenant's nodes
-	Count       int
-	Level       float32
-	Consumed    float32 // since it was made
-	Provisional bool    // made to follow an owner that was not heard
+	First       int     // NodeRange.First of the tenant
+	Count       int     // NodeRange.Count of the tenant
+	Level       float32 // tokens in the bucket
+	Consumed    float32 // tokens consumed since the sender created the bucket
+	Provisional bool    // created with an estimated level, because the owner before was unreachable
 }
 
 // LevelReport is the level of a tenant's bucket.
 type LevelReport struct {
 	_      struct{} `cbor:",toarray"`
 	Tenant uint64
-	First  int // of the tenant's nodes
-	Count  int
+	First  int // NodeRange.First of the tenant
+	Count  int // NodeRange.Count of the tenant
 	Tokens float32
 	Age    uint32 // ms
 }
 
-// OwnerReport says that an owner has reported all its low buckets.
+// OwnerReport states that an owner has reported the levels of all its low buckets, so that its other buckets are not
+// low.
 type OwnerReport struct {
 	_           struct{} `cbor:",toarray"`
-	Node        int
-	MaxDistance int    // how far from it, by index, its tenants' nodes are
-	Age         uint32 // ms
+	Node        int      // the owner
+	MaxDistance int      // upper bound of the index distance from the owner to the nodes of its tenants
+	Age         uint32   // ms
 }
 
 var (
@@ -94,7 +97,7 @@
 	decoder = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
 )
 
-// Encode returns a message's bytes, in canonical form.
+// Encode returns the canonical CBOR encoding of a message. It fails if that exceeds MaxMessageBytes.
 func (m *Message) Encode() ([]byte, error) {
 	raw, err := encoder.Marshal(m)
 	if err == nil && len(raw) > MaxMessageBytes {
@@ -103,7 +106,8 @@
 	return raw, err
 }
 
-// Decode reads a message of a node of a fleet. A message with anything that is out of range is dropped whole.
+// Decode decodes a message between nodes of a fleet of the given size. It returns an error if any part of the message
+// is out of range.
 func Decode(raw []byte, fleetSize int) (*Message, error) {
 	if len(raw) > MaxMessageBytes {
 		return nil, fmt.Errorf("message of %d bytes, over %d", len(raw), MaxMessageBytes)
@@ -115,7 +119,7 @@
 	return m, m.check(fleetSize)
 }
 
-// Errors of a message that holds what is out of range.
+// Errors of Message.check.
 var (
 	errHeader        = errors.New("message header out of range")
 	errAge           = errors.New("message age out of range")
@@ -123,11 +127,11 @@
 	errConsumption   = errors.New("consumption out of range")
 	errTransfer      = errors.New("transferred bucket out of range")
 	errLevel         = errors.New("level report out of range")
-	errOutlierReport = errors.New("slow report out of range")
+	errOutlierReport = errors.New("outlier report out of range")
 	errOwner         = errors.New("owner report out of range")
 )
 
-// check reports what of a message is out of range in a fleet of some size.
+// check returns an error if any part of a message is out of range in a fleet of the given size.
 func (m *Message) check(fleetSize int) error {
 	validNode := func(i int) bool { return i >= 0 && i < fleetSize }
 	unsequenced := m.Sequence == 0 && len(m.Consumptions)+len(m.Transfers) > 0
@@ -157,7 +161,7 @@
 	return nil
 }
 
-// checkBuckets checks what a message says of tenants' buckets.
+// checkBuckets checks the consumptions, transfers and levels of a message.
 func (m *Message) checkBuckets(fleetSize int) error {
 	validRange := func(first, count int) bool {
 		return first >= 0 && first < fleetSize && count >= 1 && count <= fleetSize
--- a/fleet/ratelimit/outliers.go
+++ b/fleet/ratelimit/outliers.go
@@ -9,46 +9,48 @@
 )
 
 const (
-	// OutlierReportLifetime is the age at which a report on a slow server counts no more.
+	// OutlierReportLifetime is the age at which a report on a slow server expires.
 	OutlierReportLifetime = 2 * time.Second
-	// agreementWindow is the time within which reports have to agree: odd long requests of a fleet come further apart.
+	// agreementWindow is the time before the latest report on a server within which other reports agree with it.
+	// Single long requests, which occur at any server, are further apart in a fleet.
 	agreementWindow = 700 * time.Millisecond
 
-	// An outlier needs reporterFraction of the live nodes as independent reporters, within these limits. One alone
-	// may have a bad link of its own.
+	// A server is an outlier if reporterFraction of the live nodes report it, but at least minReportersNeeded and no
+	// more than maxReportersNeeded nodes are required. A single reporter may itself have a bad link.
 	reporterFraction   = 0.2
 	minReportersNeeded = 2.0
 	maxReportersNeeded = 4.0
-	// maxReportedFraction is the fraction of the servers beyond which a node that reports them is itself to blame.
+	// maxReportedFraction is the fraction of the servers from which a node that reports more is taken to be the cause
+	// itself; its reports are ignored.
 	maxReportedFraction = 0.34
 
-	maxReportedServers = 64 // remembered
-	maxOutlierReports  = 30 // in a message
+	maxReportedServers = 64 // servers whose reports are kept
+	maxOutlierReports  = 30 // outlier reports in a message
 )
 
-// Server is a server's process as all nodes name it.
+// Server identifies a server process, in the same way at all nodes.
 type Server struct {
-	Key       uint64 // hash of its name
-	StartedAt uint64 // ms; a server that started anew is another one
+	Key       uint64 // hash of the server's name
+	StartedAt uint64 // start time of the process in ms; after a restart the server counts as another one
 }
 
-// OutlierReport is one node's report that an attempt of its own was far slower at a server than is usual.
+// OutlierReport is a node's report that one of its attempts at a server took far longer than usual.
 type OutlierReport struct {
 	_         struct{} `cbor:",toarray"`
-	ServerKey uint64
-	StartedAt uint64
-	Reporter  int    // the reporter
-	Age       uint32 // ms
+	ServerKey uint64   // Server.Key
+	StartedAt uint64   // Server.StartedAt
+	Reporter  int      // index of the reporting node
+	Age       uint32   // ms
 }
 
 // Outlier is a server that enough nodes report as slow.
 type Outlier struct {
 	Server     Server
-	Reporters  int
-	ReportedAt time.Duration // latest report
+	Reporters  int           // number of nodes whose reports agree
+	ReportedAt time.Duration // time of the latest report
 }
 
-// slowReportKey names a report by its server and reporter.
+// outlierReportKey identifies a report by its server and reporter.
 type outlierReportKey struct {
 	server Server
 	node   int
@@ -62,17 +64,17 @@
 	return cmp.Or(compareServers(a.server, b.server), cmp.Compare(a.node, b.node))
 }
 
-// slowReportSet holds this node's and others' reports on slow servers.
+// outlierReportSet holds the latest report of each node, this one included, on each slow server.
 type outlierReportSet struct {
-	reports map[Server]map[int]time.Duration // by server and reporter: when
-	changed map[Server]bool                  // reported anew since the last call of Outliers
+	reports map[Server]map[int]time.Duration // report times, by server and reporter
+	changed map[Server]bool                  // servers with a new report since the last call of Outliers
 }
 
 func newOutlierReportSet() outlierReportSet {
 	return outlierReportSet{reports: make(map[Server]map[int]time.Duration), changed: make(map[Server]bool)}
 }
 
-// ReportOutlier reports a server: an attempt of this node's own there takes far longer than is usual.
+// ReportOutlier reports that an attempt of this node at a server is taking far longer than usual.
 func (l *Limiter) ReportOutlier(now time.Duration, s Server) {
 	l.Counts.OutlierReports++
 	key := outlierReportKey{s, l.config.Node}
@@ -82,7 +84,7 @@
 	l.scheduleFlush(max(l.publishAt, l.quietUntil))
 }
 
-// add remembers a report, if it is newer than the last one of its reporter.
+// add stores a report if it is newer than the last one of the same reporter on the same server.
 func (set *outlierReportSet) add(key outlierReportKey, reportedAt time.Duration) {
 	reporters := set.reports[key.server]
 	if reporters == nil {
@@ -98,7 +100,7 @@
 	}
 }
 
-// makeRoom drops expired reports, and where none is, all reports on one server.
+// evict removes expired reports and, if there are still maxReportedServers servers, all reports on any one of them.
 func (set *outlierReportSet) evict(now time.Duration) {
 	for server, reporters := range set.reports {
 		maps.DeleteFunc(reporters, func(_ int, reportedAt time.Duration) bool {
@@ -118,8 +120,8 @@
 	}
 }
 
-// Outliers returns the servers that have come to be reported by enough nodes since the last call, among some number
-// of servers.
+// Outliers returns the servers with a new report since the last call that enough nodes report as slow. servers is the
+// number of servers of the fleet.
 func (l *Limiter) Outliers(now time.Duration, servers int) []Outlier {
 	set := &l.outlierReports
 	if len(set.changed) == 0 {
@@ -140,8 +142,8 @@
 	return outliers
 }
 
-// agreeing returns how many reporters of a server agree in time with the latest one, and when that reported. A
-// reporter of more servers than is credible does not count.
+// countAgreeing returns the number of nodes whose report on a server lies within agreementWindow of the latest one, and
+// the time of that one. Nodes that report more than maxServers servers are not counted.
 func (set *outlierReportSet) countAgreeing(server Server, maxServers float64, now time.Duration) (count int, last time.Duration) {
 	for _, reportedAt := range set.reports[server] {
 		last = max(last, reportedAt)
@@ -155,7 +157,7 @@
 	return count, last
 }
 
-// serversReportedBy counts the servers on which a node's reports are valid.
+// countServersReportedBy returns the number of servers on which a node has a report that has not expired.
 func (set *outlierReportSet) countServersReportedBy(node int, now time.Duration) (count float64) {
 	for _, reporters := range set.reports {
 		if reportedAt, ok := reporters[node]; ok && now <= reportedAt+OutlierReportLifetime {
--- a/fleet/ratelimit/owner.go
+++ b/fleet/ratelimit/owner.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NodeRange is the nodes that a tenant may come through: Count of them from First on, by index in the fleet, around
-// its end.
+// NodeRange is the range of nodes that a tenant's requests may reach: Count nodes from index First on, wrapping around
+// at the end of the fleet.
 type NodeRange struct{ First, Count int }
 
-// weight returns a node's rank for a key. It is the same at all nodes.
+// weight returns the rendezvous hashing weight of a node for a key. All nodes compute the same one.
 func weight(key uint64, node int) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], key)
@@ -20,7 +20,7 @@
 
 // Owner returns the live node in nodes that owns the tenant's token bucket, chosen by rendezvous hashing so that a
 // membership change moves only the tenants of the affected node. It returns -1 if no node in nodes is live. quorum
-// reports whether a majority of nodes is live: at most one side of a partition has it.
+// reports whether a majority of nodes is live, which is the case on at most one side of a partition.
 func Owner(tenant uint64, nodes NodeRange, fleetSize int, live func(node int) bool) (owner int, quorum bool) {
 	owner = -1
 	highest := uint64(0)
@@ -44,12 +44,12 @@
 	return (node-r.First+fleetSize)%fleetSize < r.Count
 }
 
-// overlaps reports whether the range has one of the nodes from low up to, and without, high.
+// overlaps reports whether the range contains a node with an index in [low, high).
 func (r NodeRange) overlaps(low, high, fleetSize int) bool {
 	return r.Count > 0 && (r.contains(low, fleetSize) || (r.First-low+fleetSize)%fleetSize < high-low)
 }
 
-// rangeAround returns all nodes that are within a distance of one, by index.
+// rangeAround returns the nodes whose index is within the given distance of a node's index.
 func rangeAround(node, distance, fleetSize int) NodeRange {
 	if 2*distance+1 >= fleetSize {
 		return NodeRange{0, fleetSize}
--- a/fleet/ratelimit/receive.go
+++ b/fleet/ratelimit/receive.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Receive takes a message. One of a process that is not live is dropped; what comes twice is applied once.
+// Receive processes a message from another node. A message whose sender's incarnation is not the known one is dropped;
+// consumption that is received twice is applied once.
 func (l *Limiter) Receive(now time.Duration, m *Message) {
 	if m.Sender == l.config.Node || m.Incarnation == 0 || m.Incarnation != l.incarnations[m.Sender] {
 		l.Counts.UnknownSender++
@@ -26,12 +27,13 @@
 	if len(m.Levels)+len(m.Owners)+len(m.OutlierReports) > 0 {
 		l.receiveReports(link, m, now)
 		if !link.hasSent || now > link.lastSentAt+echoInterval {
-			l.scheduleSend(m.Sender, now) // so that the ages of its reports are known
+			l.scheduleSend(m.Sender, now) // the sender echoes the number, which gives its reports an age
 		}
 	}
 }
 
-// receiveConsumptions applies transfers and consumption, each once, and has them acknowledged.
+// receiveConsumptions applies the transfers and consumption of a message that is not a duplicate, and schedules an
+// acknowledgement in either case.
 func (l *Limiter) receiveConsumptions(link *peerLink, m *Message, now time.Duration) {
 	link.ackDue = true
 	l.scheduleSend(m.Sender, now)
@@ -49,7 +51,7 @@
 			continue
 		}
 		if l.ownerOf(t, now) != l.config.Node {
-			if isNew { // the sender does not know of the owner's change yet
+			if isNew { // the sender has not seen the change of owner yet
 				l.notifyOwner(t, float64(c.Tokens), now-age, now, now+batchInterval)
 			}
 			continue
@@ -61,7 +63,7 @@
 	}
 }
 
-// applyTransfers takes over buckets. The refill while they were on their way is left out.
+// applyTransfers merges the transferred buckets into the ones here. They get no refill for the time in transit.
 func (l *Limiter) applyTransfers(m *Message, now time.Duration) {
 	age := time.Duration(m.TransferAge) * time.Millisecond
 	for _, tr := range m.Transfers {
@@ -75,7 +77,8 @@
 	}
 }
 
-// receiveReports takes reports by their ages, and has them forwarded where this node is a relay.
+// receiveReports stores the reports that have not expired, and queues them for forwarding if this node is a relay.
+// Without an echo their age is unknown and all are dropped.
 func (l *Limiter) receiveReports(link *peerLink, m *Message, now time.Duration) {
 	sentAt, ok := link.earliestSendTime(m, l.config.Incarnation)
 	if !ok || sentAt > now {
@@ -113,19 +116,21 @@
 	}
 }
 
-// receiveLevel takes a level of a tenant, less own consumption that the owner may not have applied yet.
+// receiveLevel updates the cached level of a tenant's bucket from a report, less this node's consumption that the owner
+// may not have applied yet.
 func (l *Limiter) receiveLevel(r LevelReport, validAt, now time.Duration) {
 	t := l.tenant(r.Tenant, now)
 	newer := !t.cached.known || validAt > t.cached.validAt
 	t.cached.Update(float64(r.Tokens), validAt)
-	// A tenant whose quota is not known here was reported because its bucket is low.
+	// If the quota is unknown here, the bucket counts as low: owners report no other ones.
 	t.cached.reportedLow = t.quota.Burst == 0 || float64(r.Tokens) < lowFraction*t.quota.Burst
 	if newer {
 		l.deductUnacknowledged(t)
 	}
 }
 
-// forward queues what has come to a relay with a number of hops where it goes on from.
+// forward adds a report received on the given hop to the queues from which a relay forwards it on the next hops.
+// Reports of hop 0 and of the last hop are not forwarded.
 func (l *Limiter) forward(hop int, queue func(*reportQueue), now time.Duration) {
 	if hop == 0 || hop == lastHop {
 		return
--- a/fleet/ratelimit/relay.go
+++ b/fleet/ratelimit/relay.go
@@ -2,16 +2,16 @@
 
 import "math"
 
-// relayHashKey ranks nodes as relays; no tenant's key is likely to be the same.
+// relayHashKey is the key for which nodes are ranked as relays; a tenant is unlikely to have the same key.
 const relayHashKey = 0x6865616473
 
-// relayGroups divides the fleet into groups of neighbours by index, about as many as each has nodes, so that what one
-// node sends grows with the square root of the fleet. Each group has a relay, its live node of the highest rank; a
-// membership change moves the relay of at most one group.
+// relayGroups divides the fleet into groups of nodes with consecutive indexes. There are about as many groups as nodes
+// in a group, so that the number of messages that one node sends grows with the square root of the fleet. The relay of
+// a group is its live node with the highest weight; a membership change moves the relay of at most one group.
 type relayGroups struct {
 	fleetSize int
-	groupSize int   // nodes of a group
-	relays    []int // by group; below zero is none live
+	groupSize int   // number of nodes in a group; the last group may have fewer
+	relays    []int // relay of each group; negative if none of its nodes is live
 }
 
 func newRelayGroups(fleetSize int, live []int) relayGroups {
@@ -29,10 +29,10 @@
 	return g
 }
 
-// of returns the group of a node.
+// groupOf returns the index of a node's group.
 func (g *relayGroups) groupOf(node int) int { return node / g.groupSize }
 
-// overlaps reports whether a range has nodes of a group.
+// overlaps reports whether a range contains nodes of a group.
 func (g *relayGroups) overlaps(nodes NodeRange, group int) bool {
 	return nodes.overlaps(group*g.groupSize, min(g.fleetSize, (group+1)*g.groupSize), g.fleetSize)
 }
--- a/fleet/ratelimit/reports.go
+++ b/fleet/ratelimit/reports.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// reportQueue holds reports that are to be forwarded, the latest of each subject.
+// reportQueue holds reports to be sent, of which it keeps the latest on each bucket, of each owner, and of each
+// reporter on each server.
 type reportQueue struct {
 	levels         map[uint64]queuedLevel             // by tenant
 	owners         map[int]queuedOwner                // by node
-	outlierReports map[outlierReportKey]time.Duration // when each was made
+	outlierReports map[outlierReportKey]time.Duration // time of the report
 }
 
-// queuedLevel is a level with the time at which it was true, and the nodes that it is for.
+// queuedLevel is a queued LevelReport.
 type queuedLevel struct {
-	level   float64
-	validAt time.Duration
-	nodes   NodeRange
+	level   float64       // tokens
+	validAt time.Duration // time at which the level was correct
+	nodes   NodeRange     // nodes of the tenant, which receive the report
 }
 
-// queuedOwner is when an owner's low buckets were all reported, and how far its tenants' nodes are.
+// queuedOwner is a queued OwnerReport.
 type queuedOwner struct {
-	validAt  time.Duration
-	maxRange int
+	validAt     time.Duration // time as of which the owner has reported all its low buckets
+	maxDistance int           // OwnerReport.MaxDistance
 }
 
 func newReportQueue() reportQueue {
@@ -55,14 +56,14 @@
 	}
 }
 
-// reportBatch is queued reports in the form and order in which they are sent.
+// reportBatch holds queued reports as they are sent, in a deterministic order.
 type reportBatch struct {
 	levels         []LevelReport
 	owners         []OwnerReport
 	outlierReports []OutlierReport
 }
 
-// drain returns all queued reports with their ages and empties the queue.
+// drain empties the queue and returns its reports with their ages at the given time.
 func (q *reportQueue) drain(now time.Duration) reportBatch {
 	var batch reportBatch
 	age := func(validAt time.Duration) uint32 {
@@ -80,7 +81,7 @@
 	}
 	for _, node := range slices.Sorted(maps.Keys(q.owners)) {
 		o := q.owners[node]
-		batch.owners = append(batch.owners, OwnerReport{Node: node, MaxDistance: o.maxRange, Age: age(o.validAt)})
+		batch.owners = append(batch.owners, OwnerReport{Node: node, MaxDistance: o.maxDistance, Age: age(o.validAt)})
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(q.outlierReports), compareReportKeys) {
 		batch.outlierReports = append(batch.outlierReports, OutlierReport{
--- a/fleet/ratelimit/send.go
+++ b/fleet/ratelimit/send.go
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// Flush returns the messages that are due.
+// Flush returns the messages that are due. It is called at the time that NextFlush returns; if it is called later by
+// more than suspendThreshold, a quiet period begins.
 func (l *Limiter) Flush(now time.Duration) []Outgoing {
 	if l.flushAt >= 0 && now > l.flushAt+suspendThreshold {
-		// What the others have reported meanwhile has not been read yet, and may be that a bucket is low.
+		// The process was suspended: messages received meanwhile have not been read, and may report that a bucket is
+		// low.
 		l.quietUntil = now + ReportLifetime/2
 	}
 	l.flushAt = -1
@@ -24,7 +26,7 @@
 	return out
 }
 
-// flushLink adds what is due to one node: what was not acknowledged in time, and what waits to be sent.
+// flushLink appends to out the messages due to one node: an unacknowledged one to be sent again, and a new one.
 func (l *Limiter) flushLink(node int, link *peerLink, now time.Duration, out []Outgoing) []Outgoing {
 	if link.unacknowledged != nil && now >= link.unacknowledgedSentAt+resendInterval {
 		l.Counts.Resent++
@@ -47,8 +49,8 @@
 	return out
 }
 
-// sendPending returns a message with an acknowledgement and consumption, as far as they are due; else an empty one,
-// which carries an echo.
+// sendPending returns a message with the acknowledgement, if one is due, and with the pending consumption and
+// transfers, unless earlier ones are unacknowledged. With neither, the message serves for its number and echo only.
 func (l *Limiter) sendPending(node int, link *peerLink, now time.Duration) Outgoing {
 	link.sendAt = -1
 	m := &Message{}
@@ -66,7 +68,7 @@
 	return l.addHeader(node, m, now)
 }
 
-// addAcknowledgement adds what was applied last, with the levels of its tenants.
+// addAcknowledgement adds the sequence number that was applied last, and the levels of the tenants concerned.
 func (p *peerLink) addAcknowledgement(m *Message, now time.Duration) {
 	m.Acknowledged = p.appliedSequence
 	p.ackDue = false
@@ -85,8 +87,8 @@
 	clear(p.ackLevels)
 }
 
-// addConsumptions moves transfers and consumption to a message, as many as fit, and remembers them until they are
-// acknowledged.
+// addConsumptions moves as many transfers and consumptions as fit from the link's queues to a message, and keeps a copy
+// until they are acknowledged.
 func (p *peerLink) addConsumptions(m *Message, now time.Duration) {
 	transferCount := min(len(p.transfers), maxConsumptions-maxAckLevels)
 	m.Transfers = p.transfers[:transferCount:transferCount]
@@ -118,12 +120,13 @@
 	p.oldestConsumptionAt = oldest
 }
 
-// milliseconds returns a time as messages hold it.
+// milliseconds returns an age in ms as it is encoded, limited to the range from 0 to maxAgeMillis.
 func milliseconds(d time.Duration) uint32 {
 	return uint32(max(0, min(maxAgeMillis, d.Milliseconds())))
 }
 
-// publish reports, as an owner, the levels that are due, and that all other buckets are not low.
+// publish appends to out the reports that this node is due to send as an owner: levels of low buckets, the owner
+// report, and its outlier reports. If this node is the relay of its group, it queues them for forwarding instead.
 func (l *Limiter) publish(now time.Duration, out []Outgoing) []Outgoing {
 	if l.hasLeft {
 		l.ownReports = newReportQueue()
@@ -150,7 +153,7 @@
 	return out
 }
 
-// forwardOwnReports queues this node's own reports where it is the relay of its group.
+// forwardOwnReports moves the reports of this node, the relay of its group, to the queues for forwarding.
 func (l *Limiter) forwardOwnReports(now time.Duration) {
 	for tenant, level := range l.ownReports.levels {
 		l.forward(1, func(q *reportQueue) { q.addLevel(tenant, level) }, now)
@@ -162,7 +165,8 @@
 	l.ownReports = newReportQueue()
 }
 
-// relayReports forwards, as a relay, what has come: to the other relays, and to the nodes of its group.
+// relayReports appends to out the reports that this node forwards as a relay, to the other relays and to the nodes of
+// its group.
 func (l *Limiter) relayReports(now time.Duration, out []Outgoing) []Outgoing {
 	if l.relayAt == 0 {
 		return out
@@ -187,8 +191,8 @@
 	return out
 }
 
-// sendReports adds messages that each fit a datagram with the reports of a batch that concern a node. Slow reports
-// concern all.
+// sendReports appends to out messages to a node, each of which fits a datagram, with the outlier reports of a batch and
+// those of its levels and owner reports for whose node ranges concerns returns true.
 func (l *Limiter) sendReports(batch reportBatch, hop, to int, concerns func(NodeRange) bool, now time.Duration, out []Outgoing) []Outgoing {
 	var levels []LevelReport
 	for _, r := range batch.levels {
@@ -202,7 +206,8 @@
 			owners = append(owners, r)
 		}
 	}
-	// Slow reports go first, alone, and levels before the report that all are reported.
+	// Outlier reports are sent first, in messages of their own. Levels precede the owner reports, which state that all
+	// low levels have been reported.
 	outlierReports := batch.outlierReports
 	for len(levels)+len(owners)+len(outlierReports) > 0 {
 		m := &Message{Hop: hop}
@@ -220,13 +225,13 @@
 	return out
 }
 
-// split returns the first n elements of a list, or all, and the rest.
+// split returns the first n elements of a list, or all if there are fewer, and the rest.
 func split[T any](list []T, n int) (first, rest []T) {
 	n = min(n, len(list))
 	return list[:n], list[n:]
 }
 
-// stamp puts a message's header on it.
+// addHeader numbers a message to a node and sets its sender and echo.
 func (l *Limiter) addHeader(node int, m *Message, now time.Duration) Outgoing {
 	link := l.link(node)
 	link.number++
--- a/fleet/ratelimit/tenant.go
+++ b/fleet/ratelimit/tenant.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// tenantState is what is known of one tenant.
+// tenantState is the state of one tenant at this node.
 type tenantState struct {
 	key   uint64
 	plan  uint32
-	quota Quota
-	nodes NodeRange // that the tenant may come through; empty until that is known
+	quota Quota     // zero until known
+	nodes NodeRange // nodes that the tenant's requests may reach; empty until known
 
-	epoch          uint64 // of the membership by which the owner was chosen
-	owner          int    // below zero is none
-	hasQuorum      bool
+	epoch          uint64 // Limiter.epoch for which the owner was chosen; 0 means that it is to be chosen anew
+	owner          int    // negative if there is none
+	hasQuorum      bool   // whether a majority of nodes is live
 	ownerChanged   bool
-	ownerChangedAt time.Duration
+	ownerChangedAt time.Duration // valid if ownerChanged
 
-	cached CachedLevel // by reports, where another node owns the bucket
-	bucket *Bucket     // nil: another node owns it
+	cached CachedLevel // level from the owner's reports, if another node owns the bucket
+	bucket *Bucket     // nil unless this node holds the bucket
 }
 
-// lookUp returns what is known of a tenant, with its plan and the largest range of nodes that was told; nil where the
-// plan has no quota.
+// tenantWithQuota returns the state of a tenant, after updating its plan, its quota and, if the range is larger than
+// the known one, its nodes. It returns nil if the plan has no quota.
 func (l *Limiter) tenantWithQuota(key uint64, plan uint32, nodes NodeRange, now time.Duration) *tenantState {
 	quota, ok := l.config.Quotas[plan]
 	if !ok || quota.Rate <= 0 {
@@ -36,8 +36,8 @@
 	return t
 }
 
-// tenant returns what is known of a tenant. Tenants that were not used for tenantRetention are forgotten, and beyond
-// MaxTenants those that were not used for longest.
+// tenant returns the state of a tenant, which is created if there is none. Tenants that have not been used for
+// tenantRetention are forgotten; if there are more than MaxTenants, the least recently used ones are forgotten earlier.
 func (l *Limiter) tenant(key uint64, now time.Duration) *tenantState {
 	if now > l.rotatedAt+tenantRetention || len(l.recentTenants) >= l.config.MaxTenants/2 {
 		l.rotateTenants(now)
@@ -54,6 +54,7 @@
 	return t
 }
 
+// rotateTenants forgets the tenants that have not been used since the last rotation.
 func (l *Limiter) rotateTenants(now time.Duration) {
 	for key, t := range l.olderTenants {
 		if l.recentTenants[key] == nil && t.bucket != nil {
@@ -66,7 +67,8 @@
 	l.rotatedAt = now
 }
 
-// ownerOf returns the owner of a tenant among the live nodes, or -1.
+// ownerOf returns the owner of a tenant among the live nodes, or -1 if there is none. It chooses the owner anew after a
+// membership change.
 func (l *Limiter) ownerOf(t *tenantState, now time.Duration) int {
 	if t.epoch == l.epoch || t.nodes.Count == 0 {
 		return t.owner
@@ -82,8 +84,9 @@
 	return t.owner
 }
 
-// bucketOf returns the bucket of a tenant that this node owns. One that follows an owner that handed nothing over
-// begins with the level that was reported last; of buckets that are not low nothing is reported.
+// bucketOf returns the bucket of a tenant that this node owns, which is created if there is none. If the previous owner
+// has transferred no bucket, the initial level is estimated from its last report or, without one, as lowFraction of the
+// burst, because no level is reported while a bucket is not low.
 func (l *Limiter) bucketOf(t *tenantState, now time.Duration) *Bucket {
 	if t.bucket != nil {
 		return t.bucket
@@ -103,15 +106,16 @@
 	return t.bucket
 }
 
-// LevelEstimate is what a node knows of a tenant's bucket.
+// LevelEstimate is this node's estimate of the level of a tenant's bucket.
 type LevelEstimate struct {
-	Tokens       float64       // that it holds, less what this node has consumed since
-	IsLowerBound bool          // it holds Tokens or more
-	Age          time.Duration // since it was true
+	Tokens       float64       // tokens in the bucket, less this node's consumption since the report
+	IsLowerBound bool          // whether the bucket may hold more than Tokens
+	Age          time.Duration // time since the owner's report; 0 if this node is the owner
 }
 
-// Level returns what is known of a tenant's bucket, if it may be used: no report older than ReportLifetime, none for
-// ownershipSettleTime after the owner changed, and none without a quorum of the tenant's nodes.
+// Level returns the estimated level of a tenant's bucket. ok is false if the plan has no quota or the level must not be
+// used: without a report younger than ReportLifetime, for ownershipSettleTime after the owner changed, without a quorum
+// of the tenant's nodes, or, at the owner, in the quiet period after a suspension.
 func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (k LevelEstimate, ok bool) {
 	t := l.tenantWithQuota(key, plan, nodes, now)
 	if t == nil {
@@ -136,8 +140,9 @@
 	return LevelEstimate{Tokens: level, IsLowerBound: t.cached.isLowerBound, Age: now - t.cached.validAt}, true
 }
 
-// applyCoverage takes that an owner has reported all its low buckets and not this one: it held lowFraction at least. A
-// bucket that was low when last reported is low until that report expires, as owners report no small change.
+// applyOwnerReport sets the cached level of a bucket to lowFraction of the burst, as a lower bound, if its owner has
+// since the last report on it reported all low buckets and not this one. A bucket that was low in the last report stays
+// low until that report expires, because owners report no small change.
 func (l *Limiter) applyOwnerReport(t *tenantState, now time.Duration) {
 	reportedAt, ok := l.ownerReportedAt[t.owner]
 	if !ok || now > reportedAt+ReportLifetime || (t.cached.known && reportedAt <= t.cached.validAt) {
@@ -152,7 +157,8 @@
 	l.deductUnacknowledged(t)
 }
 
-// deductUnacknowledged takes from a cached level the own consumption that the owner may not have applied.
+// deductUnacknowledged deducts from a cached level this node's consumption that the owner has not acknowledged, and may
+// not have applied.
 func (l *Limiter) deductUnacknowledged(t *tenantState) {
 	link := l.links[t.owner]
 	if link == nil {
@@ -171,8 +177,8 @@
 	}
 }
 
-// Consume takes tokens that this node has consumed of a tenant's quota and notifies the owner. A correction of what was
-// consumed before may wait for longer.
+// Consume records tokens of a tenant's quota that this node has consumed, and schedules the notification of the owner.
+// A correction of an earlier consumption, whose tokens may be negative, may be sent later.
 func (l *Limiter) Consume(now time.Duration, key uint64, plan uint32, nodes NodeRange, tokens float64, correction bool) {
 	t := l.tenantWithQuota(key, plan, nodes, now)
 	if t == nil || tokens == 0 {
@@ -186,8 +192,8 @@
 	l.notifyOwner(t, tokens, now, now, now+delay)
 }
 
-// notifyOwner has consumption applied by the owner: here, or by a message that is sent by a time. since is when it was
-// to be reported first.
+// notifyOwner applies consumption here if this node is the owner, and otherwise adds it to a message to the owner that
+// is sent at sendAt or earlier. consumedAt is the time of the consumption.
 func (l *Limiter) notifyOwner(t *tenantState, tokens float64, consumedAt, now, sendAt time.Duration) {
 	owner := l.ownerOf(t, now)
 	if owner == l.config.Node {
@@ -209,8 +215,8 @@
 	pending.consumedAt = min(pending.consumedAt, consumedAt)
 }
 
-// consume takes tokens that have waited for a time from the bucket that is owned here, and reports its level if that is
-// due.
+// consume removes tokens that were consumed up to age ago from a bucket owned here, and queues a report of its level if
+// one is due.
 func (l *Limiter) consume(t *tenantState, tokens float64, age, now time.Duration) {
 	l.bucketOf(t, now).ConsumeLate(tokens, age, now)
 	if l.publishAt == 0 || l.lastConsumptionAt+publishDuration < now {
@@ -222,7 +228,7 @@
 	l.reportIfDue(t, now)
 }
 
-// reportIfDue queues a report on a bucket's level if one is due.
+// reportIfDue queues a report of the level of a bucket owned here if one is due, and updates lowTenants.
 func (l *Limiter) reportIfDue(t *tenantState, now time.Duration) {
 	if level, ok := t.bucket.DueReport(now); ok {
 		l.ownReports.addLevel(t.key, queuedLevel{level, now, t.nodes})
--- a/fleet/straggler/detector.go
+++ b/fleet/straggler/detector.go
@@ -1,6 +1,7 @@
-// Package straggler tells attempts that take far longer than is usual, when they do and not when they
-// end: a server that is silent, or ten times slower, says nothing by its answers for as long. It
-// has no clock, no socket and no goroutine.
+// Package straggler detects stragglers: attempts that take far longer than usual. It detects them while they are still
+// running, because a server that does not respond, or responds ten times more slowly, would otherwise be noticed late.
+// The caller reports each attempt with Detector.AttemptStarted and Detector.AttemptEnded, and calls
+// Detector.Stragglers at the time that Detector.NextCheck returns. The package has no clock, socket or goroutine.
 package straggler
 
 import (
@@ -8,40 +9,44 @@
 	"time"
 )
 
-// Figures, each with its reason.
 const (
-	thresholdFactor = 3.0                    // the mean answer, beyond which an attempt is late
-	minThreshold    = 100 * time.Millisecond // and the least: below it a pause of the node itself looks the same
-	minMeanWeight   = 0.05                   // of the mean answer
-	minAnswers      = 10                     // before it is known
-	maxAttempts     = 4096                   // attempts out at once that are watched
+	thresholdFactor = 3.0 // multiple of the mean response time from which an attempt is a straggler
+	// minThreshold is the minimum of that duration. Shorter delays may be due to a pause of the node itself.
+	minThreshold  = 100 * time.Millisecond
+	minMeanWeight = 0.05 // weight of a new response in the moving mean; the first 20 weigh equally
+	minResponses  = 10   // number of responses before which the mean is not used
+	maxAttempts   = 4096 // number of attempts that are observed at the same time
 )
 
-// Detector is what is known of the attempts that are out, by their numbers, each at a server.
+// Detector observes the running attempts of a node, each with a number and a server of type S. It is not safe for
+// concurrent use.
 type Detector[S any] struct {
-	meanSeconds, answers float64 // s, of answers; and their number
-	running              map[uint64]attempt[S]
-	order                []uint64 // of out, by their start; those that ended are skipped
+	meanSeconds, responses float64               // mean response time in s, and number of responses
+	running                map[uint64]attempt[S] // observed attempts that have not ended, by number
+	order                  []uint64              // numbers of attempts not yet reported, by start; may include ended ones
 }
 
+// attempt is a running attempt.
 type attempt[S any] struct {
 	server    S
 	startedAt time.Duration
-	reported  bool
+	reported  bool // whether Stragglers has returned the attempt
 }
 
-// New makes a watch.
+// New returns a detector without attempts.
 func New[S any]() *Detector[S] { return &Detector[S]{running: make(map[uint64]attempt[S])} }
 
-// Threshold is how long an attempt may take; ok is false until enough answers are seen.
+// Threshold returns the duration from which an attempt is a straggler; ok is false until minResponses responses have
+// been received.
 func (d *Detector[S]) Threshold() (threshold time.Duration, ok bool) {
-	if d.answers < minAnswers {
+	if d.responses < minResponses {
 		return 0, false
 	}
 	return max(minThreshold, time.Duration(thresholdFactor*d.meanSeconds*float64(time.Second))), true
 }
 
-// AttemptStarted takes that an attempt goes out. Beyond so many at once it is not watched.
+// AttemptStarted records the start of an attempt. Numbers must not repeat. While maxAttempts attempts are running,
+// further ones are not observed.
 func (d *Detector[S]) AttemptStarted(now time.Duration, number uint64, server S) {
 	if len(d.running) < maxAttempts {
 		d.running[number] = attempt[S]{server: server, startedAt: now}
@@ -49,10 +54,10 @@
 	}
 }
 
-// AttemptEnded takes how an attempt ended: answered is that it brought an answer. It gives its server and
-// how long it took, and whether it was late and Stragglers has not told so; ok is false for one that was
-// not watched.
-func (d *Detector[S]) AttemptEnded(now time.Duration, number uint64, answered bool) (server S, elapsed time.Duration, isStraggler, ok bool) {
+// AttemptEnded records the end of an attempt; its duration counts as a response time if responded is true. It returns
+// the server and duration of the attempt, and whether it is a straggler that Stragglers has not returned. ok is false
+// if the attempt was not observed.
+func (d *Detector[S]) AttemptEnded(now time.Duration, number uint64, responded bool) (server S, elapsed time.Duration, isStraggler, ok bool) {
 	a, ok := d.running[number]
 	if !ok {
 		return server, 0, false, false
@@ -62,18 +67,18 @@
 	elapsed = now - a.startedAt
 	threshold, known := d.Threshold()
 	isStraggler = known && elapsed > threshold && !a.reported
-	if answered {
-		d.answers++
+	if responded {
+		d.responses++
 		seconds := elapsed.Seconds()
-		if known { // one slow server does not move what is usual by much
+		if known { // so that one slow server changes the mean by little
 			seconds = math.Min(seconds, threshold.Seconds())
 		}
-		d.meanSeconds += math.Max(minMeanWeight, 1/d.answers) * (seconds - d.meanSeconds)
+		d.meanSeconds += math.Max(minMeanWeight, 1/d.responses) * (seconds - d.meanSeconds)
 	}
 	return a.server, elapsed, isStraggler, true
 }
 
-// trim drops those at the head that have ended.
+// trim removes ended attempts from the head of the order.
 func (d *Detector[S]) trim() {
 	for len(d.order) > 0 {
 		if _, isRunning := d.running[d.order[0]]; isRunning {
@@ -83,7 +88,7 @@
 	}
 }
 
-// Stragglers gives the servers of attempts that have become late, each attempt once.
+// Stragglers returns the servers of the running attempts that have become stragglers since the last call.
 func (d *Detector[S]) Stragglers(now time.Duration) (servers []S) {
 	threshold, ok := d.Threshold()
 	for ok && len(d.order) > 0 {
@@ -100,7 +105,7 @@
 	return servers
 }
 
-// NextCheck gives when Stragglers is to be asked next; ok is false where nothing is out.
+// NextCheck returns the time at which Stragglers is to be called next; ok is false if there is no attempt to check.
 func (d *Detector[S]) NextCheck() (when time.Duration, ok bool) {
 	threshold, ok := d.Threshold()
 	if !ok || len(d.order) == 0 {
--- a/fleet/zone/attemptstats.go
+++ b/fleet/zone/attemptstats.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// counts is the evidence of one bin.
+// outcomeBin counts the attempts at a zone that ended within one bin of time.
 type outcomeBin struct {
-	number            int64 // the bin's number
-	succeeded, failed float64
-	responseSeconds   float64 // of good answers
-	servers           map[uint64][2]float64
+	number            int64                 // number of the bin, counted from time 0
+	succeeded, failed float64               // attempts
+	responseSeconds   float64               // sum over the successful attempts
+	servers           map[uint64][2]float64 // successful and failed attempts, by server
 }
 
-// Observe takes the outcome of n attempts at a server of a zone that ended at a time: whether they succeeded, and in how
-// many seconds in the mean. Reports of other nodes count like own attempts where at is when those ended.
+// Observe records attempts at a server of a zone that ended at the given time: their number, whether they succeeded,
+// and their mean response time. Attempts that other nodes report count like own ones if endedAt is the time at which
+// they ended. Unknown zones and numbers that are not positive are ignored.
 func (p *Policy) Observe(endedAt time.Duration, zone string, server uint64, attempts float64, success bool, responseSeconds float64) {
 	z := p.byName[zone]
 	if z == nil || !(attempts > 0) {
@@ -23,7 +24,7 @@
 	number := int64(endedAt / binWidth)
 	bin := &z.bins[((number%binCount)+binCount)%binCount]
 	if bin.number > number {
-		return // older than what is counted there
+		return // older than the window
 	}
 	if bin.number != number || bin.servers == nil {
 		*bin = outcomeBin{number: number, servers: make(map[uint64][2]float64)}
@@ -40,15 +41,17 @@
 	bin.servers[server] = outcomes
 }
 
-// evidence is the outcome of the attempts in the window.
+// attemptStats summarizes the attempts at one or more zones in the window.
 type attemptStats struct {
-	attempts, failureRate           float64 // attempts, and the fraction that failed
-	failureRateLow, failureRateHigh float64 // bounds of that fraction
-	servers                         float64
-	failingServers                  float64 // fraction of the servers seen that mostly fail
-	responseSeconds                 float64 // s, mean; 0 is none
+	attempts, failureRate           float64 // number of attempts, and the fraction that failed
+	failureRateLow, failureRateHigh float64 // confidence bounds of the failure rate
+	servers                         float64 // number of servers with attempts
+	failingServerFraction           float64 // fraction of these servers at which most attempts failed
+	responseSeconds                 float64 // mean response time of successful attempts; 0 means there are none
 }
 
+// attemptStats returns the statistics of a zone for the window that ends now. Without attempts, the failure rate is 0
+// with bounds of 0 and 1.
 func (z *Zone) attemptStats(now time.Duration) (stats attemptStats) {
 	var succeeded, failed, responseSeconds float64
 	byServer := map[uint64][2]float64{}
@@ -65,10 +68,10 @@
 	for _, outcomes := range byServer {
 		stats.servers++
 		if outcomes[1] > outcomes[0] {
-			stats.failingServers++
+			stats.failingServerFraction++
 		}
 	}
-	stats.failingServers /= math.Max(1, stats.servers)
+	stats.failingServerFraction /= math.Max(1, stats.servers)
 	stats.attempts = succeeded + failed
 	if stats.attempts == 0 {
 		stats.failureRateHigh = 1
@@ -82,7 +85,7 @@
 	return stats
 }
 
-// bounds returns the Wilson score interval of a fraction that was observed n times.
+// wilsonInterval returns the Wilson score interval of a fraction that was observed in n attempts.
 func wilsonInterval(fraction, n float64) (low, high float64) {
 	zSquared := confidenceZScore * confidenceZScore
 	mid := (fraction + zSquared/(2*n)) / (1 + zSquared/n)
@@ -90,7 +93,8 @@
 	return math.Max(0, mid-half), math.Min(1, mid+half)
 }
 
-// evidenceElsewhere returns the evidence of all zones but one, without those that are evacuated; n is 0 where there is none.
+// statsOfOthers returns the combined statistics of all zones except the one at index excluded and the evacuated ones.
+// It does not set failingServerFraction.
 func (p *Policy) statsOfOthers(byZone []attemptStats, excluded int) (stats attemptStats) {
 	var failed, responseSeconds, succeeded float64
 	for i, z := range p.zones {
@@ -114,8 +118,8 @@
 	return stats
 }
 
-// elsewhere reports whether the other zones fail so much less that an evacuation helps. Without evidence of them, or where
-// they fail too, the fault may be this node's or everywhere.
+// othersHealthier reports whether the failure rate of the other zones is so much lower that an evacuation helps. If
+// they have too few attempts or fail too, the cause may be this node or lie outside the zone.
 func othersHealthier(stats, others attemptStats) bool {
 	return others.attempts >= minAttempts && stats.failureRate-others.failureRate >= minFailureRateGap && others.failureRateHigh < stats.failureRateLow
 }
--- a/fleet/zone/traffic.go
+++ b/fleet/zone/traffic.go
@@ -5,9 +5,11 @@
 	"time"
 )
 
-// TrafficFractions returns the fraction of its usual traffic that each zone may have, by name. Where all are evacuated, or
-// the others could not take what would come, all have some: no zone is evacuated onto zones that fail under it. offered is
-// the traffic of the whole fleet in requests a second, where capacities are known.
+// TrafficFractions returns, by zone name, the fraction of its usual traffic that each zone may receive. offered is the
+// traffic of the whole fleet in requests per second; it is used only if the capacity of every zone is known.
+//
+// If all zones are evacuated, each receives its full traffic. If the capacity left is below the offered traffic,
+// evacuated and reduced zones receive the rest, so that an evacuation does not overload the other zones.
 func (p *Policy) TrafficFractions(offered float64) map[string]float64 {
 	fractions := make(map[string]float64, len(p.zones))
 	total, usable, capacitiesKnown := 0.0, 0.0, true
@@ -17,7 +19,7 @@
 		usable += z.fraction * maxFillFraction * z.Capacity
 		capacitiesKnown = capacitiesKnown && z.Capacity > 0
 	}
-	if total == 0 { // no zone is better: traffic goes as if nothing were known
+	if total == 0 { // no zone is better than another
 		for _, z := range p.zones {
 			fractions[z.Name] = 1
 		}
@@ -29,8 +31,8 @@
 	return fractions
 }
 
-// spill gives what the others can't take to zones that have less than their traffic, the nearest first and those that
-// operators ordered to leave last.
+// addShortfall distributes the traffic that exceeds the usable capacity, in requests per second, over the zones with
+// less than their usual traffic: the nearest zones first, and last those that are evacuated by an operator's order.
 func (p *Policy) addShortfall(fractions map[string]float64, shortfall float64) {
 	for _, ordered := range []bool{false, true} {
 		for _, z := range p.zones {
@@ -45,18 +47,18 @@
 	}
 }
 
-// View is what operators see of a zone.
+// View is the state of a zone as shown to operators.
 type View struct {
 	Zone           string
 	State          State
-	Fraction       float64
+	Fraction       float64 // fraction of its usual traffic that the zone may receive, before any shortfall is distributed
 	Order          Order
-	Reason         string
-	Since          time.Duration
-	EvacuationTime time.Duration // least time of an evacuation
+	Reason         string        // reason for the state; empty if the zone is healthy
+	Since          time.Duration // time of the last change of state, reason or ramp step
+	EvacuationTime time.Duration // minimum duration of an evacuation
 }
 
-// Views returns what operators see, the nearest zone first.
+// Views returns the state of all zones, the nearest first.
 func (p *Policy) Views() (views []View) {
 	for _, z := range p.zones {
 		views = append(views, View{z.Name, z.state, z.fraction, z.order, z.reason, z.since, z.evacuationTime})
--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -1,11 +1,14 @@
-// Package zone decides which zones a node evacuates, and how it returns to them by a recovery ramp. It gets the outcomes of
-// attempts by zone and server, and gives the fraction of its usual traffic that each zone may have. It has no clock, no
-// socket and no goroutine; times are on the caller's monotonic clock. The rules are in docs/design.md, "Zone evacuation".
+// Package zone decides which zones a node evacuates, and returns traffic to them on a recovery ramp. The caller passes
+// the outcomes of attempts, by zone and server, to Policy.Observe, calls Policy.Update regularly, and applies the
+// fraction of its usual traffic that Policy.TrafficFractions returns for each zone. The package has no clock, socket or
+// goroutine; times are on the caller's monotonic clock. docs/design.md ("Zone evacuation") specifies the rules.
 //
-// A zone is evacuated at once where most of its servers fail, after a while where it only fails more than the others, in
-// part where it answers slower than they do, and never where the others are not better or the evidence is about this node
-// alone. The ramp goes on where the attempts of its step succeed; a step that fails goes back to the one before and has the
-// zone stay evacuated for longer the next time.
+// A zone is evacuated immediately if most of its attempts fail, and after suspectTime if fewer of them fail. In both
+// cases most of its servers must be failing and the other zones must be healthier; otherwise the cause may be this
+// node. A zone that responds more slowly than the others receives less traffic.
+//
+// After an evacuation the traffic is raised step by step while attempts succeed. If they fail, the traffic is reduced
+// and the next evacuation lasts longer.
 package zone
 
 import (
@@ -16,76 +19,78 @@
 	"time"
 )
 
-// Evidence is counted over a sliding window of evidenceBins bins.
+// Attempts are counted in a sliding window of binCount bins.
 const (
 	binWidth         = 100 * time.Millisecond
-	binCount         = 10   // a window of one second, so that a zone can be evacuated within one
-	minAttempts      = 8    // in the window, below which a zone is not judged
-	confidenceZScore = 1.64 // of the bounds of a failure rate: 95% one-sided
+	binCount         = 10   // the window is one second, so that a zone can be evacuated within a second
+	minAttempts      = 8    // number of attempts in the window below which a zone is not evaluated
+	confidenceZScore = 1.64 // z-score of the bounds of a failure rate: 95% one-sided
 )
 
 // Conditions of an evacuation.
 const (
-	evacuateFailureRate = 0.6             // lower bound of the failure rate from which a zone is evacuated at once
-	suspectFailureRate  = 0.2             // and from which it is suspect
-	suspectTime         = 3 * time.Second // for which it has to be suspect to be evacuated
-	minFailureRateGap   = 0.25            // by which the other zones have to fail less
-	minFailingServers   = 0.6             // fraction of the servers seen that have to fail; less is not the zone's fault
-
-	initialEvacuationTime = 3 * time.Second // least time of a first evacuation; it doubles with each flap
-	maxEvacuationTime     = 2 * time.Minute
-	flapResetTime         = time.Minute // healthy time after which flaps are forgotten
+	evacuateFailureRate = 0.6             // lower bound of the failure rate from which a zone is evacuated immediately
+	suspectFailureRate  = 0.2             // lower bound of the failure rate from which a zone is suspect
+	suspectTime         = 3 * time.Second // time after which a suspect zone is evacuated
+	minFailureRateGap   = 0.25            // minimum difference to the failure rate of the other zones
+	// minFailingServerFraction is the minimum fraction of failing servers among those with attempts. Below it, the
+	// cause is taken to be the servers and not the zone.
+	minFailingServerFraction = 0.6
+
+	initialEvacuationTime = 3 * time.Second // minimum duration of a first evacuation; it doubles with each flap
+	maxEvacuationTime     = 2 * time.Minute // maximum of that duration
+	flapResetTime         = time.Minute     // time for which a zone must be healthy before its flaps are forgotten
 )
 
-// Bounds of what a zone gets that is slow, on the ramp, or takes another one's traffic.
+// Limits of the traffic of a zone that is slow, on the recovery ramp, or receives the traffic of another zone.
 const (
-	slowResponseRatio   = 2.0 // of the answer time to that of the other zones, from which a zone gets less
-	minSlowFraction     = 0.3 // least fraction that slowness alone leaves it
-	slowSmoothing       = 0.3 // of ratio and fraction, at each Update
-	initialRampFraction = 0.05
-	minRampStepTime     = time.Second
-	maxRampStepTime     = 5 * time.Second
-	maxFillFraction     = 0.8 // of a zone's warm capacity that another one's traffic may fill
+	slowResponseRatio   = 2.0             // ratio to the response time of the other zones above which a zone is slow
+	minSlowFraction     = 0.3             // minimum fraction of its usual traffic that a slow zone keeps
+	slowSmoothing       = 0.3             // weight of the new value when ratio and fraction are smoothed, per Update
+	initialRampFraction = 0.05            // fraction of the usual traffic in the first step of the ramp
+	minRampStepTime     = time.Second     // minimum duration of a step
+	maxRampStepTime     = 5 * time.Second // duration of a step if there are too few attempts to show that it succeeded
+	maxFillFraction     = 0.8             // fraction of a zone's warm capacity that the traffic of others may fill
 )
 
-// State of a zone as one node sees it.
+// State is the state of a zone as one node sees it.
 type State int
 
-// The states.
+// States of a zone.
 const (
-	Healthy State = iota
-	Suspect
-	Evacuated
-	Returning
+	Healthy   State = iota
+	Suspect         // attempts fail, but not enough to evacuate the zone immediately
+	Evacuated       // receives no traffic while another zone can take it
+	Returning       // on the recovery ramp
 )
 
 func (s State) String() string {
 	return [...]string{"healthy", "suspect", "left", "returning"}[s]
 }
 
-// Order is an operator's order on a zone. It goes before the evidence.
+// Order is an operator's order on a zone. It takes precedence over the outcomes of attempts.
 type Order int
 
-// The orders.
+// Orders that an operator can give.
 const (
 	NoOrder Order = iota
-	Leave         // send nothing there while another zone is there
-	Hold          // change nothing
-	Return        // come back now, in steps
+	Leave         // evacuate the zone as long as another zone can take its traffic
+	Hold          // keep the present state and fraction
+	Return        // start the recovery ramp now
 )
 
 var orders = [...]string{"none", "leave", "hold", "return"}
 
 func (o Order) String() string { return orders[o] }
 
-// OrderError is a name that is no order.
+// OrderError is the error for a name that is not an order.
 type OrderError struct{ Order string }
 
 func (e *OrderError) Error() string {
-	return fmt.Sprintf("zones: no order %q; give one of leave, hold, return and none", e.Order)
+	return fmt.Sprintf("zones: unknown order %q; give one of leave, hold, return and none", e.Order)
 }
 
-// ParseOrder returns the order with a name. Its error is an *OrderError.
+// ParseOrder returns the order with the given name, as returned by Order.String. Its error is an *OrderError.
 func ParseOrder(name string) (Order, error) {
 	if i := slices.Index(orders[:], name); i >= 0 {
 		return Order(i), nil
@@ -93,31 +98,31 @@
 	return NoOrder, &OrderError{name}
 }
 
-// Zone is one zone. Name, Distance and Capacity are given to New.
+// Zone is one zone. The caller of New sets Name, Distance and Capacity.
 type Zone struct {
 	Name     string
-	Distance float64 // by region and cost of crossing; the nearest are filled first
-	Capacity float64 // requests a second that its warm servers can take; 0 is not known
+	Distance float64 // by region and cost of crossing zones; the nearest zones receive traffic first
+	Capacity float64 // requests per second that the zone's warm servers can serve; 0 means unknown
 
 	state                State
-	fraction             float64 // of its usual traffic that it may have
-	since                time.Duration
-	suspectSince         time.Duration // since when; below zero is not
-	evacuationTime       time.Duration // least time of an evacuation
+	fraction             float64       // fraction of its usual traffic that the zone may receive
+	since                time.Duration // time of the last change of state, reason or ramp step
+	suspectSince         time.Duration // time since which the zone is suspect; negative if it is not
+	evacuationTime       time.Duration // minimum duration of an evacuation
 	order                Order
 	reason               string
-	bins                 [binCount]outcomeBin
-	relativeResponseTime float64 // to the other zones, smoothed
+	bins                 [binCount]outcomeBin // ring, indexed by bin number modulo binCount
+	relativeResponseTime float64              // smoothed ratio to the response time of the other zones
 }
 
-// Policy is the decisions of one node. It is not safe for concurrent use.
+// Policy decides on the zones for one node. It is not safe for concurrent use.
 type Policy struct {
 	own    string
-	zones  []*Zone
+	zones  []*Zone // the nearest first
 	byName map[string]*Zone
 }
 
-// New returns the policy of a node in the zone own; zones may be in any order.
+// New returns the policy of a node. own is the name of the zone that the node is in; zones may be in any order.
 func New(own string, zones []Zone) *Policy {
 	p := &Policy{own: own, byName: make(map[string]*Zone)}
 	for _, z := range zones {
@@ -129,7 +134,7 @@
 	return p
 }
 
-// SetOrder takes an operator's order on a zone. It returns false where the zone is not known.
+// SetOrder applies an operator's order to a zone. It returns false if the zone is unknown.
 func (p *Policy) SetOrder(now time.Duration, zone string, o Order) bool {
 	z := p.byName[zone]
 	if z == nil {
@@ -148,7 +153,7 @@
 	return true
 }
 
-// setState changes a zone's state.
+// setState sets the state, fraction and reason of a zone and ends its time as a suspect.
 func (z *Zone) setState(now time.Duration, s State, fraction float64, reason string) {
 	if z.state != s || reason != z.reason {
 		z.since = now
@@ -156,7 +161,8 @@
 	z.state, z.fraction, z.reason, z.suspectSince = s, fraction, reason, -1
 }
 
-// Update decides anew. It is to be called every 100 ms or so.
+// Update evaluates all zones without an order and changes their states and fractions. It is to be called about every
+// 100 ms.
 func (p *Policy) Update(now time.Duration) {
 	byZone := make([]attemptStats, len(p.zones))
 	for i, z := range p.zones {
@@ -178,12 +184,12 @@
 	}
 }
 
-// judge decides on a zone that is healthy or suspect.
+// evaluate evaluates a zone that is healthy or suspect.
 func (p *Policy) evaluate(now time.Duration, z *Zone, stats, others attemptStats) {
 	if z.state == Healthy && now >= z.since+flapResetTime {
 		z.evacuationTime = initialEvacuationTime
 	}
-	failing := stats.attempts >= minAttempts && stats.failingServers >= minFailingServers && othersHealthier(stats, others)
+	failing := stats.attempts >= minAttempts && stats.failingServerFraction >= minFailingServerFraction && othersHealthier(stats, others)
 	switch {
 	case failing && stats.failureRateLow >= evacuateFailureRate:
 		p.evacuate(now, z, "most of it fails")
@@ -206,8 +212,8 @@
 	p.adjustForResponseTime(z, stats, others)
 }
 
-// brownout gives a zone that answers slower than the others less traffic, in proportion, and gives it back as the zone
-// answers faster.
+// adjustForResponseTime reduces the traffic of a zone in proportion as it responds more slowly than the others, and
+// raises it again when the zone responds faster.
 func (p *Policy) adjustForResponseTime(z *Zone, stats, others attemptStats) {
 	if stats.attempts < minAttempts || others.attempts < minAttempts || stats.responseSeconds == 0 || others.responseSeconds == 0 {
 		return
@@ -223,7 +229,7 @@
 	}
 }
 
-// evacuate stops sending to a zone, for longer at each flap.
+// evacuate evacuates a zone, for longer if it was healthy for less than flapResetTime.
 func (p *Policy) evacuate(now time.Duration, z *Zone, reason string) {
 	if z.state == Returning || (now < z.since+flapResetTime && z.since > 0) {
 		z.evacuationTime = min(2*z.evacuationTime, maxEvacuationTime)
@@ -231,8 +237,9 @@
 	z.setState(now, Evacuated, 0, reason)
 }
 
-// rampStep decides on a zone on the recovery ramp: the next step where the attempts of this one succeed, the one before at
-// once where they fail, and an evacuation where that was the first step.
+// advanceRamp moves a zone along the recovery ramp. If the attempts of the present step succeed, the fraction is
+// doubled; if they fail, it is immediately divided by 4, and the zone is evacuated again if that is below the first
+// step.
 func (p *Policy) advanceRamp(now time.Duration, z *Zone, stats, others attemptStats) {
 	elapsed := now - z.since
 	switch {
