--- a/fleet/ratelimit/bucket.go
+++ b/fleet/ratelimit/bucket.go
@@ -11,8 +11,8 @@
 	level     float64
 	updatedAt time.Duration
 	consumed  float64 // tokens consumed since this node created the bucket
-	// provisional reports that the initial level was estimated, because the previous owner was unreachable and
-	// transferred no bucket.
+	// provisional is set if the initial level was estimated, because the previous owner was unreachable and transferred
+	// no bucket.
 	provisional bool
 	createdAt   time.Duration
 	overflow    overflowHistory
--- a/fleet/ratelimit/fleet_test.go
+++ b/fleet/ratelimit/fleet_test.go
@@ -9,17 +9,17 @@
 
 var quota = Quota{Rate: 5, Burst: 40}
 
-// fataler is a test or a property.
+// fataler is a *testing.T, *testing.B or *rapid.T.
 type fataler interface{ Fatal(...any) }
 
-// fleet is some exchanges, each with a clock of its own, and the messages between them.
+// fleet simulates the limiters of a fleet, each with its own clock, and the messages between them.
 type fleet struct {
 	now          time.Duration
 	limiters     []*Limiter
 	clockOffsets []time.Duration
 	nodes        NodeRange
 	alive        []bool
-	inFlight     []Outgoing // in flight
+	inFlight     []Outgoing
 }
 
 func newFleet(n int) *fleet {
@@ -33,7 +33,7 @@
 	return f
 }
 
-// tellLive tells each node which others it sees.
+// updateMembership sets the live peers of node a to the live nodes b for which sees(a, b) is true.
 func (f *fleet) updateMembership(sees func(a, b int) bool) {
 	for i, limiter := range f.limiters {
 		var others []Peer
@@ -46,6 +46,7 @@
 	}
 }
 
+// clock returns the time of node i's clock.
 func (f *fleet) clock(i int) time.Duration { return f.now + f.clockOffsets[i] }
 
 func (f *fleet) consume(i int, tokens float64) {
@@ -61,7 +62,7 @@
 	return o
 }
 
-// flush lets the nodes send what is due.
+// flush collects the messages that are due at the live nodes.
 func (f *fleet) flush() {
 	for i, limiter := range f.limiters {
 		if when, ok := limiter.NextFlush(); ok && when <= f.clock(i) && f.alive[i] {
@@ -70,7 +71,7 @@
 	}
 }
 
-// hear delivers a message, as a copy, by way of its bytes.
+// deliver encodes, decodes and delivers a message. If the receiver is not live, the message is lost.
 func (f *fleet) deliver(t fataler, o Outgoing) {
 	raw, err := o.Message.Encode()
 	if err != nil {
@@ -85,7 +86,7 @@
 	}
 }
 
-// run lets time pass; carry gives how often each message arrives.
+// run advances the time by d; copies returns how many times each message is delivered.
 func (f *fleet) run(t fataler, d time.Duration, copies func(from, to int) int) {
 	const step = 10 * time.Millisecond
 	for end := f.now + d; f.now < end; f.now += step {
@@ -100,7 +101,7 @@
 	}
 }
 
-// taken is what the owner has counted.
+// consumed returns the tokens that the owner has counted.
 func (f *fleet) consumed(owner int) float64 {
 	if tenant := f.limiters[owner].ownedTenants[tenantKey]; tenant != nil {
 		return tenant.bucket.consumed
--- a/fleet/ratelimit/golden_test.go
+++ b/fleet/ratelimit/golden_test.go
@@ -6,7 +6,7 @@
 	"sloestile/internal/golden"
 )
 
-// The message between nodes has the recorded bytes.
+// TestMessageIsAsRecorded guards against an incompatible change of the encoding of messages between nodes.
 func TestMessageIsAsRecorded(t *testing.T) {
 	m := &Message{}
 	golden.Fill(m)
--- a/fleet/ratelimit/limiter.go
+++ b/fleet/ratelimit/limiter.go
@@ -96,7 +96,7 @@
 	links              map[int]*peerLink     // by node
 	activeLinks        map[int]*peerLink     // links with something to send or waiting for an acknowledgement
 	lastMessageNumbers map[int]uint32        // last number of a dropped link, by node; no number is used twice
-	sequence           uint32                // sequence number of the last consumption sent to any node
+	sequence           uint32                // Sequence of the last message with consumption, to any node
 	ownerReportedAt    map[int]time.Duration // time as of which an owner has reported all its low buckets, by owner
 
 	outlierReports outlierReportSet
--- a/fleet/ratelimit/limiter_test.go
+++ b/fleet/ratelimit/limiter_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Each use is counted once, whatever is lost, doubled or comes late, and in the end by one node.
+// TestConsumptionIsAppliedOnce guards against consumption that is lost or applied twice: each message is lost,
+// delivered or duplicated at random, and in the end the owner must have counted exactly what all nodes consumed.
 func TestConsumptionIsAppliedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 6).Draw(t, "nodes"))
@@ -22,13 +23,14 @@
 		}
 		f.run(t, 2*time.Second, deliverOnce)
 		if got := f.consumed(owner); got != consumed {
-			t.Fatalf("%g units counted, %g sent", got, consumed)
+			t.Fatalf("owner counted %g tokens, want %g", got, consumed)
 		}
 	})
 }
 
-// What was told is not used beyond its life, counted from before the owner was cut off, whatever
-// the clocks; the others go on.
+// TestExpiredReportsAreNotUsed guards against the use of an expired report: the owner of an empty bucket is partitioned
+// from the others, whose clocks differ by hours. They must not use its level for longer than ReportLifetime after the
+// partition.
 func TestExpiredReportsAreNotUsed(t *testing.T) {
 	for nodes := 3; nodes <= 9; nodes += 3 {
 		f := newFleet(nodes)
@@ -41,7 +43,7 @@
 		}
 		for i := range f.limiters {
 			if k, ok := f.level(i); !ok || k.Tokens > quota.Burst*lowFraction+1 {
-				t.Fatalf("%d nodes, node %d: told %+v, %v of a store that is empty", nodes, i, k, ok)
+				t.Fatalf("%d nodes: node %d has level %+v, %v of an empty bucket", nodes, i, k, ok)
 			}
 		}
 		partitionedAt := f.now
@@ -55,14 +57,15 @@
 			f.run(t, 50*time.Millisecond, withoutOwner)
 			for i := range f.limiters {
 				if k, ok := f.level(i); ok && i != owner && f.now > partitionedAt+ReportLifetime+10*time.Millisecond {
-					t.Fatalf("%d nodes: %v after the cut node %d is told %+v", nodes, f.now-partitionedAt, i, k)
+					t.Fatalf("%d nodes: %v after the partition, node %d uses %+v", nodes, f.now-partitionedAt, i, k)
 				}
 			}
 		}
 	}
 }
 
-// An owner that stood still knows that what it holds is old: it says nothing of it until it has heard.
+// TestOwnerIsQuietAfterSuspension guards against an owner that publishes or uses outdated levels after its process was
+// suspended. It must do neither until it has had the time to read the messages received meanwhile.
 func TestOwnerIsQuietAfterSuspension(t *testing.T) {
 	f := newFleet(4)
 	owner := f.owner()
@@ -70,42 +73,43 @@
 		f.consume((owner+1)%4, 1)
 		f.run(t, 50*time.Millisecond, deliverOnce)
 	}
-	f.alive[owner] = false // it is stopped: what is sent to it waits in its sockets, and is lost here
+	f.alive[owner] = false // suspended; messages to it are lost here, while real ones would wait in its socket
 	f.run(t, 3*time.Second, deliverOnce)
 	f.alive[owner] = true
 	for _, o := range f.limiters[owner].Flush(f.clock(owner)) {
 		if len(o.Message.Levels)+len(o.Message.Owners) > 0 {
-			t.Errorf("just woken, it tells %+v", o.Message)
+			t.Errorf("owner publishes %+v immediately after a suspension", o.Message)
 		}
 	}
 	if k, ok := f.level(owner); ok {
-		t.Errorf("just woken, it decides by %+v", k)
+		t.Errorf("owner uses %+v immediately after a suspension", k)
 	}
 	f.run(t, 2*time.Second, deliverOnce)
 	if _, ok := f.level(owner); !ok {
-		t.Error("it does not come back")
+		t.Error("owner has no level 2 s after a suspension")
 	}
 }
 
-// A partition: the side without most of the set uses nothing told, and what its nodes let pass by
-// what they knew when they were cut off is bounded by the formula of docs/design.md: what a store
-// holds and Life refills, for each of them. When it is whole again there is one store.
+// TestPartitionGrantsNoMoreThanItsBound guards against overrunning a quota in a partition. On the side with a minority
+// of the tenant's nodes, each node may admit at most a full bucket and the refill of ReportLifetime, by the formula in
+// docs/design.md; no node may use an expired report. After the partition there must be a single bucket again.
 func TestPartitionGrantsNoMoreThanItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(3, 9).Draw(t, "nodes")
 		f := newFleet(nodes)
 		minority := make([]bool, nodes)
-		minoritySize := rapid.IntRange(1, (nodes-1)/2).Draw(t, "few")
+		minoritySize := rapid.IntRange(1, (nodes-1)/2).Draw(t, "minoritySize")
 		for _, i := range rapid.Permutation(seq(nodes)).Draw(t, "order")[:minoritySize] {
 			minority[i] = true
 		}
-		warmUp := time.Duration(rapid.IntRange(200, 1500).Draw(t, "warm")) * time.Millisecond
+		warmUp := time.Duration(rapid.IntRange(200, 1500).Draw(t, "warmUp")) * time.Millisecond
 		for f.now < warmUp {
-			f.consume(rapid.IntRange(0, nodes-1).Draw(t, "at"), 1)
+			f.consume(rapid.IntRange(0, nodes-1).Draw(t, "node"), 1)
 			f.run(t, 50*time.Millisecond, deliverOnce)
 		}
 		partitionedAt, admitted := f.now, 0.0
-		detectionDelay := time.Duration(rapid.IntRange(500, 4000).Draw(t, "found")) * time.Millisecond // until the membership sees it
+		// detectionDelay is the time until the membership detects the partition.
+		detectionDelay := time.Duration(rapid.IntRange(500, 4000).Draw(t, "detectionDelay")) * time.Millisecond
 		withinSides := func(a, b int) int {
 			if minority[a] != minority[b] {
 				return 0
@@ -120,12 +124,12 @@
 			admitted += f.consumeAllAdmitted(t, minority, partitionedAt)
 			f.run(t, 50*time.Millisecond, withinSides)
 		}
-		admittedByOwner := 0.0 // an owner on that side goes on until it sees that it is alone
+		admittedByOwner := 0.0 // an owner in the minority continues until the partition is detected
 		if minority[f.owner()] {
 			admittedByOwner = quota.Rate * (detectionDelay + time.Second).Seconds()
 		}
 		if maxAdmitted := float64(minoritySize)*(quota.Burst+quota.Rate*ReportLifetime.Seconds()) + admittedByOwner; admitted > maxAdmitted {
-			t.Fatalf("%g units passed on the side of %d of %d nodes, the formula has %g", admitted, minoritySize, nodes, maxAdmitted)
+			t.Fatalf("a minority of %d of %d nodes admitted %g tokens, want at most %g", minoritySize, nodes, admitted, maxAdmitted)
 		}
 		f.updateMembership(func(a, b int) bool { return true })
 		f.run(t, 2*time.Second, deliverOnce)
@@ -134,18 +138,18 @@
 			buckets += len(limiter.ownedTenants)
 		}
 		if buckets > 1 {
-			t.Fatalf("%d stores 2 s after the partition has healed", buckets)
+			t.Fatalf("%d buckets of a tenant 2 s after the end of the partition", buckets)
 		}
 	})
 }
 
-// sendAllAdmitted lets the nodes of the side that was cut off send as much as they admit, and returns the units that
-// passed. None may decide by a report that is older than its lifetime, unless the owner is on that side.
+// consumeAllAdmitted consumes, at each node of the minority, as much as its level admits, and returns the tokens. It
+// fails if a node uses an expired report, which is possible only if the owner is in the majority.
 func (f *fleet) consumeAllAdmitted(t *rapid.T, minority []bool, partitionedAt time.Duration) (admitted float64) {
 	for i := range f.limiters {
 		for k, ok := f.level(i); minority[i] && ok && k.Tokens >= 1; k, ok = f.level(i) {
 			if f.now > partitionedAt+ReportLifetime+20*time.Millisecond && !minority[f.owner()] {
-				t.Fatalf("node %d decides by %+v %v after it was cut off", i, k, f.now-partitionedAt)
+				t.Fatalf("node %d uses %+v %v after the partition", i, k, f.now-partitionedAt)
 			}
 			f.consume(i, 1)
 			admitted++
@@ -154,7 +158,8 @@
 	return admitted
 }
 
-// A store goes with its owner when that leaves, and its successor knows what it held.
+// TestLeaveTransfersBucketToNextOwner guards against a bucket that is lost or refilled when its owner leaves: the next
+// owner must continue with its level.
 func TestLeaveTransfersBucketToNextOwner(t *testing.T) {
 	f := newFleet(5)
 	owner := f.owner()
@@ -166,24 +171,24 @@
 	f.limiters[owner].Leave(f.clock(owner))
 	f.flush()
 	f.alive[owner] = false
-	f.updateMembership(func(a, b int) bool { return true }) // it goes on for a while, and hears of who comes and goes
+	f.updateMembership(func(a, b int) bool { return true }) // the node that left still runs and receives the membership
 	f.consume(owner, 1)
 	if _, ok := f.level(owner); ok || len(f.limiters[owner].ownedTenants) > 0 {
-		t.Error("one that has left owns a store")
+		t.Error("a node that left owns a bucket")
 	}
 	f.run(t, 200*time.Millisecond, deliverOnce)
 	successor := f.limiters[f.owner()]
 	tenant := successor.ownedTenants[tenantKey]
 	if tenant == nil {
-		t.Fatal("the next owner has no store")
+		t.Fatal("the next owner has no bucket")
 	}
 	if got := tenant.bucket.Level(f.clock(f.owner())); got > before.Tokens+quota.Rate+0.5 || got < before.Tokens-0.5 {
-		t.Errorf("the store held %g, and 0.2 s later %g at its next owner", before.Tokens, got)
+		t.Errorf("bucket held %g tokens at the owner that left, and %g tokens 0.2 s later at the next owner", before.Tokens, got)
 	}
 }
 
-// A node that leaves while nobody else of a customer's set is there keeps its store, whatever changes
-// after that, and owns again when it returns.
+// TestLeaveWithoutSuccessorKeepsBucket guards against a bucket that is dropped: a node that leaves while no other node
+// of a tenant's range is live must keep the bucket through membership changes, and use it again after Rejoin.
 func TestLeaveWithoutSuccessorKeepsBucket(t *testing.T) {
 	f := newFleet(3)
 	limiter, nodes := f.limiters[0], NodeRange{0, 1}
@@ -192,17 +197,17 @@
 	limiter.SetLivePeers(f.now, nil)
 	limiter.SetLivePeers(f.now, []Peer{{1, limiter.incarnations[1]}})
 	if limiter.ownedTenants[77] == nil {
-		t.Fatal("the store is gone")
+		t.Fatal("the bucket was dropped")
 	}
 	limiter.Rejoin()
 	limiter.SetLivePeers(f.now, nil)
 	if k, ok := limiter.Level(f.now+ownershipSettleTime+1, 77, 1, nodes); !ok || k.Tokens >= limiter.config.Quotas[1].Burst+1 {
-		t.Fatalf("after its return: %+v, %v", k, ok)
+		t.Fatalf("level after Rejoin: %+v, %v", k, ok)
 	}
 }
 
-// The bounds that are broken on purpose: customers beyond the most are forgotten, a message never
-// outgrows a datagram, and a fleet at rest says nothing.
+// TestTenantsMessagesAndIdleTrafficAreBounded guards against unbounded state and traffic: with 3000 tenants, each node
+// must keep at most MaxTenants of them, no message may exceed a datagram, and an idle fleet must send no messages.
 func TestTenantsMessagesAndIdleTrafficAreBounded(t *testing.T) {
 	f := newFleet(4)
 	for c := range uint64(3000) {
@@ -210,12 +215,12 @@
 			f.limiters[i].Consume(f.clock(i), c, planID, f.nodes, 39, false)
 		}
 		if c%500 == 0 {
-			f.run(t, 100*time.Millisecond, deliverOnce) // hear fails for a message that is too long
+			f.run(t, 100*time.Millisecond, deliverOnce) // fails if a message is too long
 		}
 	}
 	for i, limiter := range f.limiters {
 		if n := len(limiter.recentTenants) + len(limiter.olderTenants); n > limiter.config.MaxTenants {
-			t.Errorf("node %d remembers %d customers of %d at most", i, n, limiter.config.MaxTenants)
+			t.Errorf("node %d keeps %d tenants, want at most %d", i, n, limiter.config.MaxTenants)
 		}
 	}
 	f.run(t, 12*time.Second, deliverOnce)
@@ -228,7 +233,7 @@
 		sentDifference -= limiter.Counts.Sent
 	}
 	if sentDifference != 0 {
-		t.Errorf("%d messages in 5 s at rest", -sentDifference)
+		t.Errorf("idle fleet sent %d messages in 5 s", -sentDifference)
 	}
 }
 
--- a/fleet/ratelimit/outliers.go
+++ b/fleet/ratelimit/outliers.go
@@ -20,8 +20,8 @@
 	reporterFraction   = 0.2
 	minReportersNeeded = 2.0
 	maxReportersNeeded = 4.0
-	// maxReportedFraction is the fraction of the servers from which a node that reports more is taken to be the cause
-	// itself; its reports are ignored.
+	// A node that reports more than maxReportedFraction of the servers is taken to be the cause itself, and its reports
+	// are ignored.
 	maxReportedFraction = 0.34
 
 	maxReportedServers = 64 // servers whose reports are kept
--- a/fleet/ratelimit/outliers_test.go
+++ b/fleet/ratelimit/outliers_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// courtroom is a fleet of ten nodes whose links have all carried something, so that ages can be told.
+// newFleetWithTraffic returns a fleet of ten nodes that have exchanged messages, so that the ages of reports are known.
 func newFleetWithTraffic(t *testing.T) *fleet {
 	f := newFleet(10)
 	for range 10 {
@@ -17,7 +17,7 @@
 	return f
 }
 
-// condemned gives the servers that each node is told of in a while.
+// outliersByNode runs the fleet for d and returns, by node, the outliers that it finds and their number of reporters.
 func (f *fleet) outliersByNode(t *testing.T, d time.Duration, copies func(a, b int) int) map[int]map[Server]int {
 	got := map[int]map[Server]int{}
 	for end := f.now + d; f.now < end; {
@@ -29,7 +29,7 @@
 				}
 				got[i][outlier.Server] = outlier.Reporters
 				if outlier.ReportedAt > f.clock(i) || outlier.ReportedAt < f.clock(i)-OutlierReportLifetime {
-					t.Errorf("node %d is told a verdict of %v, now is %v", i, outlier.ReportedAt, f.clock(i))
+					t.Errorf("node %d finds an outlier reported at %v, now is %v", i, outlier.ReportedAt, f.clock(i))
 				}
 			}
 		}
@@ -37,37 +37,39 @@
 	return got
 }
 
+// TestOutliers guards against outliers that are not found at all nodes, and against healthy servers that are taken for
+// outliers because the reporting nodes have bad links.
 func TestOutliers(t *testing.T) {
 	slowServer := Server{Key: 3, StartedAt: 1}
 	for _, test := range []struct {
 		name        string
 		report      func(f *fleet)
-		wantNodes   int // that are told of some server
+		wantNodes   int // nodes that find an outlier
 		copies      func(a, b int) int
-		wantServers int // that they are told of
+		wantServers int // outliers that each of these nodes finds
 	}{
-		{"four are silent to at one server", func(f *fleet) {
+		{"four nodes report the same server", func(f *fleet) {
 			for i := range 4 {
 				f.limiters[i].ReportOutlier(f.clock(i), slowServer)
 			}
 		}, 10, deliverOnce, 1},
-		{"one node's own link is bad: all servers are silent to it", func(f *fleet) {
+		{"one node with a bad link reports all servers", func(f *fleet) {
 			for n := range uint64(5) {
 				f.limiters[0].ReportOutlier(f.clock(0), Server{Key: n, StartedAt: 1})
 			}
 		}, 0, deliverOnce, 0},
-		{"four nodes' links are bad", func(f *fleet) {
+		{"four nodes with bad links report all servers", func(f *fleet) {
 			for i := range 4 {
 				for n := range uint64(5) {
 					f.limiters[i].ReportOutlier(f.clock(i), Server{Key: n, StartedAt: 1})
 				}
 			}
 		}, 0, deliverOnce, 0},
-		{"they speak of two starts of a server", func(f *fleet) {
+		{"two nodes report different starts of a server", func(f *fleet) {
 			f.limiters[0].ReportOutlier(f.clock(0), slowServer)
 			f.limiters[1].ReportOutlier(f.clock(1), Server{Key: 3, StartedAt: 2})
 		}, 0, deliverOnce, 0},
-		{"no word comes through", func(f *fleet) {
+		{"all messages are lost", func(f *fleet) {
 			for i := range 4 {
 				f.limiters[i].ReportOutlier(f.clock(i), slowServer)
 			}
@@ -78,35 +80,37 @@
 			test.report(f)
 			got := f.outliersByNode(t, 1500*time.Millisecond, test.copies)
 			if len(got) != test.wantNodes {
-				t.Errorf("%d nodes are told of a server, wanted %d: %v", len(got), test.wantNodes, got)
+				t.Errorf("%d nodes find an outlier, want %d: %v", len(got), test.wantNodes, got)
 			}
 			for i, servers := range got {
 				if len(servers) != test.wantServers {
-					t.Errorf("node %d is told of %v", i, servers)
+					t.Errorf("node %d finds outliers %v, want %d", i, servers, test.wantServers)
 				}
 			}
 		})
 	}
 }
 
-// Charges that are far apart don't agree, and old ones count no more.
+// TestReportsFarApartFindNoOutlier guards against an outlier found from unrelated reports: six nodes report a server
+// one after the other, further apart than agreementWindow.
 func TestReportsFarApartFindNoOutlier(t *testing.T) {
 	f := newFleetWithTraffic(t)
 	for i := range 6 {
 		f.limiters[i].ReportOutlier(f.clock(i), Server{Key: 3, StartedAt: 1})
 		if got := f.outliersByNode(t, 800*time.Millisecond, deliverOnce); len(got) > 0 {
-			t.Fatalf("told of %v by witnesses 0.8 s apart", got)
+			t.Fatalf("found outliers %v from reports 0.8 s apart", got)
 		}
 	}
 }
 
-// What is remembered of charges is bounded, whatever comes.
+// TestRememberedOutlierReportsAreBounded guards against unbounded state: reports on 12000 servers must not make a node
+// keep more than maxReportedServers.
 func TestRememberedOutlierReportsAreBounded(t *testing.T) {
 	limiter := NewLimiter(Config{Node: 0, FleetSize: 4, Incarnation: 1, MaxTenants: 100}, 0)
 	for n := range uint64(12000) {
 		limiter.outlierReports.add(outlierReportKey{Server{Key: n, StartedAt: n}, int(n % 4)}, time.Duration(n))
 	}
 	if reports := &limiter.outlierReports; len(reports.reports) > maxReportedServers || len(reports.changed) > maxReportedServers {
-		t.Errorf("%d servers charged, %d of them news", len(reports.reports), len(reports.changed))
+		t.Errorf("reports on %d servers kept, %d of them changed", len(reports.reports), len(reports.changed))
 	}
 }
--- a/fleet/ratelimit/ratelimit.go
+++ b/fleet/ratelimit/ratelimit.go
@@ -8,7 +8,7 @@
 // of nodes (relayGroups). Between two reports a node estimates the level from the refill and its own consumption. A
 // report is valid for ReportLifetime; a node without a valid report decides by itself.
 //
-// The same messages carry outlier reports: a node's reports on servers that answer it far slower than usual.
+// The same messages carry outlier reports: a node's reports on servers that respond to it far more slowly than usual.
 package ratelimit
 
 import (
--- a/fleet/zone/errors_test.go
+++ b/fleet/zone/errors_test.go
@@ -6,6 +6,7 @@
 	"sloestile/internal/oncall"
 )
 
+// TestErrorsSayWhatToDo guards against an error without a hint for the operator.
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
 		&OrderError{Order: "go"},
--- a/fleet/zone/golden_test.go
+++ b/fleet/zone/golden_test.go
@@ -8,7 +8,7 @@
 	"sloestile/internal/golden"
 )
 
-// The states of a zone, and the operators' orders, have the recorded names, in the recorded order.
+// TestNamesAreAsRecorded guards against a change of the names of states and orders, which operators use.
 func TestNamesAreAsRecorded(t *testing.T) {
 	text := "states:\n"
 	for s := Healthy; s <= Returning; s++ {
--- a/fleet/zone/zone_test.go
+++ b/fleet/zone/zone_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// hall is a zone as it is: how many of its servers fail, and how much slower it answers.
+// zoneCondition is the simulated condition of a zone. The zero value is a healthy zone.
 type zoneCondition struct {
-	failingServers float64 // part of the servers that fail
-	errorRate      float64 // part of the attempts at the others that fail
-	latencyFactor  float64
+	failingServers float64 // fraction of the servers that fail
+	errorRate      float64 // fraction of the attempts at the other servers that fail
+	latencyFactor  float64 // factor of the usual response time; below 1 means 1
 }
 
-// play lets a node send to three zones of ten servers each, by the parts that its policy gives.
+// simulate sends the attempts of a node to three zones of ten servers each, according to the fractions of its policy.
+// rate is the number of attempts per second and zone.
 func simulate(p *Policy, rng *rand.Rand, from, to time.Duration, rate float64, conditionOf func(now time.Duration, zone int) zoneCondition) {
 	for now := from; now < to; now += 20 * time.Millisecond {
 		fractions := p.TrafficFractions(0)
@@ -35,67 +36,69 @@
 	return New("z0", []Zone{{Name: "z0"}, {Name: "z1", Distance: 1}, {Name: "z2", Distance: 1}})
 }
 
-// What each kind of trouble in one zone does, two seconds after it began.
+// TestTrafficFractionByFault guards against a zone that keeps its traffic when it fails, or loses it when the fault
+// lies elsewhere: checks the fractions two seconds after the start of each kind of fault.
 func TestTrafficFractionByFault(t *testing.T) {
 	healthy := zoneCondition{}
 	for _, test := range []struct {
 		name                     string
 		condition                func(zone int) zoneCondition
-		minFraction, maxFraction float64 // of the part that zone 1 has
-		minOthers                float64 // the least of the others'
+		minFraction, maxFraction float64 // range of the fraction of zone 1
+		minOthers                float64 // minimum fraction of the other zones
 	}{
-		{"lost", func(z int) zoneCondition {
+		{"all servers of a zone fail", func(z int) zoneCondition {
 			if z == 1 {
 				return zoneCondition{failingServers: 1}
 			}
 			return healthy
 		}, 0, 0, 1},
-		{"I am the one who is alone", func(int) zoneCondition { return zoneCondition{failingServers: 1} }, 1, 1, 1},
-		{"half-lost: every other server", func(z int) zoneCondition {
+		{"all zones fail, as for a node without a network", func(int) zoneCondition { return zoneCondition{failingServers: 1} }, 1, 1, 1},
+		{"half of the servers of a zone fail", func(z int) zoneCondition {
 			if z == 1 {
 				return zoneCondition{failingServers: 0.5}
 			}
 			return healthy
 		}, 0.9, 1, 1},
-		{"slow, four times", func(z int) zoneCondition {
+		{"a zone responds four times more slowly", func(z int) zoneCondition {
 			if z == 1 {
 				return zoneCondition{latencyFactor: 4}
 			}
 			return healthy
 		}, 0.3, 0.7, 1},
-		{"a tenth of the attempts err", func(z int) zoneCondition {
+		{"a tenth of the attempts at a zone fail", func(z int) zoneCondition {
 			if z == 1 {
 				return zoneCondition{errorRate: 0.1}
 			}
 			return healthy
 		}, 1, 1, 1},
-		{"two zones lost", func(z int) zoneCondition {
+		{"all servers of two zones fail", func(z int) zoneCondition {
 			if z > 0 {
 				return zoneCondition{failingServers: 1}
 			}
 			return healthy
 		}, 0, 0, 0},
-		{"nothing", func(int) zoneCondition { return healthy }, 1, 1, 1},
+		{"no fault", func(int) zoneCondition { return healthy }, 1, 1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				p, rng := threeZonePolicy(), rand.New(rand.NewPCG(seed, 0))
 				simulate(p, rng, 0, 5*time.Second, 150, func(time.Duration, int) zoneCondition { return healthy })
 				simulate(p, rng, 5*time.Second, 7*time.Second, 150, func(_ time.Duration, z int) zoneCondition { return test.condition(z) })
-				parts := p.TrafficFractions(0)
-				if got := parts["z1"]; got < test.minFraction || got > test.maxFraction {
-					t.Errorf("seed %d: the zone has %.2f of its traffic, wanted %.2f to %.2f", seed, got, test.minFraction, test.maxFraction)
+				fractions := p.TrafficFractions(0)
+				if got := fractions["z1"]; got < test.minFraction || got > test.maxFraction {
+					t.Errorf("seed %d: zone 1 has fraction %.2f, want %.2f to %.2f", seed, got, test.minFraction, test.maxFraction)
 				}
-				if lowest := min(parts["z0"], parts["z2"]); lowest < test.minOthers {
-					t.Errorf("seed %d: others have %.2f", seed, lowest)
+				if lowest := min(fractions["z0"], fractions["z2"]); lowest < test.minOthers {
+					t.Errorf("seed %d: another zone has fraction %.2f, want at least %.2f", seed, lowest, test.minOthers)
 				}
 			}
 		})
 	}
 }
 
-// A zone that fails wholly is left within a second, and is whole again in steps that double at most,
-// half a minute after it came back.
+// TestFailedZoneIsEvacuatedAndRampsUpAgain guards against a slow evacuation and against a return that is slow or
+// sudden: a zone that fails completely must be evacuated within a second, and after the fault its traffic must return
+// within 30 s, at most doubling in each step.
 func TestFailedZoneIsEvacuatedAndRampsUpAgain(t *testing.T) {
 	for seed := range uint64(20) {
 		p, rng := threeZonePolicy(), rand.New(rand.NewPCG(seed, 1))
@@ -112,20 +115,22 @@
 				evacuatedAfter = now - 5*time.Second
 			}
 			if now >= 12*time.Second && fraction > 2*previous+initialRampFraction {
-				t.Errorf("seed %d: from %.2f to %.2f at once", seed, previous, fraction)
+				t.Errorf("seed %d: fraction rises from %.2f to %.2f in one step", seed, previous, fraction)
 			}
 			if previous = fraction; recoveredAfter < 0 && now > 12*time.Second && fraction == 1 {
 				recoveredAfter = now - 12*time.Second
 			}
 		}
 		if evacuatedAfter < 0 || evacuatedAfter > time.Second || recoveredAfter < 0 || recoveredAfter > 30*time.Second {
-			t.Errorf("seed %d: left after %v, whole %v after it came back", seed, evacuatedAfter, recoveredAfter)
+			t.Errorf("seed %d: evacuated %v after the fault began, want at most 1s; recovered %v after it ended, want at most 30s",
+				seed, evacuatedAfter, recoveredAfter)
 		}
 	}
 }
 
-// A zone that flaps is left longer each time: of ten minutes of flaps, half of the time bad, it is sent
-// a small part of what it would fail.
+// TestFlappingZoneStaysEvacuatedLonger guards against traffic that follows a flapping zone: the evacuation must last
+// longer each time, so that a zone that fails for ten of every twenty seconds is evacuated at most 15 times in ten
+// minutes.
 func TestFlappingZoneStaysEvacuatedLonger(t *testing.T) {
 	p, rng := threeZonePolicy(), rand.New(rand.NewPCG(3, 3))
 	evacuations, previous := 0, Healthy
@@ -144,24 +149,26 @@
 		}
 	}
 	if evacuations > 15 {
-		t.Errorf("left %d times in ten minutes of 30 flaps", evacuations)
+		t.Errorf("zone evacuated %d times during 30 flaps in ten minutes, want at most 15", evacuations)
 	}
 }
 
-// The rest is never filled beyond what it bears; operators' orders go before what is seen.
+// TestEvacuationRespectsCapacityAndOrders guards against zones that are overloaded by the evacuation of another one:
+// the evacuated zone must receive the traffic beyond their capacity. Operators' orders must take effect without any
+// attempts.
 func TestEvacuationRespectsCapacityAndOrders(t *testing.T) {
 	p := New("a", []Zone{{Name: "a", Capacity: 100}, {Name: "b", Distance: 1, Capacity: 100}, {Name: "c", Distance: 2, Capacity: 100}})
 	if !p.SetOrder(0, "b", Leave) || p.SetOrder(0, "x", Leave) {
-		t.Error("orders")
+		t.Error("SetOrder: want true for a known zone and false for an unknown one")
 	}
 	if got := p.TrafficFractions(150); got["b"] != 0 || got["a"] != 1 {
-		t.Errorf("150 asked of 160: %v", got)
+		t.Errorf("offered 150 with 160 usable: fractions %v", got)
 	}
 	if got := p.TrafficFractions(180); got["b"] < 0.2 || got["b"] > 0.3 {
-		t.Errorf("180 asked of 160: %v", got)
+		t.Errorf("offered 180 with 160 usable: fractions %v", got)
 	}
 	p.SetOrder(0, "b", Return)
 	if v := p.Views()[1]; v.State != Returning || v.Fraction != initialRampFraction {
-		t.Errorf("on return %+v", v)
+		t.Errorf("zone after the order to return: %+v", v)
 	}
 }
