--- a/fleet/ratelimit/send.go
+++ b/fleet/ratelimit/send.go
@@ -8,10 +8,12 @@
 	"time"
 )
 
-// Flush returns the messages that are due.
+// Flush returns the messages that are due. It is called at the time that NextFlush returns; if it is called later by
+// more than suspendThreshold, a quiet period begins.
 func (l *Limiter) Flush(now time.Duration) []Outgoing {
 	if l.flushAt >= 0 && now > l.flushAt+suspendThreshold {
-		// What the others have reported meanwhile has not been read yet, and may be that a bucket is low.
+		// The process was suspended: messages received meanwhile have not been read, and may report that a bucket is
+		// low.
 		l.quietUntil = now + ReportLifetime/2
 	}
 	l.flushAt = -1
@@ -24,31 +26,31 @@
 	return out
 }
 
-// flushLink adds what is due to one node: what was not acknowledged in time, and what waits to be sent.
+// flushLink appends to out the messages due to one node: an unacknowledged one to be sent again, and a new one.
 func (l *Limiter) flushLink(node int, link *peerLink, now time.Duration, out []Outgoing) []Outgoing {
 	if link.unacknowledged != nil && now >= link.unacknowledgedSentAt+resendInterval {
 		l.Counts.Resent++
 		link.unacknowledgedSentAt = now
-		again := *link.unacknowledged
-		again.ConsumptionAge = milliseconds(now - link.oldestConsumption)
-		out = append(out, l.stamp(node, &again, now))
+		resent := *link.unacknowledged
+		resent.ConsumptionAge = milliseconds(now - link.oldestConsumptionAt)
+		out = append(out, l.addHeader(node, &resent, now))
 	}
 	if link.sendAt >= 0 && link.sendAt <= now {
 		out = append(out, l.sendPending(node, link, now))
 	}
 	if link.unacknowledged != nil {
-		l.flushBy(link.unacknowledgedSentAt + resendInterval)
+		l.scheduleFlush(link.unacknowledgedSentAt + resendInterval)
 	}
 	if link.sendAt >= 0 {
-		l.flushBy(link.sendAt)
+		l.scheduleFlush(link.sendAt)
 	} else if link.unacknowledged == nil {
 		delete(l.activeLinks, node)
 	}
 	return out
 }
 
-// sendPending returns a message with an acknowledgement and consumption, as far as they are due; else an empty one,
-// which carries an echo.
+// sendPending returns a message with the acknowledgement, if one is due, and with the pending consumption and
+// transfers, unless earlier ones are unacknowledged. With neither, the message serves for its number and echo only.
 func (l *Limiter) sendPending(node int, link *peerLink, now time.Duration) Outgoing {
 	link.sendAt = -1
 	m := &Message{}
@@ -60,13 +62,13 @@
 		m.Sequence = l.sequence
 		link.addConsumptions(m, now)
 		if link.hasPending() {
-			l.sendBy(node, now+batchInterval)
+			l.scheduleSend(node, now+batchInterval)
 		}
 	}
-	return l.stamp(node, m, now)
+	return l.addHeader(node, m, now)
 }
 
-// addAcknowledgement adds what was applied last, with the levels of its tenants.
+// addAcknowledgement adds the sequence number that was applied last, and the levels of the tenants concerned.
 func (p *peerLink) addAcknowledgement(m *Message, now time.Duration) {
 	m.Acknowledged = p.appliedSequence
 	p.ackDue = false
@@ -85,28 +87,28 @@
 	clear(p.ackLevels)
 }
 
-// addConsumptions moves transfers and consumption to a message, as many as fit, and remembers them until they are
-// acknowledged.
+// addConsumptions moves as many transfers and consumptions as fit from the link's queues to a message, and keeps a copy
+// until they are acknowledged.
 func (p *peerLink) addConsumptions(m *Message, now time.Duration) {
-	transfers := min(len(p.transfers), maxConsumptions-maxAckLevels)
-	m.Transfers = p.transfers[:transfers:transfers]
-	p.transfers = p.transfers[transfers:]
-	since := now
+	transferCount := min(len(p.transfers), maxConsumptions-maxAckLevels)
+	m.Transfers = p.transfers[:transferCount:transferCount]
+	p.transfers = p.transfers[transferCount:]
+	oldest := now
 	for _, key := range slices.Sorted(maps.Keys(p.pending)) {
-		if len(m.Consumptions)+transfers >= maxConsumptions {
+		if len(m.Consumptions)+transferCount >= maxConsumptions {
 			break
 		}
 		pending := p.pending[key]
 		m.Consumptions = append(m.Consumptions, pending.Consumption)
-		since = min(since, pending.since)
+		oldest = min(oldest, pending.consumedAt)
 		delete(p.pending, key)
 	}
-	m.ConsumptionAge = milliseconds(now - since)
-	if p.oldestTransfer > 0 {
-		m.TransferAge = milliseconds(now - p.oldestTransfer)
+	m.ConsumptionAge = milliseconds(now - oldest)
+	if p.oldestProvisionalAt > 0 {
+		m.TransferAge = milliseconds(now - p.oldestProvisionalAt)
 	}
 	if len(p.transfers) == 0 {
-		p.oldestTransfer = 0
+		p.oldestProvisionalAt = 0
 	}
 	p.unacknowledged = &Message{
 		Sequence:     m.Sequence,
@@ -115,60 +117,62 @@
 		TransferAge:  m.TransferAge,
 	}
 	p.unacknowledgedSentAt = now
-	p.oldestConsumption = since
+	p.oldestConsumptionAt = oldest
 }
 
-// milliseconds returns a time as messages hold it.
+// milliseconds returns an age in ms as it is encoded, limited to the range from 0 to maxAgeMillis.
 func milliseconds(d time.Duration) uint32 {
 	return uint32(max(0, min(maxAgeMillis, d.Milliseconds())))
 }
 
-// publish reports, as an owner, the levels that are due, and that all other buckets are not low.
+// publish appends to out the reports that this node is due to send as an owner: levels of low buckets, the owner
+// report, and its outlier reports. If this node is the relay of its group, it queues them for forwarding instead.
 func (l *Limiter) publish(now time.Duration, out []Outgoing) []Outgoing {
-	if l.left {
+	if l.hasLeft {
 		l.ownReports = newReportQueue()
 		return out
 	}
-	if now > l.lastConsumption+publishDuration && l.ownReports.isEmpty() {
+	if now > l.lastConsumptionAt+publishDuration && l.ownReports.isEmpty() {
 		return out
 	}
 	if now < l.publishAt || now < l.quietUntil {
-		l.flushBy(max(l.publishAt, l.quietUntil))
+		l.scheduleFlush(max(l.publishAt, l.quietUntil))
 		return out
 	}
 	l.publishAt = now + publishInterval
-	l.flushBy(l.publishAt)
+	l.scheduleFlush(l.publishAt)
 	for _, key := range slices.Sorted(maps.Keys(l.lowTenants)) {
 		l.reportIfDue(l.lowTenants[key], now)
 	}
-	l.ownReports.addOwner(l.config.Node, queuedOwner{now, l.maxRange})
+	l.ownReports.addOwner(l.config.Node, queuedOwner{now, l.maxDistance})
 	if l.relay != l.config.Node {
-		everything := func(NodeRange) bool { return true }
-		return l.sendReports(l.ownReports.drain(now), 1, l.relay, everything, now, out)
+		anyRange := func(NodeRange) bool { return true }
+		return l.sendReports(l.ownReports.drain(now), 1, l.relay, anyRange, now, out)
 	}
 	l.forwardOwnReports(now)
 	return out
 }
 
-// forwardOwnReports queues this node's own reports where it is the relay of its group.
+// forwardOwnReports moves the reports of this node, the relay of its group, to the queues for forwarding.
 func (l *Limiter) forwardOwnReports(now time.Duration) {
 	for tenant, level := range l.ownReports.levels {
 		l.forward(1, func(q *reportQueue) { q.addLevel(tenant, level) }, now)
 	}
-	for key, reportedAt := range l.ownReports.slow {
-		l.forward(1, func(q *reportQueue) { q.addSlow(key, reportedAt) }, now)
+	for key, reportedAt := range l.ownReports.outlierReports {
+		l.forward(1, func(q *reportQueue) { q.addOutlierReport(key, reportedAt) }, now)
 	}
-	l.forward(1, func(q *reportQueue) { q.addOwner(l.config.Node, queuedOwner{now, l.maxRange}) }, now)
+	l.forward(1, func(q *reportQueue) { q.addOwner(l.config.Node, queuedOwner{now, l.maxDistance}) }, now)
 	l.ownReports = newReportQueue()
 }
 
-// relayReports forwards, as a relay, what has come: to the other relays, and to the nodes of its group.
+// relayReports appends to out the reports that this node forwards as a relay, to the other relays and to the nodes of
+// its group.
 func (l *Limiter) relayReports(now time.Duration, out []Outgoing) []Outgoing {
 	if l.relayAt == 0 {
 		return out
 	}
 	if now < l.relayAt {
-		l.flushBy(l.relayAt)
+		l.scheduleFlush(l.relayAt)
 		return out
 	}
 	l.relayAt = 0
@@ -187,8 +191,8 @@
 	return out
 }
 
-// sendReports adds messages that each fit a datagram with the reports of a batch that concern a node. Slow reports
-// concern all.
+// sendReports appends to out messages to a node, each of which fits a datagram, with the outlier reports of a batch and
+// those of its levels and owner reports for whose node ranges concerns returns true.
 func (l *Limiter) sendReports(batch reportBatch, hop, to int, concerns func(NodeRange) bool, now time.Duration, out []Outgoing) []Outgoing {
 	var levels []LevelReport
 	for _, r := range batch.levels {
@@ -198,40 +202,41 @@
 	}
 	var owners []OwnerReport
 	for _, r := range batch.owners {
-		if concerns(rangeAround(r.Node, r.MaxRange, l.config.FleetSize)) {
+		if concerns(rangeAround(r.Node, r.MaxDistance, l.config.FleetSize)) {
 			owners = append(owners, r)
 		}
 	}
-	// Slow reports go first, alone, and levels before the report that all are reported.
-	slow := batch.slow
-	for len(levels)+len(owners)+len(slow) > 0 {
+	// Outlier reports are sent first, in messages of their own. Levels precede the owner reports, which state that all
+	// low levels have been reported.
+	outlierReports := batch.outlierReports
+	for len(levels)+len(owners)+len(outlierReports) > 0 {
 		m := &Message{Hop: hop}
 		switch {
-		case len(slow) > 0:
-			m.SlowReports, slow = split(slow, maxSlowReports)
+		case len(outlierReports) > 0:
+			m.OutlierReports, outlierReports = split(outlierReports, maxOutlierReports)
 		case len(levels) > maxLevels:
 			m.Levels, levels = split(levels, maxLevels)
 		default:
 			m.Levels, levels = levels, nil
 			m.Owners, owners = split(owners, maxOwners)
 		}
-		out = append(out, l.stamp(to, m, now))
+		out = append(out, l.addHeader(to, m, now))
 	}
 	return out
 }
 
-// split returns the first n elements of a list, or all, and the rest.
+// split returns the first n elements of a list, or all if there are fewer, and the rest.
 func split[T any](list []T, n int) (first, rest []T) {
 	n = min(n, len(list))
 	return list[:n], list[n:]
 }
 
-// stamp puts a message's header on it.
-func (l *Limiter) stamp(node int, m *Message, now time.Duration) Outgoing {
+// addHeader numbers a message to a node and sets its sender and echo.
+func (l *Limiter) addHeader(node int, m *Message, now time.Duration) Outgoing {
 	link := l.link(node)
 	link.number++
 	link.number = cmp.Or(link.number, 1)
-	link.sentAt[link.number%rememberedNumbers] = now
+	link.sentAt[link.number%maxSendTimes] = now
 	link.hasSent = true
 	link.lastSentAt = now
 	m.Sender = l.config.Node
--- a/fleet/ratelimit/tenant.go
+++ b/fleet/ratelimit/tenant.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// tenantState is what is known of one tenant.
+// tenantState is the state of one tenant at this node.
 type tenantState struct {
 	key   uint64
 	plan  uint32
-	quota Quota
-	nodes NodeRange // that the tenant may come through; empty until that is known
+	quota Quota     // zero until known
+	nodes NodeRange // nodes that the tenant's requests may reach; empty until known
 
-	epoch          uint64 // of the membership by which the owner was chosen
-	owner          int    // below zero is none
-	hasQuorum      bool
+	epoch          uint64 // Limiter.epoch for which the owner was chosen; 0 means that it is to be chosen anew
+	owner          int    // negative if there is none
+	hasQuorum      bool   // whether a majority of nodes is live
 	ownerChanged   bool
-	ownerChangedAt time.Duration
+	ownerChangedAt time.Duration // valid if ownerChanged
 
-	cached CachedLevel // by reports, where another node owns the bucket
-	bucket *Bucket     // nil: another node owns it
+	cached CachedLevel // level from the owner's reports, if another node owns the bucket
+	bucket *Bucket     // nil unless this node holds the bucket
 }
 
-// lookUp returns what is known of a tenant, with its plan and the largest range of nodes that was told; nil where the
-// plan has no quota.
-func (l *Limiter) lookUp(key uint64, plan uint32, nodes NodeRange, now time.Duration) *tenantState {
+// tenantWithQuota returns the state of a tenant, after updating its plan, its quota and, if the range is larger than
+// the known one, its nodes. It returns nil if the plan has no quota.
+func (l *Limiter) tenantWithQuota(key uint64, plan uint32, nodes NodeRange, now time.Duration) *tenantState {
 	quota, ok := l.config.Quotas[plan]
 	if !ok || quota.Rate <= 0 {
 		return nil
@@ -36,8 +36,8 @@
 	return t
 }
 
-// tenant returns what is known of a tenant. Tenants that were not used for tenantRetention are forgotten, and beyond
-// MaxTenants those that were not used for longest.
+// tenant returns the state of a tenant, which is created if there is none. Tenants that have not been used for
+// tenantRetention are forgotten; if there are more than MaxTenants, the least recently used ones are forgotten earlier.
 func (l *Limiter) tenant(key uint64, now time.Duration) *tenantState {
 	if now > l.rotatedAt+tenantRetention || len(l.recentTenants) >= l.config.MaxTenants/2 {
 		l.rotateTenants(now)
@@ -54,6 +54,7 @@
 	return t
 }
 
+// rotateTenants forgets the tenants that have not been used since the last rotation.
 func (l *Limiter) rotateTenants(now time.Duration) {
 	for key, t := range l.olderTenants {
 		if l.recentTenants[key] == nil && t.bucket != nil {
@@ -66,54 +67,57 @@
 	l.rotatedAt = now
 }
 
-// ownerOf returns the owner of a tenant among the live nodes, or -1.
+// ownerOf returns the owner of a tenant among the live nodes, or -1 if there is none. It chooses the owner anew after a
+// membership change.
 func (l *Limiter) ownerOf(t *tenantState, now time.Duration) int {
 	if t.epoch == l.epoch || t.nodes.Count == 0 {
 		return t.owner
 	}
-	before := t.owner
+	previous := t.owner
 	live := func(node int) bool { return l.alive[node] }
 	t.owner, t.hasQuorum = Owner(t.key, t.nodes, l.config.FleetSize, live)
 	t.epoch = l.epoch
-	if before >= 0 && before != t.owner {
+	if previous >= 0 && previous != t.owner {
 		t.ownerChanged = true
 		t.ownerChangedAt = now
 	}
 	return t.owner
 }
 
-// bucketOf returns the bucket of a tenant that this node owns. One that follows an owner that handed nothing over
-// begins with the level that was reported last; of buckets that are not low nothing is reported.
+// bucketOf returns the bucket of a tenant that this node owns, which is created if there is none. If the previous owner
+// has transferred no bucket, the initial level is estimated from its last report or, without one, as lowFraction of the
+// burst, because no level is reported while a bucket is not low.
 func (l *Limiter) bucketOf(t *tenantState, now time.Duration) *Bucket {
 	if t.bucket != nil {
 		return t.bucket
 	}
-	inherited := t.ownerChanged && now < t.ownerChangedAt+publishDuration
+	provisional := t.ownerChanged && now < t.ownerChangedAt+publishDuration
 	level := t.quota.Burst
 	switch {
 	case t.cached.known && now < t.cached.validAt+publishDuration:
 		level = t.cached.Level(t.quota, now)
-	case inherited:
+	case provisional:
 		level = lowFraction * t.quota.Burst
 	}
 	t.bucket = NewBucket(t.quota, level, now)
 	t.bucket.createdAt = now
-	t.bucket.inherited = inherited
+	t.bucket.provisional = provisional
 	l.ownedTenants[t.key] = t
 	return t.bucket
 }
 
-// KnownLevel is what a node knows of a tenant's bucket.
-type KnownLevel struct {
-	Tokens  float64       // that it holds, less what this node has consumed since
-	AtLeast bool          // it holds Tokens or more
-	Age     time.Duration // since it was true
+// LevelEstimate is this node's estimate of the level of a tenant's bucket.
+type LevelEstimate struct {
+	Tokens       float64       // tokens in the bucket, less this node's consumption since the report
+	IsLowerBound bool          // whether the bucket may hold more than Tokens
+	Age          time.Duration // time since the owner's report; 0 if this node is the owner
 }
 
-// Level returns what is known of a tenant's bucket, if it may be used: no report older than ReportLifetime, none for
-// ownershipSettleTime after the owner changed, and none without a quorum of the tenant's nodes.
-func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (k KnownLevel, ok bool) {
-	t := l.lookUp(key, plan, nodes, now)
+// Level returns the estimated level of a tenant's bucket. ok is false if the plan has no quota or the level must not be
+// used: without a report younger than ReportLifetime, for ownershipSettleTime after the owner changed, without a quorum
+// of the tenant's nodes, or, at the owner, in the quiet period after a suspension.
+func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (k LevelEstimate, ok bool) {
+	t := l.tenantWithQuota(key, plan, nodes, now)
 	if t == nil {
 		return k, false
 	}
@@ -126,33 +130,35 @@
 		if now < l.quietUntil {
 			return k, false
 		}
-		return KnownLevel{Tokens: l.bucketOf(t, now).Level(now)}, true
+		return LevelEstimate{Tokens: l.bucketOf(t, now).Level(now)}, true
 	}
-	l.applyCoverage(t, now)
+	l.applyOwnerReport(t, now)
 	if !t.cached.Fresh(now) {
 		return k, false
 	}
 	level := t.cached.Level(t.quota, now)
-	return KnownLevel{Tokens: level, AtLeast: t.cached.atLeast, Age: now - t.cached.validAt}, true
+	return LevelEstimate{Tokens: level, IsLowerBound: t.cached.isLowerBound, Age: now - t.cached.validAt}, true
 }
 
-// applyCoverage takes that an owner has reported all its low buckets and not this one: it held lowFraction at least. A
-// bucket that was low when last reported is low until that report expires, as owners report no small change.
-func (l *Limiter) applyCoverage(t *tenantState, now time.Duration) {
-	covered, ok := l.coveredUntil[t.owner]
-	if !ok || now > covered+ReportLifetime || (t.cached.known && covered <= t.cached.validAt) {
+// applyOwnerReport sets the cached level of a bucket to lowFraction of the burst, as a lower bound, if its owner has
+// since the last report on it reported all low buckets and not this one. A bucket that was low in the last report stays
+// low until that report expires, because owners report no small change.
+func (l *Limiter) applyOwnerReport(t *tenantState, now time.Duration) {
+	reportedAt, ok := l.ownerReportedAt[t.owner]
+	if !ok || now > reportedAt+ReportLifetime || (t.cached.known && reportedAt <= t.cached.validAt) {
 		return
 	}
-	least := lowFraction * t.quota.Burst
-	if t.cached.Fresh(now) && (t.cached.low || t.cached.Level(t.quota, now) > least) {
+	minLevel := lowFraction * t.quota.Burst
+	if t.cached.Fresh(now) && (t.cached.reportedLow || t.cached.Level(t.quota, now) > minLevel) {
 		return
 	}
-	t.cached.Update(least, covered)
-	t.cached.atLeast = true
+	t.cached.Update(minLevel, reportedAt)
+	t.cached.isLowerBound = true
 	l.deductUnacknowledged(t)
 }
 
-// deductUnacknowledged takes from a cached level the own consumption that the owner may not have applied.
+// deductUnacknowledged deducts from a cached level this node's consumption that the owner has not acknowledged, and may
+// not have applied.
 func (l *Limiter) deductUnacknowledged(t *tenantState) {
 	link := l.links[t.owner]
 	if link == nil {
@@ -171,10 +177,10 @@
 	}
 }
 
-// Consume takes tokens that this node has consumed of a tenant's quota and notifies the owner. A correction of what was
-// consumed before may wait for longer.
+// Consume records tokens of a tenant's quota that this node has consumed, and schedules the notification of the owner.
+// A correction of an earlier consumption, whose tokens may be negative, may be sent later.
 func (l *Limiter) Consume(now time.Duration, key uint64, plan uint32, nodes NodeRange, tokens float64, correction bool) {
-	t := l.lookUp(key, plan, nodes, now)
+	t := l.tenantWithQuota(key, plan, nodes, now)
 	if t == nil || tokens == 0 {
 		return
 	}
@@ -186,48 +192,48 @@
 	l.notifyOwner(t, tokens, now, now, now+delay)
 }
 
-// notifyOwner has consumption applied by the owner: here, or by a message that is sent by a time. since is when it was
-// to be reported first.
-func (l *Limiter) notifyOwner(t *tenantState, tokens float64, since, now, by time.Duration) {
+// notifyOwner applies consumption here if this node is the owner, and otherwise adds it to a message to the owner that
+// is sent at sendAt or earlier. consumedAt is the time of the consumption.
+func (l *Limiter) notifyOwner(t *tenantState, tokens float64, consumedAt, now, sendAt time.Duration) {
 	owner := l.ownerOf(t, now)
 	if owner == l.config.Node {
-		l.consume(t, tokens, now-since, now)
+		l.consume(t, tokens, now-consumedAt, now)
 		return
 	}
 	if owner < 0 {
 		l.Counts.Unowned++
 		return
 	}
-	link := l.sendBy(owner, by)
+	link := l.scheduleSend(owner, sendAt)
 	pending := link.pending[t.key]
 	if pending == nil {
 		first := Consumption{Tenant: t.key, Plan: t.plan, First: t.nodes.First, Count: t.nodes.Count}
-		pending = &pendingConsumption{first, since}
+		pending = &pendingConsumption{first, consumedAt}
 		link.pending[t.key] = pending
 	}
 	pending.Tokens += float32(tokens)
-	pending.since = min(pending.since, since)
+	pending.consumedAt = min(pending.consumedAt, consumedAt)
 }
 
-// consume takes tokens that have waited for a time from the bucket that is owned here, and reports its level if that is
-// due.
-func (l *Limiter) consume(t *tenantState, tokens float64, waited, now time.Duration) {
-	l.bucketOf(t, now).ConsumeLate(tokens, waited, now)
-	if l.publishAt == 0 || l.lastConsumption+publishDuration < now {
+// consume removes tokens that were consumed up to age ago from a bucket owned here, and queues a report of its level if
+// one is due.
+func (l *Limiter) consume(t *tenantState, tokens float64, age, now time.Duration) {
+	l.bucketOf(t, now).ConsumeLate(tokens, age, now)
+	if l.publishAt == 0 || l.lastConsumptionAt+publishDuration < now {
 		l.publishAt = now + batchInterval
 	}
-	l.lastConsumption = now
-	l.maxRange = max(l.maxRange, min(t.nodes.Count, l.config.FleetSize-1))
-	l.flushBy(max(l.publishAt, l.quietUntil))
+	l.lastConsumptionAt = now
+	l.maxDistance = max(l.maxDistance, min(t.nodes.Count, l.config.FleetSize-1))
+	l.scheduleFlush(max(l.publishAt, l.quietUntil))
 	l.reportIfDue(t, now)
 }
 
-// reportIfDue queues a report on a bucket's level if one is due.
+// reportIfDue queues a report of the level of a bucket owned here if one is due, and updates lowTenants.
 func (l *Limiter) reportIfDue(t *tenantState, now time.Duration) {
 	if level, ok := t.bucket.DueReport(now); ok {
 		l.ownReports.addLevel(t.key, queuedLevel{level, now, t.nodes})
 		l.publishAt = min(l.publishAt, now+batchInterval)
-		l.flushBy(max(l.publishAt, l.quietUntil))
+		l.scheduleFlush(max(l.publishAt, l.quietUntil))
 	}
 	if t.bucket.isLow(t.bucket.Level(now)) {
 		l.lowTenants[t.key] = t
