--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -3,6 +3,8 @@
 import (
 	"net"
 	"net/http"
+	"os"
+	"path/filepath"
 	"syscall"
 	"testing"
 	"time"
@@ -23,7 +25,12 @@
 	_ = tcp.Close()
 	t.Cleanup(func() { _ = socket.Close() })
 	dir := t.TempDir()
+	started := false
 	return func(c *config.Config) {
+		if started { // a successor finds nobody to take over from before the first process listens
+			awaitFile(t, filepath.Join(dir, handoverName))
+		}
+		started = true
 		c.HandoverDir = dir
 		// Each process has a descriptor of its own.
 		if c.SocketFD, err = syscall.Dup(int(socket.Fd())); err != nil {
@@ -32,6 +39,17 @@
 	}
 }
 
+// awaitFile waits until a file exists.
+func awaitFile(t *testing.T, path string) {
+	t.Helper()
+	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if _, err := os.Stat(path); err == nil {
+			return
+		}
+	}
+	t.Fatalf("%s does not exist after %v", path, patience)
+}
+
 // A process that takes over says yes when it has been told its list, keeps the ids of what it
 // took over, and both keep to half of the descriptors while the other runs.
 func TestTakenOver(t *testing.T) {
