--- a/cmd/edgenode/councilfleet_test.go
+++ b/cmd/edgenode/councilfleet_test.go
@@ -115,7 +115,7 @@
 		require.NoError(t, os.WriteFile(config, out, 0o600))
 		require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "[regions]\nr = ['z1', 'z2', 'z3']\n[council]\ndir = %q\nheader = 'X-Rules'\nvoters = [%s]\n[peers]\nlabel = 'test'\nport = %d\nseeds = [%s]\n%s\n[peers.via]\n%s",
 			n.dir, strings.Join(votes, ", "), atPeers, strings.Join(seeds, ", "), strings.Join(peersKeys, "\n"), f.ways(i, voters, nodes)), 0o600))
-		n.env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_FLEET="+file, "NODE_LISTEN="+n.listen, "NODE_CONSOLE="+n.console, faulty.Variable+"="+n.drive)
+		n.env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_FLEET="+file, "NODE_LISTEN="+n.listen, "NODE_CONSOLE="+n.console, faulty.EnvVariable+"="+n.drive)
 		f.nodes = append(f.nodes, n)
 		f.start(i)
 	}
--- a/cmd/edgenode/councilplays_test.go
+++ b/cmd/edgenode/councilplays_test.go
@@ -145,18 +145,18 @@
 		f.turn(rng, disk.dir)
 		f.start(i)
 	case 5: // syncs say yes and bring nothing, and the power goes
-		require.NoError(f.t, faulty.Set(disk.drive, faulty.Faults{Lies: true}))
+		require.NoError(f.t, faulty.SetFaults(disk.drive, faulty.Faults{LostFsyncs: true}))
 		time.Sleep(pause)
 		f.kill(i)
-		_, err := faulty.Lose(disk.drive, faulty.Loss{})
+		_, err := faulty.SimulatePowerLoss(disk.drive, faulty.PowerLoss{})
 		require.NoError(f.t, err)
-		require.NoError(f.t, faulty.Set(disk.drive, faulty.Faults{}))
+		require.NoError(f.t, faulty.SetFaults(disk.drive, faulty.Faults{}))
 		f.start(i)
 	case 6: // the disk fails, or stands still
-		x := []faulty.Faults{{Errors: 0.5, Seed: rng.Uint64()}, {Stalled: true}, {ReadOnly: true}, {Full: true}}[rng.IntN(4)]
-		require.NoError(f.t, faulty.Set(disk.drive, x))
+		x := []faulty.Faults{{ErrorFraction: 0.5, Seed: rng.Uint64()}, {Stalled: true}, {ReadOnly: true}, {Full: true}}[rng.IntN(4)]
+		require.NoError(f.t, faulty.SetFaults(disk.drive, x))
 		time.Sleep(2 * pause)
-		require.NoError(f.t, faulty.Set(disk.drive, faulty.Faults{}))
+		require.NoError(f.t, faulty.SetFaults(disk.drive, faulty.Faults{}))
 	case 7: // a majority, or all, at once
 		n := voters/2 + 1 + rng.IntN(voters/2+1)
 		for j := range n {
--- a/cmd/edgenode/disk_lab.go
+++ b/cmd/edgenode/disk_lab.go
@@ -12,7 +12,7 @@
 // machineDisk is the file system under what the node keeps; where the stand-in platform names a
 // folder, one that fails as the platform says there.
 func machineDisk() (disk.FS, error) {
-	if dir := os.Getenv(faulty.Variable); dir != "" {
+	if dir := os.Getenv(faulty.EnvVariable); dir != "" {
 		return faulty.New(disk.Local{}, dir)
 	}
 	return disk.Local{}, nil
--- a/cmd/edgenode/disk_test.go
+++ b/cmd/edgenode/disk_test.go
@@ -25,11 +25,11 @@
 		require.NoError(t, err)
 		dir := filepath.Join(t.TempDir(), "drive")
 		cmd := exec.Command(bin) // it comes to the disk and ends at the socket, which is none
-		cmd.Env = append(os.Environ(), "NODE_CONFIG="+testConfig, "NODE_SOCKET_FD=99", faulty.Variable+"="+dir)
+		cmd.Env = append(os.Environ(), "NODE_CONFIG="+testConfig, "NODE_SOCKET_FD=99", faulty.EnvVariable+"="+dir)
 		require.Error(t, cmd.Run())
 		lab := tags == "lab"
 		require.Equal(t, lab, bytes.Contains(symbols, []byte("disk/faulty")), "symbols with tags %q", tags)
-		require.Equal(t, lab, bytes.Contains(raw, []byte(faulty.Variable)), "the variable with tags %q", tags)
+		require.Equal(t, lab, bytes.Contains(raw, []byte(faulty.EnvVariable)), "the variable with tags %q", tags)
 		require.Equal(t, lab, bytes.Contains(raw, []byte("disk/faulty")), "paths with tags %q", tags)
 		_, err = os.Stat(dir)
 		require.Equal(t, lab, err == nil, "the folder with tags %q: %v", tags, err)
--- a/fleet/maintenance/command.go
+++ b/fleet/maintenance/command.go
@@ -183,7 +183,7 @@
 
 var (
 	encoder = canonical.Encoder
-	decoder = canonical.Limits{ArrayElements: MachinesMost, MapPairs: 64, NestedLevels: 8}.Decoder()
+	decoder = canonical.Limits{MaxArrayElements: MachinesMost, MaxMapPairs: 64, MaxNestedLevels: 8}.Decoder()
 )
 
 // Encode gives a command's bytes, in canonical form.
--- a/fleet/ratelimit/message.go
+++ b/fleet/ratelimit/message.go
@@ -91,7 +91,7 @@
 
 var (
 	encoder = canonical.Encoder
-	decoder = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
+	decoder = canonical.Limits{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8}.Decoder()
 )
 
 // Encode returns a message's bytes, in canonical form.
--- a/fleet/rules/command.go
+++ b/fleet/rules/command.go
@@ -77,9 +77,9 @@
 var (
 	encoder = canonical.Encoder
 	// strict reads commands and snapshots: a registry must not skip what it does not know.
-	strict = canonical.Limits{ArrayElements: 2 * maxVersions, MapPairs: 16, NestedLevels: 8, RejectUnknownFields: true}.Decoder()
+	strict = canonical.Limits{MaxArrayElements: 2 * maxVersions, MaxMapPairs: 16, MaxNestedLevels: 8, RejectUnknownFields: true}.Decoder()
 	// lenient reads messages, which come from nodes with other programs too.
-	lenient = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
+	lenient = canonical.Limits{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8}.Decoder()
 )
 
 // decodeCanonical decodes bytes that must be the canonical form of their content.
--- a/internal/canonical/canonical.go
+++ b/internal/canonical/canonical.go
@@ -9,9 +9,9 @@
 
 // Limits bound what a decoder accepts.
 type Limits struct {
-	ArrayElements int // of an array, at most
-	MapPairs      int // of a map, at most
-	NestedLevels  int // of arrays and maps, at most
+	MaxArrayElements int // of an array, at most
+	MaxMapPairs      int // of a map, at most
+	MaxNestedLevels  int // of arrays and maps, at most
 	// RejectUnknownFields makes fields an error that the target does not have. Without it they are ignored, as messages
 	// come from nodes with later programs too.
 	RejectUnknownFields bool
@@ -21,9 +21,9 @@
 // where the limits are out of the library's range.
 func (l Limits) Decoder() cbor.DecMode {
 	options := cbor.DecOptions{
-		MaxArrayElements: l.ArrayElements,
-		MaxMapPairs:      l.MapPairs,
-		MaxNestedLevels:  l.NestedLevels,
+		MaxArrayElements: l.MaxArrayElements,
+		MaxMapPairs:      l.MaxMapPairs,
+		MaxNestedLevels:  l.MaxNestedLevels,
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
 		IndefLength:      cbor.IndefLengthForbidden,
 	}
--- a/internal/canonical/canonical_test.go
+++ b/internal/canonical/canonical_test.go
@@ -12,8 +12,8 @@
 
 // A decoder rejects what exceeds its limits or is ambiguous, and unknown fields only where it is told to.
 func TestLimits(t *testing.T) {
-	lenient := Limits{ArrayElements: 16, MapPairs: 16, NestedLevels: 4}.Decoder()
-	strict := Limits{ArrayElements: 16, MapPairs: 16, NestedLevels: 4, RejectUnknownFields: true}.Decoder()
+	lenient := Limits{MaxArrayElements: 16, MaxMapPairs: 16, MaxNestedLevels: 4}.Decoder()
+	strict := Limits{MaxArrayElements: 16, MaxMapPairs: 16, MaxNestedLevels: 4, RejectUnknownFields: true}.Decoder()
 	unknown := []byte{0xa2, 1, 7, 2, 8}
 	var e entry
 	require.NoError(t, lenient.Unmarshal(unknown, &e))
--- a/internal/consensus/guard.go
+++ b/internal/consensus/guard.go
@@ -63,7 +63,7 @@
 	if t.incoming == nil {
 		return false
 	}
-	term, index, err := t.log.Last()
+	term, index, err := t.log.LastPosition()
 	return err != nil || t.minPosition.isAfter(logPosition{term, index})
 }
 
--- a/internal/consensus/learner/highwatermark.go
+++ b/internal/consensus/learner/highwatermark.go
@@ -44,7 +44,7 @@
 		return 0, err
 	}
 	var m highWaterMark
-	if err := raftlog.Unseal(markMagic, markName, raw, &m); err != nil {
+	if err := raftlog.DecodeChecksummed(markMagic, markName, raw, &m); err != nil {
 		return 0, err
 	}
 	if m.Node != node {
@@ -55,7 +55,7 @@
 
 // writeHighWaterMark stores a number; it is durable when the function returns nil.
 func writeHighWaterMark(d disk.FS, dir, node string, number uint64) error {
-	raw, err := raftlog.Seal(markMagic, highWaterMark{node, number})
+	raw, err := raftlog.EncodeChecksummed(markMagic, highWaterMark{node, number})
 	if err != nil {
 		return err
 	}
--- a/internal/consensus/learner/messages.go
+++ b/internal/consensus/learner/messages.go
@@ -48,7 +48,7 @@
 
 var (
 	encoder = canonical.Encoder
-	decoder = canonical.Limits{ArrayElements: 64, MapPairs: 16, NestedLevels: 4}.Decoder()
+	decoder = canonical.Limits{MaxArrayElements: 64, MaxMapPairs: 16, MaxNestedLevels: 4}.Decoder()
 )
 
 // decode decodes a message; nil means that it is corrupt.
--- a/internal/consensus/raft.go
+++ b/internal/consensus/raft.go
@@ -50,8 +50,8 @@
 // the reason. While the log ends before minPosition, this voter does not stand for election and rejects vote requests
 // of candidates whose logs end before it too. The zero minPosition disables the check.
 func (v *Voter) runRaft(ctx context.Context, log *raftlog.Log, identity raft.ServerID, minPosition logPosition) error {
-	layer := v.transport.Layer(string(identity))
-	logger := raftlog.Logger("consensus: ")
+	layer := v.transport.NewStreamLayer(string(identity))
+	logger := raftlog.NewLogger("consensus: ")
 	network := raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream:          layer,
 		MaxPool:         streamsPerVoter,
--- a/internal/consensus/raftlog/golden_test.go
+++ b/internal/consensus/raftlog/golden_test.go
@@ -12,13 +12,13 @@
 
 // The meta file and the snapshot have the recorded bytes, with magic and sum.
 func TestFilesAreAsRecorded(t *testing.T) {
-	golden.RoundTrip(t, "meta", func(m *meta) ([]byte, error) { return Seal(metaMagic, m) }, func(raw []byte) (*meta, error) {
+	golden.RoundTrip(t, "meta", func(m *meta) ([]byte, error) { return EncodeChecksummed(metaMagic, m) }, func(raw []byte) (*meta, error) {
 		m := &meta{}
-		return m, Unseal(metaMagic, metaName, raw, m)
+		return m, DecodeChecksummed(metaMagic, metaName, raw, m)
 	})
-	golden.RoundTrip(t, "snapshot", func(s *snapshot) ([]byte, error) { return Seal(snapMagic, s) }, func(raw []byte) (*snapshot, error) {
+	golden.RoundTrip(t, "snapshot", func(s *snapshot) ([]byte, error) { return EncodeChecksummed(snapMagic, s) }, func(raw []byte) (*snapshot, error) {
 		s := &snapshot{}
-		return s, Unseal(snapMagic, snapName, raw, s)
+		return s, DecodeChecksummed(snapMagic, snapName, raw, s)
 	})
 	require.Equal(t, "log meta snapshot", logName+" "+metaName+" "+snapName)
 }
--- a/internal/consensus/raftlog/liblog.go
+++ b/internal/consensus/raftlog/liblog.go
@@ -13,8 +13,8 @@
 // libraryLogInterval is the time between two lines of the library; others are counted.
 const libraryLogInterval = time.Second
 
-// Logger returns a logger that passes the library's warnings on to the node's log.
-func Logger(prefix string) hclog.Logger {
+// NewLogger returns a logger that passes the library's warnings on to the node's log.
+func NewLogger(prefix string) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.Warn, Output: &libraryLog{prefix: prefix}, DisableTime: true})
 }
 
--- a/internal/consensus/raftlog/meta.go
+++ b/internal/consensus/raftlog/meta.go
@@ -26,11 +26,11 @@
 var (
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 	encoder    = canonical.Encoder
-	decoder    = canonical.Limits{ArrayElements: 1 << 16, MapPairs: 64, NestedLevels: 6}.Decoder()
+	decoder    = canonical.Limits{MaxArrayElements: 1 << 16, MaxMapPairs: 64, MaxNestedLevels: 6}.Decoder()
 )
 
-// Seal returns a value's bytes behind a magic and a checksum.
-func Seal(magic string, v any) ([]byte, error) {
+// EncodeChecksummed returns a value's bytes behind a magic and a checksum.
+func EncodeChecksummed(magic string, v any) ([]byte, error) {
 	raw, err := encoder.Marshal(v)
 	if err != nil {
 		return nil, err
@@ -39,8 +39,8 @@
 	return append(binary.BigEndian.AppendUint32([]byte(magic), sum), raw...), nil
 }
 
-// Unseal reads what Seal has returned, of a file that errors name.
-func Unseal(magic, file string, raw []byte, v any) error {
+// DecodeChecksummed reads what Seal has returned, of a file that errors name.
+func DecodeChecksummed(magic, file string, raw []byte, v any) error {
 	if len(raw) < headBytes || string(raw[:4]) != magic {
 		return &CorruptError{File: file, Err: errors.New("no header")}
 	}
@@ -82,7 +82,7 @@
 		return nil, false, err
 	}
 	m = &meta{disk: d, dir: dir}
-	if err := Unseal(metaMagic, metaName, raw, m); err != nil {
+	if err := DecodeChecksummed(metaMagic, metaName, raw, m); err != nil {
 		return nil, false, err
 	}
 	if m.Node != node || m.Identity == "" {
@@ -110,7 +110,7 @@
 
 // write makes the meta durable.
 func (m *meta) write() error {
-	raw, err := Seal(metaMagic, m)
+	raw, err := EncodeChecksummed(metaMagic, m)
 	if err != nil {
 		return err
 	}
--- a/internal/consensus/raftlog/raftlog.go
+++ b/internal/consensus/raftlog/raftlog.go
@@ -136,7 +136,7 @@
 	if err := d.MkdirAll(target); err != nil {
 		return err
 	}
-	old, err := d.Names(target, maxFiles)
+	old, err := d.ReadDirNames(target, maxFiles)
 	if err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 			return err
 		}
 	}
-	names, err := d.Names(dir, maxFiles)
+	names, err := d.ReadDirNames(dir, maxFiles)
 	if err != nil {
 		return err
 	}
@@ -231,8 +231,8 @@
 	return c, 0, nil
 }
 
-// Last returns term and index of the last record, or of the snapshot where that is later.
-func (l *Log) Last() (term, index uint64, err error) {
+// LastPosition returns term and index of the last record, or of the snapshot where that is later.
+func (l *Log) LastPosition() (term, index uint64, err error) {
 	if s := l.snapshots.last; s != nil {
 		term = s.Term
 		index = s.Index
@@ -250,9 +250,9 @@
 
 // Keys of the raft library under which term and vote are stored.
 const (
-	KeyTerm     = "CurrentTerm"
-	KeyVoteTerm = "LastVoteTerm"
-	KeyVoteFor  = "LastVoteCand"
+	KeyTerm          = "CurrentTerm"
+	KeyVoteTerm      = "LastVoteTerm"
+	KeyVoteCandidate = "LastVoteCand"
 )
 
 // Term returns the term and the last one in which this voter voted.
@@ -263,15 +263,15 @@
 	return term, voted, err
 }
 
-// BarVotes keeps this voter from another vote up to a term.
-func (l *Log) BarVotes(term uint64) error {
+// ForbidVotesThrough keeps this voter from another vote up to a term.
+func (l *Log) ForbidVotesThrough(term uint64) error {
 	have, voted, err := l.Term()
 	if err == nil && have < term {
 		err = l.SetUint64([]byte(KeyTerm), term)
 	}
 	if err == nil && voted < term {
 		// The candidate first: the term alone, with the one voted for before, would be another vote.
-		if err = l.Set([]byte(KeyVoteFor), []byte("nobody")); err == nil {
+		if err = l.Set([]byte(KeyVoteCandidate), []byte("nobody")); err == nil {
 			err = l.SetUint64([]byte(KeyVoteTerm), term)
 		}
 	}
--- a/internal/consensus/raftlog/raftlog_test.go
+++ b/internal/consensus/raftlog/raftlog_test.go
@@ -28,7 +28,7 @@
 	require.True(t, l.Empty)
 	require.NoError(t, l.SetUint64([]byte(KeyTerm), 3))
 	require.NoError(t, l.SetUint64([]byte(KeyVoteTerm), 3))
-	require.NoError(t, l.Set([]byte(KeyVoteFor), []byte("n2")))
+	require.NoError(t, l.Set([]byte(KeyVoteCandidate), []byte("n2")))
 	for i := range uint64(20) {
 		require.NoError(t, l.StoreLog(&raft.Log{Index: i + 1, Term: 1 + i/8, Type: raft.LogCommand, Data: bytes.Repeat([]byte{byte(i)}, 40)}))
 	}
@@ -58,10 +58,10 @@
 	term, voted, err := l.Term()
 	require.NoError(t, err)
 	require.EqualValues(t, []uint64{3, 3}, []uint64{term, voted})
-	require.NoError(t, l.BarVotes(7))
+	require.NoError(t, l.ForbidVotesThrough(7))
 	term, voted, _ = l.Term()
 	require.EqualValues(t, []uint64{7, 7}, []uint64{term, voted})
-	candidate, _ := l.Get([]byte(KeyVoteFor))
+	candidate, _ := l.Get([]byte(KeyVoteCandidate))
 	require.NotEqual(t, "n2", string(candidate))
 	m, state, err := l.Snapshots().Open("1-5")
 	require.NoError(t, err)
@@ -103,7 +103,7 @@
 				require.NotEqual(t, identity, l.Identity)
 				require.True(t, l.Empty)
 				found++
-			} else if _, index, err := l.Last(); index != 20 {
+			} else if _, index, err := l.LastPosition(); index != 20 {
 				require.NoError(t, err)
 				require.EqualValues(t, 19, index, "%s at %d", rel, at)
 				last++
--- a/internal/consensus/raftlog/records.go
+++ b/internal/consensus/raftlog/records.go
@@ -32,8 +32,8 @@
 	bodyHeadBytes   = 8 + 8 + 1 + 4
 
 	// MaxRecordBytes is the size of a record's data and extensions at most, MaxLogBytes that of the file.
-	MaxRecordBytes = 256 << 10
-	MaxLogBytes    = 32 << 20
+	MaxEntryBytes = 256 << 10
+	MaxLogBytes   = 32 << 20
 )
 
 // records is the log's file. Its records have indices without gaps.
@@ -230,8 +230,8 @@
 		if want := s.first + uint64(len(s.offsets)+i); r.Index != want {
 			return fmt.Errorf("record %d comes where %d is due", r.Index, want)
 		}
-		if size := len(r.Data) + len(r.Extensions); size > MaxRecordBytes {
-			return fmt.Errorf("record of %d bytes, over %d", size, MaxRecordBytes)
+		if size := len(r.Data) + len(r.Extensions); size > MaxEntryBytes {
+			return fmt.Errorf("record of %d bytes, over %d", size, MaxEntryBytes)
 		}
 		offsets = append(offsets, s.end+int64(len(b)))
 		b = appendRecord(b, r)
--- a/internal/consensus/raftlog/snapshot.go
+++ b/internal/consensus/raftlog/snapshot.go
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	x := &snapshot{}
-	return x, Unseal(snapMagic, snapName, raw, x)
+	return x, DecodeChecksummed(snapMagic, snapName, raw, x)
 }
 
 func (x *snapshot) meta() *raft.SnapshotMeta {
@@ -125,7 +125,7 @@
 		return nil
 	}
 	k.closed = true
-	raw, err := Seal(snapMagic, &k.snapshot)
+	raw, err := EncodeChecksummed(snapMagic, &k.snapshot)
 	if err != nil {
 		return err
 	}
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -44,7 +44,7 @@
 func (v *Voter) readDiskState(log *raftlog.Log) (d diskState, err error) {
 	d.empty = log.Empty
 	d.identity = raft.ServerID(v.config.Name + "#" + log.Identity)
-	if d.lastEntry.Term, d.lastEntry.Index, err = log.Last(); err != nil {
+	if d.lastEntry.Term, d.lastEntry.Index, err = log.LastPosition(); err != nil {
 		return d, err
 	}
 	if d.term, d.votedTerm, err = log.Term(); err != nil {
@@ -102,7 +102,7 @@
 		minPosition = logPosition{}
 	}
 	slog.Info("consensus: rejoining with the state on disk", "index", onDisk.lastEntry.Index, "term", term, "reports", len(reports), "behind", minPosition.Index)
-	return nil, minPosition, log.BarVotes(term)
+	return nil, minPosition, log.ForbidVotesThrough(term)
 }
 
 // isQuorumWaived reports whether RejoinWithoutQuorum was called.
--- a/internal/consensus/report.go
+++ b/internal/consensus/report.go
@@ -84,7 +84,7 @@
 	if report.Term, _, err = log.Term(); err != nil {
 		return nil, err
 	}
-	if report.LastEntry.Term, report.LastEntry.Index, err = log.Last(); err != nil {
+	if report.LastEntry.Term, report.LastEntry.Index, err = log.LastPosition(); err != nil {
 		return nil, err
 	}
 	report.Empty = report.LastEntry == (logPosition{})
--- a/internal/consensus/transport/layer.go
+++ b/internal/consensus/transport/layer.go
@@ -29,8 +29,8 @@
 	return s.Conn.Close()
 }
 
-// Layer carries the library's streams for one identity until it is closed.
-type Layer struct {
+// StreamLayer carries the library's streams for one identity until it is closed.
+type StreamLayer struct {
 	transport *Transport
 	address   raft.ServerAddress
 	accepted  chan net.Conn
@@ -38,11 +38,11 @@
 	cancel    context.CancelFunc
 }
 
-var _ raft.StreamLayer = (*Layer)(nil)
+var _ raft.StreamLayer = (*StreamLayer)(nil)
 
-// Layer begins to accept streams that are meant for an identity.
-func (t *Transport) Layer(identity string) *Layer {
-	l := &Layer{transport: t, address: Address(identity, t.config.Bind), accepted: make(chan net.Conn)}
+// StreamLayer begins to accept streams that are meant for an identity.
+func (t *Transport) NewStreamLayer(identity string) *StreamLayer {
+	l := &StreamLayer{transport: t, address: Address(identity, t.config.ListenAddress), accepted: make(chan net.Conn)}
 	l.ctx, l.cancel = context.WithCancel(t.ctx)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // Accept returns the next stream that has come.
-func (l *Layer) Accept() (net.Conn, error) {
+func (l *StreamLayer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.accepted:
 		return conn, nil
@@ -62,7 +62,7 @@
 }
 
 // Close accepts no more streams and ends those that there are.
-func (l *Layer) Close() error {
+func (l *StreamLayer) Close() error {
 	l.cancel()
 	l.transport.mu.Lock()
 	if l.transport.accepted == l.accepted {
@@ -75,10 +75,10 @@
 }
 
 // Addr returns where others reach this identity.
-func (l *Layer) Addr() net.Addr { return address(l.address) }
+func (l *StreamLayer) Addr() net.Addr { return address(l.address) }
 
 // Dial opens a stream to an identity.
-func (l *Layer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (l *StreamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	if l.ctx.Err() != nil {
 		return nil, errClosed
 	}
--- a/internal/consensus/transport/transport.go
+++ b/internal/consensus/transport/transport.go
@@ -46,12 +46,12 @@
 
 // Config is how a node reaches voters, and is reached where it is one.
 type Config struct {
-	Label string            // of the fleet
-	Name  string            // of this node
-	Bind  string            // where a voter listens; "" is nowhere
-	Via   map[string]string // addresses by which others are reached, where they differ
+	Label         string            // of the fleet
+	Name          string            // of this node
+	ListenAddress string            // where a voter listens; "" is nowhere
+	DialAddresses map[string]string // addresses by which others are reached, where they differ
 	// Answer answers a call of a node by its name; nil closes it. It is called by many goroutines at once.
-	Answer func(from string, body []byte) []byte
+	HandleCall func(from string, body []byte) []byte
 }
 
 // Transport is a node's end. Its goroutines end with Close.
@@ -77,10 +77,10 @@
 func Open(cfg Config) (*Transport, error) {
 	t := &Transport{config: cfg, unidentified: make(map[net.Conn]uint64), streams: make(map[net.Conn]bool)}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
-	if cfg.Bind == "" {
+	if cfg.ListenAddress == "" {
 		return t, nil
 	}
-	listener, err := net.Listen("tcp", cfg.Bind)
+	listener, err := net.Listen("tcp", cfg.ListenAddress)
 	if err != nil {
 		t.cancel()
 		return nil, fmt.Errorf("council: %w", err)
@@ -112,8 +112,8 @@
 // closeQuietly closes a connection whose peer gets no more from this node whatever the error.
 func closeQuietly(conn net.Conn) { _ = conn.Close() }
 
-// Rejected returns the number of streams that were closed for want of a header of this fleet.
-func (t *Transport) Rejected() uint64 {
+// RejectedStreams returns the number of streams that were closed for want of a header of this fleet.
+func (t *Transport) RejectedStreams() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rejected
@@ -191,7 +191,7 @@
 
 // answersAs reports whether a call of a name is answered. The caller holds t.mu.
 func (t *Transport) answersAs(name string) bool {
-	return name == t.config.Name && t.config.Answer != nil && t.calling < maxCalls
+	return name == t.config.Name && t.config.HandleCall != nil && t.calling < maxCalls
 }
 
 // handOn hands a stream to the library, which takes it soon or not at all.
@@ -214,7 +214,7 @@
 		return
 	}
 	setDeadline(conn, time.Now().Add(callTimeout))
-	if answer := t.config.Answer(from, body); answer != nil {
+	if answer := t.config.HandleCall(from, body); answer != nil {
 		_ = writeBody(conn, answer) // the caller sees that it is cut off
 	}
 }
@@ -224,7 +224,7 @@
 
 // dial opens a stream to an address, by the way that this node has to it.
 func (t *Transport) dial(ctx context.Context, address string, kind byte, to string) (net.Conn, error) {
-	if via, ok := t.config.Via[address]; ok {
+	if via, ok := t.config.DialAddresses[address]; ok {
 		address = via
 	}
 	var dialer net.Dialer
--- a/internal/consensus/transport/transport_test.go
+++ b/internal/consensus/transport/transport_test.go
@@ -16,10 +16,10 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func open(t *testing.T, self string, via map[string]string) *Transport {
-	l, err := Open(Config{Label: "f", Name: self, Bind: "127.0.0.1:0", Via: via,
-		Answer: func(from string, body []byte) []byte { return append([]byte(from+" "), body...) }})
+	l, err := Open(Config{Label: "f", Name: self, ListenAddress: "127.0.0.1:0", DialAddresses: via,
+		HandleCall: func(from string, body []byte) []byte { return append([]byte(from+" "), body...) }})
 	require.NoError(t, err)
-	l.config.Bind = l.listener.Addr().String()
+	l.config.ListenAddress = l.listener.Addr().String()
 	t.Cleanup(func() { _ = l.Close() })
 	return l
 }
@@ -30,7 +30,7 @@
 	a := open(t, "a", nil)
 	var conns []net.Conn
 	for i := range 3 * maxUnidentified {
-		c, err := net.Dial("tcp", a.config.Bind)
+		c, err := net.Dial("tcp", a.config.ListenAddress)
 		require.NoError(t, err)
 		defer func() { _ = c.Close() }()
 		if i%3 == 1 {
@@ -40,10 +40,10 @@
 	}
 	b := open(t, "b", nil)
 	body := bytes.Repeat([]byte{1}, MaxBodyBytes-2)
-	out, err := b.Call(context.Background(), "a", a.config.Bind, body)
+	out, err := b.Call(context.Background(), "a", a.config.ListenAddress, body)
 	require.NoError(t, err)
 	require.Equal(t, append([]byte("b "), body...), out)
-	_, err = b.Call(context.Background(), "other", a.config.Bind, nil)
+	_, err = b.Call(context.Background(), "other", a.config.ListenAddress, nil)
 	require.ErrorAs(t, err, new(*UnreachableError))
 	for _, c := range conns {
 		_ = c.SetDeadline(time.Now().Add(headerTimeout + time.Second))
@@ -51,7 +51,7 @@
 		var late net.Error
 		require.False(t, err == nil || errorsAs(err, &late) && late.Timeout(), "%v", err)
 	}
-	require.GreaterOrEqual(t, a.Rejected(), uint64(len(conns)))
+	require.GreaterOrEqual(t, a.RejectedStreams(), uint64(len(conns)))
 }
 
 func errorsAs(err error, to *net.Error) bool {
@@ -61,8 +61,8 @@
 // A stream for an identity goes there and nowhere else, by the address that this node has.
 func TestStreamsAreForAnIdentity(t *testing.T) {
 	a := open(t, "a", nil)
-	b := open(t, "b", map[string]string{"192.0.2.1:1": a.config.Bind})
-	to, from := a.Layer("a#1"), b.Layer("b#1")
+	b := open(t, "b", map[string]string{"192.0.2.1:1": a.config.ListenAddress})
+	to, from := a.NewStreamLayer("a#1"), b.NewStreamLayer("b#1")
 	defer func() { _ = to.Close() }()
 	c, err := from.Dial(Address("a#1", "192.0.2.1:1"), time.Second)
 	require.NoError(t, err)
@@ -79,7 +79,7 @@
 	require.NotErrorIs(t, err, net.ErrClosed)
 	require.Error(t, err)
 	a.SetStalled(true)
-	_, err = to.Dial(Address("b#1", b.config.Bind), time.Second)
+	_, err = to.Dial(Address("b#1", b.config.ListenAddress), time.Second)
 	require.ErrorIs(t, err, errStalled)
 	_ = c.SetDeadline(time.Now().Add(time.Second))
 	_, err = c.Read(one)
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -251,11 +251,11 @@
 		return nil
 	}
 	t, err := transport.Open(transport.Config{
-		Label:  v.config.Label,
-		Name:   v.config.Name,
-		Bind:   v.peers[v.config.Name].Address,
-		Via:    v.config.DialAddresses,
-		Answer: v.handleCall,
+		Label:         v.config.Label,
+		Name:          v.config.Name,
+		ListenAddress: v.peers[v.config.Name].Address,
+		DialAddresses: v.config.DialAddresses,
+		HandleCall:    v.handleCall,
 	})
 	if err == nil {
 		v.transport = t
@@ -306,7 +306,7 @@
 		s.LastError = v.lastError.Error()
 	}
 	if v.transport != nil {
-		s.RejectedStreams = v.transport.Rejected()
+		s.RejectedStreams = v.transport.RejectedStreams()
 	}
 	if r := v.raft; r != nil {
 		_, leader := r.LeaderWithID()
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -83,7 +83,7 @@
 		lc.Consensus, lc.Registry = c.voter, c.registry
 	} else {
 		var err error
-		if c.transport, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Via: cfg.Fleet.Peers.DialAddresses}); err != nil {
+		if c.transport, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, DialAddresses: cfg.Fleet.Peers.DialAddresses}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -111,7 +111,7 @@
 }
 
 // read returns the stored state; nil is none that can be used.
-func (k *persistence) read(f *store.Folder) *store.State {
+func (k *persistence) read(f *store.Dir) *store.State {
 	kept, err := f.Read()
 	if err != nil {
 		slog.Error("state: stored state quarantined, starting without it", "error", err)
@@ -148,7 +148,7 @@
 }
 
 // startPersister starts to write states to the folder, beginning from the one that is stored.
-func (k *persistence) startPersister(f *store.Folder, from *store.State) {
+func (k *persistence) startPersister(f *store.Dir, from *store.State) {
 	most := k.settings.MaxTenants
 	if most <= 0 {
 		most = defaultMaxCheckpoints
@@ -199,14 +199,14 @@
 		restored++
 	}
 	k.restored.Add(float64(restored))
-	slog.Info("state: restored", "generation", s.Generation, "age_ms", time.Now().UnixMilli()-s.Written, "tenants", restored)
+	slog.Info("state: restored", "generation", s.Generation, "age_ms", time.Now().UnixMilli()-s.WrittenAt, "tenants", restored)
 }
 
 // tokensNow returns the tokens that a bucket holds now by its checkpoint; ok is false where it is full.
 func (k *persistence) tokensNow(r store.Checkpoint, now time.Duration) (units float64, ok bool) {
 	for _, p := range k.settings.Plans {
 		if p.Name == r.Plan {
-			since := now - time.Duration(r.At)*time.Millisecond
+			since := now - time.Duration(r.LevelAt)*time.Millisecond
 			units = r.Level + p.Rate*max(0, since).Seconds() // no refill where the clock went back
 			return units, units < p.Burst
 		}
@@ -221,10 +221,10 @@
 		return
 	}
 	now := k.loop.now()
-	if k.checkpoints.Granted(store.Key{Plan: r.Plan, Tenant: r.Tenant}, store.Level{Tokens: units, Rate: rate, Burst: depth, Nodes: spread}, now) {
+	if k.checkpoints.RecordGrant(store.TenantKey{Plan: r.Plan, Tenant: r.Tenant}, store.BucketState{Tokens: units, Rate: rate, Burst: depth, Nodes: spread}, now) {
 		k.scheduleWrite()
 	}
-	k.uncovered.Store(k.checkpoints.Uncovered)
+	k.uncovered.Store(k.checkpoints.UncoveredGrants)
 }
 
 // scheduleWrite has a state written soon, unless that is scheduled.
@@ -253,7 +253,7 @@
 		}
 	}
 	if !k.persister.Submit(records, parts) {
-		k.checkpoints.BatchWritten(false)
+		k.checkpoints.BatchDone(false)
 		k.scheduleWrite()
 	}
 }
@@ -269,7 +269,7 @@
 
 // stateWritten takes whether the state that was submitted last came to the disk.
 func (k *persistence) stateWritten(ok bool) {
-	k.checkpoints.BatchWritten(ok)
+	k.checkpoints.BatchDone(ok)
 	if k.checkpoints.Due() {
 		k.scheduleWrite()
 	}
@@ -281,7 +281,7 @@
 		return
 	}
 	if raw, err := k.snapshot(); err == nil {
-		k.persister.Submit(k.checkpoints.Final(k.loop.now(), time.Now()), map[string][]byte{snapshotPart: raw})
+		k.persister.Submit(k.checkpoints.FinalBatch(k.loop.now(), time.Now()), map[string][]byte{snapshotPart: raw})
 	}
 	if err := k.persister.Close(stateCloseTimeout); err != nil {
 		slog.Warn("state: the final write failed", "error", err)
--- a/internal/store/checkpoints.go
+++ b/internal/store/checkpoints.go
@@ -22,18 +22,18 @@
 // A checkpoint is a level that a bucket has at least, at a time. Recovery takes the level and the refill since. A
 // granted request is covered if recovery after it would give no more than the bucket then holds.
 type Checkpoints struct {
-	Uncovered  int64 // granted requests that no durable checkpoint covers
-	tenants    map[Key]*tenantCheckpoint
-	maxTenants int
-	writing    []Key // of the batch on its way to the disk
-	due        map[Key]bool
+	UncoveredGrants int64 // granted requests that no durable checkpoint covers
+	tenants         map[TenantKey]*tenantCheckpoint
+	maxTenants      int
+	writing         []TenantKey // of the batch on its way to the disk
+	due             map[TenantKey]bool
 }
 
-// Key names a tenant.
-type Key struct{ Plan, Tenant string }
+// TenantKey names a tenant.
+type TenantKey struct{ Plan, Tenant string }
 
-// Level is what a bucket holds, and its quota.
-type Level struct {
+// BucketState is what a bucket holds, and its quota.
+type BucketState struct {
 	Tokens float64
 	Rate   float64 // tokens per second
 	Burst  float64 // tokens at most
@@ -42,7 +42,7 @@
 
 // tenantCheckpoint is what is known of a tenant's bucket here and on the disk.
 type tenantCheckpoint struct {
-	last      Level // as last granted from
+	last      BucketState // as last granted from
 	lastAt    time.Duration
 	durable   levelAt
 	isDurable bool
@@ -56,26 +56,26 @@
 }
 
 // recovered returns the level that recovery would take now.
-func (l levelAt) recovered(quota Level, now time.Duration) float64 {
+func (l levelAt) recovered(quota BucketState, now time.Duration) float64 {
 	return math.Min(quota.Burst, l.level+quota.Rate*math.Max(0, (now-l.at).Seconds()))
 }
 
 // untilFull returns how long it takes from the level's time until the bucket is full.
-func (l levelAt) untilFull(quota Level) time.Duration {
+func (l levelAt) untilFull(quota BucketState) time.Duration {
 	return time.Duration((quota.Burst - l.level) / quota.Rate * float64(time.Second))
 }
 
 // NewCheckpoints returns checkpoints of at most some tenants.
 func NewCheckpoints(maxTenants int) *Checkpoints {
-	return &Checkpoints{tenants: make(map[Key]*tenantCheckpoint), maxTenants: maxTenants, due: make(map[Key]bool)}
+	return &Checkpoints{tenants: make(map[TenantKey]*tenantCheckpoint), maxTenants: maxTenants, due: make(map[TenantKey]bool)}
 }
 
-// Granted notes what a bucket holds after a request was granted. It reports whether a checkpoint is due.
-func (c *Checkpoints) Granted(k Key, l Level, now time.Duration) bool {
+// RecordGrant notes what a bucket holds after a request was granted. It reports whether a checkpoint is due.
+func (c *Checkpoints) RecordGrant(k TenantKey, l BucketState, now time.Duration) bool {
 	t := c.tenants[k]
 	if t == nil {
 		if len(c.tenants) >= c.maxTenants {
-			c.Uncovered++
+			c.UncoveredGrants++
 			return false
 		}
 		t = &tenantCheckpoint{}
@@ -88,7 +88,7 @@
 		reserve = l.Tokens - t.durable.recovered(l, now)
 	}
 	if reserve < 0 {
-		c.Uncovered++
+		c.UncoveredGrants++
 	}
 	if reserve < renewFraction*reserveFraction*l.Burst {
 		c.due[k] = true
@@ -118,7 +118,7 @@
 	})
 	clear(c.due)
 	if len(c.tenants) > c.maxTenants/2 {
-		maps.DeleteFunc(c.tenants, func(_ Key, t *tenantCheckpoint) bool {
+		maps.DeleteFunc(c.tenants, func(_ TenantKey, t *tenantCheckpoint) bool {
 			full := t.isDurable && t.durable.recovered(t.last, now) >= t.last.Burst
 			return full && t.pending == t.durable
 		})
@@ -132,19 +132,19 @@
 }
 
 // checkpoint returns the stored form of a level.
-func (l levelAt) checkpoint(k Key, quota Level, wall time.Time) Checkpoint {
+func (l levelAt) checkpoint(k TenantKey, quota BucketState, wall time.Time) Checkpoint {
 	return Checkpoint{
-		Plan:   k.Plan,
-		Tenant: k.Tenant,
-		Nodes:  quota.Nodes,
-		Level:  l.level,
-		At:     wall.UnixMilli(),
-		FullAt: wall.Add(l.untilFull(quota)).UnixMilli(),
+		Plan:    k.Plan,
+		Tenant:  k.Tenant,
+		Nodes:   quota.Nodes,
+		Level:   l.level,
+		LevelAt: wall.UnixMilli(),
+		FullAt:  wall.Add(l.untilFull(quota)).UnixMilli(),
 	}
 }
 
-// Final returns checkpoints of all buckets as they are, for the end: nothing is granted after it.
-func (c *Checkpoints) Final(now time.Duration, wall time.Time) []Checkpoint {
+// FinalBatch returns checkpoints of all buckets as they are, for the end: nothing is granted after it.
+func (c *Checkpoints) FinalBatch(now time.Duration, wall time.Time) []Checkpoint {
 	var all []Checkpoint
 	for k, t := range c.tenants {
 		level := levelAt{math.Min(t.last.Burst, t.levelNow(now)), now}
@@ -153,8 +153,8 @@
 	return all
 }
 
-// BatchWritten takes that the last batch is durable, or was not written.
-func (c *Checkpoints) BatchWritten(ok bool) {
+// BatchDone takes that the last batch is durable, or was not written.
+func (c *Checkpoints) BatchDone(ok bool) {
 	for _, k := range c.writing {
 		t := c.tenants[k]
 		switch {
--- a/internal/store/checkpoints_test.go
+++ b/internal/store/checkpoints_test.go
@@ -25,11 +25,11 @@
 }
 
 // forgottenGrant tells what a recovery from the disk would give beyond the level, though the last grant was covered.
-func forgottenGrant(disk []Checkpoint, l Level, wall time.Time) string {
+func forgottenGrant(disk []Checkpoint, l BucketState, wall time.Time) string {
 	if len(disk) == 0 {
 		return "a grant is covered by nothing on the disk"
 	}
-	since := wall.Sub(time.UnixMilli(disk[0].At)).Seconds()
+	since := wall.Sub(time.UnixMilli(disk[0].LevelAt)).Seconds()
 	if left := min(l.Burst, disk[0].Level+l.Rate*since); left > l.Tokens+0.1 { // marks are told in ms
 		return fmt.Sprintf("recovery gives %g, the store holds %g", left, l.Tokens)
 	}
@@ -39,8 +39,8 @@
 // runCheckpoints draws grants, batches and writes, and tells the first grant that recovery would forget. Planted
 // confirms each batch before it is written.
 func runCheckpoints(t *rapid.T, planted bool) (forgot string) {
-	m, l := NewCheckpoints(10), Level{Rate: rapid.Float64Range(0.1, 20).Draw(t, "rate"), Burst: 40, Nodes: 1, Tokens: 40}
-	k, now, wall := Key{"p", "c"}, time.Hour, time.UnixMilli(1e12)
+	m, l := NewCheckpoints(10), BucketState{Rate: rapid.Float64Range(0.1, 20).Draw(t, "rate"), Burst: 40, Nodes: 1, Tokens: 40}
+	k, now, wall := TenantKey{"p", "c"}, time.Hour, time.UnixMilli(1e12)
 	var disk, writing []Checkpoint
 	covered := false
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -50,14 +50,14 @@
 		switch rapid.IntRange(0, 3).Draw(t, "what") {
 		case 0, 1:
 			l.Tokens -= float64(rapid.IntRange(1, 6).Draw(t, "units"))
-			before := m.Uncovered
-			m.Granted(k, l, now)
-			covered = m.Uncovered == before
+			before := m.UncoveredGrants
+			m.RecordGrant(k, l, now)
+			covered = m.UncoveredGrants == before
 		case 2:
 			if b := m.NextBatch(now, wall); b != nil {
 				writing = b
 				if planted {
-					m.BatchWritten(true)
+					m.BatchDone(true)
 				}
 			}
 		case 3:
@@ -66,7 +66,7 @@
 				if written {
 					disk = writing
 				}
-				m.BatchWritten(written)
+				m.BatchDone(written)
 				writing = nil
 			}
 		}
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -18,9 +18,9 @@
 	OpenFile(name string, flag int) (File, error) // flag as of os.OpenFile
 	MkdirAll(dir string) error
 	Rename(from, to string) error
-	Remove(name string) error                     // a file or an empty folder
-	Names(dir string, most int) ([]string, error) // up to most of what is in a folder
-	SyncDir(dir string) error                     // makes a folder's names durable
+	Remove(name string) error                            // a file or an empty folder
+	ReadDirNames(dir string, most int) ([]string, error) // up to most of what is in a folder
+	SyncDir(dir string) error                            // makes a folder's names durable
 }
 
 // File is an open file. *os.File has all of it but Allocate.
@@ -74,8 +74,8 @@
 // Remove removes a file or an empty folder.
 func (Local) Remove(name string) error { return os.Remove(name) }
 
-// Names returns names of what is in a folder, in no order.
-func (Local) Names(dir string, most int) ([]string, error) {
+// ReadDirNames returns names of what is in a folder, in no order.
+func (Local) ReadDirNames(dir string, most int) ([]string, error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, err
--- a/internal/store/disk/faulty/faulty.go
+++ b/internal/store/disk/faulty/faulty.go
@@ -22,8 +22,8 @@
 	"sloestile/internal/store/disk"
 )
 
-// Variable names, in the environment of a process, the folder by which its disk is driven.
-const Variable = "LAB_DISK"
+// EnvVariable names, in the environment of a process, the folder by which its disk is driven.
+const EnvVariable = "LAB_DISK"
 
 const (
 	faultsName = "faults.json"
@@ -32,17 +32,17 @@
 
 // Faults is what is wrong with a disk at one time; its zero is nothing.
 type Faults struct {
-	Lies     bool    // a sync says yes and brings nothing to the disk
-	Full     bool    // half of a write is taken
-	ReadOnly bool    // nothing can be changed
-	Stalled  bool    // each step waits until this is over
-	Errors   float64 // part of the steps that fail
-	Turned   float64 // part of the reads in which one bit is turned
-	Seed     uint64  // draws which
+	LostFsyncs     bool    `json:"Lies"` // a sync says yes and brings nothing to the disk
+	Full           bool    // half of a write is taken
+	ReadOnly       bool    // nothing can be changed
+	Stalled        bool    // each step waits until this is over
+	ErrorFraction  float64 `json:"Errors"` // part of the steps that fail
+	BitRotFraction float64 `json:"Turned"` // part of the reads in which one bit is turned
+	Seed           uint64  // draws which
 }
 
-// Set puts faults in force for the process that is driven by a folder, from its next step on.
-func Set(dir string, f Faults) error {
+// SetFaults puts faults in force for the process that is driven by a folder, from its next step on.
+func SetFaults(dir string, f Faults) error {
 	raw, err := json.Marshal(f)
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 	if f.ReadOnly && changes {
 		return fail(syscall.EROFS)
 	}
-	if d.draw(f, f.Errors) {
+	if d.draw(f, f.ErrorFraction) {
 		return fail(syscall.EIO)
 	}
 	return f, nil
@@ -232,12 +232,12 @@
 	return nil
 }
 
-// Names gives names of what is in a folder.
-func (d *FS) Names(dir string, most int) ([]string, error) {
+// ReadDirNames gives names of what is in a folder.
+func (d *FS) ReadDirNames(dir string, most int) ([]string, error) {
 	if _, err := d.step("readdir", dir, false); err != nil {
 		return nil, err
 	}
-	return d.under.Names(dir, most)
+	return d.under.ReadDirNames(dir, most)
 }
 
 // SyncDir brings a folder's names to the disk, or says so.
@@ -247,7 +247,7 @@
 
 func (d *FS) sync(name string, under func() error) error {
 	f, err := d.step("sync", name, false)
-	if err != nil || f.Lies {
+	if err != nil || f.LostFsyncs {
 		return err
 	}
 	d.mu.Lock()
--- a/internal/store/disk/faulty/faulty_test.go
+++ b/internal/store/disk/faulty/faulty_test.go
@@ -77,7 +77,7 @@
 				_ = d.Remove(name())
 			case 8:
 				lies := rapid.Bool().Draw(t, "lies")
-				require.NoError(t, Set(drive, Faults{Lies: lies}))
+				require.NoError(t, SetFaults(drive, Faults{LostFsyncs: lies}))
 				require.NoError(t, d.SyncDir(dir))
 				if !lies {
 					states = append(states, holds(t, dir))
@@ -89,10 +89,10 @@
 			}
 		}
 		back := rapid.IntRange(0, len(states)-1).Draw(t, "back")
-		_, err = Lose(drive, Loss{Syncs: back})
+		_, err = SimulatePowerLoss(drive, PowerLoss{RevertedSyncs: back})
 		require.NoError(t, err)
 		require.Equal(t, states[len(states)-1-back], holds(t, dir))
-		steps, err := Lose(drive, Loss{})
+		steps, err := SimulatePowerLoss(drive, PowerLoss{})
 		require.NoError(t, err)
 		require.Zero(t, steps, "what was lost is lost twice")
 	})
@@ -111,14 +111,14 @@
 // followed is not torn.
 func TestTornWrite(t *testing.T) {
 	_, drive, name := pair(t)
-	steps, err := Lose(drive, Loss{Torn: true})
+	steps, err := SimulatePowerLoss(drive, PowerLoss{TornWrite: true})
 	require.NoError(t, err)
 	require.Zero(t, steps)
 	d, err := New(disk.Local{}, drive)
 	require.NoError(t, err)
-	require.NoError(t, Set(drive, Faults{Lies: true}))
+	require.NoError(t, SetFaults(drive, Faults{LostFsyncs: true}))
 	require.NoError(t, disk.WriteFile(d, name, []byte("abcdefgh")))
-	_, err = Lose(drive, Loss{Torn: true})
+	_, err = SimulatePowerLoss(drive, PowerLoss{TornWrite: true})
 	require.NoError(t, err)
 	require.Equal(t, map[string]string{"f": "abcd"}, holds(t, filepath.Dir(name)))
 
@@ -128,7 +128,7 @@
 	require.NoError(t, err)
 	_, err = f.WriteAt([]byte("WXYZ"), 2)
 	require.NoError(t, err)
-	_, err = Lose(drive, Loss{Torn: true})
+	_, err = SimulatePowerLoss(drive, PowerLoss{TornWrite: true})
 	require.NoError(t, err)
 	require.Equal(t, map[string]string{"f": "abWX"}, holds(t, filepath.Dir(name)))
 }
@@ -144,10 +144,10 @@
 	}{
 		{Faults{Full: true}, syscall.ENOSPC, "0123456789ab"},
 		{Faults{ReadOnly: true}, syscall.EROFS, "0123456789ab"},
-		{Faults{Errors: 1}, syscall.EIO, "0123456789ab"},
+		{Faults{ErrorFraction: 1}, syscall.EIO, "0123456789ab"},
 		{Faults{}, 0, "0123456789ababcd"},
 	} {
-		require.NoError(t, Set(drive, x.faults))
+		require.NoError(t, SetFaults(drive, x.faults))
 		_, err := open.Write([]byte("abcd"))
 		whole := disk.WriteFile(d, name+"2", []byte("whole"))
 		if x.want == 0 {
@@ -168,7 +168,7 @@
 // Of reads of a disk that turns bits each has one turned, and the disk itself holds what was written.
 func TestTurnedBits(t *testing.T) {
 	d, drive, name := pair(t)
-	require.NoError(t, Set(drive, Faults{Turned: 1, Seed: 3}))
+	require.NoError(t, SetFaults(drive, Faults{BitRotFraction: 1, Seed: 3}))
 	f, err := d.OpenFile(name, os.O_RDONLY)
 	require.NoError(t, err)
 	b := make([]byte, 10)
@@ -187,7 +187,7 @@
 // A step on a disk that stands still ends when the disk goes on, and not before.
 func TestStalledDisk(t *testing.T) {
 	d, drive, name := pair(t)
-	require.NoError(t, Set(drive, Faults{Stalled: true}))
+	require.NoError(t, SetFaults(drive, Faults{Stalled: true}))
 	ended := make(chan error, 1)
 	go func() { ended <- disk.WriteFile(d, name, []byte("late")) }()
 	select {
@@ -196,7 +196,7 @@
 	case <-time.After(20 * look):
 	}
 	require.Equal(t, "0123456789", holds(t, filepath.Dir(name))["f"])
-	require.NoError(t, Set(drive, Faults{}))
+	require.NoError(t, SetFaults(drive, Faults{}))
 	require.NoError(t, <-ended)
 	require.Equal(t, map[string]string{"f": "late"}, holds(t, filepath.Dir(name)))
 }
@@ -204,7 +204,7 @@
 // However long a disk lies, the notes stay within their bound, and what is oldest counts as come to it.
 func TestNotesAreBounded(t *testing.T) {
 	d, drive, name := pair(t)
-	require.NoError(t, Set(drive, Faults{Lies: true}))
+	require.NoError(t, SetFaults(drive, Faults{LostFsyncs: true}))
 	rng := rand.New(rand.NewPCG(1, 0))
 	for range 1500 {
 		require.NoError(t, disk.WriteFile(d, name, slices.Repeat([]byte{byte(rng.Uint32())}, 1000)))
@@ -213,7 +213,7 @@
 	entries, err := os.ReadDir(drive)
 	require.NoError(t, err)
 	require.LessOrEqual(t, len(entries), stepsMost/3+3)
-	steps, err := Lose(drive, Loss{})
+	steps, err := SimulatePowerLoss(drive, PowerLoss{})
 	require.NoError(t, err)
 	require.Greater(t, steps, stepsMost/3)
 	require.Len(t, holds(t, filepath.Dir(name))["f"], 1000)
--- a/internal/store/disk/faulty/file.go
+++ b/internal/store/disk/faulty/file.go
@@ -43,7 +43,7 @@
 
 // flipBit flips one bit of what was read, in a fraction of the reads.
 func (f *file) flipBit(now Faults, b []byte) {
-	if len(b) > 0 && f.fs.draw(now, now.Turned) {
+	if len(b) > 0 && f.fs.draw(now, now.BitRotFraction) {
 		bit := f.fs.random(now, func(r *rand.Rand) int { return r.IntN(8 * len(b)) })
 		b[bit/8] ^= 1 << (bit % 8)
 	}
--- a/internal/store/disk/faulty/golden_test.go
+++ b/internal/store/disk/faulty/golden_test.go
@@ -16,14 +16,14 @@
 	var f Faults
 	golden.Fill(&f)
 	dir := t.TempDir()
-	require.NoError(t, Set(dir, f))
+	require.NoError(t, SetFaults(dir, f))
 	raw, err := os.ReadFile(filepath.Join(dir, "faults.json"))
 	require.NoError(t, err)
 	golden.CheckText(t, "faults", string(raw)+"\n")
 	var back Faults
 	require.NoError(t, json.Unmarshal(raw, &back))
 	require.Equal(t, f, back)
-	require.Equal(t, "LAB_DISK", Variable)
+	require.Equal(t, "LAB_DISK", EnvVariable)
 }
 
 // Notes of each kind are written to the recorded file, under the recorded keys, and read back.
--- a/internal/store/disk/faulty/undo.go
+++ b/internal/store/disk/faulty/undo.go
@@ -16,7 +16,7 @@
 const (
 	// UndoName is the file of the notes, in the folder by which a disk is driven; it is there once a
 	// process has one.
-	UndoName = "undo"
+	UndoLogName = "undo"
 
 	stepsMost = 2000     // steps that can be undone; of more the older half has come to the disk
 	bytesMost = 64 << 20 // of the records and of the kept copies of files
@@ -71,7 +71,7 @@
 
 // notes reads the notes of a folder; what is cut at the end is left out.
 func notes(dir string) (all []undo, err error) {
-	raw, err := os.ReadFile(filepath.Join(dir, UndoName))
+	raw, err := os.ReadFile(filepath.Join(dir, UndoLogName))
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
@@ -93,7 +93,7 @@
 	if j.file != nil {
 		_ = j.file.Close()
 	}
-	f, err := os.OpenFile(filepath.Join(j.dir, UndoName), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
+	f, err := os.OpenFile(filepath.Join(j.dir, UndoLogName), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
@@ -182,27 +182,27 @@
 	return j.rewrite(all[half:])
 }
 
-// Loss is what a disk loses of what it said to hold.
-type Loss struct {
-	Torn  bool // only the second half of the last write that no honest sync followed; else all since that sync
-	Syncs int  // and what this many honest syncs before had brought to it
+// PowerLoss is what a disk loses of what it said to hold.
+type PowerLoss struct {
+	TornWrite     bool // only the second half of the last write that no honest sync followed; else all since that sync
+	RevertedSyncs int  // and what this many honest syncs before had brought to it
 }
 
-// Lose makes of the disk that is driven by a folder what it holds after its power went, once the
+// SimulatePowerLoss makes of the disk that is driven by a folder what it holds after its power went, once the
 // process is dead. It returns how many steps were undone.
-func Lose(dir string, l Loss) (steps int, err error) {
+func SimulatePowerLoss(dir string, l PowerLoss) (steps int, err error) {
 	all, err := notes(dir)
 	if err != nil {
 		return 0, err
 	}
 	end := len(all)
-	if l.Torn {
+	if l.TornWrite {
 		if steps, err = tear(all); err != nil || steps == 0 {
 			return 0, err
 		}
 		end = 0 // the rest counts as come to the disk
 	}
-	for left := l.Syncs; !l.Torn && end > 0; end-- {
+	for left := l.RevertedSyncs; !l.TornWrite && end > 0; end-- {
 		u := all[end-1]
 		if u.Kind == synced {
 			left--
@@ -226,7 +226,7 @@
 
 // write leaves so many notes.
 func write(dir string, all []undo) error {
-	f, err := os.Create(filepath.Join(dir, UndoName))
+	f, err := os.Create(filepath.Join(dir, UndoLogName))
 	if err != nil {
 		return err
 	}
--- a/internal/store/disk_test.go
+++ b/internal/store/disk_test.go
@@ -101,7 +101,7 @@
 
 func (r *recorder) SyncDir(string) error { return r.do(op{kind: "syncdir"}) }
 
-func (r *recorder) Names(string, int) ([]string, error) {
+func (r *recorder) ReadDirNames(string, int) ([]string, error) {
 	var names []string
 	for n := range r.names {
 		names = append(names, filepath.Base(n))
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -57,16 +57,16 @@
 // QuarantineError is a state that can't be used and could not be moved aside: the next one that is written
 // replaces it.
 type QuarantineError struct {
-	File string
-	Why  error // it can't be used
-	Err  error
+	File   string
+	Reason error // it can't be used
+	Err    error
 }
 
 func (e *QuarantineError) Error() string {
-	return fmt.Sprintf("state %s: moving it aside failed: %s (it is unusable: %s); make the folder writable", e.File, oneline.Of(e.Err), oneline.Of(e.Why))
+	return fmt.Sprintf("state %s: moving it aside failed: %s (it is unusable: %s); make the folder writable", e.File, oneline.Of(e.Err), oneline.Of(e.Reason))
 }
 
-func (e *QuarantineError) Unwrap() []error { return []error{e.Why, e.Err} }
+func (e *QuarantineError) Unwrap() []error { return []error{e.Reason, e.Err} }
 
 // InUseError is a folder that another process uses.
 type InUseError struct{ Dir string }
@@ -102,19 +102,19 @@
 // SizeError is a state with more in it than may be written.
 type SizeError struct {
 	File, What string
-	Have, Most int
+	Have, Max  int
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("state %s: %d %s are over %d; spread the tenants over more nodes, or lower memory_mb", e.File, e.Have, e.What, e.Most)
+	return fmt.Sprintf("state %s: %d %s are over %d; spread the tenants over more nodes, or lower memory_mb", e.File, e.Have, e.What, e.Max)
 }
 
 // StalledError is a disk that did not take the last state in time.
 type StalledError struct {
-	Dir    string
-	Within time.Duration
+	Dir     string
+	Timeout time.Duration
 }
 
 func (e *StalledError) Error() string {
-	return fmt.Sprintf("state folder %s: the disk stalled for %v; check the disk, what was granted since the last state is forgotten", e.Dir, e.Within)
+	return fmt.Sprintf("state folder %s: the disk stalled for %v; check the disk, what was granted since the last state is forgotten", e.Dir, e.Timeout)
 }
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -9,13 +9,13 @@
 
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
-		&QuarantineError{File: "d/state", Why: oncall.ErrCause, Err: oncall.ErrCause},
+		&QuarantineError{File: "d/state", Reason: oncall.ErrCause, Err: oncall.ErrCause},
 		&FolderError{Dir: "d", Err: oncall.ErrCause},
 		&OwnerError{File: "d/state", Have: "n-2", Want: "n-1"},
 		&ReadError{File: "d/state", Err: oncall.ErrCause},
-		&SizeError{File: "d/state", What: "customers", Have: 3, Most: 2},
+		&SizeError{File: "d/state", What: "customers", Have: 3, Max: 2},
 		&CorruptError{File: "d/state", Err: oncall.ErrCause},
-		&StalledError{Dir: "d", Within: time.Second},
+		&StalledError{Dir: "d", Timeout: time.Second},
 		&InUseError{Dir: "d"},
 		&VersionError{File: "d/state", Have: 2, Want: 1},
 		&WriteError{File: "d/state", Err: oncall.ErrCause},
--- a/internal/store/persister.go
+++ b/internal/store/persister.go
@@ -10,18 +10,18 @@
 // Persister writes states to a folder in a goroutine of its own, so that its owner never waits for the disk. One
 // state is written at a time; changes are gathered by the owner until then.
 type Persister struct {
-	folder      *Folder
-	checkpoints map[Key]Checkpoint
+	folder      *Dir
+	checkpoints map[TenantKey]Checkpoint
 	parts       map[string][]byte
 	generation  uint64
 	maxTenants  int
 	changes     chan change
-	done        WriteDone
+	done        WriteCallback
 	running     sync.WaitGroup
 }
 
-// WriteDone is called after each state that was written, or could not be. It must not wait.
-type WriteDone func(err error, bytes int, took time.Duration)
+// WriteCallback is called after each state that was written, or could not be. It must not wait.
+type WriteCallback func(err error, bytes int, took time.Duration)
 
 // change is what has changed since the last state.
 type change struct {
@@ -31,10 +31,10 @@
 
 // NewPersister begins to write to a folder, from a state that was read from it; nil is none. Its goroutine ends with
 // Close.
-func NewPersister(f *Folder, from *State, maxTenants int, done WriteDone) *Persister {
+func NewPersister(f *Dir, from *State, maxTenants int, done WriteCallback) *Persister {
 	p := &Persister{
 		folder:      f,
-		checkpoints: make(map[Key]Checkpoint),
+		checkpoints: make(map[TenantKey]Checkpoint),
 		parts:       make(map[string][]byte),
 		maxTenants:  maxTenants,
 		changes:     make(chan change, 1),
@@ -100,7 +100,7 @@
 
 func (p *Persister) merge(checkpoints []Checkpoint, parts map[string][]byte) {
 	for _, c := range checkpoints {
-		p.checkpoints[Key{c.Plan, c.Tenant}] = c
+		p.checkpoints[TenantKey{c.Plan, c.Tenant}] = c
 	}
 	maps.Copy(p.parts, parts)
 }
@@ -108,7 +108,7 @@
 // write merges changes and writes the whole state. Checkpoints of buckets that are full again are dropped.
 func (p *Persister) write(c change, now time.Time) (int, error) {
 	p.merge(c.checkpoints, c.parts)
-	maps.DeleteFunc(p.checkpoints, func(_ Key, c Checkpoint) bool { return c.FullAt <= now.UnixMilli() })
+	maps.DeleteFunc(p.checkpoints, func(_ TenantKey, c Checkpoint) bool { return c.FullAt <= now.UnixMilli() })
 	if len(p.checkpoints) > p.maxTenants {
 		return 0, &SizeError{p.folder.path(stateName), "tenants", len(p.checkpoints), p.maxTenants}
 	}
@@ -116,7 +116,7 @@
 	s := &State{
 		Node:        p.folder.node,
 		Generation:  p.generation,
-		Written:     now.UnixMilli(),
+		WrittenAt:   now.UnixMilli(),
 		Parts:       p.parts,
 		Checkpoints: make([]Checkpoint, 0, len(p.checkpoints)),
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -42,7 +42,7 @@
 type State struct {
 	Node        string            `cbor:"1,keyasint"` // whose it is
 	Generation  uint64            `cbor:"2,keyasint"` // grows with each state written
-	Written     int64             `cbor:"3,keyasint"` // ms of Unix time
+	WrittenAt   int64             `cbor:"3,keyasint"` // ms of Unix time
 	Parts       map[string][]byte `cbor:"4,keyasint"` // by name, each in its owner's format
 	Checkpoints []Checkpoint      `cbor:"5,keyasint"`
 }
@@ -50,18 +50,18 @@
 // Checkpoint is a level that one tenant's token bucket has at least at a time, whatever was granted since it was
 // written.
 type Checkpoint struct {
-	_      struct{} `cbor:",toarray"`
-	Plan   string
-	Tenant string
-	Nodes  int     // that the tenant may come through
-	Level  float64 // tokens
-	At     int64   // ms of Unix time
-	FullAt int64   // ms of Unix time when the bucket is full again, and the checkpoint worthless
+	_       struct{} `cbor:",toarray"`
+	Plan    string
+	Tenant  string
+	Nodes   int     // that the tenant may come through
+	Level   float64 // tokens
+	LevelAt int64   // ms of Unix time
+	FullAt  int64   // ms of Unix time when the bucket is full again, and the checkpoint worthless
 }
 
 var (
 	encoder    = canonical.Encoder
-	decoder    = canonical.Limits{ArrayElements: maxCheckpoints, MapPairs: 64, NestedLevels: 6}.Decoder()
+	decoder    = canonical.Limits{MaxArrayElements: maxCheckpoints, MaxMapPairs: 64, MaxNestedLevels: 6}.Decoder()
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
@@ -105,8 +105,8 @@
 	return s, nil
 }
 
-// Folder is a folder that one process of one node uses at a time.
-type Folder struct {
+// Dir is a folder that one process of one node uses at a time.
+type Dir struct {
 	fs   disk.FS
 	dir  string
 	node string
@@ -116,7 +116,7 @@
 // Open opens a folder of a file system and makes it where there is none. It does not wait: where another process uses
 // the folder the error is an InUseError, else a FolderError. The lock is always on the local file system, as a faulty
 // disk must not let two processes in.
-func Open(d disk.FS, dir, node string) (*Folder, error) {
+func Open(d disk.FS, dir, node string) (*Dir, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, &FolderError{dir, err}
 	}
@@ -131,23 +131,23 @@
 		}
 		return nil, &FolderError{dir, err}
 	}
-	return &Folder{fs: d, dir: dir, node: node, lock: lock}, nil
+	return &Dir{fs: d, dir: dir, node: node, lock: lock}, nil
 }
 
 // Close releases the folder for another process.
-func (f *Folder) Close() error {
+func (f *Dir) Close() error {
 	if f.lock == nil {
 		return nil
 	}
 	return f.lock.Close()
 }
 
-func (f *Folder) path(name string) string { return filepath.Join(f.dir, name) }
+func (f *Dir) path(name string) string { return filepath.Join(f.dir, name) }
 
 // Read returns the last durable state; nil is none. A state that can't be used, also when it is read again, is moved
 // aside, and the error says why: a CorruptError, VersionError, OwnerError or ReadError, within a QuarantineError where
 // it can't be moved. The folder can be written to all the same.
-func (f *Folder) Read() (*State, error) {
+func (f *Dir) Read() (*State, error) {
 	var unusable error
 	for range readAttempts {
 		s, err := f.read()
@@ -162,7 +162,7 @@
 	return nil, unusable
 }
 
-func (f *Folder) read() (*State, error) {
+func (f *Dir) read() (*State, error) {
 	file := f.path(stateName)
 	raw, err := disk.ReadFile(f.fs, file, MaxStateBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -175,8 +175,8 @@
 }
 
 // quarantine moves a state that can't be used aside and removes the oldest of those.
-func (f *Folder) quarantine() error {
-	names, err := f.fs.Names(f.dir, maxNames)
+func (f *Dir) quarantine() error {
+	names, err := f.fs.ReadDirNames(f.dir, maxNames)
 	if err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 
 // Write makes a state durable: when it returns without an error the state survives a crash of the machine. After an
 // error, a SizeError or a WriteError, the disk holds the state before, or this one.
-func (f *Folder) Write(s *State) (bytes int, err error) {
+func (f *Dir) Write(s *State) (bytes int, err error) {
 	file := f.path(stateName)
 	raw, err := encode(s)
 	if err != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -25,8 +25,8 @@
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func state(gen uint64) *State {
-	return &State{Node: "n1", Generation: gen, Written: int64(gen), Parts: map[string][]byte{"learnt": []byte(fmt.Sprint("what ", gen))},
-		Checkpoints: []Checkpoint{{Plan: "basic", Tenant: fmt.Sprint("c", gen), Nodes: 3, Level: float64(gen), At: 5, FullAt: 9}}}
+	return &State{Node: "n1", Generation: gen, WrittenAt: int64(gen), Parts: map[string][]byte{"learnt": []byte(fmt.Sprint("what ", gen))},
+		Checkpoints: []Checkpoint{{Plan: "basic", Tenant: fmt.Sprint("c", gen), Nodes: 3, Level: float64(gen), LevelAt: 5, FullAt: 9}}}
 }
 
 // outcome plays a run of writes, and looks at every disk that a crash at each point may leave. It
@@ -34,7 +34,7 @@
 // had ended.
 func outcome(writes int, plan func(r *recorder, i int)) (looked int, wrong error) {
 	r := newRecorder()
-	f := &Folder{fs: r, dir: "d", node: "n1"}
+	f := &Dir{fs: r, dir: "d", node: "n1"}
 	ends := []int{} // how many steps had been done when each write had ended
 	for i := range writes {
 		plan(r, i)
@@ -53,7 +53,7 @@
 		}
 		crashes(r.ops[:p], func(left *recorder) {
 			looked++
-			g := &Folder{fs: left, dir: "d", node: "n1"}
+			g := &Dir{fs: left, dir: "d", node: "n1"}
 			s, err := g.Read()
 			switch {
 			case wrong != nil:
@@ -161,7 +161,7 @@
 			t.Errorf("case %d: after it was put aside: %+v, %v", i, s, err)
 		}
 	}
-	names, err := f.fs.Names(dir, 100)
+	names, err := f.fs.ReadDirNames(dir, 100)
 	if slices.Sort(names); err != nil || !slices.Equal(names, []string{lockName, quarantineName + "1", quarantineName + "2"}) {
 		t.Errorf("the folder holds %v, %v", names, err)
 	}
@@ -188,7 +188,7 @@
 		return false
 	}
 	done := make(chan error, 10)
-	k := NewPersister(&Folder{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
+	k := NewPersister(&Dir{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
 	rec := Checkpoint{Plan: "p", Tenant: "c", Level: 1, FullAt: 1 << 60}
 	taken := 0
 	for taken < 100 && k.Submit([]Checkpoint{rec}, nil) {
@@ -209,7 +209,7 @@
 	if err := k.Close(time.Minute); err != nil {
 		t.Error(err)
 	}
-	if s, err := (&Folder{fs: r, dir: "d", node: "n1"}).Read(); err != nil || len(s.Checkpoints) != 1 || s.Generation != uint64(taken+1) {
+	if s, err := (&Dir{fs: r, dir: "d", node: "n1"}).Read(); err != nil || len(s.Checkpoints) != 1 || s.Generation != uint64(taken+1) {
 		t.Errorf("read %+v, %v", s, err)
 	}
 }
@@ -223,7 +223,7 @@
 	r, done := newRecorder(), make(chan error)
 	refuses := true
 	r.fail = func(string) bool { return refuses }
-	k := NewPersister(&Folder{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
+	k := NewPersister(&Dir{fs: r, dir: "d", node: "n1"}, nil, 100, func(err error, _ int, _ time.Duration) { done <- err })
 	for range 5 {
 		k.Submit(nil, nil)
 		require.Error(t, <-done)
@@ -246,7 +246,7 @@
 }
 
 func (d *turning) OpenFile(name string, flag int) (disk.File, error) {
-	if err := faulty.Set(d.drive, faulty.Faults{Turned: float64(min(1, d.left))}); err != nil {
+	if err := faulty.SetFaults(d.drive, faulty.Faults{BitRotFraction: float64(min(1, d.left))}); err != nil {
 		return nil, err
 	}
 	d.left = max(0, d.left-1)
@@ -301,7 +301,7 @@
 			s := state(1)
 			s.Checkpoints = nil
 			for i := range n {
-				s.Checkpoints = append(s.Checkpoints, Checkpoint{Plan: "business", Tenant: fmt.Sprintf("%016x", i), Nodes: 30, Level: 12.5, At: 1796000000000, FullAt: 1796000009000})
+				s.Checkpoints = append(s.Checkpoints, Checkpoint{Plan: "business", Tenant: fmt.Sprintf("%016x", i), Nodes: 30, Level: 12.5, LevelAt: 1796000000000, FullAt: 1796000009000})
 			}
 			bytes := 0
 			for b.Loop() {
--- a/internal/testbed/disks.go
+++ b/internal/testbed/disks.go
@@ -35,7 +35,7 @@
 		for _, e := range n.faults {
 			switch part := cmp.Or(e.Size, 1); e.How {
 			case "lies":
-				f.Lies = true
+				f.LostFsyncs = true
 			case "full":
 				f.Full = true
 			case "readonly":
@@ -43,12 +43,12 @@
 			case "stalled":
 				f.Stalled = true
 			case "erring":
-				f.Errors = max(f.Errors, part)
+				f.ErrorFraction = max(f.ErrorFraction, part)
 			case "turned":
-				f.Turned = max(f.Turned, part)
+				f.BitRotFraction = max(f.BitRotFraction, part)
 			}
 		}
-		err := faulty.Set(p.diskOf(n), f)
+		err := faulty.SetFaults(p.diskOf(n), f)
 		p.mu.Unlock()
 		if err != nil {
 			p.crash("the disk of %s: %v", n.Name, err)
@@ -60,12 +60,12 @@
 // start anew after a while.
 func (p *play) power(ctx context.Context, e scenario.Event) {
 	p.end9(e.Targets)
-	loss := faulty.Loss{Torn: e.How == "torn"}
+	loss := faulty.PowerLoss{TornWrite: e.How == "torn"}
 	if e.How == "older" {
-		loss.Syncs = int(e.Size)
+		loss.RevertedSyncs = int(e.Size)
 	}
 	for _, i := range e.Targets {
-		steps, err := faulty.Lose(p.diskOf(p.nodes[i]), loss)
+		steps, err := faulty.SimulatePowerLoss(p.diskOf(p.nodes[i]), loss)
 		if err != nil {
 			p.crash("the disk of %s at the end of its power: %v", p.nodes[i].Name, err)
 		}
@@ -77,7 +77,7 @@
 // driven tells whether all nodes' disks were driven: the program was built for it.
 func (p *play) driven() error {
 	for _, n := range p.nodes {
-		if _, err := os.Stat(filepath.Join(p.diskOf(n), faulty.UndoName)); err != nil {
+		if _, err := os.Stat(filepath.Join(p.diskOf(n), faulty.UndoLogName)); err != nil {
 			return fmt.Errorf("the disk of %s is not driven; build the program with the tag lab: %w", n.Name, err)
 		}
 	}
--- a/internal/testbed/node.go
+++ b/internal/testbed/node.go
@@ -109,7 +109,7 @@
 	env := append(os.Environ(), "NODE_NAME="+n.Name, "NODE_LISTEN="+p.address(n.index, portListen),
 		"NODE_DISCOVERY="+p.address(n.index, n.discovery), "NODE_CONFIG="+path, "NODE_CONSOLE="+p.address(n.index, portConsole), "TMPDIR="+tmp)
 	if p.day.File.Disks() {
-		env = append(env, faulty.Variable+"="+p.diskOf(n))
+		env = append(env, faulty.EnvVariable+"="+p.diskOf(n))
 	}
 	if n.fleet != "" {
 		env = append(env, "NODE_FLEET="+n.fleet)
