--- a/internal/canonical/canonical.go
+++ b/internal/canonical/canonical.go
@@ -1,5 +1,6 @@
-// Package canonical has the CBOR form of everything that is stored, or sent between nodes: canonical encoding, and
-// decoding with bounds on what a message can make the reader build. The specification is RFC 8949, section 4.2.
+// Package canonical defines how data that is stored or sent between nodes is encoded as CBOR. Encoder encodes in
+// canonical form (RFC 8949, section 4.2), and Limits.Decoder returns decoders that limit the size of the decoded
+// values, so that a message cannot exhaust the receiver's memory.
 package canonical
 
 import "github.com/fxamacker/cbor/v2"
@@ -7,18 +8,18 @@
 // Encoder encodes values in canonical form, so that equal values have equal bytes.
 var Encoder = must(cbor.CanonicalEncOptions().EncMode())
 
-// Limits bound what a decoder accepts.
+// Limits are the limits of a decoder. For the numbers, 0 means the default of the CBOR library.
 type Limits struct {
-	MaxArrayElements int // of an array, at most
-	MaxMapPairs      int // of a map, at most
-	MaxNestedLevels  int // of arrays and maps, at most
-	// RejectUnknownFields makes fields an error that the target does not have. Without it they are ignored, as messages
-	// come from nodes with later programs too.
+	MaxArrayElements int // elements of an array
+	MaxMapPairs      int // key-value pairs of a map
+	MaxNestedLevels  int // nesting depth of arrays and maps
+	// RejectUnknownFields makes the decoder reject a field that the target type does not have. If it is false, such
+	// fields are ignored, because nodes with a later version of the program may send them.
 	RejectUnknownFields bool
 }
 
-// Decoder returns a decoder with the limits. It rejects repeated map keys and values of indefinite length. It panics
-// where the limits are out of the library's range.
+// Decoder returns a decoder with the limits. It rejects duplicate map keys and values of indefinite length. It panics
+// if the CBOR library does not accept the limits.
 func (l Limits) Decoder() cbor.DecMode {
 	options := cbor.DecOptions{
 		MaxArrayElements: l.MaxArrayElements,
@@ -33,9 +34,10 @@
 	return must(options.DecMode())
 }
 
+// must returns v. It panics if err is not nil.
 func must[T any](v T, err error) T {
 	if err != nil {
-		panic(err) // options of the program's own
+		panic(err) // the options are fixed in the program, so this is a programming error
 	}
 	return v
 }
--- a/internal/canonical/canonical_test.go
+++ b/internal/canonical/canonical_test.go
@@ -10,8 +10,8 @@
 	A int `cbor:"1,keyasint"`
 }
 
-// A decoder rejects what exceeds its limits or is ambiguous, and unknown fields only where it is told to.
-func TestLimits(t *testing.T) {
+// A decoder rejects values that exceed its limits or are ambiguous, and unknown fields only with RejectUnknownFields.
+func TestDecoderEnforcesLimits(t *testing.T) {
 	lenient := Limits{MaxArrayElements: 16, MaxMapPairs: 16, MaxNestedLevels: 4}.Decoder()
 	strict := Limits{MaxArrayElements: 16, MaxMapPairs: 16, MaxNestedLevels: 4, RejectUnknownFields: true}.Decoder()
 	unknown := []byte{0xa2, 1, 7, 2, 8}
--- a/internal/consensus/raftlog/golden_test.go
+++ b/internal/consensus/raftlog/golden_test.go
@@ -10,26 +10,28 @@
 	"sloestile/internal/golden"
 )
 
-// The meta file and the snapshot have the recorded bytes, with magic and sum.
-func TestFilesAreAsRecorded(t *testing.T) {
-	golden.RoundTrip(t, "meta", func(m *meta) ([]byte, error) { return EncodeChecksummed(metaMagic, m) }, func(raw []byte) (*meta, error) {
-		m := &meta{}
-		return m, DecodeChecksummed(metaMagic, metaName, raw, m)
+// The metadata file and the snapshot file, including magic and checksum, have the bytes in the golden files, so that a
+// later version of the program can read them.
+func TestMetadataAndSnapshotMatchGoldenFiles(t *testing.T) {
+	golden.RoundTrip(t, "meta", func(m *metadata) ([]byte, error) { return EncodeChecksummed(metadataMagic, m) }, func(raw []byte) (*metadata, error) {
+		m := &metadata{}
+		return m, DecodeChecksummed(metadataMagic, metadataName, raw, m)
 	})
-	golden.RoundTrip(t, "snapshot", func(s *snapshot) ([]byte, error) { return EncodeChecksummed(snapMagic, s) }, func(raw []byte) (*snapshot, error) {
+	golden.RoundTrip(t, "snapshot", func(s *snapshot) ([]byte, error) { return EncodeChecksummed(snapshotMagic, s) }, func(raw []byte) (*snapshot, error) {
 		s := &snapshot{}
-		return s, DecodeChecksummed(snapMagic, snapName, raw, s)
+		return s, DecodeChecksummed(snapshotMagic, snapshotName, raw, s)
 	})
-	require.Equal(t, "log meta snapshot", logName+" "+metaName+" "+snapName)
+	require.Equal(t, "log meta snapshot", logName+" "+metadataName+" "+snapshotName)
 }
 
-// A record of the log has the recorded bytes behind the file's head.
-func TestRecordIsAsRecorded(t *testing.T) {
+// The log file, with its header and one entry, has the bytes in the golden file, so that a later version of the program
+// can read it.
+func TestEntryMatchesGoldenFile(t *testing.T) {
 	r := raft.Log{Index: 7, Term: 3, Type: raft.LogCommand, Data: []byte("data"), Extensions: []byte("more")}
-	raw := appendRecord([]byte(logHead), &r)
+	raw := appendEntry([]byte(logHeader), &r)
 	golden.Check(t, "log", raw)
-	back, n, ok := parseRecord(raw[len(logHead):])
+	decoded, n, ok := parseEntry(raw[len(logHeader):])
 	require.True(t, ok)
-	require.Equal(t, len(raw)-len(logHead), n)
-	require.True(t, bytes.Equal(raw, appendRecord([]byte(logHead), &back)))
+	require.Equal(t, len(raw)-len(logHeader), n)
+	require.True(t, bytes.Equal(raw, appendEntry([]byte(logHeader), &decoded)))
 }
--- a/internal/consensus/raftlog/raftlog.go
+++ b/internal/consensus/raftlog/raftlog.go
@@ -1,6 +1,9 @@
-// Package raftlog persists what a voter of the consensus group has agreed to: its identity, its term and vote, its log and
-// its last snapshot. Every record has a checksum of its own. A folder in which anything can't be read as it was written is
-// moved aside whole (quarantined), and the voter begins with another identity: it has to be admitted anew.
+// Package raftlog stores the persistent state of a voter of the consensus group: its identity, its term and vote, its
+// log and its latest snapshot. A Log implements the stores of the raft library on one directory, which Open locks.
+//
+// The metadata, the snapshot and each log entry have checksums. If any file is missing or corrupt, Open moves the whole
+// content of the directory to a subdirectory (it quarantines it) and starts an empty log with a new identity. The group
+// has to admit this identity before it votes, because the voter has lost state that it had acknowledged.
 package raftlog
 
 import (
@@ -23,54 +26,56 @@
 
 const (
 	lockName      = "lock"
-	quarantineDir = "spoilt" // what could not be read; what is there already is replaced
-	maxFiles      = 4096     // of a folder that are looked at
-	stallTimeout  = time.Second
+	quarantineDir = "spoilt"    // subdirectory for quarantined files; its earlier content is replaced
+	maxDirEntries = 4096        // names of a directory that quarantine reads
+	stallTimeout  = time.Second // duration of a write from which the disk counts as stalled
 )
 
-// CorruptError is a file of the log that is not as it was written.
+// CorruptError means that a file of the log is missing or corrupt.
 type CorruptError struct {
-	File string
+	File string // name of the file in the directory
 	Err  error
 }
 
 func (e *CorruptError) Error() string {
-	return fmt.Sprintf("council's log: %s is corrupt: %s; check the disk, the voter is admitted anew by itself", e.File, oneline.Of(e.Err))
+	return fmt.Sprintf("council's log: %s is corrupt: %s; check the disk, the voter requests admission again by itself", e.File, oneline.Of(e.Err))
 }
 
 func (e *CorruptError) Unwrap() error { return e.Err }
 
-// InUseError is a folder that another process uses.
+// InUseError means that another process uses the directory.
 type InUseError struct{ Dir string }
 
 func (e *InUseError) Error() string {
-	return fmt.Sprintf("council's log: %s: another process uses it; end that one, or give this node a folder of its own", e.Dir)
+	return fmt.Sprintf("council's log: %s: another process uses it; stop that process, or give this node a folder of its own", e.Dir)
 }
 
-// Log is a voter's log, term, vote and snapshot. Once a write has failed, or a record was not as it was written, it has
-// failed for good: its owner must end its part in the group and open it again. It is safe for concurrent use.
+// Log is the persistent state of a voter: its log, term, vote and snapshot. After a failed write, or when an entry or
+// the snapshot turns out to be corrupt, the log has failed and accepts no more writes: its owner has to stop the voter
+// and open the directory again. A Log is safe for concurrent use.
 type Log struct {
-	Identity    string // of what is on this disk; another one once that is lost
-	NewIdentity bool   // the identity was made by this opening
-	Empty       bool   // there is neither log nor snapshot: the voter has agreed to nothing
+	Identity    string // random identity of the state on this disk; a new one replaces it when the state is lost
+	NewIdentity bool   // whether this call of Open created the identity
+	Empty       bool   // whether there was neither an entry nor a snapshot when the log was opened
 
-	records   *records
-	meta      *meta
+	entries   *entryFile
+	metadata  *metadata
 	snapshots *snapshotStore
 	lock      *os.File
-	onStall   func(stalled bool) // is called when a write takes long, and when it has ended
-	failed    chan struct{}      // closed once it has failed
-	failure   atomic.Pointer[error]
+	onStall   func(stalled bool)    // see OnStall; nil if not set
+	failed    chan struct{}         // closed when the log has failed
+	failure   atomic.Pointer[error] // reason of the failure; nil if the log has not failed
 	hasFailed atomic.Bool
 }
 
-// Open opens a folder of a node. What is corrupt there is moved aside and the second result says why; the log is a new one
-// then.
+// Open opens the log in the directory of a node, and creates both if they do not exist. If the stored state is corrupt,
+// it is quarantined and l is an empty log with a new identity; corrupt is then the reason, a *CorruptError. If another
+// process uses the directory, err is an *InUseError.
 func Open(d disk.FS, dir, node string) (l *Log, corrupt, err error) {
 	if err := d.MkdirAll(dir); err != nil {
 		return nil, nil, fmt.Errorf("council's log: %w", err)
 	}
-	lock, err := takeLock(dir)
+	lock, err := lockDir(dir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -82,15 +87,15 @@
 		}
 	}
 	if err != nil {
-		_ = lock.Close() // releases the folder
+		_ = lock.Close() // releases the directory
 		return nil, corrupt, fmt.Errorf("council's log %s: %w", dir, err)
 	}
 	l.lock = lock
 	return l, corrupt, nil
 }
 
-// takeLock keeps a second process out. It does not wait.
-func takeLock(dir string) (*os.File, error) {
+// lockDir locks the directory against other processes. It does not wait for the lock.
+func lockDir(dir string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("council's log: %w", err)
@@ -105,47 +110,48 @@
 	return lock, nil
 }
 
+// open opens the files of a locked directory, and creates them if the directory is empty.
 func open(d disk.FS, dir, node string) (*Log, error) {
-	m, isNew, err := readMeta(d, dir, node)
+	m, created, err := openMetadata(d, dir, node)
 	if err != nil {
 		return nil, err
 	}
-	l := &Log{Identity: m.Identity, NewIdentity: isNew, meta: m, failed: make(chan struct{})}
-	if l.snapshots, err = openSnapshots(d, dir, l); err != nil {
+	l := &Log{Identity: m.Identity, NewIdentity: created, metadata: m, failed: make(chan struct{})}
+	if l.snapshots, err = openSnapshotStore(d, dir, l); err != nil {
 		return nil, err
 	}
-	if l.records, err = openRecords(d, dir); err != nil {
+	if l.entries, err = openEntryFile(d, dir); err != nil {
 		return nil, err
 	}
-	first, last := l.records.bounds()
+	first, last := l.entries.indexRange()
 	snapshotEnd := uint64(0)
-	if l.snapshots.last != nil {
-		snapshotEnd = l.snapshots.last.Index
+	if l.snapshots.latest != nil {
+		snapshotEnd = l.snapshots.latest.Index
 	}
 	if last > 0 && first > snapshotEnd+1 {
-		_ = l.records.close() // nothing was written
-		return nil, &CorruptError{File: logName, Err: fmt.Errorf("it begins with %d, the snapshot ends with %d", first, snapshotEnd)}
+		_ = l.entries.close() // nothing was written
+		return nil, &CorruptError{File: logName, Err: fmt.Errorf("it begins with entry %d, the snapshot ends with entry %d", first, snapshotEnd)}
 	}
 	l.Empty = last == 0 && snapshotEnd == 0
 	return l, nil
 }
 
-// quarantine moves all of a folder but its lock into a folder in it, in place of what was there before.
+// quarantine moves everything in the directory except its lock to quarantineDir, and removes what was there before.
 func quarantine(d disk.FS, dir string) error {
 	target := filepath.Join(dir, quarantineDir)
 	if err := d.MkdirAll(target); err != nil {
 		return err
 	}
-	old, err := d.ReadDirNames(target, maxFiles)
+	oldNames, err := d.ReadDirNames(target, maxDirEntries)
 	if err != nil {
 		return err
 	}
-	for _, name := range old {
+	for _, name := range oldNames {
 		if err := d.Remove(filepath.Join(target, name)); err != nil {
 			return err
 		}
 	}
-	names, err := d.ReadDirNames(dir, maxFiles)
+	names, err := d.ReadDirNames(dir, maxDirEntries)
 	if err != nil {
 		return err
 	}
@@ -160,49 +166,50 @@
 	return d.SyncDir(dir)
 }
 
-// RenewIdentity moves everything aside and leaves the folder to be opened anew, with another identity. It closes the log.
+// RenewIdentity closes the log and quarantines the stored state. The next call of Open creates an empty log with a new
+// identity.
 func (l *Log) RenewIdentity() error {
-	d, dir := l.meta.disk, l.meta.dir
-	return errors.Join(l.records.close(), quarantine(d, dir), l.lock.Close())
+	d, dir := l.metadata.disk, l.metadata.dir
+	return errors.Join(l.entries.close(), quarantine(d, dir), l.lock.Close())
 }
 
-// Close releases the folder for another process.
-func (l *Log) Close() error { return errors.Join(l.records.close(), l.lock.Close()) }
+// Close closes the log and releases the directory for other processes.
+func (l *Log) Close() error { return errors.Join(l.entries.close(), l.lock.Close()) }
 
-// Failed is closed once the log has failed; Err says why.
+// Failed returns a channel that is closed when the log has failed. Err returns the reason.
 func (l *Log) Failed() <-chan struct{} { return l.failed }
 
-// Err returns why the log has failed; nil is that it has not.
+// Err returns the reason why the log has failed, or nil if it has not.
 func (l *Log) Err() error {
-	if p := l.failure.Load(); p != nil {
-		return *p
+	if failure := l.failure.Load(); failure != nil {
+		return *failure
 	}
 	return nil
 }
 
-// OnStall has a function called when a write has taken stallTimeout, and when that one has ended. It must be set before the
-// log is written to.
-func (l *Log) OnStall(call func(stalled bool)) { l.onStall = call }
+// OnStall sets a function that is called with true when a write has taken stallTimeout, and with false when that write
+// has ended. It must be set before the first write. Nil disables it.
+func (l *Log) OnStall(callback func(stalled bool)) { l.onStall = callback }
 
-// fail ends the use of the log.
+// fail marks the log as failed, unless it already is, and returns err.
 func (l *Log) fail(err error) error {
 	if !l.hasFailed.Swap(true) {
 		l.failure.Store(&err)
 		close(l.failed)
-		slog.Error("consensus: the log has failed", "error", err)
+		slog.Error("consensus: log failed", "error", err)
 	}
 	return err
 }
 
-// write runs a write; one that fails ends the use of the log.
+// write runs a write and reports a stall to onStall. If the write fails, the log has failed.
 func (l *Log) write(run func() error) error {
 	if err := l.Err(); err != nil {
 		return err
 	}
 	if l.onStall != nil {
-		late := time.AfterFunc(stallTimeout, func() { l.onStall(true) })
+		stallTimer := time.AfterFunc(stallTimeout, func() { l.onStall(true) })
 		defer func() {
-			if !late.Stop() {
+			if !stallTimer.Stop() {
 				l.onStall(false)
 			}
 		}()
@@ -213,64 +220,68 @@
 	return nil
 }
 
-// Configuration returns the voters that the log names last, and the index at which it does.
+// Configuration returns the latest configuration of the group in the log or the snapshot, and its index. The index is 0
+// if there is none.
 func (l *Log) Configuration() (c raft.Configuration, index uint64, err error) {
-	first, last := l.records.bounds()
+	first, last := l.entries.indexRange()
 	for i := last; i >= first && i > 0; i-- {
 		var r raft.Log
-		if err := l.records.get(i, &r); err != nil {
+		if err := l.entries.get(i, &r); err != nil {
 			return c, 0, err
 		}
 		if r.Type == raft.LogConfiguration {
 			return raft.DecodeConfiguration(r.Data), i, nil
 		}
 	}
-	if s := l.snapshots.last; s != nil {
+	if s := l.snapshots.latest; s != nil {
 		return s.Configuration, s.ConfigurationIndex, nil
 	}
 	return c, 0, nil
 }
 
-// LastPosition returns term and index of the last record, or of the snapshot where that is later.
+// LastPosition returns term and index of the last entry, or those of the snapshot if it is later. They are 0 if there
+// is neither.
 func (l *Log) LastPosition() (term, index uint64, err error) {
-	if s := l.snapshots.last; s != nil {
+	if s := l.snapshots.latest; s != nil {
 		term = s.Term
 		index = s.Index
 	}
-	_, last := l.records.bounds()
+	_, last := l.entries.indexRange()
 	if last <= index {
 		return term, index, nil
 	}
 	var r raft.Log
-	if err := l.records.get(last, &r); err != nil {
+	if err := l.entries.get(last, &r); err != nil {
 		return 0, 0, err
 	}
 	return r.Term, r.Index, nil
 }
 
-// Keys of the raft library under which term and vote are stored.
+// Keys under which the raft library stores the term and the vote.
 const (
 	KeyTerm          = "CurrentTerm"
 	KeyVoteTerm      = "LastVoteTerm"
 	KeyVoteCandidate = "LastVoteCand"
 )
 
-// Term returns the term and the last one in which this voter voted.
-func (l *Log) Term() (term, voted uint64, err error) {
+// Term returns the current term and the last term in which this voter voted; 0 means none.
+func (l *Log) Term() (term, votedTerm uint64, err error) {
 	if term, err = l.GetUint64([]byte(KeyTerm)); err == nil {
-		voted, err = l.GetUint64([]byte(KeyVoteTerm))
+		votedTerm, err = l.GetUint64([]byte(KeyVoteTerm))
 	}
-	return term, voted, err
+	return term, votedTerm, err
 }
 
-// ForbidVotesThrough keeps this voter from another vote up to a term.
+// ForbidVotesThrough prevents this voter from casting another vote in any term up to and including the given one. It
+// raises the current term to that term and stores a vote for a candidate that does not exist.
 func (l *Log) ForbidVotesThrough(term uint64) error {
-	have, voted, err := l.Term()
-	if err == nil && have < term {
+	stored, votedTerm, err := l.Term()
+	if err == nil && stored < term {
 		err = l.SetUint64([]byte(KeyTerm), term)
 	}
-	if err == nil && voted < term {
-		// The candidate first: the term alone, with the one voted for before, would be another vote.
+	if err == nil && votedTerm < term {
+		// The candidate is stored first: the new term with the candidate of the earlier vote would be a vote for that
+		// candidate.
 		if err = l.Set([]byte(KeyVoteCandidate), []byte("nobody")); err == nil {
 			err = l.SetUint64([]byte(KeyVoteTerm), term)
 		}
@@ -278,7 +289,7 @@
 	return err
 }
 
-// The raft library calls what follows.
+// The methods below implement the stores of the raft library.
 
 var (
 	_ raft.LogStore          = (*Log)(nil)
@@ -286,70 +297,72 @@
 	_ raft.StableStore       = (*Log)(nil)
 )
 
-// IsMonotonic says that there are no gaps.
+// IsMonotonic returns true: the indexes of the entries have no gaps.
 func (l *Log) IsMonotonic() bool { return true }
 
-// FirstIndex returns the index of the first record; 0 is none.
+// FirstIndex returns the index of the first entry, or 0 if the log is empty.
 func (l *Log) FirstIndex() (uint64, error) {
-	first, _ := l.records.bounds()
+	first, _ := l.entries.indexRange()
 	return first, nil
 }
 
-// LastIndex returns the index of the last record; 0 is none.
+// LastIndex returns the index of the last entry, or 0 if the log is empty.
 func (l *Log) LastIndex() (uint64, error) {
-	_, last := l.records.bounds()
+	_, last := l.entries.indexRange()
 	return last, nil
 }
 
 // Size returns the size of the log's file in bytes.
-func (l *Log) Size() int64 { return l.records.size() }
+func (l *Log) Size() int64 { return l.entries.size() }
 
-// GetLog reads a record.
-func (l *Log) GetLog(index uint64, r *raft.Log) error {
-	err := l.records.get(index, r)
+// GetLog reads an entry. If the log does not have it, the error is raft.ErrLogNotFound. Any other failure marks the log
+// as failed and ends the calling goroutine.
+func (l *Log) GetLog(index uint64, entry *raft.Log) error {
+	err := l.entries.get(index, entry)
 	if err == nil || errors.Is(err, raft.ErrLogNotFound) {
 		return err
 	}
-	_ = l.fail(err) // err itself
-	// The library panics on a record that it can't have. This goroutine of its ends instead, with all that it has
-	// deferred, and the log's owner ends the others.
+	_ = l.fail(err) // returns err itself
+	// The library panics when it cannot read an entry. This ends only its calling goroutine, after its deferred calls;
+	// the log's owner then stops the rest of the library.
 	runtime.Goexit()
 	return err
 }
 
-// StoreLog writes a record.
-func (l *Log) StoreLog(r *raft.Log) error { return l.StoreLogs([]*raft.Log{r}) }
+// StoreLog appends an entry; it is durable when the method returns nil.
+func (l *Log) StoreLog(entry *raft.Log) error { return l.StoreLogs([]*raft.Log{entry}) }
 
-// StoreLogs writes records; they are durable when it returns.
-func (l *Log) StoreLogs(rs []*raft.Log) error {
-	return l.write(func() error { return l.records.append(rs) })
+// StoreLogs appends entries; they are durable when the method returns nil.
+func (l *Log) StoreLogs(entries []*raft.Log) error {
+	return l.write(func() error { return l.entries.append(entries) })
 }
 
-// DeleteRange removes records at the beginning or the end.
+// DeleteRange deletes the entries from one index to another, both included. They must be at the beginning or the end of
+// the log.
 func (l *Log) DeleteRange(from, to uint64) error {
-	return l.write(func() error { return l.records.remove(from, to) })
+	return l.write(func() error { return l.entries.deleteRange(from, to) })
 }
 
-// Set stores a value.
+// Set stores a value under a key; it is durable when the method returns nil.
 func (l *Log) Set(key, value []byte) error {
-	return l.write(func() error { return l.meta.set(key, value) })
+	return l.write(func() error { return l.metadata.set(key, value) })
 }
 
-// Get returns a value; empty is none.
-func (l *Log) Get(key []byte) ([]byte, error) { return l.meta.get(key), nil }
+// Get returns the value of a key, or an empty one if there is none.
+func (l *Log) Get(key []byte) ([]byte, error) { return l.metadata.get(key), nil }
 
-// SetUint64 stores a number.
+// SetUint64 stores a number under a key. If storing the current term fails, it ends the calling goroutine.
 func (l *Log) SetUint64(key []byte, value uint64) error {
 	err := l.Set(key, binary.BigEndian.AppendUint64(nil, value))
 	if err != nil && string(key) == KeyTerm {
-		runtime.Goexit() // as in GetLog: the library panics where its term can't be stored
+		runtime.Goexit() // as in GetLog: the library panics when it cannot store its term
 	}
 	return err
 }
 
-// GetUint64 returns a number; 0 is none.
+// GetUint64 returns the number of a key, or 0 if there is none.
 func (l *Log) GetUint64(key []byte) (uint64, error) {
-	switch raw := l.meta.get(key); len(raw) {
+	switch raw := l.metadata.get(key); len(raw) {
 	case 0:
 		return 0, nil
 	case 8:
--- a/internal/consensus/raftlog/raftlog_test.go
+++ b/internal/consensus/raftlog/raftlog_test.go
@@ -20,11 +20,11 @@
 	goleak.VerifyTestMain(m)
 }
 
-// fill writes a term, a vote, records and a snapshot up to one of them.
-func fill(t *testing.T, dir string) (identity string) {
-	l, why, err := Open(disk.Local{}, dir, "n1")
+// writeLog writes a log with a term, a vote, a snapshot up to entry 5 and the entries 4 to 20.
+func writeLog(t *testing.T, dir string) (identity string) {
+	l, corrupt, err := Open(disk.Local{}, dir, "n1")
 	require.NoError(t, err)
-	require.NoError(t, why)
+	require.NoError(t, corrupt)
 	require.True(t, l.Empty)
 	require.NoError(t, l.SetUint64([]byte(KeyTerm), 3))
 	require.NoError(t, l.SetUint64([]byte(KeyVoteTerm), 3))
@@ -41,13 +41,14 @@
 	return l.Identity
 }
 
-// What was written is there after a close, and a second process is kept out.
-func TestReadBack(t *testing.T) {
+// A log that is closed and opened again has its identity, entries, term, vote and snapshot. A second Open of a log that
+// is in use fails. ForbidVotesThrough replaces the vote, so that the voter does not vote twice in a term.
+func TestReopenedLogHasWhatWasWritten(t *testing.T) {
 	dir := t.TempDir()
-	identity := fill(t, dir)
-	l, why, err := Open(disk.Local{}, dir, "n1")
+	identity := writeLog(t, dir)
+	l, corrupt, err := Open(disk.Local{}, dir, "n1")
 	require.NoError(t, err)
-	require.NoError(t, why)
+	require.NoError(t, corrupt)
 	require.Equal(t, identity, l.Identity)
 	_, _, err = Open(disk.Local{}, dir, "n1")
 	require.ErrorAs(t, err, new(*InUseError))
@@ -71,57 +72,58 @@
 	require.NoError(t, l.Close())
 }
 
-// A bit that is turned anywhere in what was written is found, and a file that is gone: the log is a fresh
-// one, or all in it is as it was written but for its last record, which looks like one never written whole.
-func TestTurnedBits(t *testing.T) {
-	from := t.TempDir()
-	identity := fill(t, from)
+// A flipped bit anywhere in a file and a missing file are detected, so that a voter never votes with a state that it
+// does not have: Open quarantines the files and starts an empty log with a new identity. Otherwise only the last entry
+// may be lost, because a corrupt last entry looks like an interrupted write.
+func TestBitRotAndMissingFilesAreFound(t *testing.T) {
+	source := t.TempDir()
+	identity := writeLog(t, source)
 	var names []string
-	require.NoError(t, filepath.WalkDir(from, func(p string, d os.DirEntry, err error) error {
+	require.NoError(t, filepath.WalkDir(source, func(p string, d os.DirEntry, err error) error {
 		if err == nil && d.Type().IsRegular() && d.Name() != lockName {
 			names = append(names, p)
 		}
 		return err
 	}))
-	tried, found, last := 0, 0, 0
+	flipped, detected, lostLastEntry := 0, 0, 0
 	for _, name := range names {
 		whole, err := os.ReadFile(name)
 		require.NoError(t, err)
 		used := len(bytes.TrimRight(whole, "\x00"))
 		for at := 0; at < used; at += 1 + used/300 {
 			dir := t.TempDir()
-			require.NoError(t, os.CopyFS(dir, os.DirFS(from)))
-			rel, _ := filepath.Rel(from, name)
-			spoilt := bytes.Clone(whole)
-			spoilt[at] ^= 1 << (at % 8)
-			require.NoError(t, os.WriteFile(filepath.Join(dir, rel), spoilt, 0o600))
-			l, why, err := Open(disk.Local{}, dir, "n1")
+			require.NoError(t, os.CopyFS(dir, os.DirFS(source)))
+			rel, _ := filepath.Rel(source, name)
+			corrupted := bytes.Clone(whole)
+			corrupted[at] ^= 1 << (at % 8)
+			require.NoError(t, os.WriteFile(filepath.Join(dir, rel), corrupted, 0o600))
+			l, corrupt, err := Open(disk.Local{}, dir, "n1")
 			require.NoError(t, err, "%s at %d", rel, at)
-			tried++
-			if why != nil {
-				require.ErrorAs(t, why, new(*CorruptError))
+			flipped++
+			if corrupt != nil {
+				require.ErrorAs(t, corrupt, new(*CorruptError))
 				require.NotEqual(t, identity, l.Identity)
 				require.True(t, l.Empty)
-				found++
+				detected++
 			} else if _, index, err := l.LastPosition(); index != 20 {
 				require.NoError(t, err)
 				require.EqualValues(t, 19, index, "%s at %d", rel, at)
-				last++
+				lostLastEntry++
 			}
 			require.NoError(t, l.Close())
 		}
 	}
 	for _, name := range names {
 		dir := t.TempDir()
-		require.NoError(t, os.CopyFS(dir, os.DirFS(from)))
-		rel, _ := filepath.Rel(from, name)
+		require.NoError(t, os.CopyFS(dir, os.DirFS(source)))
+		rel, _ := filepath.Rel(source, name)
 		require.NoError(t, os.Remove(filepath.Join(dir, rel)))
-		l, why, err := Open(disk.Local{}, dir, "n1")
+		l, corrupt, err := Open(disk.Local{}, dir, "n1")
 		require.NoError(t, err)
-		require.ErrorAs(t, why, new(*CorruptError), rel)
+		require.ErrorAs(t, corrupt, new(*CorruptError), rel)
 		require.NotEqual(t, identity, l.Identity)
 		require.NoError(t, l.Close())
 	}
-	t.Logf("%d bits: %d found, %d took the last record, %d in what is never read", tried, found, last, tried-found-last)
-	require.Greater(t, found, tried/2)
+	t.Logf("%d flipped bits: %d detected, %d lost the last entry, %d without effect", flipped, detected, lostLastEntry, flipped-detected-lostLastEntry)
+	require.Greater(t, detected, flipped/2)
 }
--- a/internal/consensus/transport/layer.go
+++ b/internal/consensus/transport/layer.go
@@ -9,38 +9,39 @@
 	"github.com/hashicorp/raft"
 )
 
-// Address returns where a voter of an identity is. The library keeps it whole, so that what is meant for an identity never
-// comes to another one that has its place.
+// Address returns the address of a voter for the raft library: its identity, "@", and host and port. It includes the
+// identity so that a message never reaches a voter with another identity that listens at the same host and port.
 func Address(identity, hostport string) raft.ServerAddress {
 	return raft.ServerAddress(identity + "@" + hostport)
 }
 
-// stream is a stream of the library; the transport can close it.
-type stream struct {
+// raftStream is an open stream of the raft library. The transport keeps it in raftStreams until it is closed.
+type raftStream struct {
 	net.Conn
 	transport *Transport
 }
 
-// Close ends the stream.
-func (s *stream) Close() error {
+// Close closes the stream.
+func (s *raftStream) Close() error {
 	s.transport.mu.Lock()
-	delete(s.transport.streams, s.Conn)
+	delete(s.transport.raftStreams, s.Conn)
 	s.transport.mu.Unlock()
 	return s.Conn.Close()
 }
 
-// StreamLayer carries the library's streams for one identity until it is closed.
+// StreamLayer opens and accepts the streams of the raft library for one identity of this voter.
 type StreamLayer struct {
 	transport *Transport
 	address   raft.ServerAddress
 	accepted  chan net.Conn
-	ctx       context.Context // ends with Close
+	ctx       context.Context // canceled by Close
 	cancel    context.CancelFunc
 }
 
 var _ raft.StreamLayer = (*StreamLayer)(nil)
 
-// StreamLayer begins to accept streams that are meant for an identity.
+// NewStreamLayer returns a stream layer for an identity. The transport accepts raft streams for this identity, in place
+// of that of an earlier layer, until the layer is closed.
 func (t *Transport) NewStreamLayer(identity string) *StreamLayer {
 	l := &StreamLayer{transport: t, address: Address(identity, t.config.ListenAddress), accepted: make(chan net.Conn)}
 	l.ctx, l.cancel = context.WithCancel(t.ctx)
@@ -51,7 +52,7 @@
 	return l
 }
 
-// Accept returns the next stream that has come.
+// Accept returns the next incoming stream. It blocks until there is one or the layer is closed.
 func (l *StreamLayer) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.accepted:
@@ -61,7 +62,7 @@
 	}
 }
 
-// Close accepts no more streams and ends those that there are.
+// Close stops accepting streams and closes all raft streams of the transport.
 func (l *StreamLayer) Close() error {
 	l.cancel()
 	l.transport.mu.Lock()
@@ -74,10 +75,10 @@
 	return nil
 }
 
-// Addr returns where others reach this identity.
-func (l *StreamLayer) Addr() net.Addr { return address(l.address) }
+// Addr returns the address of this voter's identity.
+func (l *StreamLayer) Addr() net.Addr { return netAddress(l.address) }
 
-// Dial opens a stream to an identity.
+// Dial opens a stream to the voter with an address that Address returned.
 func (l *StreamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	if l.ctx.Err() != nil {
 		return nil, errClosed
@@ -91,13 +92,13 @@
 	t := l.transport
 	t.mu.Lock()
 	stalled := t.stalled
-	full := len(t.streams) >= maxStreams
+	full := len(t.raftStreams) >= maxRaftStreams
 	t.mu.Unlock()
 	if stalled {
 		return nil, errStalled
 	}
 	if full {
-		return nil, errManyStreams
+		return nil, errTooManyStreams
 	}
 	conn, err := t.dial(ctx, hostport, kindRaft, identity)
 	if err != nil {
@@ -105,11 +106,12 @@
 	}
 	setDeadline(conn, time.Time{})
 	t.mu.Lock()
-	t.streams[conn] = true
+	t.raftStreams[conn] = true
 	t.mu.Unlock()
-	return &stream{Conn: conn, transport: t}, nil
+	return &raftStream{Conn: conn, transport: t}, nil
 }
 
+// cutLast returns the parts of s before and after the last sep; ok is false if s does not contain sep.
 func cutLast(s, sep string) (before, after string, ok bool) {
 	i := strings.LastIndex(s, sep)
 	if i < 0 {
@@ -118,18 +120,18 @@
 	return s[:i], s[i+len(sep):], true
 }
 
-// closeStreams closes the library's streams.
+// closeStreams closes all streams of the raft library.
 func (t *Transport) closeStreams() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for conn := range t.streams {
-		closeQuietly(conn)
-		delete(t.streams, conn)
+	for conn := range t.raftStreams {
+		closeConn(conn)
+		delete(t.raftStreams, conn)
 	}
 }
 
-// SetStalled has nothing go out or come in while the voter's disk is stalled, so that the others go on without it: it could
-// not persist what it sends.
+// SetStalled sets whether the voter's disk is stalled. While it is, the transport opens and accepts no streams, and
+// raft streams are closed. The other voters then continue without this one, which cannot persist what it acknowledges.
 func (t *Transport) SetStalled(stalled bool) {
 	t.mu.Lock()
 	t.stalled = stalled
@@ -139,11 +141,11 @@
 	}
 }
 
-// address is a voter's address as the library wants it.
-type address raft.ServerAddress
+// netAddress is a voter's address as a net.Addr.
+type netAddress raft.ServerAddress
 
-// Network returns the name of the network.
-func (address) Network() string { return "tcp" }
+// Network returns "tcp".
+func (netAddress) Network() string { return "tcp" }
 
 // String returns the address.
-func (a address) String() string { return string(a) }
+func (a netAddress) String() string { return string(a) }
--- a/internal/consensus/transport/transport.go
+++ b/internal/consensus/transport/transport.go
@@ -1,6 +1,9 @@
-// Package transport carries what the voters of a consensus group send each other: one listener on the node's address, on
-// which a stream of the raft library or one call comes after a header that names the fleet and the voter that is meant. A
-// stream without such a header is closed within three seconds.
+// Package transport connects the nodes of a fleet with the voters of its consensus group. A voter's Transport accepts
+// two kinds of streams on one address: streams of the raft library, which a StreamLayer passes to the library, and
+// streams with a single call, which Config.HandleCall answers. Any node can make calls with Transport.Call.
+//
+// Each stream begins with a header that names the fleet and the voter that it is for. A stream without a valid header
+// is closed within three seconds.
 package transport
 
 import (
@@ -15,67 +18,68 @@
 )
 
 const (
-	headerTimeout   = 3 * time.Second // improper peers are owed a close by then
-	callTimeout     = 5 * time.Second // for a call and its answer
-	maxUnidentified = 16              // streams without a header yet; beyond it the oldest is closed
-	maxStreams      = 64              // of the library, at once
-	maxCalls        = 16              // that are answered at once; one beyond is closed
+	headerTimeout          = 3 * time.Second // time limit for the header of an accepted stream
+	callTimeout            = 5 * time.Second // time limit for a call and its answer
+	maxUnidentifiedStreams = 16              // accepted streams without a header yet; above it the oldest is closed
+	maxRaftStreams         = 64              // open streams of the raft library, incoming and outgoing
+	maxConcurrentCalls     = 16              // calls answered at the same time; above it a new call is closed
 
-	minAcceptPause = 5 * time.Millisecond // after a failed accept, doubled up to maxAcceptPause
-	maxAcceptPause = time.Second
+	minAcceptRetryDelay = 5 * time.Millisecond // delay after a failed accept; doubled up to maxAcceptRetryDelay
+	maxAcceptRetryDelay = time.Second
 )
 
-// UnreachableError says that a voter could not be called.
+// UnreachableError means that a call to a voter failed.
 type UnreachableError struct {
-	Peer string
+	Peer string // name of the voter
 	Err  error
 }
 
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("council: voter %s is not reached: %s; look at its process and the link to it", e.Peer, oneline.Of(e.Err))
+	return fmt.Sprintf("council: voter %s is unreachable: %s; check its process and the link to it", e.Peer, oneline.Of(e.Err))
 }
 
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Errors of streams and calls that this voter does not open.
+// Reasons for which this voter does not open a stream.
 var (
-	errStalled     = errors.New("this voter's disk stands still")
-	errClosed      = errors.New("this voter's part has ended")
-	errManyStreams = errors.New("council: too many streams")
+	errStalled        = errors.New("this voter's disk is stalled")
+	errClosed         = errors.New("this voter's stream layer is closed")
+	errTooManyStreams = errors.New("council: too many streams")
 )
 
-// Config is how a node reaches voters, and is reached where it is one.
+// Config is the configuration of a node's transport.
 type Config struct {
-	Label         string            // of the fleet
-	Name          string            // of this node
-	ListenAddress string            // where a voter listens; "" is nowhere
-	DialAddresses map[string]string // addresses by which others are reached, where they differ
-	// Answer answers a call of a node by its name; nil closes it. It is called by many goroutines at once.
+	Label         string            // label of the fleet; streams with another label are rejected
+	Name          string            // name of this node
+	ListenAddress string            // host and port of a voter's listener; "" means no listener
+	DialAddresses map[string]string // addresses to dial in place of peer addresses, by peer address
+	// HandleCall returns the answer to a call of the node with the given name. A nil answer closes the call, and a nil
+	// function all calls. It is called by several goroutines at the same time.
 	HandleCall func(from string, body []byte) []byte
 }
 
-// Transport is a node's end. Its goroutines end with Close.
+// Transport opens streams to voters and, at a voter, accepts them. Close ends its goroutines.
 type Transport struct {
 	config   Config
-	listener net.Listener // nil is none
+	listener net.Listener // nil if the node does not listen
 	running  sync.WaitGroup
-	ctx      context.Context // ends with Close
+	ctx      context.Context // canceled by Close
 	cancel   context.CancelFunc
 
-	mu           sync.Mutex
-	identity     string              // for which streams of the library are accepted; "" is none are
-	accepted     chan net.Conn       // streams of the library, where somebody takes them
-	unidentified map[net.Conn]uint64 // without a header yet, by their order
-	lastOrder    uint64
-	streams      map[net.Conn]bool // of the library, both ways
-	calling      int               // calls that are being answered
-	rejected     uint64
-	stalled      bool // nothing goes out or comes in
+	mu              sync.Mutex
+	identity        string              // identity for which raft streams are accepted; "" means none
+	accepted        chan net.Conn       // accepted raft streams, for the stream layer; nil if there is no layer
+	unidentified    map[net.Conn]uint64 // accepted streams whose header has not arrived, with their sequence numbers
+	lastSequence    uint64              // sequence number of the stream accepted last
+	raftStreams     map[net.Conn]bool   // open streams of the raft library, incoming and outgoing
+	activeCalls     int                 // number of calls being answered
+	rejectedStreams uint64
+	stalled         bool // the disk is stalled: no stream is opened or accepted
 }
 
-// Open begins to listen where the configuration says so.
+// Open returns a transport. It starts to listen if the configuration has a listen address.
 func Open(cfg Config) (*Transport, error) {
-	t := &Transport{config: cfg, unidentified: make(map[net.Conn]uint64), streams: make(map[net.Conn]bool)}
+	t := &Transport{config: cfg, unidentified: make(map[net.Conn]uint64), raftStreams: make(map[net.Conn]bool)}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	if cfg.ListenAddress == "" {
 		return t, nil
@@ -90,7 +94,7 @@
 	return t, nil
 }
 
-// Close ends all streams.
+// Close stops the listener, closes all streams except those of calls being answered, and waits until these have ended.
 func (t *Transport) Close() error {
 	t.cancel()
 	var err error
@@ -99,150 +103,154 @@
 	}
 	t.mu.Lock()
 	for conn := range t.unidentified {
-		closeQuietly(conn)
+		closeConn(conn)
 	}
-	for conn := range t.streams {
-		closeQuietly(conn)
+	for conn := range t.raftStreams {
+		closeConn(conn)
 	}
 	t.mu.Unlock()
 	t.running.Wait()
 	return err
 }
 
-// closeQuietly closes a connection whose peer gets no more from this node whatever the error.
-func closeQuietly(conn net.Conn) { _ = conn.Close() }
+// closeConn closes a connection. It ignores the error, because nothing more is sent on the connection either way.
+func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// RejectedStreams returns the number of streams that were closed for want of a header of this fleet.
+// RejectedStreams returns the number of incoming streams that were closed without being served: they had no header of
+// this fleet, were for another identity or name, exceeded a limit, or came while the disk was stalled.
 func (t *Transport) RejectedStreams() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.rejected
+	return t.rejectedStreams
 }
 
 func (t *Transport) accept() {
-	pause := minAcceptPause
+	delay := minAcceptRetryDelay
 	for {
 		conn, err := t.listener.Accept()
-		if err != nil { // a pause, as descriptors may be out
+		if err != nil { // wait before the next accept: the process may be out of file descriptors
 			select {
 			case <-t.ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
-			pause = min(2*pause, maxAcceptPause)
+			delay = min(2*delay, maxAcceptRetryDelay)
 			continue
 		}
-		pause = minAcceptPause
+		delay = minAcceptRetryDelay
 		t.addUnidentified(conn)
-		t.running.Go(func() { t.identify(conn) })
+		t.running.Go(func() { t.serveStream(conn) })
 	}
 }
 
-// addUnidentified notes a stream without a header, and closes the oldest where there are too many.
+// addUnidentified adds a stream whose header has not arrived. If there are maxUnidentifiedStreams already, it closes
+// the oldest.
 func (t *Transport) addUnidentified(conn net.Conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.unidentified) >= maxUnidentified {
+	if len(t.unidentified) >= maxUnidentifiedStreams {
 		var oldest net.Conn
-		for other, order := range t.unidentified {
-			if oldest == nil || order < t.unidentified[oldest] {
+		for other, sequence := range t.unidentified {
+			if oldest == nil || sequence < t.unidentified[oldest] {
 				oldest = other
 			}
 		}
 		delete(t.unidentified, oldest)
-		closeQuietly(oldest)
-		t.rejected++
+		closeConn(oldest)
+		t.rejectedStreams++
 	}
-	t.lastOrder++
-	t.unidentified[conn] = t.lastOrder
+	t.lastSequence++
+	t.unidentified[conn] = t.lastSequence
 }
 
-// identify reads a stream's header and hands the stream on.
-func (t *Transport) identify(conn net.Conn) {
+// serveStream reads the header of an accepted stream and passes the stream to the stream layer or answers its call.
+func (t *Transport) serveStream(conn net.Conn) {
 	setDeadline(conn, time.Now().Add(headerTimeout))
 	kind, h, err := readHeader(conn)
 	t.mu.Lock()
 	delete(t.unidentified, conn)
-	proper := err == nil && h.Label == t.config.Label && !t.stalled
+	valid := err == nil && h.Label == t.config.Label && !t.stalled
 	switch {
-	case proper && kind == kindRaft && t.acceptsFor(h.To):
-		t.streams[conn] = true
+	case valid && kind == kindRaft && t.acceptsRaftStream(h.To):
+		t.raftStreams[conn] = true
 		accepted := t.accepted
 		t.mu.Unlock()
-		t.handOn(conn, accepted)
+		t.deliver(conn, accepted)
 		return
-	case proper && kind == kindCall && t.answersAs(h.To):
-		t.calling++
+	case valid && kind == kindCall && t.acceptsCall(h.To):
+		t.activeCalls++
 		t.mu.Unlock()
-		t.answer(conn, h.From)
+		t.serveCall(conn, h.From)
 		t.mu.Lock()
-		t.calling--
+		t.activeCalls--
 	default:
-		t.rejected++
+		t.rejectedStreams++
 	}
 	t.mu.Unlock()
-	closeQuietly(conn)
+	closeConn(conn)
 }
 
-// acceptsFor reports whether a stream of the library for an identity is accepted. The caller holds t.mu.
-func (t *Transport) acceptsFor(identity string) bool {
-	return t.identity != "" && identity == t.identity && t.accepted != nil && len(t.streams) < maxStreams
+// acceptsRaftStream reports whether a raft stream for an identity is accepted. The caller holds t.mu.
+func (t *Transport) acceptsRaftStream(identity string) bool {
+	return t.identity != "" && identity == t.identity && t.accepted != nil && len(t.raftStreams) < maxRaftStreams
 }
 
-// answersAs reports whether a call of a name is answered. The caller holds t.mu.
-func (t *Transport) answersAs(name string) bool {
-	return name == t.config.Name && t.config.HandleCall != nil && t.calling < maxCalls
+// acceptsCall reports whether a call to the node with the given name is answered. The caller holds t.mu.
+func (t *Transport) acceptsCall(name string) bool {
+	return name == t.config.Name && t.config.HandleCall != nil && t.activeCalls < maxConcurrentCalls
 }
 
-// handOn hands a stream to the library, which takes it soon or not at all.
-func (t *Transport) handOn(conn net.Conn, accepted chan<- net.Conn) {
+// deliver passes a stream to the stream layer, or closes it if the layer does not accept it within headerTimeout.
+func (t *Transport) deliver(conn net.Conn, accepted chan<- net.Conn) {
 	setDeadline(conn, time.Time{})
-	s := &stream{Conn: conn, transport: t}
+	s := &raftStream{Conn: conn, transport: t}
 	select {
 	case accepted <- s:
 	case <-t.ctx.Done():
-		closeQuietly(conn)
+		closeConn(conn)
 	case <-time.After(headerTimeout):
-		closeQuietly(s)
+		closeConn(s)
 	}
 }
 
-// answer answers one call.
-func (t *Transport) answer(conn net.Conn, from string) {
+// serveCall reads the body of a call and writes the answer.
+func (t *Transport) serveCall(conn net.Conn, from string) {
 	body, err := readBody(conn)
 	if err != nil {
 		return
 	}
 	setDeadline(conn, time.Now().Add(callTimeout))
 	if answer := t.config.HandleCall(from, body); answer != nil {
-		_ = writeBody(conn, answer) // the caller sees that it is cut off
+		_ = writeBody(conn, answer) // on an error the caller reads an incomplete answer
 	}
 }
 
-// setDeadline sets a deadline. An error means that the connection is closed, which its next use tells.
-func setDeadline(conn net.Conn, at time.Time) { _ = conn.SetDeadline(at) }
+// setDeadline sets the deadline of a connection; the zero time removes it. It ignores the error, which means that the
+// connection is closed: the next read or write fails then.
+func setDeadline(conn net.Conn, deadline time.Time) { _ = conn.SetDeadline(deadline) }
 
-// dial opens a stream to an address, by the way that this node has to it.
+// dial connects to a peer address, or to the dial address configured for it, and writes the header.
 func (t *Transport) dial(ctx context.Context, address string, kind byte, to string) (net.Conn, error) {
-	if via, ok := t.config.DialAddresses[address]; ok {
-		address = via
+	if dialAddress, ok := t.config.DialAddresses[address]; ok {
+		address = dialAddress
 	}
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if at, ok := ctx.Deadline(); ok {
-		setDeadline(conn, at)
+	if deadline, ok := ctx.Deadline(); ok {
+		setDeadline(conn, deadline)
 	}
 	if err := writeHeader(conn, kind, header{t.config.Label, to, t.config.Name}); err != nil {
-		closeQuietly(conn)
+		closeConn(conn)
 		return nil, err
 	}
 	return conn, nil
 }
 
-// Call calls a voter by its name at its address and returns its answer. Its error is an UnreachableError.
+// Call sends a call to the voter with the given name and address, and returns the answer. It fails after callTimeout at
+// the latest. Its error is an *UnreachableError.
 func (t *Transport) Call(ctx context.Context, name, address string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -264,8 +272,8 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeQuietly(conn)
-	defer context.AfterFunc(ctx, func() { closeQuietly(conn) })()
+	defer closeConn(conn)
+	defer context.AfterFunc(ctx, func() { closeConn(conn) })()
 	if err := writeBody(conn, body); err != nil {
 		return nil, err
 	}
--- a/internal/store/choice_test.go
+++ b/internal/store/bolt_test.go
@@ -10,10 +10,10 @@
 	"go.etcd.io/bbolt"
 )
 
-var boltBucket = []byte("customers")
+var boltBucket = []byte("tenants")
 
-// putCustomers writes the records of count customers of n.
-func putCustomers(db *bbolt.DB, from, count, n int) error {
+// putTenants writes the records of count out of n tenants.
+func putTenants(db *bbolt.DB, from, count, n int) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		t, err := tx.CreateBucketIfNotExists(boltBucket)
 		if err != nil {
@@ -30,24 +30,24 @@
 	})
 }
 
-// The way not taken: a database of pages, in which each write changes the few records that have
-// changed. BenchmarkWrite is the way taken.
+// BenchmarkBolt measures the alternative to the state file: a database of pages, in which a write changes only the
+// records that have changed. BenchmarkWrite measures the state file.
 func BenchmarkBolt(b *testing.B) {
-	const changed = 20 // records in a write
+	const changed = 20 // records per write
 	for _, n := range []int{1000, 10000, 100000} {
-		b.Run(fmt.Sprint(n, " customers"), func(b *testing.B) {
+		b.Run(fmt.Sprint(n, " tenants"), func(b *testing.B) {
 			path := filepath.Join(b.TempDir(), "state.db")
 			db, err := bbolt.Open(path, 0o600, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
-			if err := putCustomers(db, 0, n, n); err != nil {
+			if err := putTenants(db, 0, n, n); err != nil {
 				b.Fatal(err)
 			}
 			before := db.Stats().TxStats
 			writes := 0
 			for b.Loop() {
-				if err := putCustomers(db, writes, changed, n); err != nil {
+				if err := putTenants(db, writes, changed, n); err != nil {
 					b.Fatal(err)
 				}
 				writes++
@@ -57,14 +57,14 @@
 			if err := db.Close(); err != nil {
 				b.Fatal(err)
 			}
-			begun := time.Now()
+			openedAt := time.Now()
 			if db, err = bbolt.Open(path, 0o600, nil); err != nil {
 				b.Fatal(err)
 			}
 			err = db.View(func(tx *bbolt.Tx) error {
 				return tx.Bucket(boltBucket).ForEach(func(_, _ []byte) error { return nil })
 			})
-			b.ReportMetric(float64(time.Since(begun).Microseconds())/1000, "ms/open")
+			b.ReportMetric(float64(time.Since(openedAt).Microseconds())/1000, "ms/open")
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/store/checkpoints.go
+++ b/internal/store/checkpoints.go
@@ -9,68 +9,70 @@
 )
 
 const (
-	// reserveFraction is the fraction of its burst that a checkpoint leaves for requests until the next one: what a
-	// crash costs a tenant at most.
+	// reserveFraction is the fraction of the burst by which a checkpoint is below the bucket's tokens. Requests granted
+	// before the next checkpoint use this reserve. A crash costs a tenant at most this many tokens.
 	reserveFraction = 0.25
 	// renewFraction is the fraction of the reserve below which a new checkpoint is due.
 	renewFraction = 0.5
 )
 
-// Checkpoints is the pure part of persisting tenants' token buckets: which checkpoints are durable, and which have to
-// be written before the requests that they are to cover. Times are on the caller's clock.
+// Checkpoints tracks which checkpoints of tenants' token buckets are durable and which have to be written. It does no
+// I/O itself. It is not safe for concurrent use. Times are on the caller's clock.
 //
-// A checkpoint is a level that a bucket has at least, at a time. Recovery takes the level and the refill since. A
-// granted request is covered if recovery after it would give no more than the bucket then holds.
+// A checkpoint is a lower bound of the tokens in a bucket at one time, its level. After a crash, the bucket gets the
+// level plus the refill since that time. A granted request is covered by a durable checkpoint if this is at most what
+// the bucket has after the request, so that a crash does not return tokens that were used.
 type Checkpoints struct {
 	UncoveredGrants int64 // granted requests that no durable checkpoint covers
 	tenants         map[TenantKey]*tenantCheckpoint
 	maxTenants      int
-	writing         []TenantKey // of the batch on its way to the disk
+	inFlight        []TenantKey // tenants of the batch being written; nil if there is none
 	due             map[TenantKey]bool
 }
 
-// TenantKey names a tenant.
+// TenantKey identifies a tenant.
 type TenantKey struct{ Plan, Tenant string }
 
-// BucketState is what a bucket holds, and its quota.
+// BucketState is the state of a tenant's token bucket, with its quota.
 type BucketState struct {
 	Tokens float64
-	Rate   float64 // tokens per second
-	Burst  float64 // tokens at most
-	Nodes  int     // that the tenant may come through
+	Rate   float64 // refill in tokens per second
+	Burst  float64 // maximum number of tokens
+	Nodes  int     // number of nodes that the tenant's requests may come through
 }
 
-// tenantCheckpoint is what is known of a tenant's bucket here and on the disk.
+// tenantCheckpoint is the state of a tenant's bucket in memory and on disk.
 type tenantCheckpoint struct {
-	last      BucketState // as last granted from
-	lastAt    time.Duration
-	durable   levelAt
-	isDurable bool
-	pending   levelAt // on its way to the disk
+	latest     BucketState   // state after the last granted request
+	latestAt   time.Duration // time of latest
+	durable    timedLevel    // durable checkpoint, if hasDurable
+	hasDurable bool
+	pending    timedLevel // checkpoint in the last batch
 }
 
-// levelAt is a level at a time.
-type levelAt struct {
-	level float64
+// timedLevel is the level of a checkpoint, with its time.
+type timedLevel struct {
+	level float64 // tokens
 	at    time.Duration
 }
 
-// recovered returns the level that recovery would take now.
-func (l levelAt) recovered(quota BucketState, now time.Duration) float64 {
+// recovered returns the tokens that the bucket would get if it were recovered from this level now.
+func (l timedLevel) recovered(quota BucketState, now time.Duration) float64 {
 	return math.Min(quota.Burst, l.level+quota.Rate*math.Max(0, (now-l.at).Seconds()))
 }
 
-// untilFull returns how long it takes from the level's time until the bucket is full.
-func (l levelAt) untilFull(quota BucketState) time.Duration {
+// untilFull returns the time from the level's time until the bucket is full.
+func (l timedLevel) untilFull(quota BucketState) time.Duration {
 	return time.Duration((quota.Burst - l.level) / quota.Rate * float64(time.Second))
 }
 
-// NewCheckpoints returns checkpoints of at most some tenants.
+// NewCheckpoints returns checkpoints for up to maxTenants tenants. Granted requests of further tenants are uncovered.
 func NewCheckpoints(maxTenants int) *Checkpoints {
 	return &Checkpoints{tenants: make(map[TenantKey]*tenantCheckpoint), maxTenants: maxTenants, due: make(map[TenantKey]bool)}
 }
 
-// RecordGrant notes what a bucket holds after a request was granted. It reports whether a checkpoint is due.
+// RecordGrant records the state of a tenant's bucket after a request was granted. It reports whether a checkpoint is
+// due.
 func (c *Checkpoints) RecordGrant(k TenantKey, l BucketState, now time.Duration) bool {
 	t := c.tenants[k]
 	if t == nil {
@@ -81,37 +83,38 @@
 		t = &tenantCheckpoint{}
 		c.tenants[k] = t
 	}
-	t.last = l
-	t.lastAt = now
-	reserve := math.Inf(-1)
-	if t.isDurable {
-		reserve = l.Tokens - t.durable.recovered(l, now)
+	t.latest = l
+	t.latestAt = now
+	margin := math.Inf(-1)
+	if t.hasDurable {
+		margin = l.Tokens - t.durable.recovered(l, now)
 	}
-	if reserve < 0 {
+	if margin < 0 {
 		c.UncoveredGrants++
 	}
-	if reserve < renewFraction*reserveFraction*l.Burst {
+	if margin < renewFraction*reserveFraction*l.Burst {
 		c.due[k] = true
 	}
 	return c.Due()
 }
 
-// Due reports whether a checkpoint is to be written.
+// Due reports whether a checkpoint has to be written.
 func (c *Checkpoints) Due() bool { return len(c.due) > 0 }
 
-// NextBatch returns the checkpoints that are to be written now, with the next state; none where a batch is still on
-// its way or nothing is due. Where there are many tenants, those whose buckets are full again are dropped.
+// NextBatch returns the checkpoints to write with the next state, or nil if a batch is still being written or no
+// checkpoint is due. BatchDone ends the batch. If it tracks more than maxTenants/2 tenants, NextBatch also removes
+// tenants whose buckets are full again by their durable checkpoints. The time wall is now on the wall clock.
 func (c *Checkpoints) NextBatch(now time.Duration, wall time.Time) []Checkpoint {
-	if c.writing != nil || !c.Due() {
+	if c.inFlight != nil || !c.Due() {
 		return nil
 	}
 	var batch []Checkpoint
 	for k := range c.due {
 		t := c.tenants[k]
-		level := math.Min(t.last.Burst, t.levelNow(now)) - reserveFraction*t.last.Burst
-		t.pending = levelAt{level, now}
-		batch = append(batch, t.pending.checkpoint(k, t.last, wall))
-		c.writing = append(c.writing, k)
+		level := math.Min(t.latest.Burst, t.tokensNow(now)) - reserveFraction*t.latest.Burst
+		t.pending = timedLevel{level, now}
+		batch = append(batch, t.pending.checkpoint(k, t.latest, wall))
+		c.inFlight = append(c.inFlight, k)
 	}
 	slices.SortFunc(batch, func(a, b Checkpoint) int {
 		return cmp.Or(cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Tenant, b.Tenant))
@@ -119,20 +122,20 @@
 	clear(c.due)
 	if len(c.tenants) > c.maxTenants/2 {
 		maps.DeleteFunc(c.tenants, func(_ TenantKey, t *tenantCheckpoint) bool {
-			full := t.isDurable && t.durable.recovered(t.last, now) >= t.last.Burst
+			full := t.hasDurable && t.durable.recovered(t.latest, now) >= t.latest.Burst
 			return full && t.pending == t.durable
 		})
 	}
 	return batch
 }
 
-// levelNow returns the least that the bucket holds now, as nothing was granted since the last note.
-func (t *tenantCheckpoint) levelNow(now time.Duration) float64 {
-	return t.last.Tokens + t.last.Rate*(now-t.lastAt).Seconds()
+// tokensNow returns the tokens of the bucket now, not limited by the burst. No request was granted since latestAt.
+func (t *tenantCheckpoint) tokensNow(now time.Duration) float64 {
+	return t.latest.Tokens + t.latest.Rate*(now-t.latestAt).Seconds()
 }
 
-// checkpoint returns the stored form of a level.
-func (l levelAt) checkpoint(k TenantKey, quota BucketState, wall time.Time) Checkpoint {
+// checkpoint returns the checkpoint to store for a level; wall is the level's time on the wall clock.
+func (l timedLevel) checkpoint(k TenantKey, quota BucketState, wall time.Time) Checkpoint {
 	return Checkpoint{
 		Plan:    k.Plan,
 		Tenant:  k.Tenant,
@@ -143,28 +146,30 @@
 	}
 }
 
-// FinalBatch returns checkpoints of all buckets as they are, for the end: nothing is granted after it.
+// FinalBatch returns checkpoints of all buckets for the last state before shutdown. They have no reserve, because no
+// request is granted afterwards.
 func (c *Checkpoints) FinalBatch(now time.Duration, wall time.Time) []Checkpoint {
 	var all []Checkpoint
 	for k, t := range c.tenants {
-		level := levelAt{math.Min(t.last.Burst, t.levelNow(now)), now}
-		all = append(all, level.checkpoint(k, t.last, wall))
+		level := timedLevel{math.Min(t.latest.Burst, t.tokensNow(now)), now}
+		all = append(all, level.checkpoint(k, t.latest, wall))
 	}
 	return all
 }
 
-// BatchDone takes that the last batch is durable, or was not written.
+// BatchDone ends the batch of the last NextBatch. If ok, its checkpoints are durable; otherwise they were not written
+// and are due again.
 func (c *Checkpoints) BatchDone(ok bool) {
-	for _, k := range c.writing {
+	for _, k := range c.inFlight {
 		t := c.tenants[k]
 		switch {
 		case t == nil:
 		case ok:
 			t.durable = t.pending
-			t.isDurable = true
+			t.hasDurable = true
 		default:
 			c.due[k] = true
 		}
 	}
-	c.writing = nil
+	c.inFlight = nil
 }
--- a/internal/store/checkpoints_test.go
+++ b/internal/store/checkpoints_test.go
@@ -8,71 +8,72 @@
 	"pgregory.net/rapid"
 )
 
-// No grant is forgotten that was made under a mark on the disk: what a crash at any moment leaves
-// gives no more than the store held, unless the last grant was counted as covered by none. Marks
-// that count before they are on the disk are found.
-func TestMarksCoverGrants(t *testing.T) {
+// After a crash at any time, recovery from the checkpoints on disk gives a bucket at most the tokens that it had,
+// unless the last granted request was counted as uncovered. Otherwise a crash would return tokens that were used. The
+// check must also find the fault of counting checkpoints as durable before they are written.
+func TestCheckpointsCoverGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if forgot := runCheckpoints(t, false); forgot != "" {
-			t.Fatal(forgot)
+		if violation := runCheckpoints(t, false); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 	found := false
 	rapid.Check(t, func(t *rapid.T) { found = found || runCheckpoints(t, true) != "" })
 	if !found {
-		t.Error("marks that count before they are on the disk are not found")
+		t.Error("checkpoints that are confirmed before they are written are not found")
 	}
 }
 
-// forgottenGrant tells what a recovery from the disk would give beyond the level, though the last grant was covered.
-func forgottenGrant(disk []Checkpoint, l BucketState, wall time.Time) string {
-	if len(disk) == 0 {
-		return "a grant is covered by nothing on the disk"
+// recoveryExcess returns a message if recovery from the checkpoint on disk gives more tokens than the bucket has, and
+// "" otherwise. It is called while the last granted request is covered.
+func recoveryExcess(onDisk []Checkpoint, bucket BucketState, wall time.Time) string {
+	if len(onDisk) == 0 {
+		return "the last grant is counted as covered, but no checkpoint is on disk"
 	}
-	since := wall.Sub(time.UnixMilli(disk[0].LevelAt)).Seconds()
-	if left := min(l.Burst, disk[0].Level+l.Rate*since); left > l.Tokens+0.1 { // marks are told in ms
-		return fmt.Sprintf("recovery gives %g, the store holds %g", left, l.Tokens)
+	since := wall.Sub(time.UnixMilli(onDisk[0].LevelAt)).Seconds()
+	if recovered := min(bucket.Burst, onDisk[0].Level+bucket.Rate*since); recovered > bucket.Tokens+0.1 { // times are rounded to ms
+		return fmt.Sprintf("recovery gives %g tokens, the bucket has %g", recovered, bucket.Tokens)
 	}
 	return ""
 }
 
-// runCheckpoints draws grants, batches and writes, and tells the first grant that recovery would forget. Planted
-// confirms each batch before it is written.
-func runCheckpoints(t *rapid.T, planted bool) (forgot string) {
-	m, l := NewCheckpoints(10), BucketState{Rate: rapid.Float64Range(0.1, 20).Draw(t, "rate"), Burst: 40, Nodes: 1, Tokens: 40}
-	k, now, wall := TenantKey{"p", "c"}, time.Hour, time.UnixMilli(1e12)
-	var disk, writing []Checkpoint
+// runCheckpoints performs random grants, batches and writes, and returns the first result of recoveryExcess that is not
+// "". With confirmEarly it reports each batch as durable before it is written.
+func runCheckpoints(t *rapid.T, confirmEarly bool) (violation string) {
+	c, bucket := NewCheckpoints(10), BucketState{Rate: rapid.Float64Range(0.1, 20).Draw(t, "rate"), Burst: 40, Nodes: 1, Tokens: 40}
+	key, now, wall := TenantKey{"p", "c"}, time.Hour, time.UnixMilli(1e12)
+	var onDisk, writing []Checkpoint
 	covered := false
 	for range rapid.IntRange(1, 60).Draw(t, "steps") {
 		pause := time.Duration(rapid.IntRange(1, 400).Draw(t, "pause")) * time.Millisecond
 		now, wall = now+pause, wall.Add(pause)
-		l.Tokens = min(l.Burst, l.Tokens+l.Rate*pause.Seconds())
-		switch rapid.IntRange(0, 3).Draw(t, "what") {
+		bucket.Tokens = min(bucket.Burst, bucket.Tokens+bucket.Rate*pause.Seconds())
+		switch rapid.IntRange(0, 3).Draw(t, "operation") {
 		case 0, 1:
-			l.Tokens -= float64(rapid.IntRange(1, 6).Draw(t, "units"))
-			before := m.UncoveredGrants
-			m.RecordGrant(k, l, now)
-			covered = m.UncoveredGrants == before
+			bucket.Tokens -= float64(rapid.IntRange(1, 6).Draw(t, "tokens"))
+			before := c.UncoveredGrants
+			c.RecordGrant(key, bucket, now)
+			covered = c.UncoveredGrants == before
 		case 2:
-			if b := m.NextBatch(now, wall); b != nil {
+			if b := c.NextBatch(now, wall); b != nil {
 				writing = b
-				if planted {
-					m.BatchDone(true)
+				if confirmEarly {
+					c.BatchDone(true)
 				}
 			}
 		case 3:
 			if writing != nil {
 				written := rapid.Bool().Draw(t, "written")
 				if written {
-					disk = writing
+					onDisk = writing
 				}
-				m.BatchDone(written)
+				c.BatchDone(written)
 				writing = nil
 			}
 		}
 		if covered {
-			if forgot := forgottenGrant(disk, l, wall); forgot != "" {
-				return forgot
+			if violation := recoveryExcess(onDisk, bucket, wall); violation != "" {
+				return violation
 			}
 		}
 	}
--- a/internal/store/disk/disk.go
+++ b/internal/store/disk/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the file layer under all that a node persists: the state folder and the consensus log. It is as little
-// of a file system as those need, so that tests can cut it off at any moment and the testbed can replace it by a faulty
-// one.
+// Package disk defines the file system interface for all data that a node persists: its state and the log of the
+// consensus group. FS has only the operations that these need, so that tests can simulate a crash at any operation and
+// the testbed can use a faulty disk. Local is the implementation on the local file system.
 package disk
 
 import (
@@ -13,17 +13,18 @@
 	"syscall"
 )
 
-// FS is a file system. What it creates is readable by its owner alone. It is safe for concurrent use.
+// FS is a file system. The files and directories that it creates are accessible to their owner only. It is safe for
+// concurrent use.
 type FS interface {
-	OpenFile(name string, flag int) (File, error) // flag as of os.OpenFile
+	OpenFile(name string, flag int) (File, error) // the flags are those of os.OpenFile
 	MkdirAll(dir string) error
-	Rename(from, to string) error
-	Remove(name string) error                            // a file or an empty folder
-	ReadDirNames(dir string, most int) ([]string, error) // up to most of what is in a folder
-	SyncDir(dir string) error                            // makes a folder's names durable
+	Rename(from, to string) error                         // replaces an existing file
+	Remove(name string) error                             // removes a file or an empty directory
+	ReadDirNames(dir string, limit int) ([]string, error) // returns at most limit names, in no particular order
+	SyncDir(dir string) error                             // makes the names in a directory durable
 }
 
-// File is an open file. *os.File has all of it but Allocate.
+// File is an open file. *os.File has all its methods except Allocate.
 type File interface {
 	io.Reader
 	io.Writer
@@ -33,7 +34,9 @@
 	Stat() (fs.FileInfo, error)
 	Sync() error
 	Truncate(size int64) error
-	Allocate(size int64) error // grows it to a size with zeros, with room on the disk where that can be had
+	// Allocate extends the file with zeros to a size, if it is smaller. It reserves the disk space if the file system
+	// can.
+	Allocate(size int64) error
 }
 
 // Local is the local file system.
@@ -41,54 +44,55 @@
 
 var _ FS = Local{}
 
-type file struct{ *os.File }
+// localFile is an open file of Local.
+type localFile struct{ *os.File }
 
-// OpenFile opens a file or makes it.
+// OpenFile opens a file, and creates it if the flags say so.
 func (Local) OpenFile(name string, flag int) (File, error) {
 	f, err := os.OpenFile(name, flag, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	return file{f}, nil
+	return localFile{f}, nil
 }
 
-// Allocate grows a file; one that is as large already stays.
-func (f file) Allocate(size int64) error {
+// Allocate extends a file to a size. A file that has this size already is not changed.
+func (f localFile) Allocate(size int64) error {
 	err := syscall.Fallocate(int(f.Fd()), 0, 0, size)
 	if !errors.Is(err, syscall.EOPNOTSUPP) {
 		return err
 	}
-	s, err := f.Stat()
-	if err != nil || s.Size() >= size {
+	info, err := f.Stat()
+	if err != nil || info.Size() >= size {
 		return err
 	}
 	return f.Truncate(size)
 }
 
-// MkdirAll makes a folder and those above it.
+// MkdirAll creates a directory and its parents.
 func (Local) MkdirAll(dir string) error { return os.MkdirAll(dir, 0o700) }
 
-// Rename puts a file in another's place.
+// Rename renames a file. It replaces an existing one.
 func (Local) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove removes a file or an empty folder.
+// Remove removes a file or an empty directory.
 func (Local) Remove(name string) error { return os.Remove(name) }
 
-// ReadDirNames returns names of what is in a folder, in no order.
-func (Local) ReadDirNames(dir string, most int) ([]string, error) {
+// ReadDirNames returns at most limit names of the entries in a directory, in no particular order.
+func (Local) ReadDirNames(dir string, limit int) ([]string, error) {
 	f, err := os.Open(dir)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // nothing was written
-	names, err := f.Readdirnames(most)
+	names, err := f.Readdirnames(limit)
 	if errors.Is(err, io.EOF) {
 		err = nil
 	}
 	return names, err
 }
 
-// SyncDir makes a folder's names durable.
+// SyncDir makes the names in a directory durable.
 func (Local) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -97,7 +101,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// ReadFile reads a whole file. It is an error if the file has more than limit bytes or is not a regular file.
+// ReadFile reads a file. It fails if the file has more than limit bytes or is not a regular file.
 func ReadFile(d FS, name string, limit int64) ([]byte, error) {
 	f, err := d.OpenFile(name, os.O_RDONLY)
 	if err != nil {
@@ -118,11 +122,11 @@
 	return raw, err
 }
 
-// WriteFile replaces a file by way of another one beside it: when it returns without an error the file is durable. After
-// an error the disk holds the file before, or this one.
+// WriteFile replaces a file: it writes a temporary file in the same directory, syncs it and renames it. When the error
+// is nil, the new file is durable. Otherwise the disk has the previous file or the new one.
 func WriteFile(d FS, name string, raw []byte) error {
-	beside := name + ".new"
-	f, err := d.OpenFile(beside, os.O_WRONLY|os.O_CREATE|os.O_TRUNC)
+	tempName := name + ".new"
+	f, err := d.OpenFile(tempName, os.O_WRONLY|os.O_CREATE|os.O_TRUNC)
 	if err != nil {
 		return err
 	}
@@ -133,7 +137,7 @@
 	if err = errors.Join(err, f.Close()); err != nil {
 		return err
 	}
-	if err := d.Rename(beside, name); err != nil {
+	if err := d.Rename(tempName, name); err != nil {
 		return err
 	}
 	return d.SyncDir(filepath.Dir(name))
--- a/internal/store/disk/faulty/faulty.go
+++ b/internal/store/disk/faulty/faulty.go
@@ -1,11 +1,11 @@
-// Package faulty is a file system that fails as disks do, for plays of the stand-in platform: the
-// program that is built with the tag lab puts it under what a node keeps, and the platform drives it
-// by a folder that an environment variable names. The deployed program has none of it.
+// Package faulty simulates a faulty disk. A program built with the tag lab uses its FS for all data that a node
+// persists, and the testbed controls the faults with SetFaults through a directory, the fault directory, whose name the
+// process gets in an environment variable. The deployed program does not contain this package.
 //
-// Since the end of a process loses nothing that it wrote, the layer notes beforehand how to undo each
-// step. What a loss of power leaves is made by Lose, once the process is dead: it undoes all that no
-// honest sync has brought to the disk. A sync counts for all that was written before, as a flush of the
-// device's own buffer does.
+// A process that is killed does not lose what it has written to files. To simulate a loss of power, FS therefore
+// records before each change how to undo it. When the process has ended, SimulatePowerLoss undoes all changes since the
+// last sync that was not a lost fsync. A sync of any file or directory makes all earlier changes durable, as a flush of
+// the disk's write cache does.
 package faulty
 
 import (
@@ -22,26 +22,26 @@
 	"sloestile/internal/store/disk"
 )
 
-// EnvVariable names, in the environment of a process, the folder by which its disk is driven.
+// EnvVariable is the environment variable that contains the fault directory of a process.
 const EnvVariable = "LAB_DISK"
 
 const (
-	faultsName = "faults.json"
-	look       = 10 * time.Millisecond // how often a step that is held up looks whether it may go on
+	faultsName        = "faults.json"
+	stallPollInterval = 10 * time.Millisecond // interval at which a stalled operation checks whether the stall has ended
 )
 
-// Faults is what is wrong with a disk at one time; its zero is nothing.
+// Faults are the faults of a disk at one time. The zero value means none.
 type Faults struct {
-	LostFsyncs     bool    `json:"Lies"` // a sync says yes and brings nothing to the disk
-	Full           bool    // half of a write is taken
-	ReadOnly       bool    // nothing can be changed
-	Stalled        bool    // each step waits until this is over
-	ErrorFraction  float64 `json:"Errors"` // part of the steps that fail
-	BitRotFraction float64 `json:"Turned"` // part of the reads in which one bit is turned
-	Seed           uint64  // draws which
+	LostFsyncs     bool    `json:"Lies"` // syncs succeed, but make nothing durable
+	Full           bool    // the disk is full: a write writes half of its bytes and fails
+	ReadOnly       bool    // changes fail
+	Stalled        bool    // operations wait until Stalled is false
+	ErrorFraction  float64 `json:"Errors"` // fraction of the operations that fail, from 0 to 1
+	BitRotFraction float64 `json:"Turned"` // fraction of the reads in which one bit is flipped, from 0 to 1
+	Seed           uint64  // seed of the random numbers for both fractions
 }
 
-// SetFaults puts faults in force for the process that is driven by a folder, from its next step on.
+// SetFaults sets the faults of the process with the given fault directory. They apply from its next operation on.
 func SetFaults(dir string, f Faults) error {
 	raw, err := json.Marshal(f)
 	if err != nil {
@@ -54,18 +54,19 @@
 	return os.Rename(path+".new", path)
 }
 
-// FS is a file system that fails as its faults say. Folders that are made are not undone.
+// FS is a file system with the faults that SetFaults sets. A power loss does not undo the creation and removal of
+// directories.
 type FS struct {
-	under   disk.FS
-	dir     string // by which it is driven
-	mu      sync.Mutex
-	journal *journal
-	open    map[string]*inode // files that are open, by their names now
-	drawn   Faults            // those that rng was made for
-	rng     *rand.Rand
+	base      disk.FS
+	dir       string // fault directory
+	mu        sync.Mutex
+	undoLog   *undoLog
+	openFiles map[string]*inode // open files by their current names
+	rngFaults Faults            // faults for which rng was created
+	rng       *rand.Rand
 }
 
-// inode is a file that is open, under the name that it has now; "" is that it has none any more.
+// inode is a file with open handles and its current name, which is "" if the file has been removed or replaced.
 type inode struct {
 	name string
 	refs int
@@ -73,187 +74,190 @@
 
 var _ disk.FS = (*FS)(nil)
 
-// New puts a file system that is driven by a folder over another.
-func New(under disk.FS, dir string) (*FS, error) {
-	j, err := openJournal(dir)
+// New returns a file system with the faults of a fault directory on top of another file system.
+func New(base disk.FS, dir string) (*FS, error) {
+	j, err := openUndoLog(dir)
 	if err != nil {
 		return nil, err
 	}
-	return &FS{under: under, dir: dir, journal: j, open: make(map[string]*inode)}, nil
+	return &FS{base: base, dir: dir, undoLog: j, openFiles: make(map[string]*inode)}, nil
 }
 
-// now gives the faults in force; it waits while the disk stands still.
-func (d *FS) now() (f Faults) {
+// currentFaults returns the faults that are set now. It waits while the disk is stalled.
+func (d *FS) currentFaults() (f Faults) {
 	for {
 		raw, err := os.ReadFile(filepath.Join(d.dir, faultsName))
 		f = (Faults{})
 		if err != nil || json.Unmarshal(raw, &f) != nil || !f.Stalled {
 			return f
 		}
-		time.Sleep(look)
+		time.Sleep(stallPollInterval)
 	}
 }
 
-// step begins a step: it waits while the disk stands still, and fails where the step is to. The
-// caller holds no lock.
-func (d *FS) step(op, name string, changes bool) (Faults, error) {
-	f := d.now()
+// beginOperation waits while the disk is stalled, and returns an error if the operation has to fail. The caller does
+// not hold d.mu.
+func (d *FS) beginOperation(op, name string, modifies bool) (Faults, error) {
+	f := d.currentFaults()
 	fail := func(err error) (Faults, error) { return f, &fs.PathError{Op: op, Path: name, Err: err} }
-	if f.ReadOnly && changes {
+	if f.ReadOnly && modifies {
 		return fail(syscall.EROFS)
 	}
-	if d.draw(f, f.ErrorFraction) {
+	if d.chance(f, f.ErrorFraction) {
 		return fail(syscall.EIO)
 	}
 	return f, nil
 }
 
-// draw returns true for a fraction of its calls, by chance.
-func (d *FS) draw(f Faults, part float64) bool {
-	if part <= 0 {
+// chance returns true with the given probability.
+func (d *FS) chance(f Faults, probability float64) bool {
+	if probability <= 0 {
 		return false
 	}
 	return d.random(f, func(r *rand.Rand) int {
-		if r.Float64() < part {
+		if r.Float64() < probability {
 			return 1
 		}
 		return 0
 	}) == 1
 }
 
-func (d *FS) random(f Faults, of func(*rand.Rand) int) int {
+// random returns the result of draw, which gets the random numbers for the faults f.
+func (d *FS) random(f Faults, draw func(*rand.Rand) int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.rng == nil || d.drawn != f {
-		d.rng, d.drawn = rand.New(rand.NewPCG(f.Seed, 0)), f
+	if d.rng == nil || d.rngFaults != f {
+		d.rng, d.rngFaults = rand.New(rand.NewPCG(f.Seed, 0)), f
 	}
-	return of(d.rng)
+	return draw(d.rng)
 }
 
-// OpenFile opens a file or makes it.
+// OpenFile opens a file, and creates it if the flags say so.
 func (d *FS) OpenFile(name string, flag int) (disk.File, error) {
 	writes := flag&(os.O_WRONLY|os.O_RDWR) != 0
-	f, err := d.step("open", name, writes)
+	f, err := d.beginOperation("open", name, writes)
 	if err != nil {
 		return nil, err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s, err := os.Stat(name)
+	info, err := os.Stat(name)
 	switch {
 	case errors.Is(err, fs.ErrNotExist) && flag&os.O_CREATE != 0:
 		if f.Full {
 			return nil, &fs.PathError{Op: "open", Path: name, Err: syscall.ENOSPC}
 		}
-		err = d.journal.add(undo{Kind: made, Name: name})
-	case err == nil && flag&os.O_TRUNC != 0 && s.Size() > 0 && s.Mode().IsRegular():
-		err = d.journal.keep(undo{Kind: emptied, Name: name}, name)
+		err = d.undoLog.add(undoRecord{Kind: kindCreate, Name: name})
+	case err == nil && flag&os.O_TRUNC != 0 && info.Size() > 0 && info.Mode().IsRegular():
+		err = d.undoLog.addWithBackup(undoRecord{Kind: kindTruncate, Name: name}, name)
 	default:
-		under, err := d.under.OpenFile(name, flag)
-		return d.opened(under, err, name, flag)
+		base, err := d.base.OpenFile(name, flag)
+		return d.wrap(base, err, name, flag)
 	}
 	if err != nil {
 		return nil, err
 	}
-	under, err := d.under.OpenFile(name, flag)
+	base, err := d.base.OpenFile(name, flag)
 	if err != nil {
-		err = errors.Join(err, d.journal.drop())
+		err = errors.Join(err, d.undoLog.dropLast())
 	}
-	return d.opened(under, err, name, flag)
+	return d.wrap(base, err, name, flag)
 }
 
-func (d *FS) opened(under disk.File, err error, name string, flag int) (disk.File, error) {
+// wrap returns the file with faults for a file that the base file system has opened. The caller holds d.mu.
+func (d *FS) wrap(base disk.File, err error, name string, flag int) (disk.File, error) {
 	if err != nil {
 		return nil, err
 	}
-	i := d.open[name]
+	i := d.openFiles[name]
 	if i == nil {
 		i = &inode{name: name}
-		d.open[name] = i
+		d.openFiles[name] = i
 	}
 	i.refs++
-	return &file{File: under, fs: d, name: name, inode: i, appends: flag&os.O_APPEND != 0}, nil
+	return &file{File: base, fs: d, name: name, inode: i, appendMode: flag&os.O_APPEND != 0}, nil
 }
 
-// MkdirAll makes a folder and those above it.
+// MkdirAll creates a directory and its parents.
 func (d *FS) MkdirAll(dir string) error {
-	if _, err := d.step("mkdir", dir, true); err != nil {
+	if _, err := d.beginOperation("mkdir", dir, true); err != nil {
 		return err
 	}
-	return d.under.MkdirAll(dir)
+	return d.base.MkdirAll(dir)
 }
 
-// Rename puts a file in another's place.
+// Rename renames a file. It replaces an existing one.
 func (d *FS) Rename(from, to string) error {
-	if _, err := d.step("rename", from, true); err != nil {
+	if _, err := d.beginOperation("rename", from, true); err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := d.journal.keep(undo{Kind: moved, Name: from, To: to}, to); err != nil {
+	if err := d.undoLog.addWithBackup(undoRecord{Kind: kindRename, Name: from, NewName: to}, to); err != nil {
 		return err
 	}
-	if err := d.under.Rename(from, to); err != nil {
-		return errors.Join(err, d.journal.drop())
+	if err := d.base.Rename(from, to); err != nil {
+		return errors.Join(err, d.undoLog.dropLast())
 	}
-	d.forget(to)
-	if i := d.open[from]; i != nil {
-		i.name, d.open[to] = to, i
-		delete(d.open, from)
+	d.unlinkOpenFile(to)
+	if i := d.openFiles[from]; i != nil {
+		i.name, d.openFiles[to] = to, i
+		delete(d.openFiles, from)
 	}
 	return nil
 }
 
-// forget takes a name from the file that has it.
-func (d *FS) forget(name string) {
-	if i := d.open[name]; i != nil {
+// unlinkOpenFile records that the open file with a name, if there is one, has no name any more.
+func (d *FS) unlinkOpenFile(name string) {
+	if i := d.openFiles[name]; i != nil {
 		i.name = ""
-		delete(d.open, name)
+		delete(d.openFiles, name)
 	}
 }
 
-// Remove removes a file or an empty folder.
+// Remove removes a file or an empty directory.
 func (d *FS) Remove(name string) error {
-	if _, err := d.step("remove", name, true); err != nil {
+	if _, err := d.beginOperation("remove", name, true); err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s, err := os.Stat(name); err != nil || s.IsDir() {
-		return d.under.Remove(name)
+	if info, err := os.Stat(name); err != nil || info.IsDir() {
+		return d.base.Remove(name)
 	}
-	if err := d.journal.keep(undo{Kind: removed, Name: name}, name); err != nil {
+	if err := d.undoLog.addWithBackup(undoRecord{Kind: kindRemove, Name: name}, name); err != nil {
 		return err
 	}
-	if err := d.under.Remove(name); err != nil {
-		return errors.Join(err, d.journal.drop())
+	if err := d.base.Remove(name); err != nil {
+		return errors.Join(err, d.undoLog.dropLast())
 	}
-	d.forget(name)
+	d.unlinkOpenFile(name)
 	return nil
 }
 
-// ReadDirNames gives names of what is in a folder.
-func (d *FS) ReadDirNames(dir string, most int) ([]string, error) {
-	if _, err := d.step("readdir", dir, false); err != nil {
+// ReadDirNames returns at most limit names of the entries in a directory.
+func (d *FS) ReadDirNames(dir string, limit int) ([]string, error) {
+	if _, err := d.beginOperation("readdir", dir, false); err != nil {
 		return nil, err
 	}
-	return d.under.ReadDirNames(dir, most)
+	return d.base.ReadDirNames(dir, limit)
 }
 
-// SyncDir brings a folder's names to the disk, or says so.
+// SyncDir makes the names in a directory durable, unless fsyncs are lost.
 func (d *FS) SyncDir(dir string) error {
-	return d.sync(dir, func() error { return d.under.SyncDir(dir) })
+	return d.sync(dir, func() error { return d.base.SyncDir(dir) })
 }
 
-func (d *FS) sync(name string, under func() error) error {
-	f, err := d.step("sync", name, false)
+// sync syncs a file or directory with syncBase, unless fsyncs are lost.
+func (d *FS) sync(name string, syncBase func() error) error {
+	f, err := d.beginOperation("sync", name, false)
 	if err != nil || f.LostFsyncs {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if err := under(); err != nil {
+	if err := syncBase(); err != nil {
 		return err
 	}
-	return d.journal.add(undo{Kind: synced})
+	return d.undoLog.add(undoRecord{Kind: kindSync})
 }
--- a/internal/store/disk/faulty/faulty_test.go
+++ b/internal/store/disk/faulty/faulty_test.go
@@ -17,38 +17,38 @@
 	"sloestile/internal/store/disk"
 )
 
-// The same draws in each run, so that the verdict is the same; -rapid.seed gives others.
+// All runs draw the same values, so that they have the same result. -rapid.seed on the command line changes the seed.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// holds gives the files of a folder by their names.
-func holds(t require.TestingT, dir string) map[string]string {
-	all := map[string]string{}
+// readFiles returns the contents of the files in a directory by name.
+func readFiles(t require.TestingT, dir string) map[string]string {
+	contents := map[string]string{}
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	for _, e := range entries {
 		raw, err := os.ReadFile(filepath.Join(dir, e.Name()))
 		require.NoError(t, err)
-		all[e.Name()] = string(raw)
+		contents[e.Name()] = string(raw)
 	}
-	return all
+	return contents
 }
 
-// After any steps, by several processes, a loss of power leaves what the disk held at the last honest
-// sync, or at one before it where the disk comes back that much older.
-func TestLossLeavesWhatWasSynced(t *testing.T) {
+// After any changes, by several processes in turn, a loss of power leaves the files as they were at the last sync that
+// was not lost, or at an earlier sync if RevertedSyncs is set. A second loss of power changes nothing.
+func TestPowerLossRestoresStateOfLastSync(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		root, err := os.MkdirTemp("", "lying")
+		root, err := os.MkdirTemp("", "faulty")
 		require.NoError(t, err)
 		defer func() { _ = os.RemoveAll(root) }()
-		dir, drive := filepath.Join(root, "data"), filepath.Join(root, "drive")
+		dir, faultDir := filepath.Join(root, "data"), filepath.Join(root, "drive")
 		require.NoError(t, os.Mkdir(dir, 0o700))
-		d, err := New(disk.Local{}, drive)
+		d, err := New(disk.Local{}, faultDir)
 		require.NoError(t, err)
 		name := func() string {
 			return filepath.Join(dir, rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"))
 		}
 		bytes := func() []byte { return []byte(rapid.StringN(1, 9, 9).Draw(t, "bytes")) }
-		states := []map[string]string{holds(t, dir)} // at each honest sync
+		states := []map[string]string{readFiles(t, dir)} // initial state, and the state at each sync that was not lost
 		var open disk.File
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -63,7 +63,7 @@
 					require.NoError(t, err)
 				}
 			case 4:
-				if f, ok := open.(*file); ok && !f.appends {
+				if f, ok := open.(*file); ok && !f.appendMode {
 					_, err := open.WriteAt(bytes(), rapid.Int64Range(0, 20).Draw(t, "at"))
 					require.NoError(t, err)
 				}
@@ -76,145 +76,148 @@
 			case 7:
 				_ = d.Remove(name())
 			case 8:
-				lies := rapid.Bool().Draw(t, "lies")
-				require.NoError(t, SetFaults(drive, Faults{LostFsyncs: lies}))
+				lostFsync := rapid.Bool().Draw(t, "lost fsync")
+				require.NoError(t, SetFaults(faultDir, Faults{LostFsyncs: lostFsync}))
 				require.NoError(t, d.SyncDir(dir))
-				if !lies {
-					states = append(states, holds(t, dir))
+				if !lostFsync {
+					states = append(states, readFiles(t, dir))
 				}
 			case 9: // another process
 				open = nil
-				d, err = New(disk.Local{}, drive)
+				d, err = New(disk.Local{}, faultDir)
 				require.NoError(t, err)
 			}
 		}
-		back := rapid.IntRange(0, len(states)-1).Draw(t, "back")
-		_, err = SimulatePowerLoss(drive, PowerLoss{RevertedSyncs: back})
+		revertedSyncs := rapid.IntRange(0, len(states)-1).Draw(t, "reverted syncs")
+		_, err = SimulatePowerLoss(faultDir, PowerLoss{RevertedSyncs: revertedSyncs})
 		require.NoError(t, err)
-		require.Equal(t, states[len(states)-1-back], holds(t, dir))
-		steps, err := SimulatePowerLoss(drive, PowerLoss{})
+		require.Equal(t, states[len(states)-1-revertedSyncs], readFiles(t, dir))
+		undone, err := SimulatePowerLoss(faultDir, PowerLoss{})
 		require.NoError(t, err)
-		require.Zero(t, steps, "what was lost is lost twice")
+		require.Zero(t, undone, "changes are undone twice")
 	})
 }
 
-// pair is a disk that is driven, with one file of ten bytes on it.
-func pair(t *testing.T) (d *FS, drive, name string) {
-	drive, name = t.TempDir(), filepath.Join(t.TempDir(), "f")
-	d, err := New(disk.Local{}, drive)
+// newDiskWithFile returns a file system with faults, its fault directory and the name of a file of ten bytes on it.
+func newDiskWithFile(t *testing.T) (d *FS, faultDir, name string) {
+	faultDir, name = t.TempDir(), filepath.Join(t.TempDir(), "f")
+	d, err := New(disk.Local{}, faultDir)
 	require.NoError(t, err)
 	require.NoError(t, disk.WriteFile(d, name, []byte("0123456789")))
-	return d, drive, name
+	return d, faultDir, name
 }
 
-// A torn write is half there, also where its file has another name by then; one that an honest sync
-// followed is not torn.
-func TestTornWrite(t *testing.T) {
-	_, drive, name := pair(t)
-	steps, err := SimulatePowerLoss(drive, PowerLoss{TornWrite: true})
+// A torn write leaves the first half of its bytes, also if its file was renamed afterwards. A write that a sync has
+// made durable is not torn.
+func TestTornWriteKeepsFirstHalf(t *testing.T) {
+	_, faultDir, name := newDiskWithFile(t)
+	undone, err := SimulatePowerLoss(faultDir, PowerLoss{TornWrite: true})
 	require.NoError(t, err)
-	require.Zero(t, steps)
-	d, err := New(disk.Local{}, drive)
+	require.Zero(t, undone)
+	d, err := New(disk.Local{}, faultDir)
 	require.NoError(t, err)
-	require.NoError(t, SetFaults(drive, Faults{LostFsyncs: true}))
+	require.NoError(t, SetFaults(faultDir, Faults{LostFsyncs: true}))
 	require.NoError(t, disk.WriteFile(d, name, []byte("abcdefgh")))
-	_, err = SimulatePowerLoss(drive, PowerLoss{TornWrite: true})
+	_, err = SimulatePowerLoss(faultDir, PowerLoss{TornWrite: true})
 	require.NoError(t, err)
-	require.Equal(t, map[string]string{"f": "abcd"}, holds(t, filepath.Dir(name)))
+	require.Equal(t, map[string]string{"f": "abcd"}, readFiles(t, filepath.Dir(name)))
 
-	d, err = New(disk.Local{}, drive)
+	d, err = New(disk.Local{}, faultDir)
 	require.NoError(t, err)
 	f, err := d.OpenFile(name, os.O_RDWR)
 	require.NoError(t, err)
 	_, err = f.WriteAt([]byte("WXYZ"), 2)
 	require.NoError(t, err)
-	_, err = SimulatePowerLoss(drive, PowerLoss{TornWrite: true})
+	_, err = SimulatePowerLoss(faultDir, PowerLoss{TornWrite: true})
 	require.NoError(t, err)
-	require.Equal(t, map[string]string{"f": "abWX"}, holds(t, filepath.Dir(name)))
+	require.Equal(t, map[string]string{"f": "abWX"}, readFiles(t, filepath.Dir(name)))
 }
 
-func TestDiskThatRefuses(t *testing.T) {
-	d, drive, name := pair(t)
+// While a fault is set, writes to an open file and replacements of files fail with its error. A full disk has written
+// half of the bytes. Without faults, writes succeed.
+func TestWritesFailWithFault(t *testing.T) {
+	d, faultDir, name := newDiskWithFile(t)
 	open, err := d.OpenFile(name, os.O_RDWR|os.O_APPEND)
 	require.NoError(t, err)
 	for _, x := range []struct {
-		faults Faults
-		want   syscall.Errno
-		holds  string
+		faults  Faults
+		want    syscall.Errno
+		content string
 	}{
 		{Faults{Full: true}, syscall.ENOSPC, "0123456789ab"},
 		{Faults{ReadOnly: true}, syscall.EROFS, "0123456789ab"},
 		{Faults{ErrorFraction: 1}, syscall.EIO, "0123456789ab"},
 		{Faults{}, 0, "0123456789ababcd"},
 	} {
-		require.NoError(t, SetFaults(drive, x.faults))
+		require.NoError(t, SetFaults(faultDir, x.faults))
 		_, err := open.Write([]byte("abcd"))
-		whole := disk.WriteFile(d, name+"2", []byte("whole"))
+		replaceErr := disk.WriteFile(d, name+"2", []byte("whole"))
 		if x.want == 0 {
 			require.NoError(t, err)
-			require.NoError(t, whole)
+			require.NoError(t, replaceErr)
 		} else {
-			var of *fs.PathError
-			require.ErrorAs(t, err, &of)
+			var pathErr *fs.PathError
+			require.ErrorAs(t, err, &pathErr)
 			require.ErrorIs(t, err, x.want)
-			require.ErrorIs(t, whole, x.want)
+			require.ErrorIs(t, replaceErr, x.want)
 		}
 		raw, err := os.ReadFile(name)
 		require.NoError(t, err)
-		require.Equal(t, x.holds, string(raw))
+		require.Equal(t, x.content, string(raw))
 	}
 }
 
-// Of reads of a disk that turns bits each has one turned, and the disk itself holds what was written.
-func TestTurnedBits(t *testing.T) {
-	d, drive, name := pair(t)
-	require.NoError(t, SetFaults(drive, Faults{BitRotFraction: 1, Seed: 3}))
+// With bit rot in all reads, a read returns exactly one flipped bit, and the file on the disk is not changed.
+func TestBitRotFlipsOneBitPerRead(t *testing.T) {
+	d, faultDir, name := newDiskWithFile(t)
+	require.NoError(t, SetFaults(faultDir, Faults{BitRotFraction: 1, Seed: 3}))
 	f, err := d.OpenFile(name, os.O_RDONLY)
 	require.NoError(t, err)
 	b := make([]byte, 10)
 	_, err = f.ReadAt(b, 0)
 	require.NoError(t, err)
-	turned := 0
+	flipped := 0
 	for i, c := range []byte("0123456789") {
 		for x := b[i] ^ c; x != 0; x &= x - 1 {
-			turned++
+			flipped++
 		}
 	}
-	require.Equal(t, 1, turned)
-	require.Equal(t, "0123456789", holds(t, filepath.Dir(name))["f"])
+	require.Equal(t, 1, flipped)
+	require.Equal(t, "0123456789", readFiles(t, filepath.Dir(name))["f"])
 }
 
-// A step on a disk that stands still ends when the disk goes on, and not before.
-func TestStalledDisk(t *testing.T) {
-	d, drive, name := pair(t)
-	require.NoError(t, SetFaults(drive, Faults{Stalled: true}))
+// An operation on a stalled disk does not end before the stall does, and succeeds then.
+func TestStalledOperationsWait(t *testing.T) {
+	d, faultDir, name := newDiskWithFile(t)
+	require.NoError(t, SetFaults(faultDir, Faults{Stalled: true}))
 	ended := make(chan error, 1)
 	go func() { ended <- disk.WriteFile(d, name, []byte("late")) }()
 	select {
 	case err := <-ended:
-		t.Fatalf("it ended while the disk stood still: %v", err)
-	case <-time.After(20 * look):
+		t.Fatalf("the write ended while the disk was stalled: %v", err)
+	case <-time.After(20 * stallPollInterval):
 	}
-	require.Equal(t, "0123456789", holds(t, filepath.Dir(name))["f"])
-	require.NoError(t, SetFaults(drive, Faults{}))
+	require.Equal(t, "0123456789", readFiles(t, filepath.Dir(name))["f"])
+	require.NoError(t, SetFaults(faultDir, Faults{}))
 	require.NoError(t, <-ended)
-	require.Equal(t, map[string]string{"f": "late"}, holds(t, filepath.Dir(name)))
+	require.Equal(t, map[string]string{"f": "late"}, readFiles(t, filepath.Dir(name)))
 }
 
-// However long a disk lies, the notes stay within their bound, and what is oldest counts as come to it.
-func TestNotesAreBounded(t *testing.T) {
-	d, drive, name := pair(t)
-	require.NoError(t, SetFaults(drive, Faults{LostFsyncs: true}))
+// While fsyncs are lost for a long time, the undo log and the number of backups stay within their limits. The oldest
+// changes, whose records are discarded, become durable.
+func TestUndoLogIsBounded(t *testing.T) {
+	d, faultDir, name := newDiskWithFile(t)
+	require.NoError(t, SetFaults(faultDir, Faults{LostFsyncs: true}))
 	rng := rand.New(rand.NewPCG(1, 0))
 	for range 1500 {
 		require.NoError(t, disk.WriteFile(d, name, slices.Repeat([]byte{byte(rng.Uint32())}, 1000)))
-		require.LessOrEqual(t, d.journal.steps, stepsMost)
+		require.LessOrEqual(t, d.undoLog.recordCount, maxUndoRecords)
 	}
-	entries, err := os.ReadDir(drive)
+	entries, err := os.ReadDir(faultDir)
 	require.NoError(t, err)
-	require.LessOrEqual(t, len(entries), stepsMost/3+3)
-	steps, err := SimulatePowerLoss(drive, PowerLoss{})
+	require.LessOrEqual(t, len(entries), maxUndoRecords/3+3)
+	undone, err := SimulatePowerLoss(faultDir, PowerLoss{})
 	require.NoError(t, err)
-	require.Greater(t, steps, stepsMost/3)
-	require.Len(t, holds(t, filepath.Dir(name))["f"], 1000)
+	require.Greater(t, undone, maxUndoRecords/3)
+	require.Len(t, readFiles(t, filepath.Dir(name))["f"], 1000)
 }
--- a/internal/store/disk/faulty/golden_test.go
+++ b/internal/store/disk/faulty/golden_test.go
@@ -11,8 +11,9 @@
 	"sloestile/internal/golden"
 )
 
-// The faults that a folder has in force are in the recorded file, under the recorded keys.
-func TestFaultsAreAsRecorded(t *testing.T) {
+// SetFaults writes the file and the JSON keys in the golden file, so that a testbed can control a process of another
+// version of the program.
+func TestFaultsMatchGoldenFile(t *testing.T) {
 	var f Faults
 	golden.Fill(&f)
 	dir := t.TempDir()
@@ -20,35 +21,36 @@
 	raw, err := os.ReadFile(filepath.Join(dir, "faults.json"))
 	require.NoError(t, err)
 	golden.CheckText(t, "faults", string(raw)+"\n")
-	var back Faults
-	require.NoError(t, json.Unmarshal(raw, &back))
-	require.Equal(t, f, back)
+	var decoded Faults
+	require.NoError(t, json.Unmarshal(raw, &decoded))
+	require.Equal(t, f, decoded)
 	require.Equal(t, "LAB_DISK", EnvVariable)
 }
 
-// Notes of each kind are written to the recorded file, under the recorded keys, and read back.
-func TestNotesAreAsRecorded(t *testing.T) {
-	var full undo
+// Undo records of each kind are written with the JSON keys in the golden file and read back, so that a testbed can
+// simulate a loss of power for a process of another version of the program.
+func TestUndoRecordsMatchGoldenFile(t *testing.T) {
+	var full undoRecord
 	golden.Fill(&full)
-	full.Kept = 1
-	all := []undo{full}
-	for _, kind := range []string{made, emptied, changed, moved, removed, synced} {
-		all = append(all, undo{Kind: kind})
+	full.Backup = 1
+	records := []undoRecord{full}
+	for _, kind := range []string{kindCreate, kindTruncate, kindChange, kindRename, kindRemove, kindSync} {
+		records = append(records, undoRecord{Kind: kind})
 	}
 	dir := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(dir, "kept-1"), []byte("old"), 0o600))
-	j, err := openJournal(dir)
+	l, err := openUndoLog(dir)
 	require.NoError(t, err)
-	for _, u := range all {
-		require.NoError(t, j.add(u))
+	for _, r := range records {
+		require.NoError(t, l.add(r))
 	}
 	raw, err := os.ReadFile(filepath.Join(dir, "undo"))
 	require.NoError(t, err)
 	golden.CheckText(t, "undo", string(raw))
-	back, err := notes(dir)
+	decoded, err := readUndoRecords(dir)
 	require.NoError(t, err)
-	require.Equal(t, all, back)
-	require.NoError(t, write(dir, all))
+	require.Equal(t, records, decoded)
+	require.NoError(t, writeUndoRecords(dir, records))
 	again, err := os.ReadFile(filepath.Join(dir, "undo"))
 	require.NoError(t, err)
 	require.Equal(t, string(raw), string(again))
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -7,10 +7,10 @@
 	"sloestile/internal/oneline"
 )
 
-// A node whose state can't be used starts without one. Each error's text says what failed, where, and after the last
-// semicolon what an operator can do.
+// A node whose stored state is unusable starts without it. The text of each error states the file or directory, what
+// failed, and after the last semicolon what an operator can do.
 
-// CorruptError is a state that is not as it was written.
+// CorruptError means that the state file is corrupt.
 type CorruptError struct {
 	File string
 	Err  error
@@ -22,7 +22,7 @@
 
 func (e *CorruptError) Unwrap() error { return e.Err }
 
-// VersionError is a state in the format of another version of the program.
+// VersionError means that the state file has the format of another version of the program.
 type VersionError struct {
 	File       string
 	Have, Want int
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("state %s: format %d, not %d; to use it run the version of the program that wrote it", e.File, e.Have, e.Want)
 }
 
-// OwnerError is a state of another node.
+// OwnerError means that the state belongs to another node.
 type OwnerError struct {
 	File       string
 	Have, Want string
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("state %s: it belongs to node %q, not %q; give each node a folder of its own", e.File, e.Have, e.Want)
 }
 
-// ReadError is a state that the disk does not return.
+// ReadError means that the state file could not be read from the disk.
 type ReadError struct {
 	File string
 	Err  error
@@ -54,12 +54,11 @@
 
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// QuarantineError is a state that can't be used and could not be moved aside: the next one that is written
-// replaces it.
+// QuarantineError means that an unusable state file could not be renamed. The next state replaces it.
 type QuarantineError struct {
 	File   string
-	Reason error // it can't be used
-	Err    error
+	Reason error // reason why the state is unusable
+	Err    error // error of the quarantine
 }
 
 func (e *QuarantineError) Error() string {
@@ -68,14 +67,14 @@
 
 func (e *QuarantineError) Unwrap() []error { return []error{e.Reason, e.Err} }
 
-// InUseError is a folder that another process uses.
+// InUseError means that another process uses the directory.
 type InUseError struct{ Dir string }
 
 func (e *InUseError) Error() string {
-	return fmt.Sprintf("state folder %s: another process uses it; wait for its end, or give each node a folder of its own", e.Dir)
+	return fmt.Sprintf("state folder %s: another process uses it; wait until that process ends, or give each node a folder of its own", e.Dir)
 }
 
-// FolderError is a folder that can't be made or opened.
+// FolderError means that the directory could not be created or locked.
 type FolderError struct {
 	Dir string
 	Err error
@@ -87,34 +86,34 @@
 
 func (e *FolderError) Unwrap() error { return e.Err }
 
-// WriteError is a state that was not written; the disk holds the one before, or this one.
+// WriteError means that a state was not written completely. The disk has the previous state or this one.
 type WriteError struct {
 	File string
 	Err  error
 }
 
 func (e *WriteError) Error() string {
-	return fmt.Sprintf("state %s: writing failed: %s; see that the disk has room and is writable", e.File, oneline.Of(e.Err))
+	return fmt.Sprintf("state %s: writing failed: %s; check that the disk has free space and is writable", e.File, oneline.Of(e.Err))
 }
 
 func (e *WriteError) Unwrap() error { return e.Err }
 
-// SizeError is a state with more in it than may be written.
+// SizeError means that a state was not written because it exceeds a limit.
 type SizeError struct {
-	File, What string
+	File, What string // What is the unit of Have and Max
 	Have, Max  int
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("state %s: %d %s are over %d; spread the tenants over more nodes, or lower memory_mb", e.File, e.Have, e.What, e.Max)
+	return fmt.Sprintf("state %s: %d %s exceed the limit of %d; spread the tenants over more nodes, or lower memory_mb", e.File, e.Have, e.What, e.Max)
 }
 
-// StalledError is a disk that did not take the last state in time.
+// StalledError means that the last state was not written within the timeout.
 type StalledError struct {
 	Dir     string
 	Timeout time.Duration
 }
 
 func (e *StalledError) Error() string {
-	return fmt.Sprintf("state folder %s: the disk stalled for %v; check the disk, what was granted since the last state is forgotten", e.Dir, e.Timeout)
+	return fmt.Sprintf("state folder %s: the disk stalled for %v; check the disk, requests granted since the last state are not recorded", e.Dir, e.Timeout)
 }
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -13,7 +13,7 @@
 		&FolderError{Dir: "d", Err: oncall.ErrCause},
 		&OwnerError{File: "d/state", Have: "n-2", Want: "n-1"},
 		&ReadError{File: "d/state", Err: oncall.ErrCause},
-		&SizeError{File: "d/state", What: "customers", Have: 3, Max: 2},
+		&SizeError{File: "d/state", What: "tenants", Have: 3, Max: 2},
 		&CorruptError{File: "d/state", Err: oncall.ErrCause},
 		&StalledError{Dir: "d", Timeout: time.Second},
 		&InUseError{Dir: "d"},
--- a/internal/store/persister.go
+++ b/internal/store/persister.go
@@ -7,48 +7,51 @@
 	"time"
 )
 
-// Persister writes states to a folder in a goroutine of its own, so that its owner never waits for the disk. One
-// state is written at a time; changes are gathered by the owner until then.
+// Persister writes states to a directory in its own goroutine, so that its owner does not wait for the disk. It writes
+// one state at a time; while Submit returns false, the owner keeps its changes.
 type Persister struct {
-	folder      *Dir
+	dir         *Dir
 	checkpoints map[TenantKey]Checkpoint
 	parts       map[string][]byte
 	generation  uint64
 	maxTenants  int
 	changes     chan change
-	done        WriteCallback
+	onWrite     WriteCallback
 	running     sync.WaitGroup
 }
 
-// WriteCallback is called after each state that was written, or could not be. It must not wait.
+// WriteCallback is called after each write of a state, with its error, the size of the state and the duration of the
+// write. It must not block.
 type WriteCallback func(err error, bytes int, took time.Duration)
 
-// change is what has changed since the last state.
+// change is the argument of one call of Submit.
 type change struct {
 	checkpoints []Checkpoint
 	parts       map[string][]byte
 }
 
-// NewPersister begins to write to a folder, from a state that was read from it; nil is none. Its goroutine ends with
-// Close.
-func NewPersister(f *Dir, from *State, maxTenants int, done WriteCallback) *Persister {
+// NewPersister starts a persister for a directory. The first state that it writes is based on initial, the state that
+// was read from the directory; nil means none. Writing a state with checkpoints of more than maxTenants tenants fails.
+// The persister closes the directory and ends its goroutine when Close is called.
+func NewPersister(dir *Dir, initial *State, maxTenants int, onWrite WriteCallback) *Persister {
 	p := &Persister{
-		folder:      f,
+		dir:         dir,
 		checkpoints: make(map[TenantKey]Checkpoint),
 		parts:       make(map[string][]byte),
 		maxTenants:  maxTenants,
 		changes:     make(chan change, 1),
-		done:        done,
+		onWrite:     onWrite,
 	}
-	if from != nil {
-		p.generation = from.Generation
-		p.merge(from.Checkpoints, from.Parts)
+	if initial != nil {
+		p.generation = initial.Generation
+		p.merge(initial.Checkpoints, initial.Parts)
 	}
 	p.running.Go(p.run)
 	return p
 }
 
-// Submit has changes written. It reports false where the last ones are still waiting.
+// Submit adds changed checkpoints and parts to the state and schedules a write. It returns false, and drops the
+// changes, if earlier ones still wait to be written.
 func (p *Persister) Submit(checkpoints []Checkpoint, parts map[string][]byte) bool {
 	select {
 	case p.changes <- change{checkpoints, parts}:
@@ -58,30 +61,32 @@
 	}
 }
 
-// Close writes what was submitted and ends. A disk that does not take it in some time is left alone and the error
-// is a StalledError.
-func (p *Persister) Close(within time.Duration) error {
+// Close writes the submitted changes, ends the goroutine and closes the directory. If this takes longer than the
+// timeout, it returns a *StalledError while the goroutine continues to wait for the disk; the directory stays locked
+// then.
+func (p *Persister) Close(timeout time.Duration) error {
 	close(p.changes)
-	ended := make(chan struct{})
-	go func() { // ends with run
+	stopped := make(chan struct{})
+	go func() { // ends when run returns
 		p.running.Wait()
-		close(ended)
+		close(stopped)
 	}()
 	select {
-	case <-ended:
-		return p.folder.Close()
-	case <-time.After(within):
-		return &StalledError{p.folder.dir, within}
+	case <-stopped:
+		return p.dir.Close()
+	case <-time.After(timeout):
+		return &StalledError{p.dir.path, timeout}
 	}
 }
 
-// run writes until the changes are closed. It logs a failure once, not with each state.
+// run writes states until the channel of changes is closed. It logs a write error when it differs from the last one
+// logged, and the first successful write after errors.
 func (p *Persister) run() {
 	lastError := ""
-	failures := 0 // since the disk last took a state
+	failures := 0 // failed writes since the last successful one
 	for c := range p.changes {
-		begun := time.Now()
-		n, err := p.write(c, begun)
+		startedAt := time.Now()
+		size, err := p.write(c, startedAt)
 		switch {
 		case err != nil:
 			failures++
@@ -94,10 +99,11 @@
 			lastError = ""
 			failures = 0
 		}
-		p.done(err, n, time.Since(begun))
+		p.onWrite(err, size, time.Since(startedAt))
 	}
 }
 
+// merge adds checkpoints and parts to the state, in place of earlier ones of the same tenant or name.
 func (p *Persister) merge(checkpoints []Checkpoint, parts map[string][]byte) {
 	for _, c := range checkpoints {
 		p.checkpoints[TenantKey{c.Plan, c.Tenant}] = c
@@ -105,16 +111,17 @@
 	maps.Copy(p.parts, parts)
 }
 
-// write merges changes and writes the whole state. Checkpoints of buckets that are full again are dropped.
+// write merges changes and writes the complete state, without checkpoints of buckets that are full again. It returns
+// the size of the state in bytes.
 func (p *Persister) write(c change, now time.Time) (int, error) {
 	p.merge(c.checkpoints, c.parts)
 	maps.DeleteFunc(p.checkpoints, func(_ TenantKey, c Checkpoint) bool { return c.FullAt <= now.UnixMilli() })
 	if len(p.checkpoints) > p.maxTenants {
-		return 0, &SizeError{p.folder.path(stateName), "tenants", len(p.checkpoints), p.maxTenants}
+		return 0, &SizeError{p.dir.filePath(stateName), "tenants", len(p.checkpoints), p.maxTenants}
 	}
 	p.generation++
 	s := &State{
-		Node:        p.folder.node,
+		Node:        p.dir.node,
 		Generation:  p.generation,
 		WrittenAt:   now.UnixMilli(),
 		Parts:       p.parts,
@@ -123,5 +130,5 @@
 	for _, c := range p.checkpoints {
 		s.Checkpoints = append(s.Checkpoints, c)
 	}
-	return p.folder.Write(s)
+	return p.dir.Write(s)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,11 @@
-// Package store persists what a node has learnt on a disk that outlives its process: it writes, verifies and reads back
-// one state. A single file holds all of it; each write replaces the file by a rename, so there is nothing to compact and
-// never a part of a state.
+// Package store persists the state of a node on a disk that outlives its process. The state is a single checksummed
+// file in a directory, which Open locks. Each write replaces the file by a rename, so that there is always one complete
+// state and nothing to compact. A state that is corrupt or otherwise unusable is quarantined: it is renamed and not
+// used.
 //
-// A state that can't be read completely is moved aside (quarantined) and not used. The node never waits for the disk: a
-// Persister writes in a goroutine of its own and reports when a state is durable.
+// Nodes do not wait for the disk. Checkpoints decides which checkpoints of tenants' token buckets have to be written,
+// and a Persister writes them, with the other parts of the state, in its own goroutine and reports when they are
+// durable.
 package store
 
 import (
@@ -22,41 +24,42 @@
 )
 
 const (
-	version   = 1 // of the file's format
-	magic     = "lfst"
-	headBytes = 4 + 2 + 8 + 4 // magic, version, length and checksum of the rest
+	formatVersion = 1 // version of the file format
+	magic         = "lfst"
+	headerBytes   = 4 + 2 + 8 + 4 // magic, version, length and checksum of the rest
 
-	// MaxStateBytes is the size of the file at most; a larger state is not written.
+	// MaxStateBytes is the maximum size of the file. Writing a larger state fails.
 	MaxStateBytes = 8 << 20
 
-	stateName      = "state"
-	lockName       = "lock"
-	quarantineName = "state.bad-" // and a number
-	maxQuarantined = 2            // states moved aside that are kept
-	maxNames       = 1000         // of a folder's files that are looked at
-	readAttempts   = 2            // a bit may be flipped on the way from the disk alone
-	maxCheckpoints = 1 << 20      // in a state
+	stateName        = "state"
+	lockName         = "lock"
+	quarantinePrefix = "state.bad-" // name prefix of quarantined states; a number follows, 1 for the latest
+	maxQuarantined   = 2            // quarantined states that are kept
+	maxDirEntries    = 1000         // names of the directory that quarantine reads
+	readAttempts     = 2            // the second attempt succeeds if a bit was flipped in transfer only
+	maxCheckpoints   = 1 << 20      // checkpoints in a state
 )
 
-// State is what is persisted, as CBOR by the numbers in its tags.
+// State is the persisted state of a node, encoded as CBOR with the integer keys in its tags.
 type State struct {
-	Node        string            `cbor:"1,keyasint"` // whose it is
-	Generation  uint64            `cbor:"2,keyasint"` // grows with each state written
-	WrittenAt   int64             `cbor:"3,keyasint"` // ms of Unix time
-	Parts       map[string][]byte `cbor:"4,keyasint"` // by name, each in its owner's format
+	Node        string            `cbor:"1,keyasint"` // name of the node
+	Generation  uint64            `cbor:"2,keyasint"` // number of the state; increases with each write
+	WrittenAt   int64             `cbor:"3,keyasint"` // Unix time in ms
+	Parts       map[string][]byte `cbor:"4,keyasint"` // other data by name; the caller defines their formats
 	Checkpoints []Checkpoint      `cbor:"5,keyasint"`
 }
 
-// Checkpoint is a level that one tenant's token bucket has at least at a time, whatever was granted since it was
-// written.
+// Checkpoint is a lower bound of the tokens in a tenant's bucket at one time. Checkpoints that NextBatch returns are
+// lower than the actual tokens, so that they remain lower bounds after requests that are granted before the next
+// checkpoint.
 type Checkpoint struct {
 	_       struct{} `cbor:",toarray"`
 	Plan    string
 	Tenant  string
-	Nodes   int     // that the tenant may come through
-	Level   float64 // tokens
-	LevelAt int64   // ms of Unix time
-	FullAt  int64   // ms of Unix time when the bucket is full again, and the checkpoint worthless
+	Nodes   int     // number of nodes that the tenant's requests may come through
+	Level   float64 // lower bound of the tokens at LevelAt; may be negative
+	LevelAt int64   // Unix time in ms
+	FullAt  int64   // Unix time in ms at which the bucket is full again; from then on the checkpoint is not needed
 }
 
 var (
@@ -65,38 +68,38 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// encode returns the file's content for a state.
+// encode returns the content of the file for a state: magic, version, length, checksum (CRC-32C) and the encoded state.
 func encode(s *State) ([]byte, error) {
 	raw, err := encoder.Marshal(s)
 	if err != nil {
 		return nil, err
 	}
-	b := append(make([]byte, 0, headBytes+len(raw)), magic...)
-	b = binary.BigEndian.AppendUint16(b, version)
+	b := append(make([]byte, 0, headerBytes+len(raw)), magic...)
+	b = binary.BigEndian.AppendUint16(b, formatVersion)
 	b = binary.BigEndian.AppendUint64(b, uint64(len(raw)))
-	sum := crc32.Update(crc32.Checksum(b, castagnoli), castagnoli, raw) // of the head too
-	b = binary.BigEndian.AppendUint32(b, sum)
+	checksum := crc32.Update(crc32.Checksum(b, castagnoli), castagnoli, raw) // includes the header
+	b = binary.BigEndian.AppendUint32(b, checksum)
 	return append(b, raw...), nil
 }
 
-// decode reads a state of a node from a file's content.
+// decode decodes the content of a file and checks that it is a state of the given node.
 func decode(file string, b []byte, node string) (*State, error) {
-	corrupt := func(why string) error { return &CorruptError{file, errors.New(why)} }
-	if len(b) < headBytes || string(b[:4]) != magic {
-		return nil, corrupt("no state header")
+	corruptError := func(reason string) error { return &CorruptError{file, errors.New(reason)} }
+	if len(b) < headerBytes || string(b[:4]) != magic {
+		return nil, corruptError("no state header")
 	}
-	sum := crc32.Update(crc32.Checksum(b[:headBytes-4], castagnoli), castagnoli, b[headBytes:])
-	if sum != binary.BigEndian.Uint32(b[headBytes-4:]) {
-		return nil, corrupt("checksum mismatch")
+	checksum := crc32.Update(crc32.Checksum(b[:headerBytes-4], castagnoli), castagnoli, b[headerBytes:])
+	if checksum != binary.BigEndian.Uint32(b[headerBytes-4:]) {
+		return nil, corruptError("checksum mismatch")
 	}
-	if v := binary.BigEndian.Uint16(b[4:]); v != version {
-		return nil, &VersionError{file, int(v), version}
+	if v := binary.BigEndian.Uint16(b[4:]); v != formatVersion {
+		return nil, &VersionError{file, int(v), formatVersion}
 	}
-	if binary.BigEndian.Uint64(b[6:]) != uint64(len(b)-headBytes) {
-		return nil, corrupt("length mismatch")
+	if binary.BigEndian.Uint64(b[6:]) != uint64(len(b)-headerBytes) {
+		return nil, corruptError("length mismatch")
 	}
 	s := &State{}
-	if err := decoder.Unmarshal(b[headBytes:], s); err != nil {
+	if err := decoder.Unmarshal(b[headerBytes:], s); err != nil {
 		return nil, &CorruptError{file, err}
 	}
 	if s.Node != node {
@@ -105,18 +108,18 @@
 	return s, nil
 }
 
-// Dir is a folder that one process of one node uses at a time.
+// Dir is the state directory of a node, locked against other processes.
 type Dir struct {
-	fs   disk.FS
-	dir  string
+	fsys disk.FS
+	path string
 	node string
-	lock *os.File // nil where the file layer is a test's
+	lock *os.File // nil in tests with a file system in memory
 }
 
-// Open opens a folder of a file system and makes it where there is none. It does not wait: where another process uses
-// the folder the error is an InUseError, else a FolderError. The lock is always on the local file system, as a faulty
-// disk must not let two processes in.
-func Open(d disk.FS, dir, node string) (*Dir, error) {
+// Open opens and locks the state directory of a node, and creates it if it does not exist. It does not wait for the
+// lock: if another process uses the directory, the error is an *InUseError. Any other error is a *FolderError. The lock
+// is always on the local file system, so that a faulty disk cannot let two processes use the directory.
+func Open(fsys disk.FS, dir, node string) (*Dir, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, &FolderError{dir, err}
 	}
@@ -131,82 +134,84 @@
 		}
 		return nil, &FolderError{dir, err}
 	}
-	return &Dir{fs: d, dir: dir, node: node, lock: lock}, nil
+	return &Dir{fsys: fsys, path: dir, node: node, lock: lock}, nil
 }
 
-// Close releases the folder for another process.
-func (f *Dir) Close() error {
-	if f.lock == nil {
+// Close releases the directory for other processes.
+func (d *Dir) Close() error {
+	if d.lock == nil {
 		return nil
 	}
-	return f.lock.Close()
+	return d.lock.Close()
 }
 
-func (f *Dir) path(name string) string { return filepath.Join(f.dir, name) }
+func (d *Dir) filePath(name string) string { return filepath.Join(d.path, name) }
 
-// Read returns the last durable state; nil is none. A state that can't be used, also when it is read again, is moved
-// aside, and the error says why: a CorruptError, VersionError, OwnerError or ReadError, within a QuarantineError where
-// it can't be moved. The folder can be written to all the same.
-func (f *Dir) Read() (*State, error) {
+// Read returns the last durable state, or nil if there is none. A state that is unusable in all of readAttempts
+// attempts is quarantined. The error is then a *CorruptError, *VersionError, *OwnerError or *ReadError, or a
+// *QuarantineError with one of these as the reason if the quarantine fails. The directory can be written to in any
+// case.
+func (d *Dir) Read() (*State, error) {
 	var unusable error
 	for range readAttempts {
-		s, err := f.read()
+		s, err := d.read()
 		if err == nil {
 			return s, nil
 		}
 		unusable = err
 	}
-	if err := f.quarantine(); err != nil {
-		unusable = &QuarantineError{f.path(stateName), unusable, err}
+	if err := d.quarantine(); err != nil {
+		unusable = &QuarantineError{d.filePath(stateName), unusable, err}
 	}
 	return nil, unusable
 }
 
-func (f *Dir) read() (*State, error) {
-	file := f.path(stateName)
-	raw, err := disk.ReadFile(f.fs, file, MaxStateBytes)
+// read reads the state once.
+func (d *Dir) read() (*State, error) {
+	file := d.filePath(stateName)
+	raw, err := disk.ReadFile(d.fsys, file, MaxStateBytes)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, &ReadError{file, err}
 	}
-	return decode(file, raw, f.node)
+	return decode(file, raw, d.node)
 }
 
-// quarantine moves a state that can't be used aside and removes the oldest of those.
-func (f *Dir) quarantine() error {
-	names, err := f.fs.ReadDirNames(f.dir, maxNames)
+// quarantine renames the state file. It removes the oldest quarantined state if there are maxQuarantined already.
+func (d *Dir) quarantine() error {
+	names, err := d.fsys.ReadDirNames(d.path, maxDirEntries)
 	if err != nil {
 		return err
 	}
-	have := map[string]bool{}
+	exists := map[string]bool{}
 	for _, n := range names {
-		have[n] = strings.HasPrefix(n, quarantineName)
+		exists[n] = strings.HasPrefix(n, quarantinePrefix)
 	}
-	name := func(i int) string { return fmt.Sprint(quarantineName, i) }
-	if have[name(maxQuarantined)] {
-		if err := f.fs.Remove(f.path(name(maxQuarantined))); err != nil {
+	name := func(i int) string { return fmt.Sprint(quarantinePrefix, i) }
+	if exists[name(maxQuarantined)] {
+		if err := d.fsys.Remove(d.filePath(name(maxQuarantined))); err != nil {
 			return err
 		}
 	}
 	for i := maxQuarantined - 1; i >= 1; i-- {
-		if have[name(i)] {
-			if err := f.fs.Rename(f.path(name(i)), f.path(name(i+1))); err != nil {
+		if exists[name(i)] {
+			if err := d.fsys.Rename(d.filePath(name(i)), d.filePath(name(i+1))); err != nil {
 				return err
 			}
 		}
 	}
-	if err := f.fs.Rename(f.path(stateName), f.path(name(1))); err != nil {
+	if err := d.fsys.Rename(d.filePath(stateName), d.filePath(name(1))); err != nil {
 		return err
 	}
-	return f.fs.SyncDir(f.dir)
+	return d.fsys.SyncDir(d.path)
 }
 
-// Write makes a state durable: when it returns without an error the state survives a crash of the machine. After an
-// error, a SizeError or a WriteError, the disk holds the state before, or this one.
-func (f *Dir) Write(s *State) (bytes int, err error) {
-	file := f.path(stateName)
+// Write writes a state and returns its size in bytes. When the error is nil, the state survives a crash of the machine.
+// Otherwise the error is a *SizeError or a *WriteError, and the disk has the previous state or this one.
+func (d *Dir) Write(s *State) (bytes int, err error) {
+	file := d.filePath(stateName)
 	raw, err := encode(s)
 	if err != nil {
 		return 0, &WriteError{file, err}
@@ -214,7 +219,7 @@
 	if len(raw) > MaxStateBytes {
 		return 0, &SizeError{file, "bytes", len(raw), MaxStateBytes}
 	}
-	if err := disk.WriteFile(f.fs, file, raw); err != nil {
+	if err := disk.WriteFile(d.fsys, file, raw); err != nil {
 		return 0, &WriteError{file, err}
 	}
 	return len(raw), nil
