--- a/internal/consensus/raftlog/raftlog.go
+++ b/internal/consensus/raftlog/raftlog.go
@@ -27,7 +27,7 @@
 const (
 	lockName      = "lock"
 	quarantineDir = "spoilt"    // subdirectory for quarantined files; its earlier content is replaced
-	maxDirEntries = 4096        // names of a directory that quarantine reads
+	maxDirEntries = 4096        // names that quarantine reads of a directory
 	stallTimeout  = time.Second // duration of a write from which the disk counts as stalled
 )
 
@@ -275,8 +275,8 @@
 // ForbidVotesThrough prevents this voter from casting another vote in any term up to and including the given one. It
 // raises the current term to that term and stores a vote for a candidate that does not exist.
 func (l *Log) ForbidVotesThrough(term uint64) error {
-	stored, votedTerm, err := l.Term()
-	if err == nil && stored < term {
+	currentTerm, votedTerm, err := l.Term()
+	if err == nil && currentTerm < term {
 		err = l.SetUint64([]byte(KeyTerm), term)
 	}
 	if err == nil && votedTerm < term {
--- a/internal/store/checkpoints.go
+++ b/internal/store/checkpoints.go
@@ -10,7 +10,7 @@
 
 const (
 	// reserveFraction is the fraction of the burst by which a checkpoint is below the bucket's tokens. Requests granted
-	// before the next checkpoint use this reserve. A crash costs a tenant at most this many tokens.
+	// before the next checkpoint use this reserve. A crash costs a tenant at most this fraction of its burst.
 	reserveFraction = 0.25
 	// renewFraction is the fraction of the reserve below which a new checkpoint is due.
 	renewFraction = 0.5
@@ -73,27 +73,27 @@
 
 // RecordGrant records the state of a tenant's bucket after a request was granted. It reports whether a checkpoint is
 // due.
-func (c *Checkpoints) RecordGrant(k TenantKey, l BucketState, now time.Duration) bool {
-	t := c.tenants[k]
+func (c *Checkpoints) RecordGrant(key TenantKey, bucket BucketState, now time.Duration) bool {
+	t := c.tenants[key]
 	if t == nil {
 		if len(c.tenants) >= c.maxTenants {
 			c.UncoveredGrants++
 			return false
 		}
 		t = &tenantCheckpoint{}
-		c.tenants[k] = t
+		c.tenants[key] = t
 	}
-	t.latest = l
+	t.latest = bucket
 	t.latestAt = now
 	margin := math.Inf(-1)
 	if t.hasDurable {
-		margin = l.Tokens - t.durable.recovered(l, now)
+		margin = bucket.Tokens - t.durable.recovered(bucket, now)
 	}
 	if margin < 0 {
 		c.UncoveredGrants++
 	}
-	if margin < renewFraction*reserveFraction*l.Burst {
-		c.due[k] = true
+	if margin < renewFraction*reserveFraction*bucket.Burst {
+		c.due[key] = true
 	}
 	return c.Due()
 }
@@ -102,8 +102,9 @@
 func (c *Checkpoints) Due() bool { return len(c.due) > 0 }
 
 // NextBatch returns the checkpoints to write with the next state, or nil if a batch is still being written or no
-// checkpoint is due. BatchDone ends the batch. If it tracks more than maxTenants/2 tenants, NextBatch also removes
-// tenants whose buckets are full again by their durable checkpoints. The time wall is now on the wall clock.
+// checkpoint is due. BatchDone ends the batch. The arguments are the same time on the caller's clock and on the wall
+// clock. If c tracks more than maxTenants/2 tenants, NextBatch also stops tracking those whose buckets are full again
+// according to their durable checkpoints.
 func (c *Checkpoints) NextBatch(now time.Duration, wall time.Time) []Checkpoint {
 	if c.inFlight != nil || !c.Due() {
 		return nil
--- a/internal/store/disk/faulty/faulty.go
+++ b/internal/store/disk/faulty/faulty.go
@@ -76,11 +76,11 @@
 
 // New returns a file system with the faults of a fault directory on top of another file system.
 func New(base disk.FS, dir string) (*FS, error) {
-	j, err := openUndoLog(dir)
+	l, err := openUndoLog(dir)
 	if err != nil {
 		return nil, err
 	}
-	return &FS{base: base, dir: dir, undoLog: j, openFiles: make(map[string]*inode)}, nil
+	return &FS{base: base, dir: dir, undoLog: l, openFiles: make(map[string]*inode)}, nil
 }
 
 // currentFaults returns the faults that are set now. It waits while the disk is stalled.
--- a/internal/store/disk/faulty/faulty_test.go
+++ b/internal/store/disk/faulty/faulty_test.go
@@ -133,8 +133,8 @@
 	require.Equal(t, map[string]string{"f": "abWX"}, readFiles(t, filepath.Dir(name)))
 }
 
-// While a fault is set, writes to an open file and replacements of files fail with its error. A full disk has written
-// half of the bytes. Without faults, writes succeed.
+// While a fault is set, writes to an open file and replacements of files fail with its error. On a full disk, half of
+// the bytes are written. Without faults, writes succeed.
 func TestWritesFailWithFault(t *testing.T) {
 	d, faultDir, name := newDiskWithFile(t)
 	open, err := d.OpenFile(name, os.O_RDWR|os.O_APPEND)
--- a/internal/store/disk/faulty/undolog.go
+++ b/internal/store/disk/faulty/undolog.go
@@ -18,8 +18,8 @@
 	// directory.
 	UndoLogName = "undo"
 
-	maxUndoRecords = 2000     // records in the undo log; above it the older half is discarded, its changes become durable
-	maxUndoBytes   = 64 << 20 // size of the undo log and its backups; above it the older half is discarded too
+	maxUndoRecords = 2000     // records; at this number the older half is discarded, and its changes become durable
+	maxUndoBytes   = 64 << 20 // size of records and backups; at this size the older half is discarded too
 )
 
 // Kinds of undo records.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -35,7 +35,7 @@
 	lockName         = "lock"
 	quarantinePrefix = "state.bad-" // name prefix of quarantined states; a number follows, 1 for the latest
 	maxQuarantined   = 2            // quarantined states that are kept
-	maxDirEntries    = 1000         // names of the directory that quarantine reads
+	maxDirEntries    = 1000         // names that quarantine reads of the directory
 	readAttempts     = 2            // the second attempt succeeds if a bit was flipped in transfer only
 	maxCheckpoints   = 1 << 20      // checkpoints in a state
 )
