--- a/fleet/ratelimit/message.go
+++ b/fleet/ratelimit/message.go
@@ -94,7 +94,7 @@
 
 var (
 	encoder = canonical.Encoder
-	decoder = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
+	decoder = canonical.Limits{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8}.Decoder()
 )
 
 // Encode returns the canonical CBOR encoding of a message. It fails if that exceeds MaxMessageBytes.
--- a/fleet/rules/command.go
+++ b/fleet/rules/command.go
@@ -78,9 +78,9 @@
 	encoder = canonical.Encoder
 	// strictDecoder decodes commands and snapshots. It rejects unknown fields: a registry that skipped one would
 	// diverge.
-	strictDecoder = canonical.Limits{ArrayElements: 2 * maxKeptVersions, MapPairs: 16, NestedLevels: 8, RejectUnknownFields: true}.Decoder()
+	strictDecoder = canonical.Limits{MaxArrayElements: 2 * maxKeptVersions, MaxMapPairs: 16, MaxNestedLevels: 8, RejectUnknownFields: true}.Decoder()
 	// lenientDecoder decodes messages. It skips unknown fields, as the sender may run another version of the program.
-	lenientDecoder = canonical.Limits{ArrayElements: 256, MapPairs: 64, NestedLevels: 8}.Decoder()
+	lenientDecoder = canonical.Limits{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8}.Decoder()
 )
 
 // decodeCanonical decodes bytes, and rejects any encoding but the canonical one. The object's name is used in errors.
