--- a/control/actions.go
+++ b/control/actions.go
@@ -3,7 +3,8 @@
 import "time"
 
 // Action is something that the caller of Controller.Handle has to do. The caller carries out the actions of
-// one call in order.
+// one call in order. The Controller emits Send, Reject, Fail, SetTimer, Watch and LogLine; no rule emits
+// the other kinds.
 type Action interface{ isAction() }
 
 // Send starts an attempt of a request at a server. The attempts of a request are numbered 0, 1, 2 in the
@@ -59,7 +60,7 @@
 type AddToCounter struct {
 	Name uint64 // number of the counter
 	Add  float64
-	TTL  time.Duration // time until the counter expires
+	TTL  time.Duration // delay until the counter expires
 }
 
 // LogLine writes a line to the operators' log.
--- a/control/admission.go
+++ b/control/admission.go
@@ -116,9 +116,9 @@
 }
 
 // hasQuota reports whether the tenant has quota for a request of the given tokens. A request beyond the hard
-// ceiling has none. The bucket alone decides where it is well filled and readings cover the tenant's use, and
-// where it is too low (a surge that the meter has not reported yet). In between, the rejection chance
-// decides.
+// ceiling has none. The bucket alone decides where its owner has reported its level, where it is well filled
+// and readings cover the tenant's use, and where it is too low (a surge that the meter has not reported yet).
+// In between, the rejection chance decides.
 func (a *admission) hasQuota(t *tenant, tokens float64) bool {
 	if t.plan.CeilingRate > 0 && t.ceilingLevel-t.queuedTokens < tokens {
 		a.counts.bucket++
--- a/control/attempt.go
+++ b/control/attempt.go
@@ -202,7 +202,7 @@
 	c.interval.latencyRatioSum += min(1, latency/objective)
 	c.interval.latencyCount++
 	c.interval.responses++
-	if c.tenants.rejectionChance(a.tenant) == 0 {
+	if c.tenants.rejectionChance(a.tenant) == 0 { // only tenants within their quota count
 		a.request.plan.observeLateness(c.env.since(a.request.arrivedAt) / objective)
 	}
 }
--- a/control/balancer.go
+++ b/control/balancer.go
@@ -23,7 +23,7 @@
 	// avoidedCostFactor applies to a server that is ejected, has a trial attempt in flight, rejected the plan
 	// recently, or is in an evacuated zone. Such a server is chosen only if there is no other.
 	avoidedCostFactor = 1e6
-	failureCostFactor = 5.0  // times the square of the failure rate beyond that of a single failure
+	failureCostFactor = 5.0  // weight of the squared excess of the failure rate over that of one failure
 	maxCostJitter     = 0.02 // maximum random increase, as a fraction of the cost
 )
 
@@ -94,7 +94,7 @@
 }
 
 // cost returns the expected wait at a server in seconds: its expected latency times the number of attempts
-// that it has from this node, multiplied by the cost factors.
+// that it would have from this node, multiplied by the cost factors.
 func (b *balancer) cost(s *server) float64 {
 	attempts := float64(s.activeAttempts() + s.abandoned)
 	cost := b.expectedLatency(s) * (attempts + 1)
--- a/control/classify.go
+++ b/control/classify.go
@@ -40,16 +40,16 @@
 	return c
 }
 
-// clientWaitTime returns how long the client of a request has waited, for earlier attempts or for this node:
-// the class's deadline over all attempts less the time left. After this process was suspended, first attempts
-// too arrive with less time left than usual, by at most the time since the last event. They are not taken for
-// retries.
+// clientWaitTime returns how long the client of a request has waited so far. For a retry that is the class's
+// deadline less the time left. The client of a first attempt has waited only if this process was suspended:
+// the attempt then has less time left than usual, by at most the time since the last event, and is not taken
+// for a retry.
 func (c *attemptClassifier) clientWaitTime(e Request, class *Class) time.Duration {
 	usual := c.byClass[class]
 	missing := usual.timeLeft - e.TimeLeft
 	unusual := missing > max(c.env.sinceLastEvent, timeLeftTolerance) || missing < -timeLeftTolerance
-	inferred := unusual && usual.votes > 0 && !c.env.settings.ClientsMarkRetries
-	if inferred && !e.Retry && c.hasShortDeadline(usual, e.TimeLeft, class) {
+	inferredRetry := unusual && usual.votes > 0 && !c.env.settings.ClientsMarkRetries
+	if inferredRetry && !e.Retry && c.hasShortDeadline(usual, e.TimeLeft, class) {
 		return 0
 	}
 	if !e.Retry {
@@ -57,7 +57,7 @@
 	}
 	sinceFirst := class.Deadline - e.TimeLeft
 	switch {
-	case !e.Retry && !inferred:
+	case !e.Retry && !inferredRetry:
 		return min(max(missing, 0), c.env.sinceLastEvent)
 	case !unusual: // a marked retry with the time left of a first attempt: its client has another deadline
 		return min(c.shortestRetry, sinceFirst)
--- a/control/concurrency.go
+++ b/control/concurrency.go
@@ -95,8 +95,8 @@
 	return busy+1 <= bound || (busy < bound && l.env.now >= l.fractionalSlotFreeAt)
 }
 
-// busy returns the number of attempts in flight, including abandoned work. It first drops the abandoned work
-// whose time is over.
+// busy returns the number of attempts in flight, including abandoned work. It first drops the oldest entries
+// of abandoned whose time is over; an entry behind one that is still counted is counted as well.
 func (l *concurrencyLimit) busy() float64 {
 	for len(l.abandoned) > 0 && l.abandoned[0].until <= l.env.now {
 		l.abandoned[0].server.abandoned--
--- a/control/controller.go
+++ b/control/controller.go
@@ -44,7 +44,7 @@
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	const stream = 0x9e3779b97f4a7c15
+	const stream = 0x9e3779b97f4a7c15 // makes the two words of the generator's seed differ
 	c := &Controller{
 		requests: map[string]*request{},
 		attempts: map[attemptKey]*attempt{},
--- a/control/demand.go
+++ b/control/demand.go
@@ -9,7 +9,7 @@
 type tenantDemand struct {
 	requestedTokens float64       // tokens of requests at this node, decaying
 	requestedAt     time.Duration // time of the last request
-	readTokens      float64       // tokens used by the readings, decaying
+	readTokens      float64       // tokens used according to the readings, decaying
 	readSeconds     float64       // seconds of unrejected demand in which readTokens were used, decaying
 	coveredSeconds  float64       // seconds of use that the readings cover, decaying
 	readAt          time.Duration // time of the last reading
@@ -19,7 +19,8 @@
 	maxRejectionChance = 0.95 // maximum of the rejection chance
 	// demandLifetime is the time in seconds after which a reading has lost 63% of its weight.
 	demandLifetime = 20.0
-	// readingLifetimeTokens is the quota, in tokens, after which a reading has lost 63% of its weight.
+	// readingLifetimeTokens is the number of tokens by which a quota refills until a reading has lost 63% of its
+	// weight. It is up to twice as large for a tenant of many nodes.
 	readingLifetimeTokens = 8.0
 
 	// The prior belief about a tenant's demand is a gamma distribution with shape demandShape. Its mean is
@@ -36,10 +37,10 @@
 	// addition to the rate.
 	chanceBurstFraction = 0.5
 	// unmeteredChanceFraction is the fraction of the rejection chance that applies before the first reading,
-	// where use beyond the quota costs nothing.
+	// where a tenant has many nodes and use beyond the quota costs nothing.
 	unmeteredChanceFraction = 0.5
-	// requestSizeExponent is the growth of the exponent of the rejection chance for a request of mean size,
-	// where a tenant has many nodes.
+	// requestSizeExponent is added to the exponent of the admissible fraction for a request of mean size, where
+	// a tenant has many nodes.
 	requestSizeExponent = 2.0
 	// minCoverage is the minimum fraction of the use that readings must cover for the bucket to decide in place
 	// of the rejection chance.
--- a/control/events.go
+++ b/control/events.go
@@ -72,7 +72,8 @@
 	NodesPerServer float64
 }
 
-// Request is a request of a client. It receives exactly one final response.
+// Request is a request of a client. It receives exactly one final response, or none if its client closes the
+// connection first (ClientGone).
 type Request struct {
 	ID           string
 	Class        string
@@ -169,15 +170,16 @@
 type ZoneEvacuation struct{ Evacuated map[string]float64 }
 
 // Rules puts a version of the operators' rules in force, in place of the version before. Whatever it does not
-// name is as in the settings, and the zero value means the settings alone. A request keeps the version in
-// force at its start until it ends. The caller must not modify what the fields refer to.
+// name is as in the settings, and the zero value means the settings alone. A request keeps MaxAttempts,
+// ClosedZones and CrossZoneCost of the version in force at its arrival until it ends; the other fields apply
+// to all requests at once. The caller must not modify what the fields refer to.
 type Rules struct {
 	Version           uint64
 	PriceFactor       []float64          // by plan; NaN means the price factor of the settings
 	QuotaFactor       []float64          // by plan: factor on the rate and burst of the settings
-	TenantQuotaFactor map[string]float64 // by tenantKey; replaces QuotaFactor for the tenant
+	TenantQuotaFactor map[string]float64 // by "PLAN TENANT"; replaces QuotaFactor for the tenant
 	MaxAttempts       []int              // by class; 0 means no limit; the settings' limit still applies
-	MaxInFlight       int                // maximum attempts in flight; 0 means no limit; capped by the settings
+	MaxInFlight       int                // maximum attempts in flight, at most the settings'; 0 means no limit
 	ClosedZones       []string           // zones that receive new attempts only if no other zone can
 	CrossZoneCost     map[string]float64 // by zone: value that an attempt from another zone costs
 }
--- a/control/handover.go
+++ b/control/handover.go
@@ -8,8 +8,9 @@
 )
 
 // This file hands the learned state of a controller over to its successor in another process. Until the old
-// process ends, both decide for one node: each then has half of every bucket and of the in-flight bound.
-// snapshot.go uses the same format for a process that starts after this one has ended.
+// process ends, both decide for one node, and each has half of every bucket and of every tenant's slots. The
+// old process also halves its in-flight bound, while the successor begins with the whole one. snapshot.go
+// uses the same format for a process that starts after this one has ended.
 
 const (
 	// handoverVersion changes whenever the format of a handover or the meaning of a field changes.
--- a/control/interval.go
+++ b/control/interval.go
@@ -38,7 +38,8 @@
 	return i.latencySecondsSum > i.latencyCount*multiple*idleLatency
 }
 
-// onTimer handles an expired timer: the tick, or the end of a request's maximum time in the queue.
+// onTimer handles an expired timer: the tick, or the end of a request's maximum time in the queue. All timers
+// of a request have one label, so the timer of its first wait also ends a retry that is queued by then.
 func (c *Controller) onTimer(label uint64) {
 	if label == tickLabel {
 		c.onTick()
--- a/control/meter.go
+++ b/control/meter.go
@@ -61,7 +61,7 @@
 	}
 	m.tenants.refill(t)
 	period := m.env.settings.MeterPeriod.Seconds()
-	percent := float64(reading-1) / t.quotaFactor // the meter does not know the quota by the rules
+	percent := float64(reading-1) / t.quotaFactor // the meter knows the settings' quota only
 	used := percent / 100 * t.plan.Rate * period
 	if t.plan.Rate > 0 {
 		m.phase.update(t, used, tokens, m.env.currentBin())
--- a/control/outlier.go
+++ b/control/outlier.go
@@ -29,7 +29,7 @@
 	maxEjectionTime   = 8 * time.Second  // each ejection lasts twice as long as the last one, up to this
 	planAvoidanceTime = 15 * time.Second // time for which a server is avoided for a plan that it rejected
 	failureRateGain   = 0.15             // gain of the average failure rate
-	maxFailureRate    = 0.75             // failure rate above which an error is a consecutive failure
+	maxFailureRate    = 0.75             // failure rate above which an error counts as a consecutive failure
 	// maxReportedFraction is the fraction of the usable servers that may be reported as slow at once. From there
 	// on, reports on other servers are ignored.
 	maxReportedFraction = 0.34
@@ -117,7 +117,8 @@
 }
 
 // AvoidedServers returns, for the operators' metrics, the number of usable servers that are avoided while
-// there is another: those ejected, with a trial attempt in flight, or reported as slow. It changes nothing.
+// there is another: those ejected, with a trial attempt in flight, or reported as slow. A report counts until
+// it expires, even if this node's own observations rebut it. The call changes nothing.
 func (c *Controller) AvoidedServers(now time.Duration) int {
 	avoided := func(s *server) bool {
 		ejected := s.consecutiveFailures >= ejectionFailures && now < s.ejectedUntil
--- a/control/report.go
+++ b/control/report.go
@@ -9,7 +9,7 @@
 const reportInterval = 5 * time.Second
 
 // rejectionCounts counts the reasons for which requests were rejected since the last line of the operators'
-// log. Without it a rejection for lack of a dispatch slot could not be distinguished from one for lack of
+// log. Without them a rejection for lack of a dispatch slot could not be distinguished from one for lack of
 // quota.
 type rejectionCounts struct {
 	requests int // requests that admission decided on
--- a/control/request.go
+++ b/control/request.go
@@ -12,7 +12,7 @@
 	arrivedAt           time.Duration // time of arrival; a streamed body counts as arrived when it has been sent
 	objectiveAt         time.Duration // time by which a response has its full value
 	giveUpAt            time.Duration // time at which the client gives up
-	rules               *Rules        // rules in force at the start of the request
+	rules               *Rules        // rules in force at the request's arrival
 	queued              bool          // waiting in the queue of its plan
 	responseStarted     bool          // a streamed response has begun
 	streamedBody        bool          // the request loads its server only once its body has been sent
--- a/control/retry.go
+++ b/control/retry.go
@@ -49,7 +49,8 @@
 
 // allows reports whether a request may be retried after an attempt. The retry budget, the maximum number of
 // attempts and the client's time left must allow it. A request that may have run is retried only if its class
-// is idempotent, or idempotent with a key while its idempotency window lasts.
+// is idempotent, or idempotent with a key while its idempotency window lasts. No request is retried after an
+// attempt that was never sent, or once its body is no longer held in full.
 func (p *retryPolicy) allows(r *request, e AttemptEnded, cost float64) bool {
 	if e.Outcome == NeverSent || e.BodyConsumed {
 		return false
--- a/control/settings.go
+++ b/control/settings.go
@@ -55,7 +55,8 @@
 }
 
 // Settings is the configuration of a node at its start. A limit of 0 means no limit, a duration of 0 or a
-// false flag disables the feature.
+// false flag disables the feature. The Controller does not use every field: DrainGrace, MaxRequestTokens and
+// HealthChecks are used by its caller, and some fields only describe the deployment.
 type Settings struct {
 	NodeIndex int    // index of this node, from 0
 	FleetSize int    // number of nodes
@@ -65,7 +66,7 @@
 
 	PollDiscovery            bool          // the endpoint list has to be watched or fetched by the node
 	MaxPollInterval          time.Duration // maximum time between two fetches without a watch
-	DrainGrace               time.Duration // time for which a draining server still accepts attempts
+	DrainGrace               time.Duration // time for which a server accepts attempts after its drain began
 	SlowStartDuration        time.Duration // time from a server's start until it has its full capacity
 	SlowStartInitialFraction float64       // fraction of its capacity that a server has at its start
 	OverloadWindow           time.Duration // time over which the load of a server that is warming up is counted
@@ -76,7 +77,7 @@
 	HasCounter               bool          // the platform has a counter service
 	PeerMessagesPerSecond    float64       // maximum rate of messages from other nodes
 	MaxAttempts              int           // maximum attempts of one request
-	MaxInFlight              int           // cap on the in-flight bound that Rules.MaxInFlight sets
+	MaxInFlight              int           // maximum of Rules.MaxInFlight; no effect where that is 0
 	CanCancel                bool          // attempts can be cancelled
 	ClientsMarkRetries       bool          // clients mark their retries
 	HealthChecks             bool          // health checks of servers are allowed
@@ -85,7 +86,7 @@
 	SendsRetryAfter          bool          // rejections may carry Retry-After
 	MaxRetryAfter            time.Duration // maximum Retry-After of a rejection; 0 means that there is none
 	CrossZoneCost            float64       // value that an attempt at a server of another zone costs
-	MaxTenants               int           // number of tenants above which idle ones are forgotten sooner
+	MaxTenants               int           // tenants above which idle ones are forgotten sooner; 0 means 10000
 }
 
 // maxFleetSize keeps numbers that are computed for the whole fleet from overflowing.
--- a/control/shares.go
+++ b/control/shares.go
@@ -38,7 +38,7 @@
 	return s
 }
 
-// setPrices sets the weights from the price factors of the plans.
+// setPrices sets the weights from the price factors of the plans. If these are all 0, the weights are equal.
 func (s *shareController) setPrices(prices []float64) {
 	total := floats.Sum(prices)
 	for i, price := range prices {
--- a/control/slots.go
+++ b/control/slots.go
@@ -6,7 +6,7 @@
 )
 
 // tenantSlots is this node's part of a tenant's quota of attempts in flight (Plan.MaxConcurrent). A part
-// below one is kept by a pause after each attempt.
+// below one is enforced by a pause after each attempt.
 type tenantSlots struct {
 	inFlight       int           // attempts of the tenant in flight
 	slotLimit      float64       // maximum attempts in flight; may be fractional
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -29,7 +29,8 @@
 	// maxInFlightWarm is the maximum number of attempts that a node has in flight at a server at the end of its
 	// slow start. Before, it is multiplied by the warm-up fraction, but is at least one.
 	maxInFlightWarm = 2.0
-	// slowStartSafety is the fraction of a server's capacity that all nodes together use.
+	// slowStartSafety is the fraction of the load that a server bears (OverloadFactor times its capacity) that
+	// all nodes together send to it.
 	slowStartSafety = 0.5
 	// assumedConcurrency is the number of requests that a warm server of a large fleet is assumed to process
 	// concurrently.
@@ -63,7 +64,7 @@
 	}
 }
 
-// warmupFraction returns the fraction of its capacity that a server has reached at least.
+// warmupFraction returns the fraction of its capacity that a server is assumed to have reached.
 func (w *slowStart) warmupFraction(s *server) float64 {
 	settings := &w.env.settings
 	if settings.SlowStartDuration <= 0 {
@@ -93,6 +94,7 @@
 	if w.env.largeFleet() {
 		return w.admitsInLargeFleet(s, w.largeFleetRate(s, fraction))
 	}
+	// All nodes together send at least one token per second, so that a server is tried in any case.
 	rate := max(slowStartSafety*w.observedCapacity(fraction), 1/w.servers.nodesPerServer)
 	s.tokens += rate * w.env.since(s.refilledAt)
 	s.refilledAt = w.env.now
@@ -114,8 +116,8 @@
 }
 
 // largeFleetRate returns the tokens per second that a node of a large fleet may send to a server. Each node
-// sends too little to measure a server's capacity, so the capacity is estimated from the idle latency. Most
-// of it is reserved for the nodes that prefer the server.
+// sends too little to measure a server's capacity, so the capacity is also estimated from the idle latency,
+// and the larger value counts. Most of it is reserved for the nodes that prefer the server.
 func (w *slowStart) largeFleetRate(s *server, fraction float64) float64 {
 	requestsPerSecond := assumedConcurrency / max(w.traffic.idleLatency, minIdleLatency) // of all nodes
 	capacity := w.env.settings.OverloadFactor * fraction * w.traffic.meanTokens * requestsPerSecond
--- a/control/tenant.go
+++ b/control/tenant.go
@@ -38,7 +38,8 @@
 	wellObservedNodes = 4.0
 
 	// An idle tenant with full buckets is forgotten after tenantRetention. Where the table has more than half of
-	// maxTenants, idle tenants are forgotten sooner, down to minTenantRetention.
+	// maxTenants, or more than Settings.MaxTenants, idle tenants are forgotten sooner, down to
+	// minTenantRetention.
 	tenantRetention    = time.Minute
 	minTenantRetention = time.Second
 	maxTenants         = 20000
@@ -127,7 +128,7 @@
 	}
 }
 
-// sweep forgets idle tenants whose state equals that of a new one. Where there are too many tenants it
+// sweep forgets idle tenants whose buckets are full. Where there are too many tenants it
 // forgets all idle ones, after a shorter time. The ceilings' buckets of these may not be full, so
 // observingSince is moved: the bucket of a new tenant is filled from that time on.
 func (table *tenantTable) sweep() {
@@ -147,7 +148,8 @@
 	}
 }
 
-// isFull reports whether an idle tenant's buckets have filled up since the last refill.
+// isFull reports whether an idle tenant's buckets have filled up since the last refill. It returns false for
+// a tenant with a quota of attempts in flight, whose slot limit would be lost with the tenant.
 func (table *tenantTable) isFull(t *tenant) bool {
 	elapsed := table.env.since(t.refilledAt)
 	quotaFull := t.plan.Rate == 0 || t.level+elapsed*t.plan.Rate >= t.plan.Burst
@@ -156,8 +158,8 @@
 	return t.plan.MaxConcurrent == 0 && quotaFull && ceilingFull
 }
 
-// applyBucketReport sets the level to the one that the bucket's owner reported. nil means that there is no
-// report.
+// applyBucketReport sets the level to the one that the bucket's owner reported. A report that is a lower
+// bound never lowers the level. nil means that there is no report.
 func (t *tenant) applyBucketReport(bucket *SharedBucket) {
 	t.levelReported = bucket != nil
 	if !t.levelReported {
