--- a/control/admissionfleet_test.go
+++ b/control/admissionfleet_test.go
@@ -158,8 +158,8 @@
 
 // One tenant in ten requests 2.5 times its rate beyond its quota, the others a third of theirs, so 0.63 of
 // the admissible tokens is requested beyond the quotas. At most three tenths of that may pass, and at least
-// half of the admissible tokens must. The scenarios' bound, 0.1 above a policy that sees every request,
-// belongs to a milder load in which clients retry.
+// half of the admissible tokens must. The scenarios' bound, 0.1 above what a policy that sees every
+// request lets pass, does not apply: it is for a milder load in which clients retry.
 const maxOverQuota, minWithinQuota = 0.3 * 0.63, 0.5
 
 // Guards against nodes that each take the first request of a heavy tenant for one of a light tenant: with
--- a/control/attempt_test.go
+++ b/control/attempt_test.go
@@ -10,11 +10,11 @@
 
 func TestRetriesFollowIdempotency(t *testing.T) {
 	for _, k := range []struct {
-		name        string
-		class       Class
-		outcome     Outcome
-		retried     bool
-		finalAnswer string // type of the final answer; empty where there is none yet
+		name          string
+		class         Class
+		outcome       Outcome
+		retried       bool
+		finalResponse string // type of the final response; empty where there is none yet
 	}{
 		{"idempotent", Class{Idempotency: Idempotent}, Errored, true, ""},
 		{"not idempotent, may have run", Class{Idempotency: NonIdempotent}, Errored, false, "control.Fail"},
@@ -45,8 +45,8 @@
 		if retried := h.attempts["a"] == 2; retried != k.retried {
 			t.Errorf("%s: %d attempts", k.name, h.attempts["a"])
 		}
-		if got := fmt.Sprintf("%T", h.finalAnswers["a"]); k.finalAnswer != "" && got != k.finalAnswer {
-			t.Errorf("%s: final answer is a %s", k.name, got)
+		if got := fmt.Sprintf("%T", h.finalResponses["a"]); k.finalResponse != "" && got != k.finalResponse {
+			t.Errorf("%s: final response is a %s", k.name, got)
 		}
 	}
 }
@@ -124,8 +124,8 @@
 		}
 		h.endAttempt("a", Overloaded, 0)
 	}
-	if _, ok := h.finalAnswers["a"].(Reject); !ok || h.attempts["a"] != 3 {
-		t.Errorf("%d attempts, final answer %v", h.attempts["a"], h.finalAnswers["a"])
+	if _, ok := h.finalResponses["a"].(Reject); !ok || h.attempts["a"] != 3 {
+		t.Errorf("%d attempts, final response %v", h.attempts["a"], h.finalResponses["a"])
 	}
 }
 
@@ -144,8 +144,8 @@
 	}
 	var pending []pendingOutcome
 	attempts, seen, requests, failed := make(map[uint32]int), 0, 0, 0
-	for len(h.finalAnswers) < 2000 {
-		for ; requests-len(h.finalAnswers) < 12; requests++ {
+	for len(h.finalResponses) < 2000 {
+		for ; requests-len(h.finalResponses) < 12; requests++ {
 			h.request(fmt.Sprint(requests), "job", "low", "x")
 		}
 		for ; seen < len(h.sends); seen++ {
@@ -167,8 +167,8 @@
 		h.advance(p.at - h.now)
 		h.endAttempt(p.id, p.outcome, 0)
 	}
-	for _, answer := range h.finalAnswers {
-		if _, ok := answer.(Send); !ok {
+	for _, response := range h.finalResponses {
+		if _, ok := response.(Send); !ok {
 			failed++
 		}
 	}
@@ -190,12 +190,12 @@
 				t.Fatal(err)
 			}
 			h := &harness{
-				t:            t,
-				controller:   c,
-				now:          time.Hour,
-				finalAnswers: map[string]Action{},
-				attempts:     map[string]int{},
-				timers:       map[uint64]time.Duration{},
+				t:              t,
+				controller:     c,
+				now:            time.Hour,
+				finalResponses: map[string]Action{},
+				attempts:       map[string]int{},
+				timers:         map[uint64]time.Duration{},
 			}
 			h.handle(EndpointUpdate{Kind: Cached, Endpoints: endpoints(1, 2, 3, 4, 5, 6)})
 			c.concurrency.bound, c.traffic.latency = 50, 0.2
@@ -215,8 +215,8 @@
 	}
 }
 
-// Time-outs of clients that give up before a response is due carry no information: they neither cut the
-// in-flight bound nor eject a server. Time-outs of clients that waited at least the latency objective do
+// Timeouts of clients that give up before a response is due carry no information: they neither cut the
+// in-flight bound nor eject a server. Timeouts of clients that waited at least the latency objective do
 // both.
 func TestTimeoutsOfImpatientClientsAreIgnored(t *testing.T) {
 	for _, k := range []struct {
@@ -246,10 +246,10 @@
 			ejected = ejected || h.controller.AvoidedServers(h.now) > 0
 		}
 		if cut := h.controller.counts.cuts > cuts || h.controller.concurrency.bound < 8; cut != k.counted {
-			t.Errorf("time-outs after %v: in-flight bound %.1f", k.timeLeft, h.controller.concurrency.bound)
+			t.Errorf("timeouts after %v: in-flight bound %.1f", k.timeLeft, h.controller.concurrency.bound)
 		}
 		if ejected != k.counted {
-			t.Errorf("time-outs after %v: a server is ejected: %v", k.timeLeft, ejected)
+			t.Errorf("timeouts after %v: a server is ejected: %v", k.timeLeft, ejected)
 		}
 	}
 }
--- a/control/balancer_test.go
+++ b/control/balancer_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Neither a draining server nor one that a complete list no longer names gets an attempt.
 func TestDrainingServerGetsNoAttempts(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1, 2)...)
 	h.handle(EndpointUpdate{Kind: Delta, Endpoints: []Endpoint{{Server: 1, Condition: Draining}}})
@@ -28,7 +29,7 @@
 	for i := 0; i < 200; i++ {
 		id := fmt.Sprint(i)
 		h.request(id, "job", "low", "x")
-		for h.finalAnswers[id] == nil {
+		for h.finalResponses[id] == nil {
 			if h.sends[len(h.sends)-1].Server == 2 {
 				failed++
 				h.endAttempt(id, ConnectFailed, 0)
@@ -50,7 +51,7 @@
 	for i := 0; i < 300; i++ {
 		id := fmt.Sprint(i)
 		h.request(id, "job", "low", "x")
-		for h.finalAnswers[id] == nil {
+		for h.finalResponses[id] == nil {
 			if h.sends[len(h.sends)-1].Server == 2 {
 				failed++
 				h.now += ms
@@ -74,7 +75,7 @@
 	for i := 0; i < 400; i++ {
 		id := fmt.Sprint(i)
 		h.request(id, "job", "low", "x")
-		for h.finalAnswers[id] == nil {
+		for h.finalResponses[id] == nil {
 			s := h.sends[len(h.sends)-1].Server
 			if attempts[s]++; s == 2 && attempts[s]%2 == 0 {
 				h.now += ms
--- a/control/handover_test.go
+++ b/control/handover_test.go
@@ -57,12 +57,12 @@
 		h.t.Fatal(err)
 	}
 	return &harness{
-		t:            h.t,
-		controller:   c,
-		now:          h.now,
-		finalAnswers: map[string]Action{},
-		attempts:     map[string]int{},
-		timers:       map[uint64]time.Duration{},
+		t:              h.t,
+		controller:     c,
+		now:            h.now,
+		finalResponses: map[string]Action{},
+		attempts:       map[string]int{},
+		timers:         map[uint64]time.Duration{},
 	}
 }
 
@@ -122,16 +122,16 @@
 	}
 }
 
-// What the old process has learnt of servers, tenants, the meter and the shares is in force at its successor
+// What the old process has learned of servers, tenants, the meter and the shares is in force at its successor
 // at once.
-func TestHandoverPreservesLearntState(t *testing.T) {
+func TestHandoverPreservesLearnedState(t *testing.T) {
 	s := testSettings()
 	old := newHarness(t, s, endpoints(1, 2)...)
 	for i := range 60 {
 		id := fmt.Sprint(i)
 		old.request(id, "job", "high", fmt.Sprint("c", i%3))
 		old.advance(70 * ms)
-		if old.attempts[id] > 0 && old.finalAnswers[id] == nil {
+		if old.attempts[id] > 0 && old.finalResponses[id] == nil {
 			old.endAttempt(id, OK, 1+i%40)
 		}
 	}
--- a/control/harness_test.go
+++ b/control/harness_test.go
@@ -43,14 +43,14 @@
 
 // harness drives one controller with a manual clock and records its actions.
 type harness struct {
-	t            *testing.T
-	controller   *Controller
-	now          time.Duration
-	sends        []Send
-	finalAnswers map[string]Action        // by request; an empty Send stands for a served request
-	attempts     map[string]int           // number of attempts by request
-	timers       map[uint64]time.Duration // time at which each timer is due, by label
-	actions      []Action
+	t              *testing.T
+	controller     *Controller
+	now            time.Duration
+	sends          []Send
+	finalResponses map[string]Action        // by request; an empty Send stands for a served request
+	attempts       map[string]int           // number of attempts by request
+	timers         map[uint64]time.Duration // time at which each timer is due, by label
+	actions        []Action
 }
 
 // newHarness returns a harness whose controller knows some servers.
@@ -67,34 +67,34 @@
 		t.Fatal(err)
 	}
 	h := &harness{
-		t:            t,
-		controller:   c,
-		now:          time.Hour,
-		finalAnswers: map[string]Action{},
-		attempts:     map[string]int{},
-		timers:       map[uint64]time.Duration{},
+		t:              t,
+		controller:     c,
+		now:            time.Hour,
+		finalResponses: map[string]Action{},
+		attempts:       map[string]int{},
+		timers:         map[uint64]time.Duration{},
 	}
 	h.handle(EndpointUpdate{Kind: Cached, Endpoints: servers})
 	return h
 }
 
 // handle passes one event to the controller and records its actions. It fails the test if a request is sent
-// after its final answer or has two of them.
+// after its final response or has two of them.
 func (h *harness) handle(e Event) {
 	h.t.Helper()
 	actions := append([]Action{}, h.controller.Handle(h.now, e)...)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			if h.finalAnswers[a.ID] != nil {
-				h.t.Fatalf("%s was sent after its final answer", a.ID)
+			if h.finalResponses[a.ID] != nil {
+				h.t.Fatalf("%s was sent after its final response", a.ID)
 			}
 			h.attempts[a.ID]++
 			h.sends = append(h.sends, a)
 		case Reject:
-			h.recordFinalAnswer(a.ID, a)
+			h.recordFinalResponse(a.ID, a)
 		case Fail:
-			h.recordFinalAnswer(a.ID, a)
+			h.recordFinalResponse(a.ID, a)
 		case SetTimer:
 			h.timers[a.Label] = h.now + a.After
 		}
@@ -102,12 +102,12 @@
 	h.actions = append(h.actions, actions...)
 }
 
-func (h *harness) recordFinalAnswer(id string, a Action) {
+func (h *harness) recordFinalResponse(id string, a Action) {
 	h.t.Helper()
-	if h.finalAnswers[id] != nil {
-		h.t.Fatalf("%s has two final answers", id)
+	if h.finalResponses[id] != nil {
+		h.t.Fatalf("%s has two final responses", id)
 	}
-	h.finalAnswers[id] = a
+	h.finalResponses[id] = a
 }
 
 // advance moves the clock on and fires the timers that come due on the way.
@@ -159,7 +159,7 @@
 				MeterReading: reading,
 			})
 			if outcome == OK {
-				h.finalAnswers[id] = Send{}
+				h.finalResponses[id] = Send{}
 			}
 			return
 		}
@@ -167,17 +167,17 @@
 	h.t.Fatalf("%s was never sent", id)
 }
 
-// runWithLatency sends a request in each interval for a duration, and answers each attempt after the
-// latency of its server.
+// runWithLatency sends one request per interval for a duration, and answers each attempt after the latency
+// of its server.
 func (h *harness) runWithLatency(
 	duration, interval time.Duration, latency func(server uint32) time.Duration,
 ) {
 	h.t.Helper()
-	type pendingAnswer struct {
+	type pendingResponse struct {
 		at time.Duration
 		id string
 	}
-	var pending []pendingAnswer
+	var pending []pendingResponse
 	step, seen := 10*ms, len(h.sends)
 	for i, end, next := 0, h.now+duration, h.now; h.now < end || len(pending) > 0; {
 		if h.now >= next && h.now < end {
@@ -185,7 +185,7 @@
 			i, next = i+1, next+interval
 		}
 		for ; seen < len(h.sends); seen++ {
-			pending = append(pending, pendingAnswer{h.now + latency(h.sends[seen].Server), h.sends[seen].ID})
+			pending = append(pending, pendingResponse{h.now + latency(h.sends[seen].Server), h.sends[seen].ID})
 		}
 		remaining := pending[:0]
 		for _, p := range pending {
--- a/control/largefleet_test.go
+++ b/control/largefleet_test.go
@@ -39,8 +39,8 @@
 // requests weighs more, but most of them must be admitted.
 func TestFewReadingsSetRejectionChance(t *testing.T) {
 	for _, k := range []struct {
-		reading, interval int // interval in seconds
-		low, high         float64
+		reading, interval int     // interval in seconds
+		low, high         float64 // limits of the fraction of requests that is forwarded
 	}{{401, 4, 0, 0.5}, {31, 30, 0.55, 1}} {
 		h := newHarness(t, largeFleetSettings(), endpoints(1, 2, 3, 4)...)
 		requests := 0
@@ -116,8 +116,8 @@
 	}
 }
 
-// After a stall of the process all events arrive at once. No request is sent that its client has nearly
-// given up, and each request is sent or answered.
+// After a stall of the process all events arrive at once. No request is sent whose client is about to
+// give up, and each request is sent or has its final response.
 func TestBacklogAfterStallIsHandled(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1, 2)...)
 	h.request("old", "job", "high", "x")
@@ -138,8 +138,8 @@
 	h.advance(6 * time.Second)
 	for i := 0; i < 40; i++ {
 		for _, id := range []string{fmt.Sprint("q", i), fmt.Sprint("n", i)} {
-			if h.finalAnswers[id] == nil && h.attempts[id] == 0 {
-				t.Errorf("%s was neither sent nor answered", id)
+			if h.finalResponses[id] == nil && h.attempts[id] == 0 {
+				t.Errorf("%s was neither sent nor has a final response", id)
 			}
 		}
 	}
@@ -159,7 +159,7 @@
 			id := fmt.Sprint(plan, i)
 			h.request(id, "job", plan, "x")
 			h.now += 100 * ms
-			for h.finalAnswers[id] == nil {
+			for h.finalResponses[id] == nil {
 				last := h.sends[len(h.sends)-1]
 				if last.ID != id {
 					t.Fatalf("%s was not sent at once", id)
@@ -221,7 +221,7 @@
 	h.controller.tenants.get(h.controller.scheduler.plans[0], "x", 2).level = 4
 	h.request("low-priority", "low-priority", "low", "x")
 	h.request("normal", "job", "low", "x")
-	if h.finalAnswers["low-priority"] == nil || h.finalAnswers["normal"] != nil {
+	if h.finalResponses["low-priority"] == nil || h.finalResponses["normal"] != nil {
 		t.Error("the low-priority class did not yield to the other one")
 	}
 }
--- a/control/meter_test.go
+++ b/control/meter_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// The end of the meter's periods and the lag of its readings are learnt from this node's own attempts.
+// The end of the meter's periods and the lag of its readings are learned from this node's own attempts.
 func TestMeterPhaseLearnsLag(t *testing.T) {
 	s := testSettings()
 	s.Plans[0].Rate, s.Plans[0].Burst = 10, 1000
--- a/control/overrides_test.go
+++ b/control/overrides_test.go
@@ -70,8 +70,8 @@
 }
 
 // While rules change at random, a request keeps the version that was in force at its arrival, over its
-// retries too. Limits hold and are never looser than the settings. A closed zone gets nothing while another
-// is open.
+// retries too. The rules' limits hold and are never looser than those of the settings. A closed zone gets no
+// attempt while another is open.
 func TestRequestsKeepTheirRuleVersion(t *testing.T) {
 	retries := 0
 	for seed := uint64(1); seed <= 40; seed++ {
--- a/control/preferred_test.go
+++ b/control/preferred_test.go
@@ -80,7 +80,7 @@
 		}
 	}
 	if toPreferred < len(h.sends)/4 {
-		t.Errorf("%d of the last %d attempts went to preferred servers, an eighth of all",
+		t.Errorf("%d of the last %d attempts went to preferred servers, which are an eighth of all",
 			toPreferred, len(h.sends)/2)
 	}
 	if toSlow > len(h.sends)/20 {
@@ -111,7 +111,7 @@
 }
 
 // With an empty endpoint list, a list of one server and a list that replaces all servers, each request has
-// its final answer in time, and the node serves again without a restart.
+// its final response in time, and the node serves again without a restart.
 func TestEmptySingleAndReplacedEndpointLists(t *testing.T) {
 	h := newHarness(t, fleetSettings(80), endpoints(1, 2, 3)...)
 	h.handle(EndpointUpdate{Kind: Complete})
@@ -120,8 +120,8 @@
 		t.Fatal("sent to a server that is not listed")
 	}
 	h.advance(3 * time.Second)
-	if _, rejected := h.finalAnswers["a"].(Reject); !rejected {
-		t.Errorf("final answer without any server is a %T", h.finalAnswers["a"])
+	if _, rejected := h.finalResponses["a"].(Reject); !rejected {
+		t.Errorf("final response without any server is a %T", h.finalResponses["a"])
 	}
 	h.handle(EndpointUpdate{Kind: Complete, Endpoints: endpoints(9)})
 	h.request("b", "job", "low", "y")
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -19,14 +19,14 @@
 	log                  []string                  // events and their actions
 	endpoints            map[uint32]*Endpoint      // all servers, listed or not
 	unusable             map[uint32]bool           // servers that are draining or removed
-	requests             map[string]*issuedRequest // requests without a final answer
+	requests             map[string]*issuedRequest // requests without a final response
 	inFlight             []runAttempt
 	timers               []Timer
-	timersDueAt          []time.Duration // times of the timers, in the same order
-	lastRequest          int             // number of the latest request
-	ceilingLevels        map[string]float64
-	ceilingUpdatedAt     map[string]time.Duration
-	rules                *Rules // rules in force; nil means that the run never changes rules
+	timersDueAt          []time.Duration          // times of the timers, in the same order
+	lastRequest          int                      // number of the latest request
+	ceilingLevels        map[string]float64       // by tenant: tokens in the node's part of its ceiling
+	ceilingUpdatedAt     map[string]time.Duration // by tenant: time of the last update of ceilingLevels
+	rules                *Rules                   // rules in force; nil means that the run never changes rules
 	events               []handledEvent
 	retriesUnderOldRules int // retries under rules that are no longer in force
 }
@@ -43,11 +43,11 @@
 	plan        string
 	tenant      string
 	tokens      float64
-	giveUp      time.Duration // time at which the client gives up
+	giveUpAt    time.Duration // time at which the client gives up
 	attempts    int           // attempts started
 	outstanding int           // attempts without an outcome
 	mayHaveRun  bool
-	firstRun    time.Duration // start of the first attempt that may have run
+	firstRunAt  time.Duration // start of the first attempt that may have run
 	firstServer uint32        // server of that attempt
 	rules       Rules         // rules in force at its arrival
 }
@@ -121,7 +121,7 @@
 		case Reject:
 			run.checkReject(a)
 		case Fail:
-			run.checkFinalAnswer(a.ID)
+			run.checkFinalResponse(a.ID)
 		case SetTimer:
 			run.timers = append(run.timers, Timer{a.Label})
 			run.timersDueAt = append(run.timersDueAt, run.now+a.After)
@@ -144,7 +144,7 @@
 	r := run.requests[a.ID]
 	switch {
 	case r == nil:
-		run.t.Fatalf("%s was sent and has a final answer or never arrived", a.ID)
+		run.t.Fatalf("%s was sent and has a final response or never arrived", a.ID)
 	case run.unusable[a.Server] || run.endpoints[a.Server] == nil:
 		run.t.Fatalf("%s was sent to server %d, which is draining or removed", a.ID, a.Server)
 	case r.outstanding > 0:
@@ -157,7 +157,7 @@
 	}
 	if r.mayHaveRun && r.class.Idempotency == IdempotentByKey {
 		first, server := run.endpoints[r.firstServer], run.endpoints[a.Server]
-		if run.now > r.firstRun+r.class.IdempotencyWindow ||
+		if run.now > r.firstRunAt+r.class.IdempotencyWindow ||
 			r.class.KeyScope == KeyScopeCell && first.Cell != server.Cell ||
 			r.class.KeyScope == KeyScopeZone && first.Zone != server.Zone {
 			run.t.Fatalf("%s may have run and was retried outside its key scope or idempotency window", a.ID)
@@ -167,7 +167,7 @@
 	if r.attempts == 0 && r.plan == "ceiling" {
 		run.checkCeiling(r)
 	}
-	timesOutAt := r.giveUp
+	timesOutAt := r.giveUpAt
 	if a.Timeout > 0 {
 		timesOutAt = min(timesOutAt, run.now+a.Timeout)
 	}
@@ -176,8 +176,8 @@
 	r.outstanding++
 }
 
-// checkCeiling takes a request's tokens from the node's part of the tenant's ceiling, with a part of its
-// overdraft, and fails the test if that falls below zero.
+// checkCeiling takes a request's tokens from a model of the node's part of the tenant's ceiling, whose first
+// level is a part of the overdraft, and fails the test if the level falls below zero.
 func (run *randomRun) checkCeiling(r *issuedRequest) {
 	p := run.settings.Plans[3]
 	if _, known := run.ceilingLevels[r.tenant]; !known {
@@ -200,12 +200,12 @@
 			run.t.Fatalf("%s may have run and was rejected", a.ID)
 		}
 	}
-	run.checkFinalAnswer(a.ID)
+	run.checkFinalResponse(a.ID)
 }
 
-func (run *randomRun) checkFinalAnswer(id string) {
+func (run *randomRun) checkFinalResponse(id string) {
 	if run.requests[id] == nil {
-		run.t.Fatalf("%s has a second final answer", id)
+		run.t.Fatalf("%s has a second final response", id)
 	}
 	delete(run.requests, id)
 }
@@ -233,7 +233,7 @@
 	return update
 }
 
-// endAttempt ends the attempt at an index of run.inFlight with a random outcome, or a time-out if it is due.
+// endAttempt ends the attempt at an index of run.inFlight with a random outcome, or a timeout if it is due.
 func (run *randomRun) endAttempt(i int) {
 	a := run.inFlight[i]
 	run.inFlight = append(run.inFlight[:i], run.inFlight[i+1:]...)
@@ -257,7 +257,7 @@
 		if outcome == OK {
 			delete(run.requests, a.id)
 		} else if outcome != Overloaded && outcome != ConnectFailed && !r.mayHaveRun {
-			r.mayHaveRun, r.firstRun, r.firstServer = true, a.startedAt, a.server
+			r.mayHaveRun, r.firstRunAt, r.firstServer = true, a.startedAt, a.server
 		}
 	}
 	run.handle(e)
@@ -309,8 +309,8 @@
 		}
 	}
 	for id, r := range run.requests {
-		if run.now > r.giveUp+16*ms {
-			run.t.Fatalf("%s has no final answer %v after its client's time", id, run.now-r.giveUp)
+		if run.now > r.giveUpAt+16*ms {
+			run.t.Fatalf("%s has no final response %v after its client's time", id, run.now-r.giveUpAt)
 		}
 	}
 }
@@ -319,11 +319,11 @@
 	run.lastRequest++
 	class := run.settings.Classes[run.rng.IntN(len(run.settings.Classes))]
 	r := &issuedRequest{
-		class:  class,
-		plan:   run.settings.Plans[run.rng.IntN(4)].Name,
-		tenant: fmt.Sprint("k", run.rng.IntN(6)),
-		tokens: float64(1 + run.rng.IntN(3)),
-		giveUp: run.now + time.Duration(300+run.rng.IntN(3000))*ms,
+		class:    class,
+		plan:     run.settings.Plans[run.rng.IntN(4)].Name,
+		tenant:   fmt.Sprint("k", run.rng.IntN(6)),
+		tokens:   float64(1 + run.rng.IntN(3)),
+		giveUpAt: run.now + time.Duration(300+run.rng.IntN(3000))*ms,
 	}
 	if run.rules != nil {
 		r.rules = *run.rules
@@ -335,7 +335,7 @@
 		Class:       class.Name,
 		Plan:        r.plan,
 		Tenant:      r.tenant,
-		TimeLeft:    r.giveUp - run.now,
+		TimeLeft:    r.giveUpAt - run.now,
 		Tokens:      r.tokens,
 		TenantNodes: 1 + run.rng.IntN(90), // the number of a tenant's nodes may change
 	})
--- a/control/recorded_test.go
+++ b/control/recorded_test.go
@@ -85,8 +85,8 @@
 }
 
 // run passes the workload's events to a controller. It returns the controller, the time at the end, and the
-// recording: a line for each event that led to a send or a final answer, and every 50 events a line with the
-// retry budget and the classifier's state.
+// recording: a line for each event that led to a send or a final response, and every 50 events a line with
+// the retry budget and the classifier's state.
 func (w recordedWorkload) run(t *testing.T) (*Controller, time.Duration, []byte) {
 	t.Helper()
 	c, err := New(w.settings, w.seed)
@@ -177,8 +177,8 @@
 	return due
 }
 
-// classifierState returns what the classifier of attempts has learnt, by class: the usual time left, the most
-// frequent other one, and their votes.
+// classifierState returns what the classifier of attempts has learned, by class: the usual time left, the
+// most frequent other one, and their votes.
 func (w recordedWorkload) classifierState(c *Controller) string {
 	var text strings.Builder
 	for i := range c.env.settings.Classes {
--- a/control/request_test.go
+++ b/control/request_test.go
@@ -12,8 +12,8 @@
 	h.request("a", "other", "low", "x")
 	h.request("b", "job", "other", "x")
 	for _, id := range []string{"a", "b"} {
-		if _, ok := h.finalAnswers[id].(Reject); !ok {
-			t.Errorf("%s: final answer %v is no rejection", id, h.finalAnswers[id])
+		if _, ok := h.finalResponses[id].(Reject); !ok {
+			t.Errorf("%s: final response %v is no rejection", id, h.finalResponses[id])
 		}
 	}
 	h.handle(ClientGone{ID: "z"})
@@ -29,9 +29,9 @@
 	h := newHarness(t, testSettings()) // no server is listed
 	h.request("a", "job", "low", "x")
 	h.advance(5 * time.Second)
-	r, ok := h.finalAnswers["a"].(Reject)
+	r, ok := h.finalResponses["a"].(Reject)
 	if !ok || r.RetryAfter != time.Second {
-		t.Errorf("final answer %#v is no rejection with a Retry-After of 1 s", h.finalAnswers["a"])
+		t.Errorf("final response %#v is no rejection with a Retry-After of 1 s", h.finalResponses["a"])
 	}
 }
 
@@ -43,12 +43,12 @@
 	h.handle(EndpointUpdate{Kind: Complete})
 	h.endAttempt("a", Errored, 0)
 	h.advance(990 * ms)
-	if h.finalAnswers["a"] != nil {
+	if h.finalResponses["a"] != nil {
 		return
 	}
 	h.advance(10 * ms)
-	if h.finalAnswers["a"] == nil {
-		t.Error("no final answer when the client gives up")
+	if h.finalResponses["a"] == nil {
+		t.Error("no final response when the client gives up")
 	}
 }
 
@@ -69,7 +69,7 @@
 				Tokens:      1,
 				TenantNodes: 2,
 			})
-			if _, ok := h.finalAnswers[id].(Reject); ok {
+			if _, ok := h.finalResponses[id].(Reject); ok {
 				rejected++
 			} else {
 				h.endAttempt(id, OK, 0)
@@ -145,12 +145,12 @@
 	request("impatient", impatient)
 	request("patient", 5*time.Second)
 	h.advance(10 * ms)
-	if _, rejected := h.finalAnswers["impatient"].(Reject); !rejected {
-		t.Errorf("a request with 300 ms left, where responses take 200 ms, has final answer %T",
-			h.finalAnswers["impatient"])
+	if _, rejected := h.finalResponses["impatient"].(Reject); !rejected {
+		t.Errorf("a request with 300 ms left, where responses take 200 ms, has final response %T",
+			h.finalResponses["impatient"])
 	}
-	if h.finalAnswers["patient"] != nil {
-		t.Errorf("a request with 5 s left has final answer %T at once", h.finalAnswers["patient"])
+	if h.finalResponses["patient"] != nil {
+		t.Errorf("a request with 5 s left has final response %T at once", h.finalResponses["patient"])
 	}
 	h.endAttempt("first", OK, 0)
 	if h.attempts["patient"] != 1 || h.attempts["impatient"] != 0 {
--- a/control/scheduler_test.go
+++ b/control/scheduler_test.go
@@ -70,12 +70,12 @@
 	h.controller.interval.responses = 99
 	h.controller.endInterval(1)
 	if h.controller.concurrency.bound < 40 {
-		t.Errorf("in-flight bound %g after one time-out in a hundred outcomes", h.controller.concurrency.bound)
+		t.Errorf("in-flight bound %g after one timeout in a hundred outcomes", h.controller.concurrency.bound)
 	}
 	h.controller.interval.overloads, h.controller.interval.responses = 30, 70
 	h.controller.endInterval(1)
 	if h.controller.concurrency.bound != 20 {
-		t.Errorf("in-flight bound %g after thirty time-outs in a hundred outcomes",
+		t.Errorf("in-flight bound %g after thirty timeouts in a hundred outcomes",
 			h.controller.concurrency.bound)
 	}
 }
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestSolveMatchesHandWorkedCase(t *testing.T) {
-	// W = I, B0 = -I, A1 = I, y = (3, 1): error (-2, 0); S = 1/(1+q) I, v = (2, 0)/(1+q),
+	// W = I, B0 = -I, A1 = I, y = (3, 1), q = shareCostWeight^2: error (-2, 0); S = 1/(1+q) I, v = (2, 0)/(1+q),
 	// and law (14) moves both by the same amount until the sum is one.
 	c := newShareController([]float64{1, 1})
 	for i := 0; i < 2; i++ {
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestSharesStayWithFewAnswers(t *testing.T) {
+func TestSharesStayWithFewResponses(t *testing.T) {
 	h := newHarness(t, testSettings(), endpoints(1)...)
 	h.controller.scheduler.plans[0].lateness = 3
 	h.controller.scheduler.plans[1].lateness = 0.1
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -28,7 +28,7 @@
 		attempts, maxAtOnce = attempts+atOnce, max(maxAtOnce, atOnce)
 		h.advance(20 * ms)
 		for k := 0; k < 8; k++ {
-			if id := fmt.Sprint(i, "-", k); h.finalAnswers[id] == nil {
+			if id := fmt.Sprint(i, "-", k); h.finalResponses[id] == nil {
 				h.endAttempt(id, OK, 0)
 			}
 		}
@@ -140,7 +140,7 @@
 		})
 		h.advance(100 * ms)
 		for n, x := range h.sends {
-			if _, ended := h.finalAnswers[x.ID]; !ended && n >= len(h.sends)-4 {
+			if _, ended := h.finalResponses[x.ID]; !ended && n >= len(h.sends)-4 {
 				h.endAttempt(x.ID, OK, 0)
 			}
 		}
@@ -217,7 +217,7 @@
 // Whatever the fleet's size, all nodes together stay within the overload bound of a server that is warming
 // up, in each overload window, though it responds faster than the others and each node could use it alone.
 func TestFleetDoesNotOverloadOneWarmingUpServer(t *testing.T) {
-	const warmServerRate = 12.0 // requests per second
+	const serverRate = 12.0 // requests per second
 	startedAt := time.Hour + 4*time.Second
 	for _, nodeCount := range []int{1, 3, 10, 40, 100, 300} {
 		s := fleetSettings(nodeCount)
@@ -234,7 +234,7 @@
 					n++
 				}
 			}
-			limit := overloadBound(s.OverloadFactor * warmupFraction * warmServerRate *
+			limit := overloadBound(s.OverloadFactor * warmupFraction * serverRate *
 				s.OverloadWindow.Seconds())
 			if from+s.OverloadWindow <= startedAt+s.SlowStartDuration && float64(n) > limit {
 				t.Errorf("%d nodes: %d attempts in a window that begins %v after the server's start, limit %.1f",
@@ -249,8 +249,8 @@
 }
 
 // A node of a large fleet prefers some of the servers that are warming up, and so reuses its connections to
-// them: its part of what they can take is enough for few of them. The hash key, which all nodes share,
-// decides which ones, so that each is preferred by as many nodes.
+// them: its part of their capacity is enough traffic for few of them. The hash key, which all nodes share,
+// decides which ones, so that each is preferred by equally many nodes.
 func TestNodePrefersFewWarmingUpServers(t *testing.T) {
 	s := fleetSettings(300)
 	s.SlowStartDuration = 40 * time.Second
--- a/control/slowstartfleet_test.go
+++ b/control/slowstartfleet_test.go
@@ -247,8 +247,8 @@
 }
 
 // All nodes together stay within the overload bound of each server that is warming up, in each overload
-// window and under adverse conditions. The check is sound: it finds a fleet that does not know the servers'
-// start times and so does without slow start.
+// window and under adverse conditions. A fleet that does not know the servers' start times, and so applies
+// no slow start, exceeds the bound, so the check can fail.
 func TestFleetDoesNotOverloadWarmingUpServersInAdverseConditions(t *testing.T) {
 	for _, fleet := range []struct {
 		nodes, servers int
--- a/control/streamedbody_test.go
+++ b/control/streamedbody_test.go
@@ -32,8 +32,8 @@
 		t.Fatalf("%d attempts sent, %g slots taken", len(h.sends), h.controller.concurrency.busy())
 	}
 	h.advance(8 * time.Second) // longer than a client waits for a response
-	if len(h.finalAnswers) > 0 {
-		t.Errorf("final answers while the clients send their bodies: %v", h.finalAnswers)
+	if len(h.finalResponses) > 0 {
+		t.Errorf("final responses while the clients send their bodies: %v", h.finalResponses)
 	}
 	if n := h.controller.AvoidedServers(h.now); n != 0 {
 		t.Errorf("%d servers are avoided because of slow clients", n)
@@ -69,8 +69,8 @@
 		if retried := len(h.sends) == 2; retried == consumed {
 			t.Errorf("body consumed %v: retried %v", consumed, retried)
 		}
-		if _, rejected := h.finalAnswers["a"].(Reject); rejected != consumed {
-			t.Errorf("body consumed %v: final answer %v", consumed, h.finalAnswers["a"])
+		if _, rejected := h.finalResponses["a"].(Reject); rejected != consumed {
+			t.Errorf("body consumed %v: final response %v", consumed, h.finalResponses["a"])
 		}
 	}
 }
@@ -140,15 +140,15 @@
 	h.controller.concurrency.bound = 0 // no attempt may start
 	h.advance(100 * ms)
 	h.endAttempt("a", ResetByPeer, 0)
-	if h.finalAnswers["a"] != nil || h.attempts["a"] != 1 {
-		t.Fatalf("final answer %v after %d attempts, want a queued retry", h.finalAnswers["a"], h.attempts["a"])
+	if h.finalResponses["a"] != nil || h.attempts["a"] != 1 {
+		t.Fatalf("final response %v after %d attempts, want a queued retry", h.finalResponses["a"], h.attempts["a"])
 	}
 	h.advance(500 * ms)
 	h.controller.concurrency.bound = 100
 	h.advance(100 * ms)
-	if _, failed := h.finalAnswers["a"].(Fail); !failed || h.attempts["a"] != 1 {
-		t.Errorf("final answer %v after %d attempts, want a failure after one",
-			h.finalAnswers["a"], h.attempts["a"])
+	if _, failed := h.finalResponses["a"].(Fail); !failed || h.attempts["a"] != 1 {
+		t.Errorf("final response %v after %d attempts, want a failure after one",
+			h.finalResponses["a"], h.attempts["a"])
 	}
 }
 
