--- a/fleet/maintenance/agent.go
+++ b/fleet/maintenance/agent.go
@@ -3,17 +3,17 @@
 import "time"
 
 // Act is what an agent has its machine do.
-type Act uint8
+type Action uint8
 
 // The acts.
 const (
-	Nothing Act = iota
-	Drain       // begin the drain
-	Undrain     // come back from it, and serve
-	Leave       // go out: the process ends, and the work begins
+	ActionNone    Action = iota
+	ActionDrain          // begin the drain
+	ActionUndrain        // come back from it, and serve
+	ActionLeave          // go out: the process ends, and the work begins
 )
 
-func (a Act) String() string { return name(a, "nothing", "drain", "undrain", "leave") }
+func (a Action) String() string { return name(a, "nothing", "drain", "undrain", "leave") }
 
 // Agent is the part of one process that is told of its host's turn, or that takes out a rating server
 // in its name. It believes nothing but answers to what this process has asked, and acts on each only
@@ -24,7 +24,7 @@
 	nonce      uint64
 	remote     bool
 	asked      bool          // the council knows this process
-	last       Answer        // the latest that counts
+	last       Response      // the latest that counts
 	heard      time.Duration // before the last answer was asked for
 	ended      uint64        // under this number, and those before, it acts no more
 	drains     bool          // the machine drains, as it was told to
@@ -38,69 +38,69 @@
 }
 
 // Next is what to say now, to the council's leader; the caller remembers the time before it sent it.
-func (a *Agent) Next(now time.Duration) Word {
-	w := Word{Host: a.host, Name: a.name, Fence: a.last.Fence}
+func (a *Agent) NextRequest(now time.Duration) Request {
+	w := Request{Host: a.host, Name: a.name, FencingToken: a.last.FencingToken}
 	switch {
-	case !a.asked || (a.last.Stage == Waiting && !a.drains):
-		w.Verb, w.Nonce, w.Fence = Ask, a.nonce, 0
-	case a.last.Stage.holds() && a.last.Fence <= a.ended:
-		w.Verb, w.Fence = Here, a.ended
-	case a.last.Stage == Granted && now < a.heard+a.last.Left:
-		w.Verb = Begin
-	case a.last.Stage == Drained && a.drains:
-		w.Verb = Go
-	case a.last.Stage == Out && !a.out && !a.remote:
-		w.Verb = Back
+	case !a.asked || (a.last.Stage == StageWaiting && !a.drains):
+		w.Type, w.Nonce, w.FencingToken = RequestAcquire, a.nonce, 0
+	case a.last.Stage.holds() && a.last.FencingToken <= a.ended:
+		w.Type, w.FencingToken = RequestConfirmUndrain, a.ended
+	case a.last.Stage == StageGranted && now < a.heard+a.last.TTL:
+		w.Type = RequestStartDrain
+	case a.last.Stage == StageDrained && a.drains:
+		w.Type = RequestStartWork
+	case a.last.Stage == StageOut && !a.out && !a.remote:
+		w.Type = RequestFinishWork
 	}
 	return w
 }
 
 // Hear takes the answer to a word that was sent after asked, and says what to do.
-func (a *Agent) Hear(now, asked time.Duration, r Answer) Act {
+func (a *Agent) HandleResponse(now, asked time.Duration, r Response) Action {
 	switch {
-	case r.Host == "" || asked < a.heard || now >= asked+r.Left || (r.Fence != 0 && r.Fence < a.last.Fence):
-		return a.Look(now) // too late, or overtaken
+	case r.Host == "" || asked < a.heard || now >= asked+r.TTL || (r.FencingToken != 0 && r.FencingToken < a.last.FencingToken):
+		return a.CheckTimeout(now) // too late, or overtaken
 	case r.Stage.holds() && r.Nonce != a.nonce: // another process of this host has asked since
 		a.asked = false
 		a.last, a.heard = r, asked
 		return a.stop()
 	}
 	a.asked, a.last, a.heard = true, r, asked
-	a.out = a.out && r.Stage == Out
+	a.out = a.out && r.Stage == StageOut
 	switch {
-	case r.Stage.holds() && r.Fence <= a.ended: // it has come back, and says so
-	case r.Stage == Draining || r.Stage == Drained:
+	case r.Stage.holds() && r.FencingToken <= a.ended: // it has come back, and says so
+	case r.Stage == StageDraining || r.Stage == StageDrained:
 		if !a.drains {
 			a.drains = true
-			return Drain
+			return ActionDrain
 		}
-	case r.Stage == Out && a.drains:
+	case r.Stage == StageOut && a.drains:
 		a.drains, a.out = false, true
-		return Leave
-	case r.Stage == Recalled:
-		a.ended = r.Fence
+		return ActionLeave
+	case r.Stage == StageRecalled:
+		a.ended = r.FencingToken
 		return a.stop()
 	default:
 		return a.stop()
 	}
-	return Nothing
+	return ActionNone
 }
 
 // Look has a machine that drains come back when it has heard nothing for too long; it is to be
 // called now and then, and first of all by a process that may have stood still.
-func (a *Agent) Look(now time.Duration) Act {
+func (a *Agent) CheckTimeout(now time.Duration) Action {
 	if a.drains && now >= a.heard+trust {
-		a.ended = a.last.Fence
+		a.ended = a.last.FencingToken
 		return a.stop()
 	}
-	return Nothing
+	return ActionNone
 }
 
 // stop comes back from a drain.
-func (a *Agent) stop() Act {
+func (a *Agent) stop() Action {
 	if !a.drains {
-		return Nothing
+		return ActionNone
 	}
-	a.drains, a.ended = false, max(a.ended, a.last.Fence)
-	return Undrain
+	a.drains, a.ended = false, max(a.ended, a.last.FencingToken)
+	return ActionUndrain
 }
--- a/fleet/maintenance/bounds.go
+++ b/fleet/maintenance/bounds.go
@@ -74,15 +74,15 @@
 
 // The bounds.
 const (
-	NoBound  Bound = iota
-	ByPhase        // it is not warm, or not of the fleet
-	ByZone         // of its zone too much is away
-	ByState        // its zone is not whole
-	BySet          // of a customer's set too much is away
-	ByWarm         // after the worst zone's loss too little would be warm
-	ByGroup        // of what is kept apart too much is away
-	ByVoter        // a voter is away
-	ByUplink       // a window is near
+	BoundNone         Bound = iota
+	BoundPhase              // it is not warm, or not of the fleet
+	BoundZone               // of its zone too much is away
+	BoundZoneState          // its zone is not whole
+	BoundCustomerSet        // of a customer's set too much is away
+	BoundCapacity           // after the worst zone's loss too little would be warm
+	BoundAntiAffinity       // of what is kept apart too much is away
+	BoundVoters             // a voter is away
+	BoundUplink             // a window is near
 )
 
 func (b Bound) String() string {
@@ -98,50 +98,50 @@
 
 // barred gives the first bound that does not hold with a machine away. Held tells that it is counted
 // as away already, as one that has a turn is.
-func (s *State) barred(y *yard, m *machine, held bool, need Span, at Moment) bar {
+func (s *State) barred(y *yard, m *machine, held bool, need Duration, at Timestamp) bar {
 	b, more := &s.plan.plan.Bounds, 1
 	if held {
 		more = 0
-	} else if m.Phase != Warm {
-		return bar{bound: ByPhase}
+	} else if m.Phase != PhaseWarm {
+		return bar{bound: BoundPhase}
 	}
-	if s.zones[m.Zone] != Whole {
-		return bar{bound: ByState}
+	if s.zones[m.Zone] != ZoneHealthy {
+		return bar{bound: BoundZoneState}
 	}
-	if t := y.zones[place{m.Zone, m.Kind}]; t.away+more > b.least(b.Zone, t.machines) {
-		return bar{ByZone, uint64(t.away + more), uint64(b.least(b.Zone, t.machines)), 0}
+	if t := y.zones[place{m.Zone, m.Kind}]; t.away+more > b.least(b.MaxZoneFraction, t.machines) {
+		return bar{BoundZone, uint64(t.away + more), uint64(b.least(b.MaxZoneFraction, t.machines)), 0}
 	}
-	if bears, lost := s.warm(y, m.Kind); (lost+uint64(more)*uint64(m.Capacity))*1000 > bears*uint64(b.Warm) {
-		return bar{ByWarm, lost + uint64(more)*uint64(m.Capacity), bears * uint64(b.Warm) / 1000, 0}
+	if bears, lost := s.warm(y, m.Kind); (lost+uint64(more)*uint64(m.Capacity))*1000 > bears*uint64(b.MaxCapacityFraction) {
+		return bar{BoundCapacity, lost + uint64(more)*uint64(m.Capacity), bears * uint64(b.MaxCapacityFraction) / 1000, 0}
 	}
 	if m.Voter && y.voters+more > 1 {
-		return bar{ByVoter, uint64(y.voters + more), 1, 0}
+		return bar{BoundVoters, uint64(y.voters + more), 1, 0}
 	}
 	for _, g := range s.members(m.Host) {
 		if most := s.plan.groups[g].most; y.groups[g]+more > most {
-			return bar{ByGroup, uint64(y.groups[g] + more), uint64(most), g}
+			return bar{BoundAntiAffinity, uint64(y.groups[g] + more), uint64(most), g}
 		}
 	}
 	if m.Kind == Node && m.Index < len(y.ring) {
-		for _, size := range b.Sets {
+		for _, size := range b.SetSizes {
 			size = min(size, len(y.ring))
-			if worst, most := y.worstSet(m.Index, size)+more, b.least(b.Set, size); worst > most {
-				return bar{BySet, uint64(worst), uint64(most), size}
+			if worst, most := y.worstSet(m.Index, size)+more, b.least(b.MaxSetFraction, size); worst > most {
+				return bar{BoundCustomerSet, uint64(worst), uint64(most), size}
 			}
 		}
 	}
 	for _, u := range s.uplinks {
-		if u.Zone == m.Zone && at < u.To && at+Moment(need.millis()+b.Uplink.millis()) > u.From {
-			return bar{bound: ByUplink}
+		if u.Zone == m.Zone && at < u.End && at+Timestamp(need.millis()+b.UplinkMargin.millis()) > u.Start {
+			return bar{bound: BoundUplink}
 		}
 	}
 	return bar{}
 }
 
 // least is the machines that a part of n allows.
-func (b *Bounds) least(p Part, n int) int {
+func (b *Bounds) least(p Fraction, n int) int {
 	most := p.of(n)
-	if most == 0 && b.One && n > 1 {
+	if most == 0 && b.AllowOne && n > 1 {
 		return 1
 	}
 	return most
@@ -152,7 +152,7 @@
 func (s *State) warm(y *yard, k Kind) (bears, lost uint64) {
 	worst, zones := uint64(0), 0
 	for p, t := range y.zones {
-		if p.kind != k || s.zones[p.zone] == Closed {
+		if p.kind != k || s.zones[p.zone] == ZoneClosed {
 			continue
 		}
 		zones++
@@ -178,11 +178,11 @@
 	return worst
 }
 
-func (s Span) millis() int64 { return int64(s) / 1e6 }
+func (s Duration) millis() int64 { return int64(s) / 1e6 }
 
 // err tells a bar as operators read it.
 func (s *State) err(host string, b bar) error {
-	if b.bound == NoBound {
+	if b.bound == BoundNone {
 		return nil
 	}
 	return s.boundError(host, b)
@@ -190,15 +190,15 @@
 
 // boundError describes the bound that keeps a host from going.
 func (s *State) boundError(host string, b bar) *BoundError {
-	e := &BoundError{Host: host, Bound: b.bound, Away: b.away, Most: b.most}
+	e := &BoundError{Host: host, Bound: b.bound, Unavailable: b.away, Max: b.most}
 	if m := s.fleet[host]; m != nil {
-		e.Where = fmt.Sprintf("%s of zone %s", m.Kind, m.Zone)
+		e.Scope = fmt.Sprintf("%s of zone %s", m.Kind, m.Zone)
 	}
 	switch b.bound {
-	case ByGroup:
-		e.Where = s.plan.groups[b.part].name
-	case BySet:
-		e.Where = fmt.Sprintf("a set of %d nodes", b.part)
+	case BoundAntiAffinity:
+		e.Scope = s.plan.groups[b.part].name
+	case BoundCustomerSet:
+		e.Scope = fmt.Sprintf("a set of %d nodes", b.part)
 	}
 	return e
 }
--- a/fleet/maintenance/explore_test.go
+++ b/fleet/maintenance/explore_test.go
@@ -43,7 +43,7 @@
 		if w.state.stage(host(0)) >= to {
 			return
 		}
-		if w.truth[0] == isOut && to > Out {
+		if w.truth[0] == isOut && to > StageOut {
 			require.True(t, w.step(1+3*len(w.air), "")) // its work is done
 		} else if len(w.air) > 0 {
 			require.True(t, w.step(1, ""))
@@ -84,16 +84,16 @@
 // said under the old number is still on its way.
 func late(t *testing.T) *world {
 	w := newWorld(t)
-	w.pass(t, Granted)
-	old := w.state.turns[host(0)].Fence
+	w.pass(t, StageGranted)
+	old := w.state.turns[host(0)].FencingToken
 	w.start(0)
-	w.pass(t, Granted)
-	for w.state.stage(host(0)) != Draining {
+	w.pass(t, StageGranted)
+	for w.state.stage(host(0)) != StageDraining {
 		require.True(t, w.step(min(1, len(w.air)), ""))
 	}
-	require.Less(t, old, w.state.turns[host(0)].Fence)
-	for _, verb := range []Verb{Here, Begin} {
-		w.air = append(w.air, letter{word: &Word{Host: host(0), Name: host(0), Verb: verb, Fence: old}})
+	require.Less(t, old, w.state.turns[host(0)].FencingToken)
+	for _, verb := range []RequestType{RequestConfirmUndrain, RequestStartDrain} {
+		w.air = append(w.air, letter{word: &Request{Host: host(0), Name: host(0), Type: verb, FencingToken: old}})
 	}
 	return w
 }
@@ -101,14 +101,14 @@
 // Every interleaving from each stage on, with messages lost, doubled and overtaken, processes that
 // die and stand still, leaders that die, and halts: a machine that is away holds the only place.
 func TestEveryInterleaving(t *testing.T) {
-	for stage := Asked; stage <= Done; stage++ {
-		if stage == Recalled {
+	for stage := StageRequested; stage <= StageDone; stage++ {
+		if stage == StageRecalled {
 			continue // is not on the way of a turn that goes well
 		}
 		t.Run(stage.String(), func(t *testing.T) {
 			t.Parallel()
 			w := newWorld(t)
-			if w.pass(t, stage); stage == Done {
+			if w.pass(t, stage); stage == StageDone {
 				w = late(t)
 			}
 			states, found := explore(w, 4, "")
--- a/fleet/maintenance/forecast.go
+++ b/fleet/maintenance/forecast.go
@@ -10,32 +10,32 @@
 
 // Forecast is how the work goes on if each turn takes what the plan says, and nothing else happens.
 type Forecast struct {
-	At     Moment
-	Done   Moment        // when the last has returned
-	Halted string        // why nothing goes out; the forecast reckons as if it went on now
-	Late   []*LateError  // hosts that will not be back by their deadline, the earliest first
-	Kept   []*BoundError // hosts that never go as things stand
+	MadeAt     Timestamp
+	DoneAt     Timestamp     // when the last has returned
+	HaltReason string        // why nothing goes out; the forecast reckons as if it went on now
+	Late       []*LateError  // hosts that will not be back by their deadline, the earliest first
+	Blocked    []*BoundError // hosts that never go as things stand
 }
 
 // LateError is a deadline that can't be met.
 type LateError struct {
-	Host     string
-	Deadline Moment
-	Expected Moment // 0 is not at all
-	Why      string
+	Host       string
+	Deadline   Timestamp
+	ExpectedAt Timestamp // 0 is not at all
+	Reason     string
 }
 
 func (e *LateError) Error() string {
 	when := "it never goes"
-	if e.Expected > 0 {
-		when = fmt.Sprintf("it is back at %v", e.Expected)
+	if e.ExpectedAt > 0 {
+		when = fmt.Sprintf("it is back at %v", e.ExpectedAt)
 	}
-	return fmt.Sprintf("turns: host %s: its deadline %v can't be met: as things stand %s (%s); widen the plan's bounds, or move the deadline", e.Host, e.Deadline, when, e.Why)
+	return fmt.Sprintf("turns: host %s: its deadline %v can't be met: as things stand %s (%s); widen the plan's bounds, or move the deadline", e.Host, e.Deadline, when, e.Reason)
 }
 
 // back is a machine's expected return in a forecast.
 type back struct {
-	at    Moment
+	at    Timestamp
 	m     *machine // nil is only a time at which to look again
 	again *rank    // it has to go once more
 }
@@ -54,39 +54,39 @@
 }
 
 // expected is what a turn's stage takes, as the plan says.
-func (s *State) expected(t *Turn) Span {
+func (s *State) expected(t *Lease) Duration {
 	if s.plan == nil {
-		return t.Length
+		return t.WorkDuration
 	}
 	switch p := s.plan.plan; t.Stage {
-	case Granted:
-		return p.Grant
-	case Draining, Drained, Recalled:
-		return p.Drain
-	case Out:
-		return t.Length
-	case Arrived, Warming:
-		return p.Warm
+	case StageGranted:
+		return p.GrantTimeout
+	case StageDraining, StageDrained, StageRecalled:
+		return p.DrainDuration
+	case StageOut:
+		return t.WorkDuration
+	case StageArrived, StageWarmingUp:
+		return p.WarmUpDuration
 	}
 	return 0
 }
 
 // over is by how much a turn's stage takes longer than expected.
-func (s *State) over(t *Turn) time.Duration {
-	return max(0, s.now-t.Since-time.Duration(s.expected(t)))
+func (s *State) over(t *Lease) time.Duration {
+	return max(0, s.now-t.StageSince-time.Duration(s.expected(t)))
 }
 
 // left is what a turn still takes, as expected.
-func (s *State) left(t *Turn) Moment {
-	ahead := map[Stage]Span{Granted: s.need(t.Length) - s.plan.plan.Grant, Draining: t.Length + s.plan.plan.Warm,
-		Drained: t.Length + s.plan.plan.Warm, Out: s.plan.plan.Warm}[t.Stage]
-	return Moment(max(0, s.expected(t)-Span(s.now-t.Since)).millis() + ahead.millis())
+func (s *State) left(t *Lease) Timestamp {
+	ahead := map[Stage]Duration{StageGranted: s.need(t.WorkDuration) - s.plan.plan.GrantTimeout, StageDraining: t.WorkDuration + s.plan.plan.WarmUpDuration,
+		StageDrained: t.WorkDuration + s.plan.plan.WarmUpDuration, StageOut: s.plan.plan.WarmUpDuration}[t.Stage]
+	return Timestamp(max(0, s.expected(t)-Duration(s.now-t.StageSince)).millis() + ahead.millis())
 }
 
 // Forecast reckons ahead. It takes some time in a large fleet: it is to be made when a Result says
 // that something changed, not more than once in a second.
 func (s *State) Forecast() *Forecast {
-	f := &Forecast{At: s.wall, Done: s.wall, Halted: s.haltWhy()}
+	f := &Forecast{MadeAt: s.wall, DoneAt: s.wall, HaltReason: s.haltWhy()}
 	if s.plan == nil {
 		return f
 	}
@@ -126,19 +126,19 @@
 	var ends backs
 	for _, t := range s.held() {
 		e := back{at: s.wall + s.left(t), m: s.fleet[t.Host]}
-		if w, wanted := s.wanted(t.Host); wanted && (t.Stage == Recalled || (t.Stage >= Out && w.job != t.Job)) {
+		if w, wanted := s.wanted(t.Host); wanted && (t.Stage == StageRecalled || (t.Stage >= StageOut && w.job != t.Job)) {
 			r := s.rank(t.Host, w)
 			e.again = &r
 			if e.m != nil {
 				r.m = &machine{Machine: e.m.Machine}
-				r.m.Phase = Warm // by then
+				r.m.Phase = PhaseWarm // by then
 			}
 		}
 		f.note(t.Host, t.Deadline, e)
 		ends = append(ends, e)
 	}
 	for _, u := range s.uplinks {
-		ends = append(ends, back{at: max(u.To, s.wall)})
+		ends = append(ends, back{at: max(u.End, s.wall)})
 	}
 	heap.Init(&ends)
 	return ends
@@ -153,7 +153,7 @@
 		switch {
 		case !wanted || (t != nil && t.Stage.holds()):
 		case s.fleet[host] == nil:
-			f.keep(host, w.deadline, &BoundError{Host: host, Bound: ByPhase, Where: "of no machine that is seen"})
+			f.keep(host, w.deadline, &BoundError{Host: host, Bound: BoundPhase, Scope: "of no machine that is seen"})
 		default:
 			queue = append(queue, s.rank(host, w))
 		}
@@ -163,7 +163,7 @@
 }
 
 // start lets out all that the bounds let go at a time, in order, and gives those that stay.
-func (s *State) start(f *Forecast, y *yard, ends *backs, queue []rank, at Moment) []rank {
+func (s *State) start(f *Forecast, y *yard, ends *backs, queue []rank, at Timestamp) []rank {
 	full := map[place]bool{}
 	return slices.DeleteFunc(queue, func(q rank) bool {
 		m := q.m
@@ -172,12 +172,12 @@
 			return false
 		}
 		b := s.barred(y, m, false, s.need(q.length), at)
-		full[p] = b.bound == ByZone
-		if b.bound != NoBound {
+		full[p] = b.bound == BoundZone
+		if b.bound != BoundNone {
 			return false
 		}
 		y.away(m, s.members(q.host), 1)
-		e := back{at: at + Moment(s.need(q.length).millis()), m: m}
+		e := back{at: at + Timestamp(s.need(q.length).millis()), m: m}
 		f.note(q.host, q.due, e)
 		heap.Push(ends, e)
 		return true
@@ -185,19 +185,19 @@
 }
 
 // note takes an expected return.
-func (f *Forecast) note(host string, due Moment, e back) {
+func (f *Forecast) note(host string, due Timestamp, e back) {
 	if e.again != nil {
 		return
 	}
-	f.Done = max(f.Done, e.at)
+	f.DoneAt = max(f.DoneAt, e.at)
 	if due > 0 && e.at > due {
-		f.Late = append(f.Late, &LateError{Host: host, Deadline: due, Expected: e.at, Why: "others go first"})
+		f.Late = append(f.Late, &LateError{Host: host, Deadline: due, ExpectedAt: e.at, Reason: "others go first"})
 	}
 }
 
-func (f *Forecast) keep(host string, due Moment, why *BoundError) {
-	f.Kept = append(f.Kept, why)
+func (f *Forecast) keep(host string, due Timestamp, why *BoundError) {
+	f.Blocked = append(f.Blocked, why)
 	if due > 0 {
-		f.Late = append(f.Late, &LateError{Host: host, Deadline: due, Why: fmt.Sprintf("%v, %s", why.Bound, why.Where)})
+		f.Late = append(f.Late, &LateError{Host: host, Deadline: due, Reason: fmt.Sprintf("%v, %s", why.Bound, why.Scope)})
 	}
 }
--- a/fleet/maintenance/golden_test.go
+++ b/fleet/maintenance/golden_test.go
@@ -19,7 +19,7 @@
 // Commands of each kind, the answer and the snapshot have the recorded bytes.
 func TestFormsAreAsRecorded(t *testing.T) {
 	golden.RoundTrip(t, "command", func(c *Command) ([]byte, error) { return encoder.Marshal(c) }, decodeAs[Command])
-	golden.RoundTrip(t, "answer", (*Answer).Encode, decodeAs[Answer])
+	golden.RoundTrip(t, "answer", (*Response).Encode, decodeAs[Response])
 	golden.RoundTrip(t, "snapshot", func(s *snapshot) ([]byte, error) { return encoder.Marshal(s) }, decodeAs[snapshot])
 }
 
@@ -27,8 +27,8 @@
 func TestNamesAreAsRecorded(t *testing.T) {
 	text := ""
 	for i := range uint8(9) {
-		text += Kind(i).String() + "|" + Phase(i).String() + "|" + ZoneState(i).String() + "|" + Verb(i).String() + "|" +
-			Stage(i).String() + "|" + Bound(i).String() + "|" + Act(i).String() + "\n"
+		text += Kind(i).String() + "|" + Phase(i).String() + "|" + ZoneState(i).String() + "|" + RequestType(i).String() + "|" +
+			Stage(i).String() + "|" + Bound(i).String() + "|" + Action(i).String() + "\n"
 	}
 	require.NotEmpty(t, text)
 	golden.CheckText(t, "names", text)
@@ -36,7 +36,7 @@
 
 // The last stage has the recorded name, and none follows it.
 func TestLastStageIsAsRecorded(t *testing.T) {
-	golden.CheckText(t, "last-stage", Done.String()+"\n"+(Done+1).String()+"\n")
+	golden.CheckText(t, "last-stage", StageDone.String()+"\n"+(StageDone+1).String()+"\n")
 }
 
 // A plan with every key is read as recorded.
@@ -55,7 +55,7 @@
 	text, err := toml.Marshal(plan)
 	require.NoError(t, err)
 	golden.CheckText(t, "plan", string(text))
-	plan.Apart, plan.Jobs[0].Deadline = nil, 0
+	plan.AntiAffinityGroups, plan.Jobs[0].Deadline = nil, 0
 	text, err = toml.Marshal(plan)
 	require.NoError(t, err)
 	golden.CheckText(t, "plan-least", string(text))
--- a/fleet/maintenance/hosts.go
+++ b/fleet/maintenance/hosts.go
@@ -18,8 +18,8 @@
 // work is what one host has to have done.
 type work struct {
 	job      string
-	length   Span
-	deadline Moment
+	length   Duration
+	deadline Timestamp
 }
 
 type group struct {
@@ -34,45 +34,45 @@
 	}
 	c := &compiled{plan: p, work: map[string]work{}, member: map[string][]int{}}
 	if n := len(p.Jobs); n == 0 || n > jobsMost {
-		return nil, &PlanError{Key: "jobs", Why: fmt.Sprintf("%d jobs", n), Do: fmt.Sprintf("name 1 to %d", jobsMost)}
+		return nil, &PlanError{Key: "jobs", Reason: fmt.Sprintf("%d jobs", n), Hint: fmt.Sprintf("name 1 to %d", jobsMost)}
 	}
 	seen := map[string]bool{}
 	for i, j := range p.Jobs {
 		key := fmt.Sprintf("jobs.%d", i)
 		if !nameGood(j.Name) || seen[j.Name] {
-			return nil, &PlanError{Key: key + ".name", Why: fmt.Sprintf("%q is no name, or is named twice", j.Name), Do: "give each job a name of its own"}
+			return nil, &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is no name, or is named twice", j.Name), Hint: "give each job a name of its own"}
 		}
 		seen[j.Name] = true
-		if err := checkSpan(key+".length", j.Length, false); err != nil {
+		if err := checkSpan(key+".length", j.WorkDuration, false); err != nil {
 			return nil, err
 		}
 		if j.Deadline < 0 {
-			return nil, &PlanError{Key: key + ".deadline", Why: "it is before 1970", Do: "name one, or none"}
+			return nil, &PlanError{Key: key + ".deadline", Reason: "it is before 1970", Hint: "name one, or none"}
 		}
-		hosts, err := spread(key+".hosts", j.Hosts, HostsMost-len(c.hosts))
+		hosts, err := spread(key+".hosts", j.Hosts, MaxPlanHosts-len(c.hosts))
 		if err != nil {
 			return nil, err
 		}
 		for _, h := range hosts {
 			if _, twice := c.work[h]; twice {
-				return nil, &PlanError{Key: key + ".hosts", Host: h, Why: "it is named twice", Do: "put all its work into one job"}
+				return nil, &PlanError{Key: key + ".hosts", Host: h, Reason: "it is named twice", Hint: "put all its work into one job"}
 			}
-			c.work[h] = work{j.Name, j.Length, j.Deadline}
+			c.work[h] = work{j.Name, j.WorkDuration, j.Deadline}
 		}
 		c.hosts = append(c.hosts, hosts...)
 	}
-	return c, c.keepApart(p.Apart)
+	return c, c.keepApart(p.AntiAffinityGroups)
 }
 
-func (c *compiled) keepApart(apart []Apart) error {
+func (c *compiled) keepApart(apart []AntiAffinityGroup) error {
 	if len(apart) > apartMost {
-		return &PlanError{Key: "apart", Why: fmt.Sprintf("%d groups", len(apart)), Do: fmt.Sprintf("name %d at most", apartMost)}
+		return &PlanError{Key: "apart", Reason: fmt.Sprintf("%d groups", len(apart)), Hint: fmt.Sprintf("name %d at most", apartMost)}
 	}
-	seen, left := map[string]bool{}, HostsMost
+	seen, left := map[string]bool{}, MaxPlanHosts
 	for i, a := range apart {
 		key := fmt.Sprintf("apart.%d", i)
 		if !nameGood(a.Name) || seen[a.Name] {
-			return &PlanError{Key: key + ".name", Why: fmt.Sprintf("%q is no name, or is named twice", a.Name), Do: "give each group a name of its own"}
+			return &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is no name, or is named twice", a.Name), Hint: "give each group a name of its own"}
 		}
 		seen[a.Name] = true
 		hosts, err := spread(key+".hosts", a.Hosts, left)
@@ -80,18 +80,18 @@
 			return err
 		}
 		left -= len(hosts)
-		if a.Most < 1 || a.Most >= len(hosts) {
-			return &PlanError{Key: key + ".most", Why: fmt.Sprintf("%d of %d hosts keeps none apart", a.Most, len(hosts)), Do: "name fewer than the group has, and one at least"}
+		if a.MaxUnavailable < 1 || a.MaxUnavailable >= len(hosts) {
+			return &PlanError{Key: key + ".most", Reason: fmt.Sprintf("%d of %d hosts keeps none apart", a.MaxUnavailable, len(hosts)), Hint: "name fewer than the group has, and one at least"}
 		}
 		in := map[string]bool{}
 		for _, h := range hosts {
 			if in[h] {
-				return &PlanError{Key: key + ".hosts", Host: h, Why: "it is named twice", Do: "name it once in a group"}
+				return &PlanError{Key: key + ".hosts", Host: h, Reason: "it is named twice", Hint: "name it once in a group"}
 			}
 			in[h] = true
 			c.member[h] = append(c.member[h], i)
 		}
-		c.groups = append(c.groups, group{a.Name, a.Most})
+		c.groups = append(c.groups, group{a.Name, a.MaxUnavailable})
 	}
 	return nil
 }
@@ -99,15 +99,15 @@
 // spread gives the hosts of names and ranges, most at most.
 func spread(key string, names []string, most int) (hosts []string, err error) {
 	if len(names) == 0 {
-		return nil, &PlanError{Key: key, Why: "no host is named", Do: "name one"}
+		return nil, &PlanError{Key: key, Reason: "no host is named", Hint: "name one"}
 	}
 	for _, n := range names {
 		head, from, to, width, tail, err := bracket(n)
 		switch {
 		case err != nil:
-			return nil, &PlanError{Key: key, Host: n, Why: err.Error(), Do: "write a name, or a range like edge-[001-120]"}
+			return nil, &PlanError{Key: key, Host: n, Reason: err.Error(), Hint: "write a name, or a range like edge-[001-120]"}
 		case to-from >= most-len(hosts):
-			return nil, &PlanError{Key: key, Host: n, Why: fmt.Sprintf("over %d hosts with it", HostsMost), Do: "split the work over several plans"}
+			return nil, &PlanError{Key: key, Host: n, Reason: fmt.Sprintf("over %d hosts with it", MaxPlanHosts), Hint: "split the work over several plans"}
 		case width == 0:
 			hosts = append(hosts, n)
 			continue
--- a/fleet/maintenance/look.go
+++ b/fleet/maintenance/look.go
@@ -6,33 +6,33 @@
 )
 
 // look takes evidence, and moves turns on by it.
-func (s *State) look(l *Look, r *Result) {
-	if l.After != s.looks || l.From < s.seen || l.From > s.now {
-		r.Err = &StaleLookError{Have: s.looks, After: l.After}
+func (s *State) look(l *Observation, r *Result) {
+	if l.Base != s.looks || l.MeasuredAt < s.seen || l.MeasuredAt > s.now {
+		r.Err = &StaleLookError{Current: s.looks, Base: l.Base}
 		return
 	}
-	if len(l.Machines)+len(s.fleet) > MachinesMost {
-		r.Err = spoilt("look", "over %d machines", MachinesMost)
+	if len(l.Machines)+len(s.fleet) > MaxMachines {
+		r.Err = spoilt("look", "over %d machines", MaxMachines)
 		return
 	}
 	s.looks++
 	s.blind = l.Partial
 	if !l.Partial {
-		s.seen = l.From
+		s.seen = l.MeasuredAt
 	}
-	if l.Group != len(s.yard.ring) {
-		s.yard.ring = make([]int, l.Group)
+	if l.RingSize != len(s.yard.ring) {
+		s.yard.ring = make([]int, l.RingSize)
 		s.rebuild()
 	}
 	for _, h := range l.Removed {
 		s.remove(h)
-		r.Changed = true
+		r.ForecastStale = true
 	}
 	for _, m := range l.Machines {
 		if host := s.names[m.Host]; host != "" {
 			m.Host = host
 		}
-		r.Changed = s.put(m, l.From) || r.Changed
+		r.ForecastStale = s.put(m, l.MeasuredAt) || r.ForecastStale
 	}
 	clear(s.zones)
 	for _, z := range l.Zones {
@@ -53,7 +53,7 @@
 	changed = old == nil || old.Zone != m.Zone || old.Kind != m.Kind || old.Voter != m.Voter
 	if !changed {
 		t := s.turns[m.Host]
-		changed = (old.Phase == Warm) != (m.Phase == Warm) && (t == nil || !t.Stage.holds())
+		changed = (old.Phase == PhaseWarm) != (m.Phase == PhaseWarm) && (t == nil || !t.Stage.holds())
 	}
 	s.remove(m.Host)
 	n := &machine{Machine: m, at: at}
@@ -76,36 +76,36 @@
 }
 
 // follow moves a turn on by what is seen of its machine since it came to its stage.
-func (s *State) follow(t *Turn, m *machine, r *Result) {
-	if max(m.at, s.seen) <= t.Since {
+func (s *State) follow(t *Lease, m *machine, r *Result) {
+	if max(m.at, s.seen) <= t.StageSince {
 		return
 	}
 	switch t.Stage {
-	case Granted:
-		if m.Phase == Gone { // if it lives, its number is void
+	case StageGranted:
+		if m.Phase == PhaseGone { // if it lives, its number is void
 			s.giveUp(t, true)
-			r.Changed = true
+			r.ForecastStale = true
 		}
-	case Draining:
-		if m.Phase == Idle {
-			s.turn(t, Drained)
+	case StageDraining:
+		if m.Phase == PhaseIdle {
+			s.turn(t, StageDrained)
 		}
-	case Recalled:
-		if t.Said && m.Phase == Warm {
+	case StageRecalled:
+		if t.UndrainConfirmed && m.Phase == PhaseWarm {
 			s.giveUp(t, false)
 		}
-	case Out:
-		if m.Phase == Gone {
-			t.Absent = true
-		} else if t.Absent {
-			s.turn(t, Arrived)
+	case StageOut:
+		if m.Phase == PhaseGone {
+			t.SeenGone = true
+		} else if t.SeenGone {
+			s.turn(t, StageArrived)
 		}
-	case Arrived, Warming:
-		if m.Phase == Warm {
-			r.Changed = r.Changed || s.over(t) > 0
+	case StageArrived, StageWarmingUp:
+		if m.Phase == PhaseWarm {
+			r.ForecastStale = r.ForecastStale || s.over(t) > 0
 			s.finish(t)
-		} else if m.Phase == Cold && t.Stage == Arrived {
-			s.turn(t, Warming)
+		} else if m.Phase == PhaseCold && t.Stage == StageArrived {
+			s.turn(t, StageWarmingUp)
 		}
 	}
 }
@@ -113,8 +113,8 @@
 // Diff is the look that makes what the state knows of the fleet into what is observed now: at most
 // so much as a look may hold, and Partial where that is not all. Observed names each host once; the
 // caller fills in From, zones, group and what is served.
-func (s *State) Diff(observed []Machine) *Look {
-	l := &Look{After: s.looks}
+func (s *State) Diff(observed []Machine) *Observation {
+	l := &Observation{Base: s.looks}
 	there := make(map[string]bool, len(observed))
 	for _, m := range observed {
 		host := m.Host
--- a/fleet/maintenance/order.go
+++ b/fleet/maintenance/order.go
@@ -15,7 +15,9 @@
 const gather = 10 * time.Second
 
 // need is what a turn takes as expected, from its grant to its return.
-func (s *State) need(length Span) Span { return s.plan.plan.Drain + length + s.plan.plan.Warm }
+func (s *State) need(length Duration) Duration {
+	return s.plan.plan.DrainDuration + length + s.plan.plan.WarmUpDuration
+}
 
 // rank is a host's place in the order: by the latest time at which it has to go, then by the worth
 // that it serves, then by name.
@@ -24,8 +26,8 @@
 	m      *machine
 	start  int64
 	load   uint32
-	length Span
-	due    Moment
+	length Duration
+	due    Timestamp
 }
 
 func (s *State) rank(host string, w work) rank {
@@ -58,7 +60,7 @@
 		due = math.MaxInt64 / 2
 	}
 	for _, u := range s.uplinks {
-		before := int64(u.From) - s.plan.plan.Bounds.Uplink.millis()
+		before := int64(u.Start) - s.plan.plan.Bounds.UplinkMargin.millis()
 		if q.m != nil && u.Zone == q.m.Zone && int64(s.wall)+s.need(q.length).millis() <= before {
 			due = min(due, before)
 		}
@@ -69,7 +71,7 @@
 // queue lists those that ask, in order.
 func (s *State) queue() (queue []rank) {
 	for _, t := range s.turns {
-		if t.Stage != Asked || s.now < t.Until || s.fleet[t.Host] == nil {
+		if t.Stage != StageRequested || s.now < t.TimerAt || s.fleet[t.Host] == nil {
 			continue
 		}
 		if w, wanted := s.wanted(t.Host); wanted {
@@ -92,13 +94,13 @@
 			continue
 		}
 		switch b := s.barred(&s.yard, q.m, false, s.need(q.length), s.wall); b.bound {
-		case NoBound:
+		case BoundNone:
 			t := s.turns[q.host]
 			s.fence++
-			t.Fence, t.Until = s.fence, s.now+time.Duration(s.plan.plan.Grant)
-			s.turn(t, Granted)
+			t.FencingToken, t.TimerAt = s.fence, s.now+time.Duration(s.plan.plan.GrantTimeout)
+			s.turn(t, StageGranted)
 			r.Granted = append(r.Granted, t.Host)
-		case ByZone, ByState:
+		case BoundZone, BoundZoneState:
 			full[place{q.m.Zone, q.m.Kind}] = true
 		}
 	}
--- a/fleet/maintenance/plan_test.go
+++ b/fleet/maintenance/plan_test.go
@@ -43,18 +43,18 @@
 	c, err := compile(p)
 	require.NoError(t, err)
 	assert.Len(t, c.hosts, 13)
-	assert.Equal(t, work{"kernel", Span(20 * time.Minute), Moment(time.Date(2026, 10, 3, 2, 0, 0, 0, time.UTC).UnixMilli())}, c.work["edge-12"])
-	assert.Equal(t, Part(340), p.Bounds.Zone)
+	assert.Equal(t, work{"kernel", Duration(20 * time.Minute), Timestamp(time.Date(2026, 10, 3, 2, 0, 0, 0, time.UTC).UnixMilli())}, c.work["edge-12"])
+	assert.Equal(t, Fraction(340), p.Bounds.MaxZoneFraction)
 	text, err := toml.Marshal(p) // as a rule set's document has it
 	require.NoError(t, err)
 	again, err := Parse(text)
 	require.NoError(t, err)
 	assert.Equal(t, p, again)
-	raw, err := (&Command{Load: &Load{Version: 1, Plan: p}}).Encode()
+	raw, err := (&Command{LoadPlan: &LoadPlan{Version: 1, Plan: p}}).Encode()
 	require.NoError(t, err)
 	read, err := DecodeCommand(raw)
 	require.NoError(t, err)
-	assert.Equal(t, p, read.Load.Plan)
+	assert.Equal(t, p, read.LoadPlan.Plan)
 }
 
 // What can't be followed is refused with key and host, in one line that says what to do.
@@ -80,7 +80,7 @@
 		{`"edge-07"]`, `"edge-01"]`, "apart.0.hosts", "edge-01"},
 		{`name = "sources"`, `name = ""`, "apart.0.name", ""},
 		{`[[apart]]`, "[[jobs]]\nname = \"kernel\"\nhosts = [\"z\"]\nlength = \"1m\"\n[[apart]]", "jobs.1.name", ""},
-		{`[bounds]`, `#` + strings.Repeat("x", PlanMost) + "\n[bounds]", "document", ""},
+		{`[bounds]`, `#` + strings.Repeat("x", MaxPlanBytes) + "\n[bounds]", "document", ""},
 		{`[bounds]`, `[bounds`, "document", ""},
 	} {
 		text := strings.Replace(goodPlan, c.old, c.new, 1)
@@ -92,7 +92,7 @@
 		}
 		assert.Equal(t, [2]string{c.key, c.host}, [2]string{plan.Key, plan.Host}, "%.80s: %v", c.new, err)
 		assert.NotContains(t, err.Error(), "\n")
-		assert.NotEmpty(t, plan.Do)
+		assert.NotEmpty(t, plan.Hint)
 	}
 }
 
@@ -110,7 +110,7 @@
 		again, err := toml.Marshal(p)
 		require.NoError(t, err)
 		q, err := Parse(again)
-		if len(again) <= PlanMost {
+		if len(again) <= MaxPlanBytes {
 			require.NoError(t, err, string(again))
 			require.Equal(t, p, q)
 		}
--- a/fleet/maintenance/snapshot.go
+++ b/fleet/maintenance/snapshot.go
@@ -11,7 +11,7 @@
 // snapshot is a state's canonical form: the same states have the same bytes.
 type snapshot struct {
 	Now     time.Duration     `cbor:"1,keyasint"`
-	Wall    Moment            `cbor:"2,keyasint"`
+	Wall    Timestamp         `cbor:"2,keyasint"`
 	Fence   uint64            `cbor:"3,keyasint"`
 	Version uint64            `cbor:"4,keyasint"`
 	Plan    *Plan             `cbor:"5,keyasint,omitempty"`
@@ -20,10 +20,10 @@
 	Blind   bool              `cbor:"8,keyasint"`
 	Group   int               `cbor:"9,keyasint"`
 	Zones   []Zone            `cbor:"10,keyasint,omitempty"`
-	Uplinks []Uplink          `cbor:"11,keyasint,omitempty"`
+	Uplinks []UplinkWindow    `cbor:"11,keyasint,omitempty"`
 	Halt    haltSnapshot      `cbor:"12,keyasint"`
 	Fleet   []machineSnapshot `cbor:"13,keyasint,omitempty"`
-	Turns   []Turn            `cbor:"14,keyasint,omitempty"`
+	Turns   []Lease           `cbor:"14,keyasint,omitempty"`
 	Done    [][2]string       `cbor:"15,keyasint,omitempty"` // host, job
 	Loaded  time.Duration     `cbor:"17,keyasint"`
 	Names   [][2]string       `cbor:"16,keyasint,omitempty"` // name, host
@@ -62,8 +62,8 @@
 		p.Turns = append(p.Turns, *s.turns[h])
 	}
 	raw, err := encoder.Marshal(&p)
-	if err == nil && len(raw) > SnapshotMost {
-		err = &SpoiltError{What: "snapshot", Why: fmt.Sprintf("%d bytes", len(raw)), Do: "split the fleet's work over several plans"}
+	if err == nil && len(raw) > MaxSnapshotBytes {
+		err = &SpoiltError{What: "snapshot", Reason: fmt.Sprintf("%d bytes", len(raw)), Hint: "split the fleet's work over several plans"}
 	}
 	return raw, err
 }
@@ -78,7 +78,7 @@
 
 // Restore reads a state back. One that holds what can't be is refused whole.
 func Restore(raw []byte) (*State, error) {
-	if len(raw) > SnapshotMost {
+	if len(raw) > MaxSnapshotBytes {
 		return nil, spoilt("snapshot", "%d bytes", len(raw))
 	}
 	var p snapshot
@@ -120,7 +120,7 @@
 }
 
 func (p *snapshot) check() error {
-	if p.Now < 0 || p.Wall < 0 || p.Seen < 0 || p.Seen > p.Now || p.Group < 0 || p.Group > MachinesMost || len(p.Names) > namesMost || len(p.Done) > HostsMost {
+	if p.Now < 0 || p.Wall < 0 || p.Seen < 0 || p.Seen > p.Now || p.Group < 0 || p.Group > MaxMachines || len(p.Names) > namesMost || len(p.Done) > MaxPlanHosts {
 		return spoilt("snapshot", "figures that can't be")
 	}
 	for i := range p.Fleet {
@@ -130,10 +130,10 @@
 	}
 	fences := map[uint64]bool{0: true}
 	for _, t := range p.Turns {
-		if !nameGood(t.Host) || t.Stage >= Done || t.Stage.holds() == fences[t.Fence] || t.Fence > p.Fence || t.Since > p.Now || t.GivenUp < 0 {
+		if !nameGood(t.Host) || t.Stage >= StageDone || t.Stage.holds() == fences[t.FencingToken] || t.FencingToken > p.Fence || t.StageSince > p.Now || t.UnusedGrants < 0 {
 			return spoilt("snapshot", "the turn of host %q", t.Host)
 		}
-		fences[t.Fence] = true
+		fences[t.FencingToken] = true
 	}
 	if err := checkUplinks(p.Uplinks); err != nil {
 		return err
--- a/fleet/maintenance/trouble.go
+++ b/fleet/maintenance/trouble.go
@@ -28,12 +28,12 @@
 // haltAll lets nothing new out. What was granted is void, what drains comes back, and what is out
 // stays until it has returned.
 func (s *State) haltAll(reason *string, why string, r *Result) {
-	r.Changed = r.Changed || !s.Halted()
+	r.ForecastStale = r.ForecastStale || !s.Halted()
 	if *reason == "" {
 		*reason = why
 	}
 	for _, t := range s.held() {
-		if t.Stage == Granted {
+		if t.Stage == StageGranted {
 			s.giveUp(t, false)
 		}
 		s.recall(t)
@@ -43,17 +43,17 @@
 // resume goes on by hand. What is served now is usual from now on; trouble that is still there halts
 // all again at the next look.
 func (s *State) resume(r *Result) {
-	r.Changed = s.Halted()
+	r.ForecastStale = s.Halted()
 	s.halt.hand, s.halt.trouble, s.halt.quiet = "", "", false
 	s.halt.usual = s.halt.served
 }
 
 // judge looks for trouble, and goes on by rule where the plan says so.
-func (s *State) judge(l *Look, r *Result) {
+func (s *State) judge(l *Observation, r *Result) {
 	if s.plan == nil {
 		return
 	}
-	rules := &s.plan.plan.Trouble
+	rules := &s.plan.plan.HaltPolicy
 	why := s.trouble(l, rules)
 	switch {
 	case why != "":
@@ -62,11 +62,11 @@
 	case s.halt.trouble == "":
 	case !s.halt.quiet:
 		s.halt.quiet, s.halt.calm = true, s.now
-	case rules.Resume == ByRule && s.now-s.halt.calm >= time.Duration(rules.Calm):
-		s.halt.trouble, s.halt.quiet, r.Changed = "", false, true
+	case rules.ResumeMode == ResumeAutomatically && s.now-s.halt.calm >= time.Duration(rules.ResumeDelay):
+		s.halt.trouble, s.halt.quiet, r.ForecastStale = "", false, true
 	}
-	if !l.Blind && s.halt.trouble == "" {
-		s.usual(int64(l.Served) * 1024)
+	if !l.ServedUnknown && s.halt.trouble == "" {
+		s.usual(int64(l.ServedFraction) * 1024)
 	}
 }
 
@@ -82,21 +82,21 @@
 }
 
 // trouble is what the evidence says against going on, or "".
-func (s *State) trouble(l *Look, rules *Trouble) string {
-	if l.Lost > time.Duration(rules.Lost) {
-		return fmt.Sprintf("the council had no majority for %v", l.Lost.Round(time.Millisecond))
+func (s *State) trouble(l *Observation, rules *HaltPolicy) string {
+	if l.NoMajorityDuration > time.Duration(rules.MaxNoMajorityDuration) {
+		return fmt.Sprintf("the council had no majority for %v", l.NoMajorityDuration.Round(time.Millisecond))
 	}
 	for _, z := range l.Zones {
-		if z.State == Left {
+		if z.State == ZoneEvacuated {
 			return fmt.Sprintf("zone %s is left", z.Name)
 		}
 	}
-	if l.Blind {
+	if l.ServedUnknown {
 		return ""
 	}
-	s.halt.served = int64(l.Served) * 1024
-	if fell := s.halt.usual - s.halt.served; fell > int64(rules.Served)*1024 {
-		return fmt.Sprintf("the served share fell by %.3f to %.3f", float64(fell)/1024/1000, float64(l.Served)/1000)
+	s.halt.served = int64(l.ServedFraction) * 1024
+	if fell := s.halt.usual - s.halt.served; fell > int64(rules.MaxServedDrop)*1024 {
+		return fmt.Sprintf("the served share fell by %.3f to %.3f", float64(fell)/1024/1000, float64(l.ServedFraction)/1000)
 	}
 	return ""
 }
--- a/fleet/maintenance/turns.go
+++ b/fleet/maintenance/turns.go
@@ -13,16 +13,16 @@
 // The stages. From Granted to Warming the turn holds its place; those before Out are called back by
 // a halt.
 const (
-	Waiting  Stage = iota // nobody asks for it, or what was granted was given up
-	Asked                 // a process on the host asks for it
-	Granted               // its drain may begin, for a while
-	Draining              // its drain has begun
-	Drained               // seen idle from outside, it may go out
-	Recalled              // it is to come back from its drain
-	Out                   // it is worked on
-	Arrived               // it has come back
-	Warming               // it is seen back, and held to the cold rule
-	Done                  // returned
+	StageWaiting   Stage = iota // nobody asks for it, or what was granted was given up
+	StageRequested              // a process on the host asks for it
+	StageGranted                // its drain may begin, for a while
+	StageDraining               // its drain has begun
+	StageDrained                // seen idle from outside, it may go out
+	StageRecalled               // it is to come back from its drain
+	StageOut                    // it is worked on
+	StageArrived                // it has come back
+	StageWarmingUp              // it is seen back, and held to the cold rule
+	StageDone                   // returned
 )
 
 func (s Stage) String() string {
@@ -30,23 +30,23 @@
 }
 
 // holds tells whether a turn in a stage has a place that goes to nobody else.
-func (s Stage) holds() bool { return s >= Granted && s < Done }
+func (s Stage) holds() bool { return s >= StageGranted && s < StageDone }
 
-// Turn is one host's.
-type Turn struct {
-	Host     string        `cbor:"1,keyasint"`
-	Name     string        `cbor:"2,keyasint"` // under which the process that asked last runs
-	Job      string        `cbor:"3,keyasint"`
-	Length   Span          `cbor:"4,keyasint"`
-	Deadline Moment        `cbor:"5,keyasint"`
-	Stage    Stage         `cbor:"6,keyasint"`
-	Fence    uint64        `cbor:"7,keyasint"`  // under which it is held now; a word under any other does nothing
-	Nonce    uint64        `cbor:"8,keyasint"`  // of the process that asked last
-	Since    time.Duration `cbor:"9,keyasint"`  // of its stage; evidence from before does not count for it
-	Until    time.Duration `cbor:"10,keyasint"` // when granted: then it is given up; when given up: it is not granted again before
-	Said     bool          `cbor:"11,keyasint"` // recalled, it has said that it is back
-	Absent   bool          `cbor:"12,keyasint"` // out, it was seen gone
-	GivenUp  int           `cbor:"13,keyasint"` // times in a row
+// Lease is one host's.
+type Lease struct {
+	Host             string        `cbor:"1,keyasint"`
+	Name             string        `cbor:"2,keyasint"` // under which the process that asked last runs
+	Job              string        `cbor:"3,keyasint"`
+	WorkDuration     Duration      `cbor:"4,keyasint"`
+	Deadline         Timestamp     `cbor:"5,keyasint"`
+	Stage            Stage         `cbor:"6,keyasint"`
+	FencingToken     uint64        `cbor:"7,keyasint"`  // under which it is held now; a word under any other does nothing
+	Nonce            uint64        `cbor:"8,keyasint"`  // of the process that asked last
+	StageSince       time.Duration `cbor:"9,keyasint"`  // of its stage; evidence from before does not count for it
+	TimerAt          time.Duration `cbor:"10,keyasint"` // when granted: then it is given up; when given up: it is not granted again before
+	UndrainConfirmed bool          `cbor:"11,keyasint"` // recalled, it has said that it is back
+	SeenGone         bool          `cbor:"12,keyasint"` // out, it was seen gone
+	UnusedGrants     int           `cbor:"13,keyasint"` // times in a row
 }
 
 // Figures of the decisions.
@@ -59,7 +59,7 @@
 // State is what the log's commands have come to. It is not safe for concurrent use.
 type State struct {
 	now     time.Duration
-	wall    Moment
+	wall    Timestamp
 	fence   uint64 // given last
 	version uint64
 	plan    *compiled     // nil is none
@@ -68,10 +68,10 @@
 	seen    time.Duration // as of when all evidence stands
 	blind   bool          // the last look told not all
 	zones   map[string]ZoneState
-	uplinks []Uplink
+	uplinks []UplinkWindow
 	halt    halt
 	fleet   map[string]*machine
-	turns   map[string]*Turn
+	turns   map[string]*Lease
 	done    map[string]string // the job that a host has had done
 	names   map[string]string // host that runs under a name, by hand
 	yard    yard
@@ -86,17 +86,17 @@
 
 // New is a state before the first command.
 func New() *State {
-	return &State{zones: map[string]ZoneState{}, fleet: map[string]*machine{}, turns: map[string]*Turn{},
+	return &State{zones: map[string]ZoneState{}, fleet: map[string]*machine{}, turns: map[string]*Lease{},
 		done: map[string]string{}, names: map[string]string{}, yard: newYard(0, 0)}
 }
 
 // Result is what a command has come to.
 type Result struct {
-	Answer   Answer    // to a word
-	Granted  []string  // hosts whose turn it now is: they are to be told soon, as they ask now and then
-	Forecast *Forecast // at Load
-	Changed  bool      // the forecast made before may be wrong
-	Err      error     // why the command did nothing; typed
+	Response      Response  // to a word
+	Granted       []string  // hosts whose turn it now is: they are to be told soon, as they ask now and then
+	Forecast      *Forecast // at Load
+	ForecastStale bool      // the forecast made before may be wrong
+	Err           error     // why the command did nothing; typed
 }
 
 // Now is the council's time as the last command had it; a new leader counts on from there.
@@ -117,27 +117,27 @@
 
 // Apply takes the next command of the log. The same commands come to the same state everywhere.
 func (s *State) Apply(c *Command) (r Result) {
-	s.now = max(s.now, c.At)
-	s.wall = c.Wall
+	s.now = max(s.now, c.GroupTime)
+	s.wall = c.WallTime
 	s.expire(&r)
 	switch {
-	case c.Load != nil:
-		s.load(c.Load, &r)
-	case c.Look != nil:
-		s.look(c.Look, &r)
-	case c.Word != nil:
-		s.word(c.Word, &r)
+	case c.LoadPlan != nil:
+		s.load(c.LoadPlan, &r)
+	case c.Observation != nil:
+		s.look(c.Observation, &r)
+	case c.Request != nil:
+		s.word(c.Request, &r)
 	case c.Halt != nil:
-		s.haltAll(&s.halt.hand, cmp.Or(c.Halt.Why, "by hand"), &r)
+		s.haltAll(&s.halt.hand, cmp.Or(c.Halt.Reason, "by hand"), &r)
 	case c.Resume != nil:
 		s.resume(&r)
 	case c.Uplinks != nil:
-		s.uplinks, r.Changed = slices.Clone(c.Uplinks.Windows), true
-	case c.Adopt != nil:
-		r.Err = s.adopt(c.Adopt)
-		r.Changed = r.Err == nil
-	case c.Drop != nil:
-		s.drop(c.Drop.Host, &r)
+		s.uplinks, r.ForecastStale = slices.Clone(c.Uplinks.Windows), true
+	case c.AdoptName != nil:
+		r.Err = s.adopt(c.AdoptName)
+		r.ForecastStale = r.Err == nil
+	case c.DropLease != nil:
+		s.drop(c.DropLease.Host, &r)
 	}
 	return r
 }
@@ -145,27 +145,27 @@
 // expire gives up what was granted and not begun in its time.
 func (s *State) expire(r *Result) {
 	for _, t := range s.turns {
-		if t.Stage == Granted && s.now >= t.Until {
+		if t.Stage == StageGranted && s.now >= t.TimerAt {
 			s.giveUp(t, true)
-			r.Changed = true
+			r.ForecastStale = true
 		}
 	}
 }
 
 // held lists the turns that hold a place, by host.
-func (s *State) held() (held []*Turn) {
+func (s *State) held() (held []*Lease) {
 	for _, t := range s.turns {
 		if t.Stage.holds() {
 			held = append(held, t)
 		}
 	}
-	slices.SortFunc(held, func(a, b *Turn) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(held, func(a, b *Lease) int { return cmp.Compare(a.Host, b.Host) })
 	return held
 }
 
 // turn moves a turn on.
-func (s *State) turn(t *Turn, to Stage) {
-	t.Stage, t.Since = to, s.now
+func (s *State) turn(t *Lease, to Stage) {
+	t.Stage, t.StageSince = to, s.now
 	s.settle(s.fleet[t.Host])
 }
 
@@ -174,7 +174,7 @@
 	if m == nil {
 		return
 	}
-	away := m.Phase != Warm
+	away := m.Phase != PhaseWarm
 	if t := s.turns[m.Host]; t != nil && t.Stage.holds() {
 		away = true
 	}
@@ -197,17 +197,17 @@
 
 // giveUp ends a turn that did not come to its work; its fencing number is void. One that nobody
 // took waits longer each time, so that a host that asks and never begins costs the others little.
-func (s *State) giveUp(t *Turn, idle bool) {
-	t.Fence, t.Nonce, t.Said, t.Absent = 0, 0, false, false
-	t.GivenUp++
+func (s *State) giveUp(t *Lease, idle bool) {
+	t.FencingToken, t.Nonce, t.UndrainConfirmed, t.SeenGone = 0, 0, false, false
+	t.UnusedGrants++
 	if !idle {
-		t.GivenUp = 0
+		t.UnusedGrants = 0
 	}
-	t.Until = s.now
+	t.TimerAt = s.now
 	if s.plan != nil && idle {
-		t.Until += min(time.Duration(s.plan.plan.Grant)<<min(t.GivenUp, 10), againMost)
+		t.TimerAt += min(time.Duration(s.plan.plan.GrantTimeout)<<min(t.UnusedGrants, 10), againMost)
 	}
-	s.turn(t, Waiting)
+	s.turn(t, StageWaiting)
 	if _, wanted := s.wanted(t.Host); !wanted {
 		delete(s.turns, t.Host)
 	}
@@ -223,7 +223,7 @@
 }
 
 // finish ends a turn whose machine has returned.
-func (s *State) finish(t *Turn) {
+func (s *State) finish(t *Lease) {
 	if s.plan != nil && s.plan.work[t.Host].job == t.Job {
 		s.done[t.Host] = t.Job
 	}
@@ -233,9 +233,9 @@
 
 // load puts a plan in force. What is granted and not begun is void; what drains comes back where
 // the plan has no more work for it, and what is out stays until it has returned.
-func (s *State) load(l *Load, r *Result) {
+func (s *State) load(l *LoadPlan, r *Result) {
 	if l.Version <= s.version {
-		r.Err = &StalePlanError{Have: s.version, Got: l.Version}
+		r.Err = &StalePlanError{Current: s.version, Got: l.Version}
 		return
 	}
 	var c *compiled
@@ -245,17 +245,17 @@
 			return
 		}
 	}
-	s.version, s.plan, s.loaded, r.Changed = l.Version, c, s.now, true
+	s.version, s.plan, s.loaded, r.ForecastStale = l.Version, c, s.now, true
 	maps.DeleteFunc(s.done, func(host, job string) bool { return c == nil || c.work[host].job != job })
 	for _, t := range s.turns {
 		w, wanted := s.wanted(t.Host)
-		if wanted && t.Stage < Out {
-			t.Job, t.Length, t.Deadline = w.job, w.length, w.deadline
+		if wanted && t.Stage < StageOut {
+			t.Job, t.WorkDuration, t.Deadline = w.job, w.length, w.deadline
 		}
 		switch {
-		case t.Stage == Granted:
+		case t.Stage == StageGranted:
 			s.giveUp(t, false)
-		case t.Stage.holds() && t.Stage < Out && !wanted:
+		case t.Stage.holds() && t.Stage < StageOut && !wanted:
 			s.recall(t)
 		case !t.Stage.holds() && !wanted:
 			delete(s.turns, t.Host)
@@ -280,20 +280,20 @@
 }
 
 // recall has a machine come back from its drain.
-func (s *State) recall(t *Turn) {
-	if t.Stage == Draining || t.Stage == Drained {
-		t.Said = false
-		s.turn(t, Recalled)
+func (s *State) recall(t *Lease) {
+	if t.Stage == StageDraining || t.Stage == StageDrained {
+		t.UndrainConfirmed = false
+		s.turn(t, StageRecalled)
 	}
 }
 
 // adopt has a host run under another name, as one that came back from a new disk may.
-func (s *State) adopt(a *Adopt) error {
+func (s *State) adopt(a *AdoptName) error {
 	if (s.fleet[a.Host] == nil && s.turns[a.Host] == nil) || len(s.names) >= namesMost {
 		return &UnknownHostError{Host: a.Host}
 	}
 	if t := s.turns[a.Name]; (t != nil && t.Stage.holds()) || a.Name == a.Host {
-		return &NameTakenError{Host: a.Host, Name: a.Name, By: a.Name}
+		return &NameTakenError{Host: a.Host, Name: a.Name, UsedBy: a.Name}
 	}
 	s.names[a.Name] = a.Host
 	delete(s.turns, a.Name)
@@ -310,12 +310,12 @@
 	t, m := s.turns[host], s.fleet[host]
 	switch {
 	case t == nil || !t.Stage.holds():
-		r.Err = &OrderError{Host: host, What: "drop", Stage: s.stage(host)}
-	case m != nil && m.Phase != Gone:
-		r.Err = &OrderError{Host: host, What: "drop", Stage: t.Stage, Phase: m.Phase, Seen: true}
+		r.Err = &OrderError{Host: host, Operation: "drop", Stage: s.stage(host)}
+	case m != nil && m.Phase != PhaseGone:
+		r.Err = &OrderError{Host: host, Operation: "drop", Stage: t.Stage, Phase: m.Phase, WrongPhase: true}
 	default:
 		s.giveUp(t, false)
-		r.Changed = true
+		r.ForecastStale = true
 	}
 }
 
@@ -325,7 +325,7 @@
 		return t.Stage
 	}
 	if _, wanted := s.wanted(host); wanted {
-		return Waiting
+		return StageWaiting
 	}
-	return Done
+	return StageDone
 }
--- a/fleet/maintenance/turns_test.go
+++ b/fleet/maintenance/turns_test.go
@@ -26,12 +26,12 @@
 func draw(t *rapid.T) *drawn {
 	d := &drawn{rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))}
 	p := *threePlan
-	p.Bounds = Bounds{Zone: Part(100 + d.rng.IntN(900)), Set: Part(100 + d.rng.IntN(900)), Sets: []int{2, 1 + d.rng.IntN(9)},
-		Warm: Part(50 + d.rng.IntN(700)), One: d.rng.IntN(2) == 0}
-	p.Jobs = []Job{{Name: "disk", Length: Span(time.Minute)}}
+	p.Bounds = Bounds{MaxZoneFraction: Fraction(100 + d.rng.IntN(900)), MaxSetFraction: Fraction(100 + d.rng.IntN(900)), SetSizes: []int{2, 1 + d.rng.IntN(9)},
+		MaxCapacityFraction: Fraction(50 + d.rng.IntN(700)), AllowOne: d.rng.IntN(2) == 0}
+	p.Jobs = []Job{{Name: "disk", WorkDuration: Duration(time.Minute)}}
 	nodes := 3 + d.rng.IntN(12)
 	for i := range nodes + 2 + d.rng.IntN(8) {
-		m := Machine{Host: fmt.Sprint("h", i), Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", d.rng.IntN(3)), Index: i, Capacity: 1 + uint32(d.rng.IntN(20)), Phase: Warm, Voter: i%4 == 0}
+		m := Machine{Host: fmt.Sprint("h", i), Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", d.rng.IntN(3)), Index: i, Capacity: 1 + uint32(d.rng.IntN(20)), Phase: PhaseWarm, Voter: i%4 == 0}
 		if i >= nodes {
 			m.Kind, m.Index, m.Voter = Server, 0, false
 		}
@@ -40,7 +40,7 @@
 			p.Jobs[0].Hosts = append(p.Jobs[0].Hosts, m.Host)
 		}
 	}
-	p.Apart = []Apart{{Name: "two", Hosts: []string{"h0", "h1", "h2"}, Most: 1 + d.rng.IntN(2)}}
+	p.AntiAffinityGroups = []AntiAffinityGroup{{Name: "two", Hosts: []string{"h0", "h1", "h2"}, MaxUnavailable: 1 + d.rng.IntN(2)}}
 	d.plan = &p
 	return d
 }
@@ -48,38 +48,38 @@
 // command is the next of a log: mostly looks and words that fit, now and then anything.
 func (d *drawn) command(s *State) *Command {
 	d.now += time.Duration(d.rng.IntN(400)) * time.Millisecond
-	c := &Command{At: d.now, Wall: Moment(d.now / time.Millisecond)}
+	c := &Command{GroupTime: d.now, WallTime: Timestamp(d.now / time.Millisecond)}
 	m := &d.fleet[d.rng.IntN(len(d.fleet))]
 	switch roll := d.rng.IntN(40); {
 	case roll < 10:
 		if m.Phase = Phase(d.rng.IntN(5)); d.rng.IntN(3) > 0 {
-			m.Phase = Warm
+			m.Phase = PhaseWarm
 		}
-		c.Look = s.Diff(d.fleet)
-		c.Look.From, c.Look.Group, c.Look.Served = d.now, 12, Part(900+d.rng.IntN(10))
-		if c.Look.After -= uint64(d.rng.IntN(20) / 19); d.rng.IntN(30) == 0 {
-			c.Look.Zones = []Zone{{Name: "z0", State: ZoneState(1 + d.rng.IntN(3))}}
+		c.Observation = s.Diff(d.fleet)
+		c.Observation.MeasuredAt, c.Observation.RingSize, c.Observation.ServedFraction = d.now, 12, Fraction(900+d.rng.IntN(10))
+		if c.Observation.Base -= uint64(d.rng.IntN(20) / 19); d.rng.IntN(30) == 0 {
+			c.Observation.Zones = []Zone{{Name: "z0", State: ZoneState(1 + d.rng.IntN(3))}}
 		}
 	case roll < 37:
 		t := s.turns[m.Host]
-		c.Word = &Word{Host: m.Host, Name: m.Host, Verb: Ask, Nonce: 1 + uint64(d.rng.IntN(50)/49)}
+		c.Request = &Request{Host: m.Host, Name: m.Host, Type: RequestAcquire, Nonce: 1 + uint64(d.rng.IntN(50)/49)}
 		if t != nil && t.Stage.holds() {
-			c.Word.Fence = t.Fence - uint64(d.rng.IntN(10)/9)
-			c.Word.Verb = Begin + Verb(d.rng.IntN(4))
-			if next, ok := map[Stage]Verb{Granted: Begin, Drained: Go, Out: Back, Recalled: Here}[t.Stage]; ok && d.rng.IntN(3) > 0 {
-				c.Word.Verb = next
-			} else if t.Stage == Draining && d.rng.IntN(2) > 0 {
-				m.Phase = Idle
+			c.Request.FencingToken = t.FencingToken - uint64(d.rng.IntN(10)/9)
+			c.Request.Type = RequestStartDrain + RequestType(d.rng.IntN(4))
+			if next, ok := map[Stage]RequestType{StageGranted: RequestStartDrain, StageDrained: RequestStartWork, StageOut: RequestFinishWork, StageRecalled: RequestConfirmUndrain}[t.Stage]; ok && d.rng.IntN(3) > 0 {
+				c.Request.Type = next
+			} else if t.Stage == StageDraining && d.rng.IntN(2) > 0 {
+				m.Phase = PhaseIdle
 			}
 		}
 	case roll == 37:
 		c.Resume = &Resume{}
 	case roll == 38 && d.rng.IntN(4) == 0:
-		c.Drop = &Drop{Host: m.Host}
+		c.DropLease = &DropLease{Host: m.Host}
 	case roll == 38 && d.rng.IntN(4) == 0:
-		c.Adopt = &Adopt{Host: m.Host, Name: "x"}
+		c.AdoptName = &AdoptName{Host: m.Host, Name: "x"}
 	default:
-		c.Load = &Load{Version: s.version + uint64(d.rng.IntN(2)), Plan: d.plan}
+		c.LoadPlan = &LoadPlan{Version: s.version + uint64(d.rng.IntN(2)), Plan: d.plan}
 	}
 	return c
 }
@@ -90,7 +90,7 @@
 	b, zones, sum, lost, voters := d.plan.Bounds, map[string]uint64{}, uint64(0), uint64(0), 0
 	me, inZone, ofZone, ring := s.fleet[host], 0, 0, make([]int, 12)
 	away := func(m *machine) int {
-		if t := s.turns[m.Host]; m.Phase != Warm || t != nil && t.Stage.holds() {
+		if t := s.turns[m.Host]; m.Phase != PhaseWarm || t != nil && t.Stage.holds() {
 			return 1
 		}
 		return 0
@@ -105,13 +105,13 @@
 		if m.Kind == me.Kind && m.Zone == me.Zone {
 			ofZone, inZone = ofZone+1, inZone+away(m)
 		}
-		if m.Kind == me.Kind && s.zones[m.Zone] != Closed {
+		if m.Kind == me.Kind && s.zones[m.Zone] != ZoneClosed {
 			zones[m.Zone] += uint64(m.Capacity)
 			sum, lost = sum+uint64(m.Capacity), lost+uint64(away(m))*uint64(m.Capacity)
 		}
 	}
-	most := func(p Part, n int) int {
-		if k := n * int(p) / 1000; k > 0 || !b.One || n < 2 {
+	most := func(p Fraction, n int) int {
+		if k := n * int(p) / 1000; k > 0 || !b.AllowOne || n < 2 {
 			return k
 		}
 		return 1
@@ -124,33 +124,33 @@
 		worst = 0
 	}
 	switch {
-	case inZone > most(b.Zone, ofZone):
+	case inZone > most(b.MaxZoneFraction, ofZone):
 		return "zone"
-	case lost*1000 > (sum-worst)*uint64(b.Warm):
+	case lost*1000 > (sum-worst)*uint64(b.MaxCapacityFraction):
 		return "warm"
 	case me.Voter && voters > 1:
 		return "voters"
-	case s.zones[me.Zone] != Whole:
+	case s.zones[me.Zone] != ZoneHealthy:
 		return "zone's state"
 	}
-	for _, size := range b.Sets {
+	for _, size := range b.SetSizes {
 		for first := range ring {
 			n, mine := 0, false
 			for i := range size {
 				n, mine = n+ring[(first+i)%12], mine || (first+i)%12 == me.Index
 			}
-			if mine && me.Kind == Node && n > most(b.Set, size) {
+			if mine && me.Kind == Node && n > most(b.MaxSetFraction, size) {
 				return "set"
 			}
 		}
 	}
 	group := 0
-	for _, h := range d.plan.Apart[0].Hosts {
+	for _, h := range d.plan.AntiAffinityGroups[0].Hosts {
 		if m := s.fleet[h]; m != nil {
 			group += away(m)
 		}
 	}
-	if (host == "h0" || host == "h1" || host == "h2") && group > d.plan.Apart[0].Most {
+	if (host == "h0" || host == "h1" || host == "h2") && group > d.plan.AntiAffinityGroups[0].MaxUnavailable {
 		return "group"
 	}
 	return ""
@@ -160,7 +160,7 @@
 // looks at every grant.
 func (d *drawn) play(t require.TestingT, planted bool) (broken string) {
 	s := New()
-	require.NoError(t, s.Apply(&Command{Load: &Load{Version: 1, Plan: d.plan}}).Err)
+	require.NoError(t, s.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: d.plan}}).Err)
 	fence := uint64(0)
 	for range 80 {
 		c := d.command(s)
@@ -186,7 +186,7 @@
 		}
 		other := twin.Apply(read)
 		require.Equal(t, r.Granted, other.Granted)
-		require.Equal(t, r.Answer, other.Answer)
+		require.Equal(t, r.Response, other.Response)
 		a, err := s.Snapshot()
 		require.NoError(t, err)
 		b, err := twin.Snapshot()
@@ -199,8 +199,8 @@
 		fence = s.fence
 		held := map[uint64]bool{}
 		for _, turn := range s.held() {
-			require.False(t, held[turn.Fence], "two turns under number %d", turn.Fence)
-			held[turn.Fence] = true
+			require.False(t, held[turn.FencingToken], "two turns under number %d", turn.FencingToken)
+			held[turn.FencingToken] = true
 		}
 		s.Forecast()
 		s.Status(3)
@@ -240,16 +240,16 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, c := range []*Command{{Load: &Load{Version: 1, Plan: threePlan}}, {Word: &Word{Host: "a", Name: "a", Verb: Go, Fence: 3}},
-		{Look: &Look{Group: 3, Machines: []Machine{{Host: "a", Name: "a", Zone: "z", Capacity: 1}}}}, {Halt: &Halt{Why: "x"}},
-		{Uplinks: &Uplinks{Windows: []Uplink{{Zone: "z", To: 4}}}}} {
+	for _, c := range []*Command{{LoadPlan: &LoadPlan{Version: 1, Plan: threePlan}}, {Request: &Request{Host: "a", Name: "a", Type: RequestStartWork, FencingToken: 3}},
+		{Observation: &Observation{RingSize: 3, Machines: []Machine{{Host: "a", Name: "a", Zone: "z", Capacity: 1}}}}, {Halt: &Halt{Reason: "x"}},
+		{Uplinks: &UplinkCalendar{Windows: []UplinkWindow{{Zone: "z", End: 4}}}}} {
 		raw, err := c.Encode()
 		require.NoError(f, err)
 		f.Add(raw)
 	}
 	s := New()
-	s.Apply(&Command{Load: &Load{Version: 1, Plan: threePlan}})
-	s.Apply(&Command{Word: &Word{Host: "n0", Name: "n0", Verb: Ask, Nonce: 4}})
+	s.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: threePlan}})
+	s.Apply(&Command{Request: &Request{Host: "n0", Name: "n0", Type: RequestAcquire, Nonce: 4}})
 	state, err := s.Snapshot()
 	require.NoError(f, err)
 	f.Add(state)
@@ -268,11 +268,11 @@
 			require.NoError(t, err)
 			twin, err := Restore(again)
 			require.NoError(t, err)
-			require.Equal(t, s.Answer("n0"), twin.Answer("n0"))
+			require.Equal(t, s.Response("n0"), twin.Response("n0"))
 			s.Forecast()
 		}
-		if a, err := DecodeAnswer(raw); err == nil {
-			NewAgent("n0", "n0", 4, false).Hear(1, 1, *a)
+		if a, err := DecodeResponse(raw); err == nil {
+			NewAgent("n0", "n0", 4, false).HandleResponse(1, 1, *a)
 		}
 	})
 }
--- a/fleet/maintenance/world_test.go
+++ b/fleet/maintenance/world_test.go
@@ -32,9 +32,9 @@
 // letter is a message on its way: a word, its answer, or a look.
 type letter struct {
 	host   int
-	word   *Word
-	look   *Look
-	answer *Answer
+	word   *Request
+	look   *Observation
+	answer *Response
 	nonce  uint64        // of the process that asked
 	asked  time.Duration // on its clock
 }
@@ -55,14 +55,14 @@
 
 func skew(i int) time.Duration { return time.Duration(i) * time.Hour }
 
-var threePlan = &Plan{Grant: Span(4 * tick), Drain: Span(time.Second), Warm: Span(time.Second),
-	Bounds:  Bounds{Zone: 1000, Set: 340, Sets: []int{3}, Warm: 1000},
-	Trouble: Trouble{Served: 20, Lost: Span(time.Second), Resume: ByRule},
-	Jobs:    []Job{{Name: "disk", Hosts: []string{"n[0-2]"}, Length: Span(time.Minute)}}}
+var threePlan = &Plan{GrantTimeout: Duration(4 * tick), DrainDuration: Duration(time.Second), WarmUpDuration: Duration(time.Second),
+	Bounds:     Bounds{MaxZoneFraction: 1000, MaxSetFraction: 340, SetSizes: []int{3}, MaxCapacityFraction: 1000},
+	HaltPolicy: HaltPolicy{MaxServedDrop: 20, MaxNoMajorityDuration: Duration(time.Second), ResumeMode: ResumeAutomatically},
+	Jobs:       []Job{{Name: "disk", Hosts: []string{"n[0-2]"}, WorkDuration: Duration(time.Minute)}}}
 
 var (
 	hosts  = [...]string{"n0", "n1", "n2"}
-	phases = [...]Phase{serves: Warm, drains: Idle, isOut: Gone, isCold: Cold}
+	phases = [...]Phase{serves: PhaseWarm, drains: PhaseIdle, isOut: PhaseGone, isCold: PhaseCold}
 )
 
 func host(i int) string { return hosts[i] }
@@ -71,7 +71,7 @@
 func newWorld(t *testing.T) *world {
 	w := &world{inAir: inAir, now: gather} // the plan has waited for its hosts
 	s := New()
-	require.NoError(t, s.Apply(&Command{Load: &Load{Version: 1, Plan: threePlan}}).Err)
+	require.NoError(t, s.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: threePlan}}).Err)
 	for i := range w.agents {
 		w.start(i)
 	}
@@ -84,7 +84,7 @@
 func (s *State) clone() *State {
 	c := *s
 	c.zones, c.done, c.yard = maps.Clone(s.zones), maps.Clone(s.done), s.yard.clone()
-	c.turns, c.fleet = make(map[string]*Turn, 3), make(map[string]*machine, 3)
+	c.turns, c.fleet = make(map[string]*Lease, 3), make(map[string]*machine, 3)
 	for h, t := range s.turns {
 		copied := *t
 		c.turns[h] = &copied
@@ -113,14 +113,14 @@
 		if w.paused[i] || w.truth[i] == isOut {
 			continue
 		}
-		w.act(i, w.agents[i].Look(w.now+skew(i)))
+		w.act(i, w.agents[i].CheckTimeout(w.now+skew(i)))
 		if len(w.air) < w.inAir {
-			word := w.agents[i].Next(w.now + skew(i))
+			word := w.agents[i].NextRequest(w.now + skew(i))
 			w.air = append(w.air, letter{host: i, word: &word, nonce: w.agents[i].nonce, asked: w.now + skew(i)})
 		}
 	}
 	l := s.Diff(w.observe())
-	l.From, l.Group, l.Served = w.now, 3, 900
+	l.MeasuredAt, l.RingSize, l.ServedFraction = w.now, 3, 900
 	w.air = append(w.air, letter{look: l})
 }
 
@@ -131,13 +131,13 @@
 	return seen
 }
 
-func (w *world) act(i int, a Act) {
+func (w *world) act(i int, a Action) {
 	switch a {
-	case Drain:
+	case ActionDrain:
 		w.truth[i] = drains
-	case Undrain:
+	case ActionUndrain:
 		w.truth[i] = serves
-	case Leave:
+	case ActionLeave:
 		w.truth[i] = isOut
 	}
 }
@@ -147,27 +147,27 @@
 	at := w.now + time.Millisecond // later than what was measured now
 	switch {
 	case l.look != nil:
-		s.Apply(&Command{At: at, Look: l.look})
+		s.Apply(&Command{GroupTime: at, Observation: l.look})
 	case l.answer != nil:
 		a := &w.agents[l.host]
 		if a.nonce != l.nonce || w.truth[l.host] == isOut {
 			return // its connection ended with its process
 		}
 		if bug == "old answers act" {
-			a.heard, a.ended, a.last.Fence = 0, 0, 0
-			l.answer.Left = time.Hour
+			a.heard, a.ended, a.last.FencingToken = 0, 0, 0
+			l.answer.TTL = time.Hour
 		}
-		w.act(l.host, a.Hear(w.now+skew(l.host), l.asked, *l.answer))
+		w.act(l.host, a.HandleResponse(w.now+skew(l.host), l.asked, *l.answer))
 	default:
 		word := *l.word
-		if t := s.turns[word.Host]; bug == "old words count" && t != nil && word.Verb > Ask {
-			word.Fence = t.Fence
+		if t := s.turns[word.Host]; bug == "old words count" && t != nil && word.Type > RequestAcquire {
+			word.FencingToken = t.FencingToken
 		}
-		answer := s.Answer(word.Host)
-		if word.Verb != Poll {
-			answer = s.Apply(&Command{At: at, Word: &word}).Answer
+		answer := s.Response(word.Host)
+		if word.Type != RequestPoll {
+			answer = s.Apply(&Command{GroupTime: at, Request: &word}).Response
 		}
-		if t := s.turns[word.Host]; bug == "back is returned" && t != nil && t.Stage == Arrived {
+		if t := s.turns[word.Host]; bug == "back is returned" && t != nil && t.Stage == StageArrived {
 			s.finish(t)
 		}
 		w.air = append(w.air, letter{host: l.host, answer: &answer, nonce: l.nonce, asked: l.asked})
@@ -218,7 +218,7 @@
 		w.start(i)
 	case 1: // it stands still, or wakes and looks at its clock first
 		if w.paused[i] = !w.paused[i]; !w.paused[i] {
-			w.act(i, w.agents[i].Look(w.now+skew(i)))
+			w.act(i, w.agents[i].CheckTimeout(w.now+skew(i)))
 		}
 	case 2: // it loses the council, or somebody resumes
 		if w.paused[i] {
@@ -227,14 +227,14 @@
 		w.air = slices.DeleteFunc(slices.Clone(w.air), func(l letter) bool { return l.look == nil && l.host == i })
 	default:
 		if i == 1 {
-			s.Apply(&Command{At: w.now, Halt: &Halt{}})
+			s.Apply(&Command{GroupTime: w.now, Halt: &Halt{}})
 			break
 		}
 		// The leader dies: what it had proposed and nobody took is gone.
 		w.air = slices.DeleteFunc(slices.Clone(w.air), func(l letter) bool { return l.answer == nil })
 		if bug == "a turn is forgotten" {
 			for _, t := range s.held() {
-				s.turn(t, Asked)
+				s.turn(t, StageRequested)
 			}
 		}
 	}
@@ -272,7 +272,7 @@
 		}
 		return 0
 	}
-	answer := func(a *Answer) { put(uint64(a.Stage), a.Fence, a.Nonce, uint64(a.Left)) }
+	answer := func(a *Response) { put(uint64(a.Stage), a.FencingToken, a.Nonce, uint64(a.TTL)) }
 	s := w.state
 	put(uint64(w.now), uint64(w.faults), uint64(s.now), uint64(s.seen), s.fence, s.looks, uint64(len(s.halt.hand)), uint64(len(s.halt.trouble)))
 	for i := range w.agents {
@@ -280,7 +280,7 @@
 		put(uint64(w.truth[i]), uint64(w.warm[i]), bit(w.paused[i]), a.nonce, bit(a.asked), uint64(a.heard), a.ended, bit(a.drains), bit(a.out))
 		answer(&a.last)
 		if t := s.turns[host(i)]; t != nil {
-			put(uint64(t.Stage), t.Fence, t.Nonce, uint64(t.Since), uint64(t.Until), bit(t.Said), bit(t.Absent), uint64(t.GivenUp))
+			put(uint64(t.Stage), t.FencingToken, t.Nonce, uint64(t.StageSince), uint64(t.TimerAt), bit(t.UndrainConfirmed), bit(t.SeenGone), uint64(t.UnusedGrants))
 		}
 		if m := s.fleet[host(i)]; m != nil {
 			put(uint64(m.Phase), uint64(m.at))
@@ -290,11 +290,11 @@
 		put(uint64(l.host), l.nonce, uint64(l.asked))
 		switch {
 		case l.word != nil:
-			put(uint64(l.word.Verb), l.word.Fence, l.word.Nonce)
+			put(uint64(l.word.Type), l.word.FencingToken, l.word.Nonce)
 		case l.answer != nil:
 			answer(l.answer)
 		default:
-			put(l.look.After, uint64(l.look.From))
+			put(l.look.Base, uint64(l.look.MeasuredAt))
 			for _, m := range l.look.Machines {
 				put(uint64(m.Index), uint64(m.Phase))
 			}
--- a/internal/testbed/maintenanceday/best.go
+++ b/internal/testbed/maintenanceday/best.go
@@ -37,7 +37,7 @@
 }
 
 func newBest(d *Day) *best {
-	b := &best{d: d, ring: make([]int, d.Nodes), sets: d.Plan.Bounds.Sets}
+	b := &best{d: d, ring: make([]int, d.Nodes), sets: d.Plan.Bounds.SetSizes}
 	places := map[string]int{}
 	var sizes []int
 	of := map[string]*Machine{}
@@ -52,20 +52,20 @@
 		sizes[places[key]]++
 	}
 	for _, n := range sizes {
-		b.most = append(b.most, max(1, n*int(d.Plan.Bounds.Zone)/1000))
+		b.most = append(b.most, max(1, n*int(d.Plan.Bounds.MaxZoneFraction)/1000))
 	}
 	b.warm = [2]uint64{d.warm(maintenance.Node), d.warm(maintenance.Server)}
 	for _, j := range d.Plan.Jobs {
 		for _, h := range j.Hosts {
 			m := of[h]
 			it := item{Machine: m, takes: (m.Drain + m.Out + max(m.Warmup, 20*time.Second)).Milliseconds(), place: places[m.Zone+m.Kind.String()],
-				need: time.Duration(d.Plan.Drain + j.Length + d.Plan.Warm + d.Plan.Bounds.Uplink).Milliseconds()}
+				need: time.Duration(d.Plan.DrainDuration + j.WorkDuration + d.Plan.WarmUpDuration + d.Plan.Bounds.UplinkMargin).Milliseconds()}
 			for _, u := range d.Uplinks {
 				if u.Zone == m.Zone {
-					it.window = [2]int64{int64(u.From - begin), int64(u.To - begin)}
+					it.window = [2]int64{int64(u.Start - begin), int64(u.End - begin)}
 				}
 			}
-			for i, g := range d.Plan.Apart {
+			for i, g := range d.Plan.AntiAffinityGroups {
 				if slices.Contains(g.Hosts, h) {
 					it.groups = append(it.groups, i)
 				}
@@ -73,11 +73,11 @@
 			b.items = append(b.items, it)
 		}
 	}
-	for _, g := range d.Plan.Apart {
-		b.groups = append(b.groups, g.Most)
+	for _, g := range d.Plan.AntiAffinityGroups {
+		b.groups = append(b.groups, g.MaxUnavailable)
 	}
 	if d.Lost != "" {
-		b.halt = [2]int64{d.At.Milliseconds(), (d.At + d.For + time.Duration(d.Plan.Trouble.Calm)).Milliseconds()}
+		b.halt = [2]int64{d.At.Milliseconds(), (d.At + d.For + time.Duration(d.Plan.HaltPolicy.ResumeDelay)).Milliseconds()}
 	}
 	return b
 }
@@ -115,7 +115,7 @@
 	}
 	n := len(b.ring)
 	for _, size := range b.sets {
-		most, in := max(1, size*int(b.d.Plan.Bounds.Set)/1000), 1
+		most, in := max(1, size*int(b.d.Plan.Bounds.MaxSetFraction)/1000), 1
 		for i := range size {
 			in += b.ring[(it.Index-i+n)%n]
 		}
@@ -268,7 +268,7 @@
 		for first := range b.ring {
 			per(func(it *item) float64 {
 				return one(it.Kind == maintenance.Node && (it.Index-first+len(b.ring))%len(b.ring) < size)
-			}, float64(max(1, size*int(d.Plan.Bounds.Set)/1000)))
+			}, float64(max(1, size*int(d.Plan.Bounds.MaxSetFraction)/1000)))
 		}
 	}
 	for i := range b.items {
--- a/internal/testbed/maintenanceday/day.go
+++ b/internal/testbed/maintenanceday/day.go
@@ -27,14 +27,14 @@
 	Nodes    int
 	Plan     *maintenance.Plan
 	Followed *maintenance.Plan // by the state machine, where another than it is judged by
-	Uplinks  []maintenance.Uplink
+	Uplinks  []maintenance.UplinkWindow
 	Lost     string // a zone that is lost, from At for For; "" is none
 	At, For  time.Duration
 	Loss     float64 // part of the messages of agents
 }
 
 // begin is the wall time at which a day begins, in Unix milliseconds.
-const begin = maintenance.Moment(1_790_000_000_000)
+const begin = maintenance.Timestamp(1_790_000_000_000)
 
 // Draw makes a day of a fleet of some machines, three in five of them edge nodes, a third of either
 // in the plan.
@@ -47,7 +47,7 @@
 	}
 	voters := map[int]bool{}
 	for i := range machines {
-		m := Machine{Machine: maintenance.Machine{Kind: maintenance.Server, Zone: fmt.Sprint("hall-", pick(rng, share)), Capacity: 50 * uint32(2+rng.IntN(4)), Phase: maintenance.Warm}}
+		m := Machine{Machine: maintenance.Machine{Kind: maintenance.Server, Zone: fmt.Sprint("hall-", pick(rng, share)), Capacity: 50 * uint32(2+rng.IntN(4)), Phase: maintenance.PhaseWarm}}
 		m.Host = fmt.Sprintf("rate-%05d", i-d.Nodes)
 		if i < d.Nodes {
 			m.Kind, m.Host, m.Index, m.Capacity = maintenance.Node, fmt.Sprintf("edge-%05d", i), i, 100
@@ -69,7 +69,7 @@
 func (d *Day) widen() {
 	for _, m := range d.Machines {
 		for m.Work && d.warm(m.Kind) < uint64(m.Capacity) {
-			d.Plan.Bounds.Warm += 10
+			d.Plan.Bounds.MaxCapacityFraction += 10
 		}
 	}
 }
@@ -83,7 +83,7 @@
 			sum, worst = sum+uint64(m.Capacity), max(worst, zones[m.Zone])
 		}
 	}
-	return (sum - worst) * uint64(d.Plan.Bounds.Warm) / 1000
+	return (sum - worst) * uint64(d.Plan.Bounds.MaxCapacityFraction) / 1000
 }
 
 func pick(rng *rand.Rand, share []float64) int {
@@ -105,12 +105,12 @@
 	span := func(least, most time.Duration) time.Duration {
 		return (least + time.Duration(rng.Int64N(int64(most-least)))).Round(time.Second)
 	}
-	p := &maintenance.Plan{Grant: maintenance.Span(20 * time.Second), Drain: maintenance.Span(6 * time.Second), Warm: maintenance.Span(45 * time.Second),
-		Bounds: maintenance.Bounds{Zone: maintenance.Part(100 + rng.IntN(150)), Set: maintenance.Part(340 + rng.IntN(160)), Sets: []int{3, 5, 8},
-			Warm: maintenance.Part(100 + rng.IntN(150)), One: true, Uplink: maintenance.Span(5 * time.Minute)},
-		Trouble: maintenance.Trouble{Served: 50, Lost: maintenance.Span(time.Second), Resume: maintenance.ByRule, Calm: maintenance.Span(30 * time.Second)},
-		Jobs: []maintenance.Job{{Name: "kernel", Length: maintenance.Span(span(8*time.Minute, 15*time.Minute))},
-			{Name: "power", Length: maintenance.Span(span(15*time.Minute, 30*time.Minute))}, {Name: "disks", Length: maintenance.Span(span(3*time.Minute, 8*time.Minute))}}}
+	p := &maintenance.Plan{GrantTimeout: maintenance.Duration(20 * time.Second), DrainDuration: maintenance.Duration(6 * time.Second), WarmUpDuration: maintenance.Duration(45 * time.Second),
+		Bounds: maintenance.Bounds{MaxZoneFraction: maintenance.Fraction(100 + rng.IntN(150)), MaxSetFraction: maintenance.Fraction(340 + rng.IntN(160)), SetSizes: []int{3, 5, 8},
+			MaxCapacityFraction: maintenance.Fraction(100 + rng.IntN(150)), AllowOne: true, UplinkMargin: maintenance.Duration(5 * time.Minute)},
+		HaltPolicy: maintenance.HaltPolicy{MaxServedDrop: 50, MaxNoMajorityDuration: maintenance.Duration(time.Second), ResumeMode: maintenance.ResumeAutomatically, ResumeDelay: maintenance.Duration(30 * time.Second)},
+		Jobs: []maintenance.Job{{Name: "kernel", WorkDuration: maintenance.Duration(span(8*time.Minute, 15*time.Minute))},
+			{Name: "power", WorkDuration: maintenance.Duration(span(15*time.Minute, 30*time.Minute))}, {Name: "disks", WorkDuration: maintenance.Duration(span(3*time.Minute, 8*time.Minute))}}}
 	var nodes, servers []string
 	beside := map[string]int{}
 	for _, m := range d.Machines {
@@ -131,7 +131,7 @@
 		*group = append(*group, m.Host)
 		j := &p.Jobs[pick(rng, []float64{0.5, 0.3, 0.2})]
 		j.Hosts = append(j.Hosts, m.Host)
-		m.Work, m.Out = true, time.Duration(float64(j.Length)*(0.8+0.4*rng.Float64()))
+		m.Work, m.Out = true, time.Duration(float64(j.WorkDuration)*(0.8+0.4*rng.Float64()))
 		if rng.IntN(50) == 0 {
 			m.Out *= 2 // it runs over
 		}
@@ -140,10 +140,10 @@
 		}
 	}
 	for i := 0; i+1 < min(len(nodes), len(servers)) && i < 8; i += 2 {
-		p.Apart = append(p.Apart, maintenance.Apart{Name: fmt.Sprint("sources-", i), Hosts: nodes[i : i+2], Most: 1},
-			maintenance.Apart{Name: fmt.Sprint("spread-", i), Hosts: servers[i : i+2], Most: 1})
+		p.AntiAffinityGroups = append(p.AntiAffinityGroups, maintenance.AntiAffinityGroup{Name: fmt.Sprint("sources-", i), Hosts: nodes[i : i+2], MaxUnavailable: 1},
+			maintenance.AntiAffinityGroup{Name: fmt.Sprint("spread-", i), Hosts: servers[i : i+2], MaxUnavailable: 1})
 	}
 	p.Jobs = slices.DeleteFunc(p.Jobs, func(j maintenance.Job) bool { return len(j.Hosts) == 0 })
 	d.Plan = p
-	d.Uplinks = []maintenance.Uplink{{Zone: fmt.Sprint("hall-", rng.IntN(zones)), From: begin + 40*60_000, To: begin + 50*60_000}}
+	d.Uplinks = []maintenance.UplinkWindow{{Zone: fmt.Sprint("hall-", rng.IntN(zones)), Start: begin + 40*60_000, End: begin + 50*60_000}}
 }
--- a/internal/testbed/maintenanceday/judge.go
+++ b/internal/testbed/maintenanceday/judge.go
@@ -16,7 +16,7 @@
 		{Name: "broken", Value: float64(len(p.Broken)), Unit: "bounds"},
 		{Name: "makespan", Value: took / 60, Unit: "min"},
 		{Name: "over_bound", Value: took / bound, Unit: "times a lower bound"},
-		{Name: "forecast", Value: float64(p.Forecast.Done-begin) / 1000 / took, Unit: "of the makespan, as said at the plan's acceptance"},
+		{Name: "forecast", Value: float64(p.Forecast.DoneAt-begin) / 1000 / took, Unit: "of the makespan, as said at the plan's acceptance"},
 		{Name: "most_away", Value: float64(p.Most), Unit: "machines"},
 		{Name: "halts", Value: float64(p.Halts)},
 		{Name: "recalled", Value: float64(p.Recalled), Unit: "drains"},
@@ -70,17 +70,17 @@
 		}
 	}
 	p.Most = max(p.Most, away)
-	part := func(p maintenance.Part, n int) int { return max(1, n*int(p)/1000) }
-	broken("its zone", inZone, part(b.Zone, ofZone))
+	part := func(p maintenance.Fraction, n int) int { return max(1, n*int(p)/1000) }
+	broken("its zone", inZone, part(b.MaxZoneFraction, ofZone))
 	sum, worst := uint64(0), uint64(0)
 	for _, c := range zones {
 		sum, worst = sum+c, max(worst, c)
 	}
-	broken("warm capacity", int(lost), int((sum-worst)*uint64(b.Warm)/1000))
+	broken("warm capacity", int(lost), int((sum-worst)*uint64(b.MaxCapacityFraction)/1000))
 	if a.Voter {
 		broken("voters", voters, 1)
 	}
-	for _, size := range b.Sets {
+	for _, size := range b.SetSizes {
 		for first := 0; a.Kind == maintenance.Node && first < len(ring); first++ {
 			n, has := 0, false
 			for i := range size {
@@ -91,23 +91,23 @@
 				}
 			}
 			if has {
-				broken("a customer's set", n, part(b.Set, size))
+				broken("a customer's set", n, part(b.MaxSetFraction, size))
 			}
 		}
 	}
-	for _, group := range p.d.Plan.Apart {
+	for _, group := range p.d.Plan.AntiAffinityGroups {
 		if n := 0; slices.Contains(group.Hosts, a.Host) {
 			for _, h := range group.Hosts {
 				if gone(p.of[h]) {
 					n++
 				}
 			}
-			broken(group.Name, n, group.Most)
+			broken(group.Name, n, group.MaxUnavailable)
 		}
 	}
 	wall := int64(begin) + p.now.Milliseconds()
 	for _, u := range p.d.Uplinks {
-		if ends := wall + p.planned(a).Milliseconds() + time.Duration(b.Uplink).Milliseconds() - 1000; u.Zone == a.Zone && wall < int64(u.To) && ends > int64(u.From) {
+		if ends := wall + p.planned(a).Milliseconds() + time.Duration(b.UplinkMargin).Milliseconds() - 1000; u.Zone == a.Zone && wall < int64(u.End) && ends > int64(u.Start) {
 			broken("a window", 1, 0)
 		}
 	}
@@ -120,7 +120,7 @@
 func (p *Play) planned(a *actor) time.Duration {
 	for _, j := range p.d.Plan.Jobs {
 		if slices.Contains(j.Hosts, a.Host) {
-			return time.Duration(p.d.Plan.Drain + j.Length + p.d.Plan.Warm)
+			return time.Duration(p.d.Plan.DrainDuration + j.WorkDuration + p.d.Plan.WarmUpDuration)
 		}
 	}
 	return 0
--- a/internal/testbed/maintenanceday/play.go
+++ b/internal/testbed/maintenanceday/play.go
@@ -78,8 +78,8 @@
 	if err := p.look(); err != nil {
 		return p, err
 	}
-	p.apply(&maintenance.Command{Uplinks: &maintenance.Uplinks{Windows: d.Uplinks}})
-	r := p.apply(&maintenance.Command{Load: &maintenance.Load{Version: 1, Plan: cmp.Or(d.Followed, d.Plan)}})
+	p.apply(&maintenance.Command{Uplinks: &maintenance.UplinkCalendar{Windows: d.Uplinks}})
+	r := p.apply(&maintenance.Command{LoadPlan: &maintenance.LoadPlan{Version: 1, Plan: cmp.Or(d.Followed, d.Plan)}})
 	if p.Forecast = r.Forecast; r.Err != nil {
 		return p, r.Err
 	}
@@ -141,47 +141,47 @@
 		if a.agent == nil || a.truth == isDown && a.Kind == maintenance.Node || a.truth == isOut && a.Kind == maintenance.Node {
 			continue
 		}
-		p.act(a, a.agent.Look(p.now))
+		p.act(a, a.agent.CheckTimeout(p.now))
 		if p.now < a.next {
 			continue
 		}
-		w, answer := a.agent.Next(p.now), p.state.Answer(a.Host)
+		w, answer := a.agent.NextRequest(p.now), p.state.Response(a.Host)
 		if a.next = p.now + step; p.rng.Float64() < p.d.Loss {
 			continue
 		}
-		if w.Verb != maintenance.Poll {
-			answer = p.apply(&maintenance.Command{Word: &w}).Answer
+		if w.Type != maintenance.RequestPoll {
+			answer = p.apply(&maintenance.Command{Request: &w}).Response
 		}
 		if p.rng.Float64() < p.d.Loss {
 			continue
 		}
-		p.act(a, a.agent.Hear(p.now, p.now, answer))
+		p.act(a, a.agent.HandleResponse(p.now, p.now, answer))
 		switch answer.Stage {
-		case maintenance.Asked, maintenance.Waiting, maintenance.Out, maintenance.Arrived, maintenance.Warming:
+		case maintenance.StageRequested, maintenance.StageWaiting, maintenance.StageOut, maintenance.StageArrived, maintenance.StageWarmingUp:
 			a.next = p.now + idleStep
-		case maintenance.Done:
+		case maintenance.StageDone:
 			a.agent = nil
 		}
 	}
 }
 
-func (p *Play) act(a *actor, act maintenance.Act) {
+func (p *Play) act(a *actor, act maintenance.Action) {
 	switch act {
-	case maintenance.Drain:
+	case maintenance.ActionDrain:
 		a.truth, a.until = drains, p.now+a.Drain
 		p.judge(a)
-	case maintenance.Undrain:
+	case maintenance.ActionUndrain:
 		if a.truth == drains {
 			a.truth = serves
 		}
 		p.Recalled++
-	case maintenance.Leave:
+	case maintenance.ActionLeave:
 		a.truth, a.until = isOut, p.now+a.Out
 	}
 }
 
 func (p *Play) apply(c *maintenance.Command) maintenance.Result {
-	c.At, c.Wall = p.now, begin+maintenance.Moment(p.now.Milliseconds())
+	c.GroupTime, c.WallTime = p.now, begin+maintenance.Timestamp(p.now.Milliseconds())
 	return p.state.Apply(c)
 }
 
@@ -192,26 +192,26 @@
 		seen[i] = a.Machine.Machine
 		switch a.truth {
 		case drains:
-			if seen[i].Phase = maintenance.Leaving; p.now >= a.until {
-				seen[i].Phase = maintenance.Idle
+			if seen[i].Phase = maintenance.PhaseDraining; p.now >= a.until {
+				seen[i].Phase = maintenance.PhaseIdle
 			}
 		case isOut, isDown:
-			seen[i].Phase = maintenance.Gone
+			seen[i].Phase = maintenance.PhaseGone
 		case isCold:
-			seen[i].Phase = maintenance.Cold
+			seen[i].Phase = maintenance.PhaseCold
 		}
 	}
 	for {
 		l := p.state.Diff(seen)
-		l.From, l.Group, l.Served = p.now, p.d.Nodes, 950
+		l.MeasuredAt, l.RingSize, l.ServedFraction = p.now, p.d.Nodes, 950
 		switch since := p.now - p.d.At; {
 		case p.d.Lost == "" || since < 0 || since > p.d.For+30*time.Second:
 		case since < p.d.For:
-			l.Zones = []maintenance.Zone{{Name: p.d.Lost, State: maintenance.Left}}
+			l.Zones = []maintenance.Zone{{Name: p.d.Lost, State: maintenance.ZoneEvacuated}}
 		default:
-			l.Zones = []maintenance.Zone{{Name: p.d.Lost, State: maintenance.Returning}}
+			l.Zones = []maintenance.Zone{{Name: p.d.Lost, State: maintenance.ZoneRecovering}}
 		}
-		c := &maintenance.Command{Look: l, At: p.now}
+		c := &maintenance.Command{Observation: l, GroupTime: p.now}
 		raw, err := c.Encode()
 		if err != nil {
 			return err
@@ -237,7 +237,7 @@
 // returns notes who has returned.
 func (p *Play) returns() error {
 	for _, a := range p.all {
-		if a.Work && a.ended == 0 && a.granted > 0 && p.state.Answer(a.Host).Stage == maintenance.Done {
+		if a.Work && a.ended == 0 && a.granted > 0 && p.state.Response(a.Host).Stage == maintenance.StageDone {
 			if a.ended = p.now; a.truth != serves {
 				p.Broken = append(p.Broken, fmt.Sprintf("%s has returned and does not serve", a.Host))
 			}
--- a/internal/testbed/maintenanceday/play_test.go
+++ b/internal/testbed/maintenanceday/play_test.go
@@ -36,9 +36,9 @@
 // The judge finds a play that goes by wider bounds than it judges by.
 func TestJudgeFindsWideBounds(t *testing.T) {
 	for what, widen := range map[string]func(*maintenance.Bounds){
-		"its zone":         func(b *maintenance.Bounds) { b.Zone = 1000 },
-		"warm capacity":    func(b *maintenance.Bounds) { b.Warm = 1000 },
-		"a customer's set": func(b *maintenance.Bounds) { b.Set = 1000 },
+		"its zone":         func(b *maintenance.Bounds) { b.MaxZoneFraction = 1000 },
+		"warm capacity":    func(b *maintenance.Bounds) { b.MaxCapacityFraction = 1000 },
+		"a customer's set": func(b *maintenance.Bounds) { b.MaxSetFraction = 1000 },
 	} {
 		d := Draw(21, 60)
 		wide := *d.Plan
@@ -58,7 +58,7 @@
 		d.Lost = ""
 		p, err := Run(d)
 		require.NoError(t, err)
-		said := time.Duration(p.Forecast.Done-begin) * time.Millisecond
+		said := time.Duration(p.Forecast.DoneAt-begin) * time.Millisecond
 		assert.InEpsilon(t, p.Makespan.Seconds(), said.Seconds(), 0.25, "seed %d: said %v, was %v", seed, said, p.Makespan)
 	}
 }
