--- a/fleet/maintenance/agent.go
+++ b/fleet/maintenance/agent.go
@@ -2,105 +2,108 @@
 
 import "time"
 
-// Act is what an agent has its machine do.
+// Action is what an agent makes its machine do.
 type Action uint8
 
-// The acts.
+// Actions of an agent.
 const (
 	ActionNone    Action = iota
 	ActionDrain          // begin the drain
-	ActionUndrain        // come back from it, and serve
-	ActionLeave          // go out: the process ends, and the work begins
+	ActionUndrain        // end the drain and serve again
+	ActionLeave          // leave service: the process exits and the work begins
 )
 
-func (a Action) String() string { return name(a, "nothing", "drain", "undrain", "leave") }
+func (a Action) String() string { return enumName(a, "nothing", "drain", "undrain", "leave") }
 
-// Agent is the part of one process that is told of its host's turn, or that takes out a rating server
-// in its name. It believes nothing but answers to what this process has asked, and acts on each only
-// for as long as it says, counted on the process's own monotonic clock from before it asked. It is
-// not safe for concurrent use.
+// Agent requests the maintenance lease of its host, either in a process on the machine or, for a
+// rating server, in a process elsewhere. It acts only on responses to its own requests, and on each
+// only for its TTL, counted on the process's monotonic clock from before the request was sent. It
+// is not safe for concurrent use.
 type Agent struct {
-	host, name string
-	nonce      uint64
-	remote     bool
-	asked      bool          // the council knows this process
-	last       Response      // the latest that counts
-	heard      time.Duration // before the last answer was asked for
-	ended      uint64        // under this number, and those before, it acts no more
-	drains     bool          // the machine drains, as it was told to
-	out        bool
+	host, name     string
+	nonce          uint64
+	remote         bool
+	registered     bool          // the leader has accepted this process
+	response       Response      // last response accepted
+	responseSentAt time.Duration // time before the request of the last response was sent
+	abandonedToken uint64        // the agent no longer acts under this fencing token or a lower one
+	draining       bool          // the machine drains on the agent's order
+	inWork         bool          // the machine has left service on the agent's order and is not back
 }
 
-// NewAgent makes the agent of a process, which the caller gives a number of its own, drawn by chance
-// and not zero. Remote is an agent that is not on the machine: its start is not the machine's return.
+// NewAgent returns the agent of a process. nonce is a random number of the process and must not be
+// 0. remote means that the agent does not run on the machine, so that the agent's start is not the
+// machine's return.
 func NewAgent(host, name string, nonce uint64, remote bool) *Agent {
 	return &Agent{host: host, name: name, nonce: nonce, remote: remote}
 }
 
-// Next is what to say now, to the council's leader; the caller remembers the time before it sent it.
+// NextRequest returns the request to send to the leader now. The caller records the time before it
+// sends it.
 func (a *Agent) NextRequest(now time.Duration) Request {
-	w := Request{Host: a.host, Name: a.name, FencingToken: a.last.FencingToken}
+	req := Request{Host: a.host, Name: a.name, FencingToken: a.response.FencingToken}
 	switch {
-	case !a.asked || (a.last.Stage == StageWaiting && !a.drains):
-		w.Type, w.Nonce, w.FencingToken = RequestAcquire, a.nonce, 0
-	case a.last.Stage.holds() && a.last.FencingToken <= a.ended:
-		w.Type, w.FencingToken = RequestConfirmUndrain, a.ended
-	case a.last.Stage == StageGranted && now < a.heard+a.last.TTL:
-		w.Type = RequestStartDrain
-	case a.last.Stage == StageDrained && a.drains:
-		w.Type = RequestStartWork
-	case a.last.Stage == StageOut && !a.out && !a.remote:
-		w.Type = RequestFinishWork
+	case !a.registered || (a.response.Stage == StageWaiting && !a.draining):
+		req.Type, req.Nonce, req.FencingToken = RequestAcquire, a.nonce, 0
+	case a.response.Stage.isHeld() && a.response.FencingToken <= a.abandonedToken:
+		req.Type, req.FencingToken = RequestConfirmUndrain, a.abandonedToken
+	case a.response.Stage == StageGranted && now < a.responseSentAt+a.response.TTL:
+		req.Type = RequestStartDrain
+	case a.response.Stage == StageDrained && a.draining:
+		req.Type = RequestStartWork
+	case a.response.Stage == StageOut && !a.inWork && !a.remote:
+		req.Type = RequestFinishWork
 	}
-	return w
+	return req
 }
 
-// Hear takes the answer to a word that was sent after asked, and says what to do.
-func (a *Agent) HandleResponse(now, asked time.Duration, r Response) Action {
+// HandleResponse handles the response to a request sent after sentAt, and returns the action to
+// take.
+func (a *Agent) HandleResponse(now, sentAt time.Duration, response Response) Action {
 	switch {
-	case r.Host == "" || asked < a.heard || now >= asked+r.TTL || (r.FencingToken != 0 && r.FencingToken < a.last.FencingToken):
-		return a.CheckTimeout(now) // too late, or overtaken
-	case r.Stage.holds() && r.Nonce != a.nonce: // another process of this host has asked since
-		a.asked = false
-		a.last, a.heard = r, asked
-		return a.stop()
+	case response.Host == "" || sentAt < a.responseSentAt || now >= sentAt+response.TTL || (response.FencingToken != 0 && response.FencingToken < a.response.FencingToken):
+		return a.CheckTimeout(now) // expired or overtaken
+	case response.Stage.isHeld() && response.Nonce != a.nonce: // another process of this host has requested the lease since
+		a.registered = false
+		a.response, a.responseSentAt = response, sentAt
+		return a.undrain()
 	}
-	a.asked, a.last, a.heard = true, r, asked
-	a.out = a.out && r.Stage == StageOut
+	a.registered, a.response, a.responseSentAt = true, response, sentAt
+	a.inWork = a.inWork && response.Stage == StageOut
 	switch {
-	case r.Stage.holds() && r.FencingToken <= a.ended: // it has come back, and says so
-	case r.Stage == StageDraining || r.Stage == StageDrained:
-		if !a.drains {
-			a.drains = true
+	case response.Stage.isHeld() && response.FencingToken <= a.abandonedToken: // undrained; the next request confirms it
+	case response.Stage == StageDraining || response.Stage == StageDrained:
+		if !a.draining {
+			a.draining = true
 			return ActionDrain
 		}
-	case r.Stage == StageOut && a.drains:
-		a.drains, a.out = false, true
+	case response.Stage == StageOut && a.draining:
+		a.draining, a.inWork = false, true
 		return ActionLeave
-	case r.Stage == StageRecalled:
-		a.ended = r.FencingToken
-		return a.stop()
+	case response.Stage == StageRecalled:
+		a.abandonedToken = response.FencingToken
+		return a.undrain()
 	default:
-		return a.stop()
+		return a.undrain()
 	}
 	return ActionNone
 }
 
-// Look has a machine that drains come back when it has heard nothing for too long; it is to be
-// called now and then, and first of all by a process that may have stood still.
+// CheckTimeout makes a draining machine undrain if the last response has expired. It is to be
+// called at short intervals, and first of all after the process may have been paused.
 func (a *Agent) CheckTimeout(now time.Duration) Action {
-	if a.drains && now >= a.heard+trust {
-		a.ended = a.last.FencingToken
-		return a.stop()
+	if a.draining && now >= a.responseSentAt+responseTTL {
+		a.abandonedToken = a.response.FencingToken
+		return a.undrain()
 	}
 	return ActionNone
 }
 
-// stop comes back from a drain.
-func (a *Agent) stop() Action {
-	if !a.drains {
+// undrain ends a drain.
+func (a *Agent) undrain() Action {
+	if !a.draining {
 		return ActionNone
 	}
-	a.drains, a.ended = false, max(a.ended, a.last.FencingToken)
+	a.draining, a.abandonedToken = false, max(a.abandonedToken, a.response.FencingToken)
 	return ActionUndrain
 }
--- a/fleet/maintenance/bounds.go
+++ b/fleet/maintenance/bounds.go
@@ -2,203 +2,206 @@
 
 import "fmt"
 
-// yard counts what is away, by all that has a bound.
-type yard struct {
-	zones  map[place]*tally
-	ring   []int // away, by a node's index in the group
-	groups []int // away, by groups that are kept apart
-	voters int   // away
+// usage counts the unavailable machines for each bound.
+type usage struct {
+	zones  map[zoneKind]*zoneUsage
+	ring   []int // unavailable edge nodes, by node index
+	groups []int // unavailable machines, by anti-affinity group
+	voters int   // unavailable voters
 }
 
-type place struct {
+type zoneKind struct {
 	zone string
 	kind Kind
 }
 
-// tally is of one kind of machine in one zone.
-type tally struct {
-	machines, away int
-	bears, lost    uint64 // requests a second, of all and of those away
+// zoneUsage is the usage of one kind of machine in one zone.
+type zoneUsage struct {
+	machines, unavailable         int
+	capacity, unavailableCapacity uint64 // requests per second of all machines, and of the unavailable ones
 }
 
-func newYard(group, groups int) yard {
-	return yard{zones: map[place]*tally{}, ring: make([]int, group), groups: make([]int, groups)}
+func newUsage(ringSize, groupCount int) usage {
+	return usage{zones: map[zoneKind]*zoneUsage{}, ring: make([]int, ringSize), groups: make([]int, groupCount)}
 }
 
-// clone is a copy to reckon ahead with.
-func (y *yard) clone() yard {
-	c := newYard(len(y.ring), len(y.groups))
-	copy(c.ring, y.ring)
-	copy(c.groups, y.groups)
-	c.voters = y.voters
-	for p, t := range y.zones {
-		copied := *t
-		c.zones[p] = &copied
+// clone returns a copy, with which a forecast looks ahead.
+func (u *usage) clone() usage {
+	c := newUsage(len(u.ring), len(u.groups))
+	copy(c.ring, u.ring)
+	copy(c.groups, u.groups)
+	c.voters = u.voters
+	for key, zone := range u.zones {
+		copied := *zone
+		c.zones[key] = &copied
 	}
 	return c
 }
 
-// add takes a machine into the fleet, or out of it, as one that is not away.
-func (y *yard) add(m *machine, n int) {
-	p := place{m.Zone, m.Kind}
-	t := y.zones[p]
-	if t == nil {
-		t = &tally{}
-		y.zones[p] = t
+// addMachine adds an available machine to the fleet (delta 1) or removes it (delta -1).
+func (u *usage) addMachine(m *machine, delta int) {
+	key := zoneKind{m.Zone, m.Kind}
+	zone := u.zones[key]
+	if zone == nil {
+		zone = &zoneUsage{}
+		u.zones[key] = zone
 	}
-	t.machines += n
-	t.bears += uint64(n) * uint64(m.Capacity)
-	if t.machines == 0 {
-		delete(y.zones, p)
+	zone.machines += delta
+	zone.capacity += uint64(delta) * uint64(m.Capacity)
+	if zone.machines == 0 {
+		delete(u.zones, key)
 	}
 }
 
-// away counts a machine that has gone (1) or come back (-1).
-func (y *yard) away(m *machine, groups []int, n int) {
-	t := y.zones[place{m.Zone, m.Kind}]
-	t.away += n
-	t.lost += uint64(n) * uint64(m.Capacity)
-	if m.Kind == Node && m.Index < len(y.ring) {
-		y.ring[m.Index] += n
+// addUnavailable counts a machine as unavailable (delta 1) or as available again (delta -1).
+func (u *usage) addUnavailable(m *machine, groups []int, delta int) {
+	zone := u.zones[zoneKind{m.Zone, m.Kind}]
+	zone.unavailable += delta
+	zone.unavailableCapacity += uint64(delta) * uint64(m.Capacity)
+	if m.Kind == Node && m.Index < len(u.ring) {
+		u.ring[m.Index] += delta
 	}
-	for _, g := range groups {
-		y.groups[g] += n
+	for _, group := range groups {
+		u.groups[group] += delta
 	}
 	if m.Voter {
-		y.voters += n
+		u.voters += delta
 	}
 }
 
-// Bound names what keeps a machine in.
+// Bound is the bound that keeps a machine in service.
 type Bound uint8
 
-// The bounds.
+// Bounds that can keep a machine in service.
 const (
 	BoundNone         Bound = iota
-	BoundPhase              // it is not warm, or not of the fleet
-	BoundZone               // of its zone too much is away
-	BoundZoneState          // its zone is not whole
-	BoundCustomerSet        // of a customer's set too much is away
-	BoundCapacity           // after the worst zone's loss too little would be warm
-	BoundAntiAffinity       // of what is kept apart too much is away
-	BoundVoters             // a voter is away
-	BoundUplink             // a window is near
+	BoundPhase              // the machine is not warm, or not part of the fleet
+	BoundZone               // too many machines of its zone would be unavailable
+	BoundZoneState          // its zone is not healthy
+	BoundCustomerSet        // too many edge nodes of a customer's set would be unavailable
+	BoundCapacity           // too little capacity would remain after the loss of the largest zone
+	BoundAntiAffinity       // too many hosts of an anti-affinity group would be unavailable
+	BoundVoters             // another voter is unavailable
+	BoundUplink             // an uplink window of its zone is too close
 )
 
 func (b Bound) String() string {
-	return name(b, "none", "phase", "zone", "zone's state", "customer's set", "warm capacity", "apart", "voters", "uplink")
+	return enumName(b, "none", "phase", "zone", "zone's state", "customer's set", "warm capacity", "apart", "voters", "uplink")
 }
 
-// bar is a bound that keeps a machine in, with the figures of it.
-type bar struct {
-	bound      Bound
-	away, most uint64 // with the machine away
-	part       int    // size of the set, or the group
+// violation is a bound that taking a machine out of service would violate, with its figures.
+type violation struct {
+	bound            Bound
+	unavailable, max uint64 // count or capacity, including the machine itself
+	subject          int    // size of the customer's set, or index of the anti-affinity group
 }
 
-// barred gives the first bound that does not hold with a machine away. Held tells that it is counted
-// as away already, as one that has a turn is.
-func (s *State) barred(y *yard, m *machine, held bool, need Duration, at Timestamp) bar {
-	b, more := &s.plan.plan.Bounds, 1
-	if held {
-		more = 0
+// firstViolation returns the first bound that would be violated with the machine unavailable, or
+// the zero value if none is. counted means that u already counts the machine as unavailable, as it
+// does for the holder of a lease. duration is the expected time out of service from wall on.
+func (s *State) firstViolation(u *usage, m *machine, counted bool, duration Duration, wall Timestamp) violation {
+	bounds, added := &s.plan.plan.Bounds, 1
+	if counted {
+		added = 0
 	} else if m.Phase != PhaseWarm {
-		return bar{bound: BoundPhase}
+		return violation{bound: BoundPhase}
 	}
 	if s.zones[m.Zone] != ZoneHealthy {
-		return bar{bound: BoundZoneState}
+		return violation{bound: BoundZoneState}
 	}
-	if t := y.zones[place{m.Zone, m.Kind}]; t.away+more > b.least(b.MaxZoneFraction, t.machines) {
-		return bar{BoundZone, uint64(t.away + more), uint64(b.least(b.MaxZoneFraction, t.machines)), 0}
+	if zone := u.zones[zoneKind{m.Zone, m.Kind}]; zone.unavailable+added > bounds.maxMachines(bounds.MaxZoneFraction, zone.machines) {
+		return violation{BoundZone, uint64(zone.unavailable + added), uint64(bounds.maxMachines(bounds.MaxZoneFraction, zone.machines)), 0}
 	}
-	if bears, lost := s.warm(y, m.Kind); (lost+uint64(more)*uint64(m.Capacity))*1000 > bears*uint64(b.MaxCapacityFraction) {
-		return bar{BoundCapacity, lost + uint64(more)*uint64(m.Capacity), bears * uint64(b.MaxCapacityFraction) / 1000, 0}
+	if remaining, unavailable := s.capacityAfterZoneLoss(u, m.Kind); (unavailable+uint64(added)*uint64(m.Capacity))*1000 > remaining*uint64(bounds.MaxCapacityFraction) {
+		return violation{BoundCapacity, unavailable + uint64(added)*uint64(m.Capacity), remaining * uint64(bounds.MaxCapacityFraction) / 1000, 0}
 	}
-	if m.Voter && y.voters+more > 1 {
-		return bar{BoundVoters, uint64(y.voters + more), 1, 0}
+	if m.Voter && u.voters+added > 1 {
+		return violation{BoundVoters, uint64(u.voters + added), 1, 0}
 	}
-	for _, g := range s.members(m.Host) {
-		if most := s.plan.groups[g].most; y.groups[g]+more > most {
-			return bar{BoundAntiAffinity, uint64(y.groups[g] + more), uint64(most), g}
+	for _, group := range s.groupsOf(m.Host) {
+		if limit := s.plan.groups[group].maxUnavailable; u.groups[group]+added > limit {
+			return violation{BoundAntiAffinity, uint64(u.groups[group] + added), uint64(limit), group}
 		}
 	}
-	if m.Kind == Node && m.Index < len(y.ring) {
-		for _, size := range b.SetSizes {
-			size = min(size, len(y.ring))
-			if worst, most := y.worstSet(m.Index, size)+more, b.least(b.MaxSetFraction, size); worst > most {
-				return bar{BoundCustomerSet, uint64(worst), uint64(most), size}
+	if m.Kind == Node && m.Index < len(u.ring) {
+		for _, size := range bounds.SetSizes {
+			size = min(size, len(u.ring))
+			if worst, limit := u.maxUnavailableInSet(m.Index, size)+added, bounds.maxMachines(bounds.MaxSetFraction, size); worst > limit {
+				return violation{BoundCustomerSet, uint64(worst), uint64(limit), size}
 			}
 		}
 	}
-	for _, u := range s.uplinks {
-		if u.Zone == m.Zone && at < u.End && at+Timestamp(need.millis()+b.UplinkMargin.millis()) > u.Start {
-			return bar{bound: BoundUplink}
+	for _, window := range s.uplinkWindows {
+		if window.Zone == m.Zone && wall < window.End && wall+Timestamp(duration.milliseconds()+bounds.UplinkMargin.milliseconds()) > window.Start {
+			return violation{bound: BoundUplink}
 		}
 	}
-	return bar{}
+	return violation{}
 }
 
-// least is the machines that a part of n allows.
-func (b *Bounds) least(p Fraction, n int) int {
-	most := p.of(n)
-	if most == 0 && b.AllowOne && n > 1 {
+// maxMachines returns how many of total machines the fraction permits.
+func (b *Bounds) maxMachines(f Fraction, total int) int {
+	limit := f.countOf(total)
+	if limit == 0 && b.AllowOne && total > 1 {
 		return 1
 	}
-	return most
+	return limit
 }
 
-// warm is what the machines of a kind bear after the worst zone's loss, and what of all is away. A
-// fleet that has them in one zone has no other to lose.
-func (s *State) warm(y *yard, k Kind) (bears, lost uint64) {
-	worst, zones := uint64(0), 0
-	for p, t := range y.zones {
-		if p.kind != k || s.zones[p.zone] == ZoneClosed {
+// capacityAfterZoneLoss returns the capacity of the machines of a kind that remains after the loss
+// of the largest zone, and the unavailable capacity in all zones, in requests per second. If all of
+// them are in one zone, no zone is subtracted.
+func (s *State) capacityAfterZoneLoss(u *usage, kind Kind) (remaining, unavailable uint64) {
+	largest, zones := uint64(0), 0
+	for key, zone := range u.zones {
+		if key.kind != kind || s.zones[key.zone] == ZoneClosed {
 			continue
 		}
 		zones++
-		bears, lost, worst = bears+t.bears, lost+t.lost, max(worst, t.bears)
+		remaining, unavailable, largest = remaining+zone.capacity, unavailable+zone.unavailableCapacity, max(largest, zone.capacity)
 	}
 	if zones > 1 {
-		bears -= worst
+		remaining -= largest
 	}
-	return bears, lost
+	return remaining, unavailable
 }
 
-// worstSet is the most that is away in a set of a size, in nodes in a row, that has an index.
-func (y *yard) worstSet(index, size int) (worst int) {
-	n, in := len(y.ring), 0
+// maxUnavailableInSet returns the highest number of unavailable edge nodes in any set of size
+// consecutive nodes that contains index.
+func (u *usage) maxUnavailableInSet(index, size int) (maxUnavailable int) {
+	ringSize, unavailable := len(u.ring), 0
 	for i := range size {
-		in += y.ring[(index-i+n)%n]
+		unavailable += u.ring[(index-i+ringSize)%ringSize]
 	}
-	worst = in
-	for i := 1; i < size; i++ { // the set moves on by one
-		in += y.ring[(index+i)%n] - y.ring[(index-size+i+n)%n]
-		worst = max(worst, in)
+	maxUnavailable = unavailable
+	for i := 1; i < size; i++ { // the set moves on by one node
+		unavailable += u.ring[(index+i)%ringSize] - u.ring[(index-size+i+ringSize)%ringSize]
+		maxUnavailable = max(maxUnavailable, unavailable)
 	}
-	return worst
+	return maxUnavailable
 }
 
-func (s Duration) millis() int64 { return int64(s) / 1e6 }
+func (d Duration) milliseconds() int64 { return int64(d) / 1e6 }
 
-// err tells a bar as operators read it.
-func (s *State) err(host string, b bar) error {
-	if b.bound == BoundNone {
+// violationError returns the violation as an error, or nil if there is none.
+func (s *State) violationError(host string, v violation) error {
+	if v.bound == BoundNone {
 		return nil
 	}
-	return s.boundError(host, b)
+	return s.boundError(host, v)
 }
 
-// boundError describes the bound that keeps a host from going.
-func (s *State) boundError(host string, b bar) *BoundError {
-	e := &BoundError{Host: host, Bound: b.bound, Unavailable: b.away, Max: b.most}
-	if m := s.fleet[host]; m != nil {
-		e.Scope = fmt.Sprintf("%s of zone %s", m.Kind, m.Zone)
+// boundError describes the bound that keeps a host in service.
+func (s *State) boundError(host string, v violation) *BoundError {
+	err := &BoundError{Host: host, Bound: v.bound, Unavailable: v.unavailable, Max: v.max}
+	if m := s.machines[host]; m != nil {
+		err.Scope = fmt.Sprintf("%s of zone %s", m.Kind, m.Zone)
 	}
-	switch b.bound {
+	switch v.bound {
 	case BoundAntiAffinity:
-		e.Scope = s.plan.groups[b.part].name
+		err.Scope = s.plan.groups[v.subject].name
 	case BoundCustomerSet:
-		e.Scope = fmt.Sprintf("a set of %d nodes", b.part)
+		err.Scope = fmt.Sprintf("a set of %d nodes", v.subject)
 	}
-	return e
+	return err
 }
--- a/fleet/maintenance/command.go
+++ b/fleet/maintenance/command.go
@@ -7,23 +7,24 @@
 	"sloestile/internal/canonical"
 )
 
-// Bounds of commands and of what they hold.
+// Limits of commands and their fields.
 const (
-	MaxCommandBytes  = 96 << 10 // bytes of a command; a work plan is the longest
-	MaxSnapshotBytes = 8 << 20
-	MaxMachines      = 16384 // of a fleet
-	lookMost         = 512   // machines in one look
-	zonesMost        = 64
-	uplinksMost      = 256
-	whyMost          = 200 // bytes of an operator's reason
+	MaxCommandBytes       = 96 << 10 // encoded command; a work plan is the longest
+	MaxSnapshotBytes      = 8 << 20
+	MaxMachines           = 16384 // machines in a fleet
+	maxObservationEntries = 512   // machines in one observation, changed and removed
+	maxZones              = 64
+	maxUplinkWindows      = 256
+	maxReasonBytes        = 200 // reason given by an operator
 )
 
-// Command is one entry of the replicated log. Exactly one of its kinds is set.
+// Command is one entry of the replicated log. Exactly one of the pointers is set.
 type Command struct {
-	// At is the council's time. It goes on only while there is a leader, and never faster than any
-	// clock: each leader counts it on its own monotonic clock, from the State's Now as it took over.
+	// GroupTime is the time of the consensus group. It advances only while there is a leader, and
+	// never faster than any clock: each leader counts it on its own monotonic clock, starting at
+	// State.Now when it took over.
 	GroupTime time.Duration `cbor:"1,keyasint"`
-	WallTime  Timestamp     `cbor:"2,keyasint"` // the leader's wall time, for deadlines and windows alone
+	WallTime  Timestamp     `cbor:"2,keyasint"` // the leader's wall time, used only for deadlines and uplink windows
 
 	LoadPlan    *LoadPlan       `cbor:"3,keyasint,omitempty"`
 	Observation *Observation    `cbor:"4,keyasint,omitempty"`
@@ -35,129 +36,137 @@
 	DropLease   *DropLease      `cbor:"10,keyasint,omitempty"`
 }
 
-// Load puts a work plan in force; without one, nothing more is let out.
+// LoadPlan puts a work plan in force. With a nil Plan no further lease is granted.
 type LoadPlan struct {
-	Version uint64 `cbor:"1,keyasint"` // of the rule set that has it; an older one than the last does nothing
+	Version uint64 `cbor:"1,keyasint"` // version of the rule set with the plan; one that is not higher than the last is rejected
 	Plan    *Plan  `cbor:"2,keyasint,omitempty"`
 }
 
-// Kind is what a machine is.
+// Kind is the kind of a machine.
 type Kind uint8
 
-// The kinds.
+// Kinds of machines.
 const (
-	Node   Kind = iota // an edge node
-	Server             // a rating server
+	Node   Kind = iota // edge node
+	Server             // rating server
 )
 
-func (k Kind) String() string { return name(k, "edge nodes", "rating servers") }
+func (k Kind) String() string { return enumName(k, "edge nodes", "rating servers") }
 
-// Phase is what others see of a machine.
+// Phase is the state of a machine as observed from outside.
 type Phase uint8
 
-// The phases.
+// Phases of a machine.
 const (
-	PhaseGone     Phase = iota // no word of it, or not in the list
-	PhaseCold                  // it is there, and held to the cold rule
-	PhaseWarm                  // it serves
-	PhaseDraining              // it takes nothing new and has work left
-	PhaseIdle                  // it takes nothing new, nobody sends to it, and it has no work
+	PhaseGone     Phase = iota // not reachable, or not listed
+	PhaseCold                  // reachable, in slow start
+	PhaseWarm                  // in service
+	PhaseDraining              // accepts no new requests and still has requests in flight
+	PhaseIdle                  // accepts no new requests, receives none and has none in flight
 )
 
-func (p Phase) String() string { return name(p, "gone", "cold", "warm", "leaving", "idle") }
+func (p Phase) String() string { return enumName(p, "gone", "cold", "warm", "leaving", "idle") }
 
-func name[T ~uint8](v T, names ...string) string {
+func enumName[T ~uint8](v T, names ...string) string {
 	if int(v) < len(names) {
 		return names[v]
 	}
 	return fmt.Sprintf("unknown (%d)", v)
 }
 
-// Machine is what is seen of one machine from outside; never its own word.
+// Machine is the state of one machine as observed from outside; it never comes from the machine
+// itself.
 type Machine struct {
 	_        struct{} `cbor:",toarray"`
-	Host     string   // by which the plan names it
-	Name     string   // of the node, or uid of the server
+	Host     string   // name of the host in the plan
+	Name     string   // name of the edge node, or UID of the rating server
 	Kind     Kind
 	Zone     string
-	Index    int // of an edge node in the group
-	Voter    bool
-	Capacity uint32 // requests a second that it bears warm
-	Load     uint32 // worth a second that it serves, in thousandths
+	Index    int    // position of an edge node in the ring of all edge nodes; 0 for a rating server
+	Voter    bool   // voter of the consensus group
+	Capacity uint32 // requests per second when warm
+	Load     uint32 // value served per second, in thousandths
 	Phase    Phase
 }
 
-// ZoneState is what is seen of a zone.
+// ZoneState is the observed state of a zone.
 type ZoneState uint8
 
-// The states of a zone.
+// States of a zone.
 const (
 	ZoneHealthy ZoneState = iota
 	ZoneEvacuated
 	ZoneRecovering
-	ZoneClosed // by hand: it counts for nothing, and is no trouble
+	ZoneClosed // closed by an operator: its capacity is not counted, and it is no fault
 )
 
-func (z ZoneState) String() string { return name(z, "whole", "left", "returning", "closed") }
+func (z ZoneState) String() string { return enumName(z, "whole", "left", "returning", "closed") }
 
-// Zone is what is seen of one zone.
+// Zone is the observed state of one zone.
 type Zone struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
 	State ZoneState
 }
 
-// Look is evidence: what of the fleet has changed since another look. All that it does not name
-// stands as it was, at From, unless it is Partial.
+// Observation is what the leader observed of the fleet: the changes since the previous observation.
+// Whatever it does not list is unchanged as of MeasuredAt, unless Partial is set.
 type Observation struct {
-	Base               uint64        `cbor:"1,keyasint"` // the number of looks before it; others were meant for another state
-	MeasuredAt         time.Duration `cbor:"2,keyasint"` // the council's time before anything of it was measured
-	Partial            bool          `cbor:"3,keyasint,omitempty"`
-	RingSize           int           `cbor:"4,keyasint"` // edge nodes in the group, by which sets go round
-	Machines           []Machine     `cbor:"5,keyasint,omitempty"`
-	Removed            []string      `cbor:"6,keyasint,omitempty"`  // hosts that are no longer of the fleet
-	Zones              []Zone        `cbor:"7,keyasint,omitempty"`  // all that are not whole
-	ServedFraction     Fraction      `cbor:"8,keyasint"`            // of what was offered in the last second
-	ServedUnknown      bool          `cbor:"9,keyasint,omitempty"`  // Served is not known
-	NoMajorityDuration time.Duration `cbor:"10,keyasint,omitempty"` // for which the council had no majority before it
+	// Base is the number of observations applied before this one. An observation with another base
+	// was meant for another state and is rejected.
+	Base           uint64        `cbor:"1,keyasint"`
+	MeasuredAt     time.Duration `cbor:"2,keyasint"`           // group time before the measurement began
+	Partial        bool          `cbor:"3,keyasint,omitempty"` // further changes did not fit
+	RingSize       int           `cbor:"4,keyasint"`           // number of edge nodes in the ring over which customers' sets extend
+	Machines       []Machine     `cbor:"5,keyasint,omitempty"`
+	Removed        []string      `cbor:"6,keyasint,omitempty"` // hosts that are no longer part of the fleet
+	Zones          []Zone        `cbor:"7,keyasint,omitempty"` // all zones that are not healthy
+	ServedFraction Fraction      `cbor:"8,keyasint"`           // fraction of the offered value that was served in the last second
+	ServedUnknown  bool          `cbor:"9,keyasint,omitempty"` // ServedFraction is not known
+	// NoMajorityDuration is the time for which the consensus group had no majority before the
+	// observation.
+	NoMajorityDuration time.Duration `cbor:"10,keyasint,omitempty"`
 }
 
-// Verb is what a machine says of its turn.
+// RequestType is the type of an agent's request.
 type RequestType uint8
 
-// The verbs. Each but Poll and Ask says under which fencing number. A Poll is answered by the leader
-// and not put into the log.
+// Types of requests. All but RequestPoll and RequestAcquire carry the lease's fencing token. The
+// leader answers a RequestPoll directly; it is not put into the log.
 const (
-	RequestPoll           RequestType = iota // what has become of its turn
-	RequestAcquire                           // a process asks for its host's turn for the first time, or anew
-	RequestStartDrain                        // it is to begin its drain
-	RequestStartWork                         // drained, it is to go out
-	RequestFinishWork                        // it is back from its work
-	RequestConfirmUndrain                    // it has come back from its drain, or never begun it, and serves
+	RequestPoll           RequestType = iota // asks for the state of the lease
+	RequestAcquire                           // requests the lease for a process, for the first time or again
+	RequestStartDrain                        // asks to begin the drain
+	RequestStartWork                         // asks to leave service after the drain
+	RequestFinishWork                        // reports that the machine is back from its work
+	RequestConfirmUndrain                    // reports that the machine serves: it was undrained or never began its drain
 )
 
-func (v RequestType) String() string { return name(v, "poll", "ask", "begin", "go", "back", "here") }
+func (t RequestType) String() string {
+	return enumName(t, "poll", "ask", "begin", "go", "back", "here")
+}
 
-// Word is what a machine's agent says. Only its being applied lets the agent act.
+// Request is a request of a machine's agent. The agent may act only after the request has been
+// applied.
 type Request struct {
 	Host         string      `cbor:"1,keyasint"`
-	Name         string      `cbor:"2,keyasint"` // as it runs now
+	Name         string      `cbor:"2,keyasint"` // current name of the node or UID of the server
 	Type         RequestType `cbor:"3,keyasint"`
 	FencingToken uint64      `cbor:"4,keyasint,omitempty"`
-	Nonce        uint64      `cbor:"5,keyasint,omitempty"` // of a process, at Ask
+	Nonce        uint64      `cbor:"5,keyasint,omitempty"` // random number of the process, set for RequestAcquire
 }
 
-// Halt lets nothing new out, and has those that drain come back.
+// Halt stops all grants and recalls the machines that drain.
 type Halt struct {
 	Reason string `cbor:"1,keyasint"`
 }
 
-// Resume ends a halt, by hand or by evidence.
+// Resume ends a halt, whether an operator or a fault caused it.
 type Resume struct {
 	Reason string `cbor:"1,keyasint"`
 }
 
-// Uplink is a window in which a site is without its uplink, or needs its machines whole.
+// UplinkWindow is a time in which a zone is without its uplink or needs all its machines.
 type UplinkWindow struct {
 	_     struct{} `cbor:",toarray"`
 	Zone  string
@@ -165,18 +174,19 @@
 	End   Timestamp
 }
 
-// Uplinks is the calendar of windows, in place of the one before.
+// UplinkCalendar replaces the list of all uplink windows.
 type UplinkCalendar struct {
 	Windows []UplinkWindow `cbor:"1,keyasint"`
 }
 
-// Adopt says by hand that a host runs under another name than the fleet knew.
+// AdoptName is an operator's order that binds a name unknown to the fleet to a host.
 type AdoptName struct {
 	Host string `cbor:"1,keyasint"`
-	Name string `cbor:"2,keyasint"` // under which it is seen now
+	Name string `cbor:"2,keyasint"` // name under which the host's machine is observed now
 }
 
-// Drop says by hand that a machine that is gone comes not back to end its turn.
+// DropLease is an operator's order that ends the lease of a machine that is gone and will not
+// return.
 type DropLease struct {
 	Host string `cbor:"1,keyasint"`
 }
@@ -186,101 +196,101 @@
 	decoder = canonical.Limits{ArrayElements: MaxMachines, MapPairs: 64, NestedLevels: 8}.Decoder()
 )
 
-// Encode gives a command's bytes, in canonical form.
+// Encode validates the command and returns it in canonical CBOR.
 func (c *Command) Encode() ([]byte, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
 	raw, err := encoder.Marshal(c)
 	if err == nil && len(raw) > MaxCommandBytes {
-		err = &SpoiltError{What: "command", Reason: fmt.Sprintf("%d bytes", len(raw)), Hint: "name hosts by ranges"}
+		err = &SpoiltError{What: "command", Reason: fmt.Sprintf("%d bytes", len(raw)), Hint: "list hosts as ranges"}
 	}
 	return raw, err
 }
 
-// DecodeCommand reads a command. One that holds anything that can't be is refused whole.
+// DecodeCommand decodes a command. It rejects one with any invalid value.
 func DecodeCommand(raw []byte) (*Command, error) {
 	if len(raw) > MaxCommandBytes {
-		return nil, spoilt("command", "%d bytes", len(raw))
+		return nil, malformed("command", "%d bytes", len(raw))
 	}
 	c := &Command{}
 	if err := decoder.Unmarshal(raw, c); err != nil {
-		return nil, spoilt("command", "%s", oneLine(err))
+		return nil, malformed("command", "%s", oneLine(err))
 	}
 	return c, c.check()
 }
 
 func (c *Command) check() error {
-	kinds := 0
+	fieldsSet := 0
 	for _, set := range []bool{c.LoadPlan != nil, c.Observation != nil, c.Request != nil, c.Halt != nil, c.Resume != nil, c.Uplinks != nil, c.AdoptName != nil, c.DropLease != nil} {
 		if set {
-			kinds++
+			fieldsSet++
 		}
 	}
 	switch {
-	case kinds != 1:
-		return spoilt("command", "%d kinds in one", kinds)
+	case fieldsSet != 1:
+		return malformed("command", "%d fields are set, want exactly 1", fieldsSet)
 	case c.GroupTime < 0 || c.WallTime < 0:
-		return spoilt("command", "a time below zero")
+		return malformed("command", "negative time")
 	case c.LoadPlan != nil && c.LoadPlan.Plan != nil:
 		return c.LoadPlan.Plan.Check()
 	case c.Observation != nil:
 		return c.Observation.check()
 	case c.Request != nil:
-		if w := c.Request; !nameGood(w.Host) || !nameGood(w.Name) || w.Type < RequestAcquire || w.Type > RequestConfirmUndrain || (w.Type == RequestAcquire && w.Nonce == 0) {
-			return spoilt("word", "of host %q, %v", w.Host, w.Type)
+		if req := c.Request; !validName(req.Host) || !validName(req.Name) || req.Type < RequestAcquire || req.Type > RequestConfirmUndrain || (req.Type == RequestAcquire && req.Nonce == 0) {
+			return malformed("request", "host %q, type %v", req.Host, req.Type)
 		}
-	case c.Halt != nil && len(c.Halt.Reason) > whyMost, c.Resume != nil && len(c.Resume.Reason) > whyMost:
-		return spoilt("order", "a reason of over %d bytes", whyMost)
+	case c.Halt != nil && len(c.Halt.Reason) > maxReasonBytes, c.Resume != nil && len(c.Resume.Reason) > maxReasonBytes:
+		return malformed("order", "reason longer than %d bytes", maxReasonBytes)
 	case c.Uplinks != nil:
 		return checkUplinks(c.Uplinks.Windows)
-	case c.AdoptName != nil && (!nameGood(c.AdoptName.Host) || !nameGood(c.AdoptName.Name)), c.DropLease != nil && !nameGood(c.DropLease.Host):
-		return spoilt("order", "no host's name")
+	case c.AdoptName != nil && (!validName(c.AdoptName.Host) || !validName(c.AdoptName.Name)), c.DropLease != nil && !validName(c.DropLease.Host):
+		return malformed("order", "invalid host name")
 	}
 	return nil
 }
 
 func checkUplinks(windows []UplinkWindow) error {
-	if len(windows) > uplinksMost {
-		return spoilt("uplinks", "%d windows", len(windows))
+	if len(windows) > maxUplinkWindows {
+		return malformed("uplinks", "%d windows", len(windows))
 	}
-	for _, u := range windows {
-		if !nameGood(u.Zone) || u.Start < 0 || u.End < u.Start {
-			return spoilt("uplinks", "a window of zone %q from %v to %v", u.Zone, u.Start, u.End)
+	for _, window := range windows {
+		if !validName(window.Zone) || window.Start < 0 || window.End < window.Start {
+			return malformed("uplinks", "window of zone %q from %v to %v", window.Zone, window.Start, window.End)
 		}
 	}
 	return nil
 }
 
-func (l *Observation) check() error {
-	if l.MeasuredAt < 0 || l.NoMajorityDuration < 0 || l.ServedFraction < 0 || l.ServedFraction > 1000 || l.RingSize < 0 || l.RingSize > MaxMachines ||
-		len(l.Machines)+len(l.Removed) > lookMost || len(l.Zones) > zonesMost {
-		return spoilt("look", "figures that can't be")
+func (o *Observation) check() error {
+	if o.MeasuredAt < 0 || o.NoMajorityDuration < 0 || o.ServedFraction < 0 || o.ServedFraction > 1000 || o.RingSize < 0 || o.RingSize > MaxMachines ||
+		len(o.Machines)+len(o.Removed) > maxObservationEntries || len(o.Zones) > maxZones {
+		return malformed("observation", "value out of range")
 	}
-	for _, m := range l.Machines {
+	for _, m := range o.Machines {
 		if err := m.check(); err != nil {
 			return err
 		}
 	}
-	for _, h := range l.Removed {
-		if !nameGood(h) {
-			return spoilt("look", "host %q", h)
+	for _, host := range o.Removed {
+		if !validName(host) {
+			return malformed("observation", "removed host %q", host)
 		}
 	}
-	return checkZones(l.Zones)
+	return checkZones(o.Zones)
 }
 
 func (m *Machine) check() error {
-	if !nameGood(m.Host) || !nameGood(m.Name) || !nameGood(m.Zone) || m.Kind > Server || m.Phase > PhaseIdle || m.Index < 0 || m.Index >= MaxMachines || m.Capacity == 0 {
-		return spoilt("machine", "host %q, zone %q", m.Host, m.Zone)
+	if !validName(m.Host) || !validName(m.Name) || !validName(m.Zone) || m.Kind > Server || m.Phase > PhaseIdle || m.Index < 0 || m.Index >= MaxMachines || m.Capacity == 0 {
+		return malformed("machine", "host %q, zone %q", m.Host, m.Zone)
 	}
 	return nil
 }
 
 func checkZones(zones []Zone) error {
-	for _, z := range zones {
-		if !nameGood(z.Name) || z.State > ZoneClosed {
-			return spoilt("zone", "%q, %v", z.Name, z.State)
+	for _, zone := range zones {
+		if !validName(zone.Name) || zone.State > ZoneClosed {
+			return malformed("zone", "%q, %v", zone.Name, zone.State)
 		}
 	}
 	return nil
--- a/fleet/maintenance/errors.go
+++ b/fleet/maintenance/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// PlanError is a work plan that can't be followed.
+// PlanError reports a work plan that is not valid.
 type PlanError struct {
-	Key    string // of the plan
-	Host   string // where one is at fault
+	Key    string // key in the plan
+	Host   string // host at fault; empty if none is
 	Reason string
 	Hint   string // what an operator can do
 }
@@ -17,94 +17,96 @@
 	return fmt.Sprintf("work plan: %s: %s; %s", e.Key, e.Reason, e.Hint)
 }
 
-// SpoiltError is a command, message or snapshot that can't be read, or holds what can't be.
+// SpoiltError reports a command, message or snapshot that can't be decoded or holds invalid values.
 type SpoiltError struct {
-	What   string
+	What   string // kind of the data
 	Reason string
 	Hint   string
 }
 
 func (e *SpoiltError) Error() string {
-	return fmt.Sprintf("turns: %s refused: %s; %s", e.What, e.Reason, e.Hint)
+	return fmt.Sprintf("turns: %s rejected: %s; %s", e.What, e.Reason, e.Hint)
 }
 
-func spoilt(what, why string, values ...any) error {
-	return &SpoiltError{what, fmt.Sprintf(why, values...), "look for a node of another version, or a spoilt disk"}
+func malformed(what, format string, values ...any) error {
+	return &SpoiltError{what, fmt.Sprintf(format, values...), "look for a node with another program version or a faulty disk"}
 }
 
-// StalePlanError is a plan that is not later than the one in force.
+// StalePlanError reports a plan whose version is not higher than the version in force.
 type StalePlanError struct{ Current, Got uint64 }
 
 func (e *StalePlanError) Error() string {
-	return fmt.Sprintf("turns: plan %d refused: %d is in force; activate it under a new number", e.Got, e.Current)
+	return fmt.Sprintf("turns: plan %d rejected: version %d is in force; activate it under a higher version", e.Got, e.Current)
 }
 
-// StaleLookError is evidence that was meant for another state: doubled, overtaken or of an old leader.
+// StaleLookError reports an observation based on another state: a duplicate, an overtaken one, or
+// one of a previous leader.
 type StaleLookError struct{ Current, Base uint64 }
 
 func (e *StaleLookError) Error() string {
-	return fmt.Sprintf("turns: a look after %d refused: there were %d; nothing is to be done unless it goes on, then look at who leads the council", e.Base, e.Current)
+	return fmt.Sprintf("turns: observation based on number %d rejected: %d have been applied; no action is needed unless it recurs, then check which node leads the consensus group", e.Base, e.Current)
 }
 
-// StaleFenceError is a word under a number that is not in force.
+// StaleFenceError reports a request whose fencing token is not the lease's current one.
 type StaleFenceError struct {
 	Host         string
-	Got, Current uint64 // 0 is none
+	Got, Current uint64 // 0 means none
 }
 
 func (e *StaleFenceError) Error() string {
-	return fmt.Sprintf("turns: host %s: fencing number %d is void, %d is in force; the node asks anew by itself", e.Host, e.Got, e.Current)
+	return fmt.Sprintf("turns: host %s: fencing token %d is void, the current one is %d; no action is needed, the agent requests the lease again", e.Host, e.Got, e.Current)
 }
 
-// OrderError is a word or order that does not fit how far a turn is.
+// OrderError reports a request or an operator's order that the lease's stage or the machine's phase
+// does not permit.
 type OrderError struct {
 	Host       string
-	Operation  string
+	Operation  string // type of the request, or "drop"
 	Stage      Stage
 	Phase      Phase
-	WrongPhase bool // Phase is why
+	WrongPhase bool // whether Phase, not Stage, is the reason
 }
 
 func (e *OrderError) Error() string {
 	if e.WrongPhase {
-		return fmt.Sprintf("turns: host %s: no %s while it is seen %v; end its process first, or wait until it has returned", e.Host, e.Operation, e.Phase)
+		return fmt.Sprintf("turns: host %s: no %s while the machine is observed as %v; stop its process first, or wait until it is back in service", e.Host, e.Operation, e.Phase)
 	}
-	return fmt.Sprintf("turns: host %s: no %s while its turn is %v; look at turns status", e.Host, e.Operation, e.Stage)
+	return fmt.Sprintf("turns: host %s: no %s while its lease is %v; read turns status", e.Host, e.Operation, e.Stage)
 }
 
-// UnknownHostError is a host that the plan or the fleet does not have.
+// UnknownHostError reports a host for which neither the plan nor the fleet has work.
 type UnknownHostError struct{ Host string }
 
 func (e *UnknownHostError) Error() string {
-	return fmt.Sprintf("turns: host %s: neither plan nor fleet has work for it; if it came back under a new name, adopt that name", e.Host)
+	return fmt.Sprintf("turns: host %s: neither the plan nor the fleet has work for it; if it came back under a new name, adopt that name", e.Host)
 }
 
-// NameTakenError is a name that two hosts use.
+// NameTakenError reports a name that another host already uses.
 type NameTakenError struct{ Host, Name, UsedBy string }
 
 func (e *NameTakenError) Error() string {
 	return fmt.Sprintf("turns: host %s: the name %s is in use by host %s; start it under its own name", e.Host, e.Name, e.UsedBy)
 }
 
-// HaltedError is a step out while all is halted.
+// HaltedError reports a request that work being halted does not permit.
 type HaltedError struct{ Reason string }
 
 func (e *HaltedError) Error() string {
-	return fmt.Sprintf("turns: halted: %s; turns resume goes on by hand", e.Reason)
+	return fmt.Sprintf("turns: halted: %s; run turns resume when the cause is gone", e.Reason)
 }
 
-// BoundError is a bound that keeps a machine in.
+// BoundError reports the bound that keeps a machine in service.
 type BoundError struct {
 	Host        string
 	Bound       Bound
-	Scope       string
-	Unavailable uint64 // with the machine
+	Scope       string // machines to which the bound applies
+	Unavailable uint64 // including the machine itself
 	Max         uint64
 }
 
 func (e *BoundError) Error() string {
 	if e.Max == 0 && e.Unavailable == 0 {
-		return fmt.Sprintf("turns: host %s: kept in by its %v, %s; it goes when that allows it", e.Host, e.Bound, e.Scope)
+		return fmt.Sprintf("turns: host %s: kept in service by its %v, %s; wait until that permits it", e.Host, e.Bound, e.Scope)
 	}
-	return fmt.Sprintf("turns: host %s: kept in by the bound on %v, %s: %d away of %d at most; wait for others, or widen the bound in the plan", e.Host, e.Bound, e.Scope, e.Unavailable, e.Max)
+	return fmt.Sprintf("turns: host %s: kept in service by the bound on %v, %s: %d unavailable, at most %d permitted; wait for other machines, or raise the bound in the plan", e.Host, e.Bound, e.Scope, e.Unavailable, e.Max)
 }
--- a/fleet/maintenance/explore_test.go
+++ b/fleet/maintenance/explore_test.go
@@ -8,131 +8,132 @@
 	"github.com/stretchr/testify/require"
 )
 
-// explore plays all that can happen to a depth from a world, each state once.
-func explore(from *world, depth int, bug string) (states int, found string) {
+// explore takes every sequence of up to depth steps from a model, and visits each state once.
+func explore(start *model, depth int, bug string) (states int, found string) {
 	seen := map[uint64]bool{}
-	level := []*world{from}
+	frontier := []*model{start}
 	for range depth {
-		var next []*world
-		for _, w := range level {
-			for c := range w.choices() {
-				n := *w
-				if !n.step(c, bug) {
+		var next []*model
+		for _, m := range frontier {
+			for choice := range m.choiceCount() {
+				successor := *m
+				if !successor.step(choice, bug) {
 					continue
 				}
-				if h := n.hash(); seen[h] {
+				if hash := successor.hash(); seen[hash] {
 					continue
 				} else {
-					seen[h] = true
+					seen[hash] = true
 				}
 				states++
-				if found = n.wrong(); found != "" {
+				if found = successor.violation(); found != "" {
 					return states, found
 				}
-				next = append(next, &n)
+				next = append(next, &successor)
 			}
 		}
-		level = next
+		frontier = next
 	}
 	return states, ""
 }
 
-// pass lets all go well until the first machine's turn has come to a stage.
-func (w *world) pass(t *testing.T, to Stage) {
+// runUntil takes fault-free steps until the lease of the first host has reached a stage.
+func (m *model) runUntil(t *testing.T, stage Stage) {
 	for range 200 {
-		if w.state.stage(host(0)) >= to {
+		if m.state.stage(hostName(0)) >= stage {
 			return
 		}
-		if w.truth[0] == isOut && to > StageOut {
-			require.True(t, w.step(1+3*len(w.air), "")) // its work is done
-		} else if len(w.air) > 0 {
-			require.True(t, w.step(1, ""))
+		if m.actual[0] == actuallyOut && stage > StageOut {
+			require.True(t, m.step(1+3*len(m.inFlight), "")) // the work is finished
+		} else if len(m.inFlight) > 0 {
+			require.True(t, m.step(1, ""))
 		} else {
-			require.True(t, w.step(0, ""))
+			require.True(t, m.step(0, ""))
 		}
-		require.Empty(t, w.wrong())
+		require.Empty(t, m.violation())
 	}
-	require.Fail(t, "the turn stands still", "before %v", to)
+	require.Fail(t, "the lease makes no progress", "stage %v is not reached", stage)
 }
 
-// walk lets things happen by chance, mostly well.
-func walk(t *testing.T, seed uint64, steps int, bug string) (found string) {
-	w, rng := newWorld(t), rand.New(rand.NewPCG(seed, 0))
-	w.inAir *= 3
+// randomWalk takes random steps, most of them without faults.
+func randomWalk(t *testing.T, seed uint64, steps int, bug string) (found string) {
+	m, rng := newModel(t), rand.New(rand.NewPCG(seed, 0))
+	m.maxInFlight *= 3
 	for range steps {
 		choice := 0
-		switch n := len(w.air); {
-		case n > 0 && rng.IntN(4) > 0:
-			if choice = 1 + 3*(n-1-min(rng.IntN(n), rng.IntN(n))); rng.IntN(3) == 0 { // the newest mostly
+		switch inFlight := len(m.inFlight); {
+		case inFlight > 0 && rng.IntN(4) > 0:
+			if choice = 1 + 3*(inFlight-1-min(rng.IntN(inFlight), rng.IntN(inFlight))); rng.IntN(3) == 0 { // mostly the newest message
 				choice += rng.IntN(3)
 			}
 		case rng.IntN(4) == 0:
-			choice = 1 + 3*n + rng.IntN(11)
-			w.faults = 0
+			choice = 1 + 3*inFlight + rng.IntN(11)
+			m.faults = 0
 		}
-		if next := *w; next.step(choice, bug) {
-			*w = next
+		if successor := *m; successor.step(choice, bug) {
+			*m = successor
 		}
-		if found = w.wrong(); found != "" {
+		if found = m.violation(); found != "" {
 			break
 		}
 	}
 	return found
 }
 
-// late is a world in which another process of a host has taken its turn over, and what the one before
-// said under the old number is still on its way.
-func late(t *testing.T) *world {
-	w := newWorld(t)
-	w.pass(t, StageGranted)
-	old := w.state.turns[host(0)].FencingToken
-	w.start(0)
-	w.pass(t, StageGranted)
-	for w.state.stage(host(0)) != StageDraining {
-		require.True(t, w.step(min(1, len(w.air)), ""))
+// newModelWithStaleRequests returns a model in which a new process has taken over the lease of its
+// host, and requests of the previous process with the old fencing token are still in flight.
+func newModelWithStaleRequests(t *testing.T) *model {
+	m := newModel(t)
+	m.runUntil(t, StageGranted)
+	staleToken := m.state.leases[hostName(0)].FencingToken
+	m.startProcess(0)
+	m.runUntil(t, StageGranted)
+	for m.state.stage(hostName(0)) != StageDraining {
+		require.True(t, m.step(min(1, len(m.inFlight)), ""))
 	}
-	require.Less(t, old, w.state.turns[host(0)].FencingToken)
-	for _, verb := range []RequestType{RequestConfirmUndrain, RequestStartDrain} {
-		w.air = append(w.air, letter{word: &Request{Host: host(0), Name: host(0), Type: verb, FencingToken: old}})
+	require.Less(t, staleToken, m.state.leases[hostName(0)].FencingToken)
+	for _, requestType := range []RequestType{RequestConfirmUndrain, RequestStartDrain} {
+		m.inFlight = append(m.inFlight, message{request: &Request{Host: hostName(0), Name: hostName(0), Type: requestType, FencingToken: staleToken}})
 	}
-	return w
+	return m
 }
 
-// Every interleaving from each stage on, with messages lost, doubled and overtaken, processes that
-// die and stand still, leaders that die, and halts: a machine that is away holds the only place.
-func TestEveryInterleaving(t *testing.T) {
+// A machine must never be unavailable without holding the only lease, whatever happens to it from
+// each stage on: lost, duplicated and reordered messages, crashed and paused processes, crashed
+// leaders and halts. Every sequence of four such steps is tried.
+func TestUnavailableMachineHoldsOnlyLeaseInEveryInterleaving(t *testing.T) {
 	for stage := StageRequested; stage <= StageDone; stage++ {
 		if stage == StageRecalled {
-			continue // is not on the way of a turn that goes well
+			continue // not reached without a fault
 		}
 		t.Run(stage.String(), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
-			if w.pass(t, stage); stage == StageDone {
-				w = late(t)
+			m := newModel(t)
+			if m.runUntil(t, stage); stage == StageDone {
+				m = newModelWithStaleRequests(t)
 			}
-			states, found := explore(w, 4, "")
+			states, found := explore(m, 4, "")
 			assert.Empty(t, found)
 			t.Logf("%d states", states)
 		})
 	}
 }
 
-// Long days by chance find nothing wrong, and each bug that is planted is found in some of them or
-// in the interleavings.
-func TestPlantedBugsAreFound(t *testing.T) {
-	for _, bug := range []string{"", "a turn is forgotten", "back is returned", "old answers act"} {
+// The invariant has to be strong enough to detect bugs: each injected bug is found in random walks
+// or by exploration, and the code without a bug passes the same walks.
+func TestExplorationDetectsInjectedBugs(t *testing.T) {
+	for _, bug := range []string{"", "leases are forgotten", "lease ends on arrival", "stale responses are accepted"} {
 		t.Run(bug, func(t *testing.T) {
 			t.Parallel()
 			found, walks := "", 0
 			for ; walks < 500 && found == ""; walks++ {
-				found = walk(t, uint64(walks), 120, bug)
+				found = randomWalk(t, uint64(walks), 120, bug)
 			}
 			assert.Equal(t, bug != "", found != "", found)
-			t.Logf("%d walks: %s", walks, found)
+			t.Logf("%d walks, violation %q", walks, found)
 		})
 	}
-	states, found := explore(late(t), 5, "old words count")
+	states, found := explore(newModelWithStaleRequests(t), 5, "stale requests are accepted")
 	assert.NotEmpty(t, found)
-	t.Logf("%d states: %s", states, found)
+	t.Logf("%d states, violation %q", states, found)
 }
--- a/fleet/maintenance/forecast.go
+++ b/fleet/maintenance/forecast.go
@@ -8,112 +8,113 @@
 	"time"
 )
 
-// Forecast is how the work goes on if each turn takes what the plan says, and nothing else happens.
+// Forecast is the expected course of the work if each stage takes as long as planned and nothing
+// else changes.
 type Forecast struct {
 	MadeAt     Timestamp
-	DoneAt     Timestamp     // when the last has returned
-	HaltReason string        // why nothing goes out; the forecast reckons as if it went on now
-	Late       []*LateError  // hosts that will not be back by their deadline, the earliest first
-	Blocked    []*BoundError // hosts that never go as things stand
+	DoneAt     Timestamp     // time at which the last machine is back in service
+	HaltReason string        // empty if work is not halted; otherwise the forecast assumes that it resumes now
+	Late       []*LateError  // hosts that will miss their deadline, earliest deadline first
+	Blocked    []*BoundError // hosts that can never be taken out of service as things stand
 }
 
-// LateError is a deadline that can't be met.
+// LateError reports a deadline that can't be met.
 type LateError struct {
 	Host       string
 	Deadline   Timestamp
-	ExpectedAt Timestamp // 0 is not at all
+	ExpectedAt Timestamp // 0 means never
 	Reason     string
 }
 
 func (e *LateError) Error() string {
-	when := "it never goes"
+	when := "it can never leave service"
 	if e.ExpectedAt > 0 {
-		when = fmt.Sprintf("it is back at %v", e.ExpectedAt)
+		when = fmt.Sprintf("it is back in service at %v", e.ExpectedAt)
 	}
-	return fmt.Sprintf("turns: host %s: its deadline %v can't be met: as things stand %s (%s); widen the plan's bounds, or move the deadline", e.Host, e.Deadline, when, e.Reason)
+	return fmt.Sprintf("turns: host %s: deadline %v can't be met: as things stand %s (%s); widen the plan's bounds, or move the deadline", e.Host, e.Deadline, when, e.Reason)
 }
 
-// back is a machine's expected return in a forecast.
-type back struct {
-	at    Timestamp
-	m     *machine // nil is only a time at which to look again
-	again *rank    // it has to go once more
+// expectedReturn is the expected return to service of a machine, or the end of an uplink window.
+type expectedReturn struct {
+	at      Timestamp
+	machine *machine   // nil for the end of an uplink window, when the bounds are checked again
+	requeue *candidate // candidate that the machine becomes again on its return; nil if its work is done then
 }
 
-type backs []back
-
-func (b backs) Len() int           { return len(b) }
-func (b backs) Less(i, j int) bool { return b[i].at < b[j].at }
-func (b backs) Swap(i, j int)      { b[i], b[j] = b[j], b[i] }
-func (b *backs) Push(x any)        { *b = append(*b, x.(back)) }
-func (b *backs) Pop() any {
-	old := *b
-	x := old[len(old)-1]
-	*b = old[:len(old)-1]
-	return x
+type returnHeap []expectedReturn
+
+func (h returnHeap) Len() int           { return len(h) }
+func (h returnHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h returnHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *returnHeap) Push(x any)        { *h = append(*h, x.(expectedReturn)) }
+func (h *returnHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
 }
 
-// expected is what a turn's stage takes, as the plan says.
-func (s *State) expected(t *Lease) Duration {
+// expectedStageDuration returns the planned duration of the lease's stage.
+func (s *State) expectedStageDuration(lease *Lease) Duration {
 	if s.plan == nil {
-		return t.WorkDuration
+		return lease.WorkDuration
 	}
-	switch p := s.plan.plan; t.Stage {
+	switch plan := s.plan.plan; lease.Stage {
 	case StageGranted:
-		return p.GrantTimeout
+		return plan.GrantTimeout
 	case StageDraining, StageDrained, StageRecalled:
-		return p.DrainDuration
+		return plan.DrainDuration
 	case StageOut:
-		return t.WorkDuration
+		return lease.WorkDuration
 	case StageArrived, StageWarmingUp:
-		return p.WarmUpDuration
+		return plan.WarmUpDuration
 	}
 	return 0
 }
 
-// over is by how much a turn's stage takes longer than expected.
-func (s *State) over(t *Lease) time.Duration {
-	return max(0, s.now-t.StageSince-time.Duration(s.expected(t)))
+// overrun returns by how much the lease's stage has exceeded its planned duration, or 0.
+func (s *State) overrun(lease *Lease) time.Duration {
+	return max(0, s.now-lease.StageSince-time.Duration(s.expectedStageDuration(lease)))
 }
 
-// left is what a turn still takes, as expected.
-func (s *State) left(t *Lease) Timestamp {
-	ahead := map[Stage]Duration{StageGranted: s.need(t.WorkDuration) - s.plan.plan.GrantTimeout, StageDraining: t.WorkDuration + s.plan.plan.WarmUpDuration,
-		StageDrained: t.WorkDuration + s.plan.plan.WarmUpDuration, StageOut: s.plan.plan.WarmUpDuration}[t.Stage]
-	return Timestamp(max(0, s.expected(t)-Duration(s.now-t.StageSince)).millis() + ahead.millis())
+// remaining returns the expected time in milliseconds until the machine is back in service.
+func (s *State) remaining(lease *Lease) Timestamp {
+	laterStages := map[Stage]Duration{StageGranted: s.expectedDuration(lease.WorkDuration) - s.plan.plan.GrantTimeout, StageDraining: lease.WorkDuration + s.plan.plan.WarmUpDuration,
+		StageDrained: lease.WorkDuration + s.plan.plan.WarmUpDuration, StageOut: s.plan.plan.WarmUpDuration}[lease.Stage]
+	return Timestamp(max(0, s.expectedStageDuration(lease)-Duration(s.now-lease.StageSince)).milliseconds() + laterStages.milliseconds())
 }
 
-// Forecast reckons ahead. It takes some time in a large fleet: it is to be made when a Result says
-// that something changed, not more than once in a second.
+// Forecast computes the expected course of the work. It is expensive in a large fleet: call it when
+// a Result has ForecastStale set, at most once per second.
 func (s *State) Forecast() *Forecast {
-	f := &Forecast{MadeAt: s.wall, DoneAt: s.wall, HaltReason: s.haltWhy()}
+	f := &Forecast{MadeAt: s.wallTime, DoneAt: s.wallTime, HaltReason: s.haltReason()}
 	if s.plan == nil {
 		return f
 	}
-	y := s.yard.clone()
-	ends := s.expectedReturns(f)
-	queue := s.waiting(f)
-	at := s.wall
+	u := s.usage.clone()
+	returns := s.expectedReturns(f)
+	candidates := s.pendingCandidates(f)
+	at := s.wallTime
 	for {
-		queue = s.start(f, &y, &ends, queue, at)
-		if ends.Len() == 0 {
+		candidates = s.startLeases(f, &u, &returns, candidates, at)
+		if returns.Len() == 0 {
 			break
 		}
-		for at = ends[0].at; ends.Len() > 0 && ends[0].at == at; {
-			e := heap.Pop(&ends).(back)
-			if e.m == nil {
+		for at = returns[0].at; returns.Len() > 0 && returns[0].at == at; {
+			ret := heap.Pop(&returns).(expectedReturn)
+			if ret.machine == nil {
 				continue
 			}
-			y.away(e.m, s.members(e.m.Host), -1)
-			if e.again != nil {
-				queue = append(queue, *e.again)
-				s.order(queue)
+			u.addUnavailable(ret.machine, s.groupsOf(ret.machine.Host), -1)
+			if ret.requeue != nil {
+				candidates = append(candidates, *ret.requeue)
+				s.sortCandidates(candidates)
 			}
 		}
 	}
-	for _, q := range queue {
-		b := s.barred(&y, q.m, false, s.need(q.length), at)
-		f.keep(q.host, q.due, s.boundError(q.host, b))
+	for _, c := range candidates {
+		v := s.firstViolation(&u, c.machine, false, s.expectedDuration(c.workDuration), at)
+		f.addBlocked(c.host, c.deadline, s.boundError(c.host, v))
 	}
 	slices.SortFunc(f.Late, func(a, b *LateError) int {
 		return cmp.Or(cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.Host, b.Host))
@@ -121,83 +122,85 @@
 	return f
 }
 
-// expectedReturns returns, as a heap by time, when the machines that are away come back and when windows of uplinks end.
-func (s *State) expectedReturns(f *Forecast) backs {
-	var ends backs
-	for _, t := range s.held() {
-		e := back{at: s.wall + s.left(t), m: s.fleet[t.Host]}
-		if w, wanted := s.wanted(t.Host); wanted && (t.Stage == StageRecalled || (t.Stage >= StageOut && w.job != t.Job)) {
-			r := s.rank(t.Host, w)
-			e.again = &r
-			if e.m != nil {
-				r.m = &machine{Machine: e.m.Machine}
-				r.m.Phase = PhaseWarm // by then
+// expectedReturns returns a heap of the expected returns of the machines with a held lease and the
+// ends of the uplink windows.
+func (s *State) expectedReturns(f *Forecast) returnHeap {
+	var returns returnHeap
+	for _, lease := range s.heldLeases() {
+		ret := expectedReturn{at: s.wallTime + s.remaining(lease), machine: s.machines[lease.Host]}
+		if work, pending := s.pendingWork(lease.Host); pending && (lease.Stage == StageRecalled || (lease.Stage >= StageOut && work.job != lease.Job)) {
+			c := s.newCandidate(lease.Host, work)
+			ret.requeue = &c
+			if ret.machine != nil {
+				c.machine = &machine{Machine: ret.machine.Machine}
+				c.machine.Phase = PhaseWarm // at that time
 			}
 		}
-		f.note(t.Host, t.Deadline, e)
-		ends = append(ends, e)
+		f.addReturn(lease.Host, lease.Deadline, ret)
+		returns = append(returns, ret)
 	}
-	for _, u := range s.uplinks {
-		ends = append(ends, back{at: max(u.End, s.wall)})
+	for _, window := range s.uplinkWindows {
+		returns = append(returns, expectedReturn{at: max(window.End, s.wallTime)})
 	}
-	heap.Init(&ends)
-	return ends
+	heap.Init(&returns)
+	return returns
 }
 
-// waiting returns, in order, the hosts that still have to go.
-func (s *State) waiting(f *Forecast) []rank {
-	var queue []rank
+// pendingCandidates returns the hosts that still have to be taken out of service, sorted.
+func (s *State) pendingCandidates(f *Forecast) []candidate {
+	var candidates []candidate
 	for _, host := range s.plan.hosts {
-		t := s.turns[host]
-		w, wanted := s.wanted(host)
+		lease := s.leases[host]
+		work, pending := s.pendingWork(host)
 		switch {
-		case !wanted || (t != nil && t.Stage.holds()):
-		case s.fleet[host] == nil:
-			f.keep(host, w.deadline, &BoundError{Host: host, Bound: BoundPhase, Scope: "of no machine that is seen"})
+		case !pending || (lease != nil && lease.Stage.isHeld()):
+		case s.machines[host] == nil:
+			f.addBlocked(host, work.deadline, &BoundError{Host: host, Bound: BoundPhase, Scope: "no machine of it is observed"})
 		default:
-			queue = append(queue, s.rank(host, w))
+			candidates = append(candidates, s.newCandidate(host, work))
 		}
 	}
-	s.order(queue)
-	return queue
+	s.sortCandidates(candidates)
+	return candidates
 }
 
-// start lets out all that the bounds let go at a time, in order, and gives those that stay.
-func (s *State) start(f *Forecast, y *yard, ends *backs, queue []rank, at Timestamp) []rank {
-	full := map[place]bool{}
-	return slices.DeleteFunc(queue, func(q rank) bool {
-		m := q.m
-		p := place{m.Zone, m.Kind}
-		if full[p] {
+// startLeases takes out of service, in order, all candidates that the bounds permit at the given
+// time, and returns the others.
+func (s *State) startLeases(f *Forecast, u *usage, returns *returnHeap, candidates []candidate, wall Timestamp) []candidate {
+	exhausted := map[zoneKind]bool{}
+	return slices.DeleteFunc(candidates, func(c candidate) bool {
+		m := c.machine
+		key := zoneKind{m.Zone, m.Kind}
+		if exhausted[key] {
 			return false
 		}
-		b := s.barred(y, m, false, s.need(q.length), at)
-		full[p] = b.bound == BoundZone
-		if b.bound != BoundNone {
+		v := s.firstViolation(u, m, false, s.expectedDuration(c.workDuration), wall)
+		exhausted[key] = v.bound == BoundZone
+		if v.bound != BoundNone {
 			return false
 		}
-		y.away(m, s.members(q.host), 1)
-		e := back{at: at + Timestamp(s.need(q.length).millis()), m: m}
-		f.note(q.host, q.due, e)
-		heap.Push(ends, e)
+		u.addUnavailable(m, s.groupsOf(c.host), 1)
+		ret := expectedReturn{at: wall + Timestamp(s.expectedDuration(c.workDuration).milliseconds()), machine: m}
+		f.addReturn(c.host, c.deadline, ret)
+		heap.Push(returns, ret)
 		return true
 	})
 }
 
-// note takes an expected return.
-func (f *Forecast) note(host string, due Timestamp, e back) {
-	if e.again != nil {
+// addReturn records an expected return, and whether it misses the host's deadline.
+func (f *Forecast) addReturn(host string, deadline Timestamp, ret expectedReturn) {
+	if ret.requeue != nil {
 		return
 	}
-	f.DoneAt = max(f.DoneAt, e.at)
-	if due > 0 && e.at > due {
-		f.Late = append(f.Late, &LateError{Host: host, Deadline: due, ExpectedAt: e.at, Reason: "others go first"})
+	f.DoneAt = max(f.DoneAt, ret.at)
+	if deadline > 0 && ret.at > deadline {
+		f.Late = append(f.Late, &LateError{Host: host, Deadline: deadline, ExpectedAt: ret.at, Reason: "other hosts go first"})
 	}
 }
 
-func (f *Forecast) keep(host string, due Timestamp, why *BoundError) {
-	f.Blocked = append(f.Blocked, why)
-	if due > 0 {
-		f.Late = append(f.Late, &LateError{Host: host, Deadline: due, Reason: fmt.Sprintf("%v, %s", why.Bound, why.Scope)})
+func (f *Forecast) addBlocked(host string, deadline Timestamp, err *BoundError) {
+	f.Blocked = append(f.Blocked, err)
+	if deadline > 0 {
+		f.Late = append(f.Late, &LateError{Host: host, Deadline: deadline, Reason: fmt.Sprintf("%v, %s", err.Bound, err.Scope)})
 	}
 }
--- a/fleet/maintenance/golden_test.go
+++ b/fleet/maintenance/golden_test.go
@@ -16,14 +16,14 @@
 	return v, decoder.Unmarshal(raw, v)
 }
 
-// Commands of each kind, the answer and the snapshot have the recorded bytes.
+// Commands with each field set, the response and the snapshot are encoded to the recorded bytes.
 func TestFormsAreAsRecorded(t *testing.T) {
 	golden.RoundTrip(t, "command", func(c *Command) ([]byte, error) { return encoder.Marshal(c) }, decodeAs[Command])
 	golden.RoundTrip(t, "answer", (*Response).Encode, decodeAs[Response])
 	golden.RoundTrip(t, "snapshot", func(s *snapshot) ([]byte, error) { return encoder.Marshal(s) }, decodeAs[snapshot])
 }
 
-// What each state, phase and verb is called where staff read it is as recorded.
+// The names of all enumeration values that operators read are as recorded.
 func TestNamesAreAsRecorded(t *testing.T) {
 	text := ""
 	for i := range uint8(9) {
@@ -34,12 +34,12 @@
 	golden.CheckText(t, "names", text)
 }
 
-// The last stage has the recorded name, and none follows it.
+// The last stage has the recorded name, and no stage follows it.
 func TestLastStageIsAsRecorded(t *testing.T) {
 	golden.CheckText(t, "last-stage", StageDone.String()+"\n"+(StageDone+1).String()+"\n")
 }
 
-// A plan with every key is read as recorded.
+// A plan with every key is parsed to the recorded values.
 func TestPlanIsReadAsRecorded(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	require.NoError(t, err)
@@ -48,9 +48,9 @@
 	golden.CheckText(t, "every-key", golden.Values(plan))
 }
 
-// A plan is written with the recorded keys; those that may be absent are left out where they are empty.
+// A plan is written with the recorded keys; optional ones are left out if they are empty.
 func TestPlanIsWrittenAsRecorded(t *testing.T) {
-	plan, err := Parse([]byte(goodPlan))
+	plan, err := Parse([]byte(validPlan))
 	require.NoError(t, err)
 	text, err := toml.Marshal(plan)
 	require.NoError(t, err)
--- a/fleet/maintenance/hosts.go
+++ b/fleet/maintenance/hosts.go
@@ -6,150 +6,151 @@
 	"strings"
 )
 
-// compiled is a plan with its ranges spread out.
-type compiled struct {
-	plan   *Plan
-	work   map[string]work  // by host
-	hosts  []string         // of work, in the plan's order
-	groups []group          // that are kept apart
-	member map[string][]int // of which groups a host is
+// compiledPlan is a validated plan with its host ranges expanded.
+type compiledPlan struct {
+	plan         *Plan
+	workByHost   map[string]hostWork
+	hosts        []string         // hosts with work, in the plan's order
+	groups       []groupLimit     // anti-affinity groups, in the plan's order
+	groupsByHost map[string][]int // indexes into groups
 }
 
-// work is what one host has to have done.
-type work struct {
+// hostWork is the work planned for one host.
+type hostWork struct {
 	job      string
-	length   Duration
+	duration Duration
 	deadline Timestamp
 }
 
-type group struct {
-	name string
-	most int
+type groupLimit struct {
+	name           string
+	maxUnavailable int
 }
 
-// compile checks a plan and spreads its ranges out.
-func compile(p *Plan) (*compiled, error) {
-	if err := p.check(); err != nil {
+// compile validates a plan and expands its host ranges.
+func compile(p *Plan) (*compiledPlan, error) {
+	if err := p.checkValues(); err != nil {
 		return nil, err
 	}
-	c := &compiled{plan: p, work: map[string]work{}, member: map[string][]int{}}
-	if n := len(p.Jobs); n == 0 || n > jobsMost {
-		return nil, &PlanError{Key: "jobs", Reason: fmt.Sprintf("%d jobs", n), Hint: fmt.Sprintf("name 1 to %d", jobsMost)}
+	c := &compiledPlan{plan: p, workByHost: map[string]hostWork{}, groupsByHost: map[string][]int{}}
+	if n := len(p.Jobs); n == 0 || n > maxJobs {
+		return nil, &PlanError{Key: "jobs", Reason: fmt.Sprintf("%d jobs", n), Hint: fmt.Sprintf("list 1 to %d", maxJobs)}
 	}
 	seen := map[string]bool{}
-	for i, j := range p.Jobs {
+	for i, job := range p.Jobs {
 		key := fmt.Sprintf("jobs.%d", i)
-		if !nameGood(j.Name) || seen[j.Name] {
-			return nil, &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is no name, or is named twice", j.Name), Hint: "give each job a name of its own"}
+		if !validName(job.Name) || seen[job.Name] {
+			return nil, &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is not a valid name or is used twice", job.Name), Hint: "give each job a unique name"}
 		}
-		seen[j.Name] = true
-		if err := checkSpan(key+".length", j.WorkDuration, false); err != nil {
+		seen[job.Name] = true
+		if err := checkDuration(key+".length", job.WorkDuration, false); err != nil {
 			return nil, err
 		}
-		if j.Deadline < 0 {
-			return nil, &PlanError{Key: key + ".deadline", Reason: "it is before 1970", Hint: "name one, or none"}
+		if job.Deadline < 0 {
+			return nil, &PlanError{Key: key + ".deadline", Reason: "it is before 1970", Hint: "set a later one, or none"}
 		}
-		hosts, err := spread(key+".hosts", j.Hosts, MaxPlanHosts-len(c.hosts))
+		hosts, err := expandHosts(key+".hosts", job.Hosts, MaxPlanHosts-len(c.hosts))
 		if err != nil {
 			return nil, err
 		}
-		for _, h := range hosts {
-			if _, twice := c.work[h]; twice {
-				return nil, &PlanError{Key: key + ".hosts", Host: h, Reason: "it is named twice", Hint: "put all its work into one job"}
+		for _, host := range hosts {
+			if _, repeated := c.workByHost[host]; repeated {
+				return nil, &PlanError{Key: key + ".hosts", Host: host, Reason: "it is listed twice", Hint: "put all its work into one job"}
 			}
-			c.work[h] = work{j.Name, j.WorkDuration, j.Deadline}
+			c.workByHost[host] = hostWork{job.Name, job.WorkDuration, job.Deadline}
 		}
 		c.hosts = append(c.hosts, hosts...)
 	}
-	return c, c.keepApart(p.AntiAffinityGroups)
+	return c, c.compileGroups(p.AntiAffinityGroups)
 }
 
-func (c *compiled) keepApart(apart []AntiAffinityGroup) error {
-	if len(apart) > apartMost {
-		return &PlanError{Key: "apart", Reason: fmt.Sprintf("%d groups", len(apart)), Hint: fmt.Sprintf("name %d at most", apartMost)}
+func (c *compiledPlan) compileGroups(groups []AntiAffinityGroup) error {
+	if len(groups) > maxAntiAffinityGroups {
+		return &PlanError{Key: "apart", Reason: fmt.Sprintf("%d groups", len(groups)), Hint: fmt.Sprintf("list at most %d", maxAntiAffinityGroups)}
 	}
-	seen, left := map[string]bool{}, MaxPlanHosts
-	for i, a := range apart {
+	seen, hostsLeft := map[string]bool{}, MaxPlanHosts
+	for i, group := range groups {
 		key := fmt.Sprintf("apart.%d", i)
-		if !nameGood(a.Name) || seen[a.Name] {
-			return &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is no name, or is named twice", a.Name), Hint: "give each group a name of its own"}
+		if !validName(group.Name) || seen[group.Name] {
+			return &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is not a valid name or is used twice", group.Name), Hint: "give each group a unique name"}
 		}
-		seen[a.Name] = true
-		hosts, err := spread(key+".hosts", a.Hosts, left)
+		seen[group.Name] = true
+		hosts, err := expandHosts(key+".hosts", group.Hosts, hostsLeft)
 		if err != nil {
 			return err
 		}
-		left -= len(hosts)
-		if a.MaxUnavailable < 1 || a.MaxUnavailable >= len(hosts) {
-			return &PlanError{Key: key + ".most", Reason: fmt.Sprintf("%d of %d hosts keeps none apart", a.MaxUnavailable, len(hosts)), Hint: "name fewer than the group has, and one at least"}
+		hostsLeft -= len(hosts)
+		if group.MaxUnavailable < 1 || group.MaxUnavailable >= len(hosts) {
+			return &PlanError{Key: key + ".most", Reason: fmt.Sprintf("%d of %d hosts is not a limit", group.MaxUnavailable, len(hosts)), Hint: "set at least 1 and fewer than the group has"}
 		}
-		in := map[string]bool{}
-		for _, h := range hosts {
-			if in[h] {
-				return &PlanError{Key: key + ".hosts", Host: h, Reason: "it is named twice", Hint: "name it once in a group"}
+		members := map[string]bool{}
+		for _, host := range hosts {
+			if members[host] {
+				return &PlanError{Key: key + ".hosts", Host: host, Reason: "it is listed twice", Hint: "list it once in a group"}
 			}
-			in[h] = true
-			c.member[h] = append(c.member[h], i)
+			members[host] = true
+			c.groupsByHost[host] = append(c.groupsByHost[host], i)
 		}
-		c.groups = append(c.groups, group{a.Name, a.MaxUnavailable})
+		c.groups = append(c.groups, groupLimit{group.Name, group.MaxUnavailable})
 	}
 	return nil
 }
 
-// spread gives the hosts of names and ranges, most at most.
-func spread(key string, names []string, most int) (hosts []string, err error) {
+// expandHosts expands names and ranges to at most maxHosts hosts.
+func expandHosts(key string, names []string, maxHosts int) (hosts []string, err error) {
 	if len(names) == 0 {
-		return nil, &PlanError{Key: key, Reason: "no host is named", Hint: "name one"}
+		return nil, &PlanError{Key: key, Reason: "no host is listed", Hint: "list at least one"}
 	}
-	for _, n := range names {
-		head, from, to, width, tail, err := bracket(n)
+	for _, name := range names {
+		prefix, first, last, width, suffix, err := parseHostRange(name)
 		switch {
 		case err != nil:
-			return nil, &PlanError{Key: key, Host: n, Reason: err.Error(), Hint: "write a name, or a range like edge-[001-120]"}
-		case to-from >= most-len(hosts):
-			return nil, &PlanError{Key: key, Host: n, Reason: fmt.Sprintf("over %d hosts with it", MaxPlanHosts), Hint: "split the work over several plans"}
+			return nil, &PlanError{Key: key, Host: name, Reason: err.Error(), Hint: "write a name, or a range like edge-[001-120]"}
+		case last-first >= maxHosts-len(hosts):
+			return nil, &PlanError{Key: key, Host: name, Reason: fmt.Sprintf("more than %d hosts with it", MaxPlanHosts), Hint: "split the work over several plans"}
 		case width == 0:
-			hosts = append(hosts, n)
+			hosts = append(hosts, name)
 			continue
 		}
-		for i := from; i <= to; i++ {
-			hosts = append(hosts, fmt.Sprintf("%s%0*d%s", head, width, i, tail))
+		for i := first; i <= last; i++ {
+			hosts = append(hosts, fmt.Sprintf("%s%0*d%s", prefix, width, i, suffix))
 		}
 	}
 	return hosts, nil
 }
 
-// bracket takes a range apart; width 0 is a plain name.
-func bracket(name string) (head string, from, to, width int, tail string, err error) {
-	head, rest, ok := strings.Cut(name, "[")
+// parseHostRange splits a range like "edge-[001-120]" into its parts. A width of 0 means a plain
+// name, returned as the prefix.
+func parseHostRange(name string) (prefix string, first, last, width int, suffix string, err error) {
+	prefix, rest, ok := strings.Cut(name, "[")
 	if !ok {
-		if !nameGood(name) {
-			return "", 0, 0, 0, "", fmt.Errorf("%q is no name", name)
+		if !validName(name) {
+			return "", 0, 0, 0, "", fmt.Errorf("%q is not a valid name", name)
 		}
 		return name, 0, 0, 0, "", nil
 	}
-	span, tail, ok := strings.Cut(rest, "]")
-	low, high, dash := strings.Cut(span, "-")
-	if !ok || !dash || len(low) != len(high) || len(low) == 0 || len(low) > 6 || len(name) > nameMost {
-		return "", 0, 0, 0, "", fmt.Errorf("%q is no range", name)
+	bounds, suffix, ok := strings.Cut(rest, "]")
+	low, high, hasDash := strings.Cut(bounds, "-")
+	if !ok || !hasDash || len(low) != len(high) || len(low) == 0 || len(low) > 6 || len(name) > maxNameBytes {
+		return "", 0, 0, 0, "", fmt.Errorf("%q is not a valid range", name)
 	}
-	if !nameGood(head + low + tail) {
-		return "", 0, 0, 0, "", fmt.Errorf("%q is no name", name)
+	if !validName(prefix + low + suffix) {
+		return "", 0, 0, 0, "", fmt.Errorf("%q is not a valid name", name)
 	}
-	a, errA := strconv.ParseUint(low, 10, 32)
-	b, errB := strconv.ParseUint(high, 10, 32)
-	if errA != nil || errB != nil || a > b {
-		return "", 0, 0, 0, "", fmt.Errorf("%q is no range", name)
+	firstNumber, errFirst := strconv.ParseUint(low, 10, 32)
+	lastNumber, errLast := strconv.ParseUint(high, 10, 32)
+	if errFirst != nil || errLast != nil || firstNumber > lastNumber {
+		return "", 0, 0, 0, "", fmt.Errorf("%q is not a valid range", name)
 	}
-	return head, int(a), int(b), len(low), tail, nil
+	return prefix, int(firstNumber), int(lastNumber), len(low), suffix, nil
 }
 
-// nameGood tells whether a text may name a host, a machine, a job, a zone or a group.
-func nameGood(s string) bool {
-	if s == "" || len(s) > nameMost {
+// validName reports whether a text is a valid name of a host, machine, job, zone or group.
+func validName(name string) bool {
+	if name == "" || len(name) > maxNameBytes {
 		return false
 	}
-	for _, r := range s {
+	for _, r := range name {
 		if (r < '0' || r > '9') && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && !strings.ContainsRune("-_.:", r) {
 			return false
 		}
--- a/fleet/maintenance/look.go
+++ b/fleet/maintenance/look.go
@@ -5,151 +5,156 @@
 	"time"
 )
 
-// look takes evidence, and moves turns on by it.
-func (s *State) look(l *Observation, r *Result) {
-	if l.Base != s.looks || l.MeasuredAt < s.seen || l.MeasuredAt > s.now {
-		r.Err = &StaleLookError{Current: s.looks, Base: l.Base}
+// observe applies an observation: it updates the machines and zones, advances the leases and grants
+// new ones.
+func (s *State) observe(o *Observation, result *Result) {
+	if o.Base != s.observations || o.MeasuredAt < s.observedAt || o.MeasuredAt > s.now {
+		result.Err = &StaleLookError{Current: s.observations, Base: o.Base}
 		return
 	}
-	if len(l.Machines)+len(s.fleet) > MaxMachines {
-		r.Err = spoilt("look", "over %d machines", MaxMachines)
+	if len(o.Machines)+len(s.machines) > MaxMachines {
+		result.Err = malformed("observation", "more than %d machines", MaxMachines)
 		return
 	}
-	s.looks++
-	s.blind = l.Partial
-	if !l.Partial {
-		s.seen = l.MeasuredAt
+	s.observations++
+	s.lastObservationPartial = o.Partial
+	if !o.Partial {
+		s.observedAt = o.MeasuredAt
 	}
-	if l.RingSize != len(s.yard.ring) {
-		s.yard.ring = make([]int, l.RingSize)
-		s.rebuild()
+	if o.RingSize != len(s.usage.ring) {
+		s.usage.ring = make([]int, o.RingSize)
+		s.recountUsage()
 	}
-	for _, h := range l.Removed {
-		s.remove(h)
-		r.ForecastStale = true
+	for _, host := range o.Removed {
+		s.removeMachine(host)
+		result.ForecastStale = true
 	}
-	for _, m := range l.Machines {
-		if host := s.names[m.Host]; host != "" {
+	for _, m := range o.Machines {
+		if host := s.hostByAdoptedName[m.Host]; host != "" {
 			m.Host = host
 		}
-		r.ForecastStale = s.put(m, l.MeasuredAt) || r.ForecastStale
+		result.ForecastStale = s.putMachine(m, o.MeasuredAt) || result.ForecastStale
 	}
 	clear(s.zones)
-	for _, z := range l.Zones {
-		s.zones[z.Name] = z.State
+	for _, zone := range o.Zones {
+		s.zones[zone.Name] = zone.State
 	}
-	s.judge(l, r)
-	for _, t := range s.held() {
-		if m := s.fleet[t.Host]; m != nil {
-			s.follow(t, m, r)
+	s.checkFaults(o, result)
+	for _, lease := range s.heldLeases() {
+		if m := s.machines[lease.Host]; m != nil {
+			s.advanceByObservation(lease, m, result)
 		}
 	}
-	s.give(r)
+	s.grantLeases(result)
 }
 
-// put takes the evidence of one machine; true is one that the forecast did not reckon with.
-func (s *State) put(m Machine, at time.Duration) (changed bool) {
-	old := s.fleet[m.Host]
+// putMachine stores the observed state of a machine. It reports whether the state invalidates the
+// last forecast.
+func (s *State) putMachine(m Machine, measuredAt time.Duration) (changed bool) {
+	old := s.machines[m.Host]
 	changed = old == nil || old.Zone != m.Zone || old.Kind != m.Kind || old.Voter != m.Voter
 	if !changed {
-		t := s.turns[m.Host]
-		changed = (old.Phase == PhaseWarm) != (m.Phase == PhaseWarm) && (t == nil || !t.Stage.holds())
-	}
-	s.remove(m.Host)
-	n := &machine{Machine: m, at: at}
-	s.fleet[m.Host] = n
-	s.yard.add(n, 1)
-	s.settle(n)
+		lease := s.leases[m.Host]
+		changed = (old.Phase == PhaseWarm) != (m.Phase == PhaseWarm) && (lease == nil || !lease.Stage.isHeld())
+	}
+	s.removeMachine(m.Host)
+	updated := &machine{Machine: m, observedAt: measuredAt}
+	s.machines[m.Host] = updated
+	s.usage.addMachine(updated, 1)
+	s.updateAvailability(updated)
 	return changed
 }
 
-func (s *State) remove(host string) {
-	m := s.fleet[host]
+func (s *State) removeMachine(host string) {
+	m := s.machines[host]
 	if m == nil {
 		return
 	}
-	if m.away {
-		s.yard.away(m, s.members(host), -1)
+	if m.unavailable {
+		s.usage.addUnavailable(m, s.groupsOf(host), -1)
 	}
-	s.yard.add(m, -1)
-	delete(s.fleet, host)
+	s.usage.addMachine(m, -1)
+	delete(s.machines, host)
 }
 
-// follow moves a turn on by what is seen of its machine since it came to its stage.
-func (s *State) follow(t *Lease, m *machine, r *Result) {
-	if max(m.at, s.seen) <= t.StageSince {
+// advanceByObservation advances a lease by what was observed of its machine since the lease entered
+// its stage.
+func (s *State) advanceByObservation(lease *Lease, m *machine, result *Result) {
+	if max(m.observedAt, s.observedAt) <= lease.StageSince {
 		return
 	}
-	switch t.Stage {
+	switch lease.Stage {
 	case StageGranted:
-		if m.Phase == PhaseGone { // if it lives, its number is void
-			s.giveUp(t, true)
-			r.ForecastStale = true
+		if m.Phase == PhaseGone { // should the process still run, its fencing token is void
+			s.release(lease, true)
+			result.ForecastStale = true
 		}
 	case StageDraining:
 		if m.Phase == PhaseIdle {
-			s.turn(t, StageDrained)
+			s.setStage(lease, StageDrained)
 		}
 	case StageRecalled:
-		if t.UndrainConfirmed && m.Phase == PhaseWarm {
-			s.giveUp(t, false)
+		if lease.UndrainConfirmed && m.Phase == PhaseWarm {
+			s.release(lease, false)
 		}
 	case StageOut:
 		if m.Phase == PhaseGone {
-			t.SeenGone = true
-		} else if t.SeenGone {
-			s.turn(t, StageArrived)
+			lease.SeenGone = true
+		} else if lease.SeenGone {
+			s.setStage(lease, StageArrived)
 		}
 	case StageArrived, StageWarmingUp:
 		if m.Phase == PhaseWarm {
-			r.ForecastStale = r.ForecastStale || s.over(t) > 0
-			s.finish(t)
-		} else if m.Phase == PhaseCold && t.Stage == StageArrived {
-			s.turn(t, StageWarmingUp)
+			result.ForecastStale = result.ForecastStale || s.overrun(lease) > 0
+			s.finish(lease)
+		} else if m.Phase == PhaseCold && lease.Stage == StageArrived {
+			s.setStage(lease, StageWarmingUp)
 		}
 	}
 }
 
-// Diff is the look that makes what the state knows of the fleet into what is observed now: at most
-// so much as a look may hold, and Partial where that is not all. Observed names each host once; the
-// caller fills in From, zones, group and what is served.
+// Diff returns the observation that updates the known fleet to the observed machines, limited to
+// maxObservationEntries; it is marked Partial if that limit cuts it. observed must list each host
+// once. The caller sets MeasuredAt, RingSize, Zones, ServedFraction, ServedUnknown and
+// NoMajorityDuration.
 func (s *State) Diff(observed []Machine) *Observation {
-	l := &Observation{Base: s.looks}
-	there := make(map[string]bool, len(observed))
+	o := &Observation{Base: s.observations}
+	present := make(map[string]bool, len(observed))
 	for _, m := range observed {
 		host := m.Host
-		if adopted := s.names[host]; adopted != "" {
-			host = adopted
+		if adoptedHost := s.hostByAdoptedName[host]; adoptedHost != "" {
+			host = adoptedHost
 		}
-		there[host] = true
-		if old := s.fleet[host]; old == nil || differs(&old.Machine, &m, host) {
-			l.Machines = append(l.Machines, m)
+		present[host] = true
+		if old := s.machines[host]; old == nil || machineChanged(&old.Machine, &m, host) {
+			o.Machines = append(o.Machines, m)
 		}
 	}
-	for host := range s.fleet {
-		if !there[host] {
-			l.Removed = append(l.Removed, host)
+	for host := range s.machines {
+		if !present[host] {
+			o.Removed = append(o.Removed, host)
 		}
 	}
-	slices.Sort(l.Removed)
-	l.Machines = l.Machines[:min(len(l.Machines), lookMost)]
-	room := lookMost - len(l.Machines)
-	l.Partial = len(l.Removed) > room || len(l.Machines) == lookMost
-	l.Removed = l.Removed[:min(len(l.Removed), room)]
-	return l
+	slices.Sort(o.Removed)
+	o.Machines = o.Machines[:min(len(o.Machines), maxObservationEntries)]
+	maxRemoved := maxObservationEntries - len(o.Machines)
+	o.Partial = len(o.Removed) > maxRemoved || len(o.Machines) == maxObservationEntries
+	o.Removed = o.Removed[:min(len(o.Removed), maxRemoved)]
+	return o
 }
 
-// differs tells whether a machine's evidence has to be told anew; figures that are a tenth off are not.
-func differs(old, m *Machine, host string) bool {
-	same := *m
-	same.Host = host
-	if near(old.Load, m.Load) {
-		same.Load = old.Load
-	}
-	if near(old.Capacity, m.Capacity) {
-		same.Capacity = old.Capacity
-	}
-	return same != *old
+// machineChanged reports whether a machine has to be included in an observation. Changes of load
+// and capacity by up to a tenth are left out.
+func machineChanged(old, m *Machine, host string) bool {
+	compared := *m
+	compared.Host = host
+	if withinTenth(old.Load, m.Load) {
+		compared.Load = old.Load
+	}
+	if withinTenth(old.Capacity, m.Capacity) {
+		compared.Capacity = old.Capacity
+	}
+	return compared != *old
 }
 
-func near(a, b uint32) bool { return max(a, b)-min(a, b) <= max(a, b)/10 }
+func withinTenth(a, b uint32) bool { return max(a, b)-min(a, b) <= max(a, b)/10 }
--- a/fleet/maintenance/order.go
+++ b/fleet/maintenance/order.go
@@ -7,101 +7,103 @@
 	"time"
 )
 
-// grain is what two latest starts may differ by and count as equally urgent, in ms. Then the
-// machine with less worth at risk goes first.
-const grain = int64(time.Minute / time.Millisecond)
+// urgencyGranularity is the width in milliseconds of the steps by which latest start times are
+// compared. Hosts in the same step are equally urgent, and the one with the lower load goes first.
+const urgencyGranularity = int64(time.Minute / time.Millisecond)
 
-// gather is how long a new plan waits for its hosts to ask: the first to ask are not the most urgent.
-const gather = 10 * time.Second
+// firstGrantDelay is the time from the load of a plan to the first grant, so that all its hosts can
+// request a lease; the first hosts to request one are not the most urgent.
+const firstGrantDelay = 10 * time.Second
 
-// need is what a turn takes as expected, from its grant to its return.
-func (s *State) need(length Duration) Duration {
-	return s.plan.plan.DrainDuration + length + s.plan.plan.WarmUpDuration
+// expectedDuration returns the expected time from the start of a drain to the return to service.
+func (s *State) expectedDuration(workDuration Duration) Duration {
+	return s.plan.plan.DrainDuration + workDuration + s.plan.plan.WarmUpDuration
 }
 
-// rank is a host's place in the order: by the latest time at which it has to go, then by the worth
-// that it serves, then by name.
-type rank struct {
-	host   string
-	m      *machine
-	start  int64
-	load   uint32
-	length Duration
-	due    Timestamp
+// candidate is a host that waits for a lease. Candidates are ordered by the latest time at which
+// they have to start, then by load, then by name.
+type candidate struct {
+	host         string
+	machine      *machine
+	latestStart  int64
+	load         uint32
+	workDuration Duration
+	deadline     Timestamp
 }
 
-func (s *State) rank(host string, w work) rank {
-	r := rank{host: host, length: w.length, due: w.deadline}
-	r.m = s.fleet[host]
-	if r.m != nil {
-		r.load = r.m.Load
+func (s *State) newCandidate(host string, work hostWork) candidate {
+	c := candidate{host: host, workDuration: work.duration, deadline: work.deadline}
+	c.machine = s.machines[host]
+	if c.machine != nil {
+		c.load = c.machine.Load
 	}
-	return r
+	return c
 }
 
-func (r rank) compare(q rank) int {
-	return cmp.Or(cmp.Compare(r.start, q.start), cmp.Compare(r.load, q.load), cmp.Compare(r.host, q.host))
+func (c candidate) compare(other candidate) int {
+	return cmp.Or(cmp.Compare(c.latestStart, other.latestStart), cmp.Compare(c.load, other.load), cmp.Compare(c.host, other.host))
 }
 
-// order puts hosts in their order.
-func (s *State) order(queue []rank) {
-	for i := range queue {
-		q := &queue[i]
-		q.start = (s.due(q) - s.need(q.length).millis()) / grain
+// sortCandidates computes the latest starts and sorts the candidates.
+func (s *State) sortCandidates(candidates []candidate) {
+	for i := range candidates {
+		c := &candidates[i]
+		c.latestStart = (s.latestEnd(c) - s.expectedDuration(c.workDuration).milliseconds()) / urgencyGranularity
 	}
-	slices.SortFunc(queue, rank.compare)
+	slices.SortFunc(candidates, candidate.compare)
 }
 
-// due is when a host's turn has to have ended: by its deadline, or before the next window of its zone
-// if it still can, as it would wait for that window's end.
-func (s *State) due(q *rank) int64 {
-	due := int64(q.due)
-	if due == 0 {
-		due = math.MaxInt64 / 2
+// latestEnd returns the time in Unix milliseconds by which a candidate has to be back in service:
+// its deadline, or the start of its zone's next uplink window if it can still be back before that,
+// as it would otherwise have to wait for the window's end.
+func (s *State) latestEnd(c *candidate) int64 {
+	end := int64(c.deadline)
+	if end == 0 {
+		end = math.MaxInt64 / 2
 	}
-	for _, u := range s.uplinks {
-		before := int64(u.Start) - s.plan.plan.Bounds.UplinkMargin.millis()
-		if q.m != nil && u.Zone == q.m.Zone && int64(s.wall)+s.need(q.length).millis() <= before {
-			due = min(due, before)
+	for _, window := range s.uplinkWindows {
+		closing := int64(window.Start) - s.plan.plan.Bounds.UplinkMargin.milliseconds()
+		if c.machine != nil && window.Zone == c.machine.Zone && int64(s.wallTime)+s.expectedDuration(c.workDuration).milliseconds() <= closing {
+			end = min(end, closing)
 		}
 	}
-	return due
+	return end
 }
 
-// queue lists those that ask, in order.
-func (s *State) queue() (queue []rank) {
-	for _, t := range s.turns {
-		if t.Stage != StageRequested || s.now < t.TimerAt || s.fleet[t.Host] == nil {
+// requestingCandidates returns the hosts that request a lease, sorted.
+func (s *State) requestingCandidates() (candidates []candidate) {
+	for _, lease := range s.leases {
+		if lease.Stage != StageRequested || s.now < lease.TimerAt || s.machines[lease.Host] == nil {
 			continue
 		}
-		if w, wanted := s.wanted(t.Host); wanted {
-			queue = append(queue, s.rank(t.Host, w))
+		if work, pending := s.pendingWork(lease.Host); pending {
+			candidates = append(candidates, s.newCandidate(lease.Host, work))
 		}
 	}
-	s.order(queue)
-	return queue
+	s.sortCandidates(candidates)
+	return candidates
 }
 
-// give grants turns, in order, to all that the bounds let out. Only a look gives any: the evidence is
-// then as new as it can be.
-func (s *State) give(r *Result) {
-	if s.plan == nil || s.Halted() || s.blind || s.now-s.seen > evidenceMost || s.now < s.loaded+gather {
+// grantLeases grants leases, in order, to all candidates that the bounds permit. It runs only after
+// an observation has been applied, when the known state of the fleet is newest.
+func (s *State) grantLeases(result *Result) {
+	if s.plan == nil || s.Halted() || s.lastObservationPartial || s.now-s.observedAt > maxObservationAge || s.now < s.planLoadedAt+firstGrantDelay {
 		return
 	}
-	full := map[place]bool{} // zones that let nobody more out
-	for _, q := range s.queue() {
-		if full[place{q.m.Zone, q.m.Kind}] {
+	exhausted := map[zoneKind]bool{} // zones whose bounds permit no further machine
+	for _, c := range s.requestingCandidates() {
+		if exhausted[zoneKind{c.machine.Zone, c.machine.Kind}] {
 			continue
 		}
-		switch b := s.barred(&s.yard, q.m, false, s.need(q.length), s.wall); b.bound {
+		switch v := s.firstViolation(&s.usage, c.machine, false, s.expectedDuration(c.workDuration), s.wallTime); v.bound {
 		case BoundNone:
-			t := s.turns[q.host]
-			s.fence++
-			t.FencingToken, t.TimerAt = s.fence, s.now+time.Duration(s.plan.plan.GrantTimeout)
-			s.turn(t, StageGranted)
-			r.Granted = append(r.Granted, t.Host)
+			lease := s.leases[c.host]
+			s.lastFencingToken++
+			lease.FencingToken, lease.TimerAt = s.lastFencingToken, s.now+time.Duration(s.plan.plan.GrantTimeout)
+			s.setStage(lease, StageGranted)
+			result.Granted = append(result.Granted, lease.Host)
 		case BoundZone, BoundZoneState:
-			full[place{q.m.Zone, q.m.Kind}] = true
+			exhausted[zoneKind{c.machine.Zone, c.machine.Kind}] = true
 		}
 	}
 }
--- a/fleet/maintenance/plan.go
+++ b/fleet/maintenance/plan.go
@@ -1,7 +1,12 @@
-// Package maintenance is the pure part of taking machines out for work in an order that the nodes settle:
-// a work plan, and the state machine that gives turns by it. The machine lives in a replicated log:
-// commands go in, the same at each replica, and states come out. It has no clock, no socket and no
-// goroutine, and reckons in whole numbers, so that all replicas come to the same.
+// Package maintenance is the replicated state machine that grants maintenance leases. A work plan
+// (Plan) lists the hosts whose machines have to be taken out of service for a job, and the bounds
+// on what may be unavailable at the same time. State applies the commands of the consensus group's
+// log: plans, the leader's observations of the fleet, the requests of the machines' agents and the
+// operators' orders. Agent runs beside each machine, sends its requests and turns the responses
+// into actions: drain, undrain, leave service.
+//
+// The package has no clock, sockets or goroutines and computes the replicated state in integers
+// only, so that all replicas reach the same state.
 package maintenance
 
 import (
@@ -17,23 +22,24 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Bounds of a work plan.
+// Limits of a work plan.
 const (
-	MaxPlanBytes = 64 << 10 // bytes of its text
-	MaxPlanHosts = 8192     // named by its jobs, ranges spread out
-	jobsMost     = 256
-	apartMost    = 256
-	sizesMost    = 16
-	sizeMost     = 1024 // nodes of a customer's set
-	nameMost     = 64   // bytes of a host's, a job's or a group's name
-	spanMost     = 7 * 24 * time.Hour
+	MaxPlanBytes          = 64 << 10 // size of its text
+	MaxPlanHosts          = 8192     // hosts named by its jobs, with ranges expanded
+	maxJobs               = 256
+	maxAntiAffinityGroups = 256
+	maxSetSizes           = 16
+	maxSetSize            = 1024 // nodes in a customer's set
+	maxNameBytes          = 64   // length of the name of a host, job or group
+	maxDuration           = 7 * 24 * time.Hour
 )
 
-// Plan is the work plan: which hosts have to be taken out, for how long and until when, and what
-// holds meanwhile. It stands in a rule set under [work], or alone as a document.
+// Plan is the work plan: the hosts to take out of service, for how long and until when, and the
+// bounds that hold meanwhile. It is the [work] section of a rule set, or a document of its own.
 type Plan struct {
-	// What a turn takes beside its work, as expected: what takes longer is shown, not ended. Grant
-	// is no expectation: a turn whose drain has not begun in that time is given up.
+	// GrantTimeout is the time from the grant of a lease in which its drain has to begin; a lease
+	// that has not started draining by then is released. DrainDuration and WarmUpDuration are
+	// expected durations only: a stage that takes longer is reported as an overrun, not ended.
 	GrantTimeout   Duration `toml:"grant" cbor:"1,keyasint"`
 	DrainDuration  Duration `toml:"drain" cbor:"2,keyasint"`
 	WarmUpDuration Duration `toml:"warm" cbor:"3,keyasint"`
@@ -44,171 +50,180 @@
 	AntiAffinityGroups []AntiAffinityGroup `toml:"apart,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// Bounds hold at every moment, for all that is away, whether for work or not.
+// Bounds limit what may be unavailable at any moment, for maintenance or for any other reason.
 type Bounds struct {
-	MaxZoneFraction     Fraction `toml:"zone" cbor:"1,keyasint"` // of the nodes of a zone, and of its servers
-	MaxSetFraction      Fraction `toml:"set" cbor:"2,keyasint"`  // of the nodes of a customer's set
-	SetSizes            []int    `toml:"sets" cbor:"3,keyasint"` // sizes of customers' sets, in nodes in a row
-	MaxCapacityFraction Fraction `toml:"warm" cbor:"4,keyasint"` // of what is warm after the worst zone's loss
-	AllowOne            bool     `toml:"one" cbor:"5,keyasint"`  // where a part of a zone or set is less than a machine, one may go
-	UplinkMargin        Duration `toml:"uplink" cbor:"6,keyasint"`
+	MaxZoneFraction Fraction `toml:"zone" cbor:"1,keyasint"` // fraction of a zone's edge nodes, and of its rating servers
+	MaxSetFraction  Fraction `toml:"set" cbor:"2,keyasint"`  // fraction of the edge nodes in a customer's set
+	SetSizes        []int    `toml:"sets" cbor:"3,keyasint"` // numbers of consecutive edge nodes in a customer's set
+	// MaxCapacityFraction is the fraction of the capacity that would remain after the loss of the
+	// largest zone; machines with that much capacity may be unavailable.
+	MaxCapacityFraction Fraction `toml:"warm" cbor:"4,keyasint"`
+	// AllowOne permits one unavailable machine where a zone's or a set's fraction is less than a
+	// whole machine.
+	AllowOne bool `toml:"one" cbor:"5,keyasint"`
+	// UplinkMargin is the minimum time between the expected return of a machine and the start of its
+	// zone's next uplink window.
+	UplinkMargin Duration `toml:"uplink" cbor:"6,keyasint"`
 }
 
-// Trouble says by what evidence all is halted, and how it goes on.
+// HaltPolicy defines which faults halt all work, and how work resumes.
 type HaltPolicy struct {
-	MaxServedDrop         Fraction `toml:"served" cbor:"1,keyasint"` // by which the served share may fall
-	MaxNoMajorityDuration Duration `toml:"lost" cbor:"2,keyasint"`   // for which the council may have no majority
-	ResumeMode            string   `toml:"resume" cbor:"3,keyasint"` // "rule" or "hand"
-	ResumeDelay           Duration `toml:"calm" cbor:"4,keyasint"`   // without trouble before it goes on by rule
+	MaxServedDrop         Fraction `toml:"served" cbor:"1,keyasint"` // largest permitted drop of the served fraction
+	MaxNoMajorityDuration Duration `toml:"lost" cbor:"2,keyasint"`   // longest permitted time without a majority
+	ResumeMode            string   `toml:"resume" cbor:"3,keyasint"` // ResumeAutomatically or ResumeByOperator
+	ResumeDelay           Duration `toml:"calm" cbor:"4,keyasint"`   // time without a fault before work resumes automatically
 }
 
-// Job is one kind of work on some hosts.
+// Job is one kind of work on a list of hosts.
 type Job struct {
 	Name         string    `toml:"name" cbor:"1,keyasint"`
-	Hosts        []string  `toml:"hosts" cbor:"2,keyasint"` // names; "edge-[001-120]" is a range
-	WorkDuration Duration  `toml:"length" cbor:"3,keyasint"`
-	Deadline     Timestamp `toml:"deadline,omitempty" cbor:"4,keyasint"` // by which each is back; none is whenever
+	Hosts        []string  `toml:"hosts" cbor:"2,keyasint"`              // names, or ranges like "edge-[001-120]"
+	WorkDuration Duration  `toml:"length" cbor:"3,keyasint"`             // expected time out of service on each host
+	Deadline     Timestamp `toml:"deadline,omitempty" cbor:"4,keyasint"` // time by which each host is back in service; 0 means none
 }
 
-// Apart is hosts of which only so many may be out together: a hall's spread, the two sources of a
-// provision. Voters of the council are kept apart without being named.
+// AntiAffinityGroup is a group of hosts of which a limited number may be unavailable together, for
+// example the hosts that are spread over a hall, or two hosts with the same source. The voters of
+// the consensus group need not be listed: at most one of them may be unavailable.
 type AntiAffinityGroup struct {
 	Name           string   `toml:"name" cbor:"1,keyasint"`
 	Hosts          []string `toml:"hosts" cbor:"2,keyasint"`
 	MaxUnavailable int      `toml:"most" cbor:"3,keyasint"`
 }
 
-// How a halt by evidence ends.
+// Values of HaltPolicy.ResumeMode: how a halt that a fault caused ends.
 const (
 	ResumeAutomatically = "rule"
 	ResumeByOperator    = "hand"
 )
 
-// Span is a length of time, written like "20m".
+// Duration is a time span in nanoseconds, written like "20m" in a plan.
 type Duration time.Duration
 
-// UnmarshalText reads a span.
-func (s *Duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	*s = Duration(d)
+// UnmarshalText parses a duration.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	*d = Duration(parsed)
 	return err
 }
 
-// MarshalText writes a span.
-func (s Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+// MarshalText formats the duration.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Part is a part of a whole in thousandths, written like 0.25.
+// Fraction is a fraction in thousandths, written like 0.25 in a plan.
 type Fraction int
 
-// UnmarshalText reads a part.
-func (p *Fraction) UnmarshalText(text []byte) error {
+// UnmarshalText parses a fraction.
+func (f *Fraction) UnmarshalText(text []byte) error {
 	v, err := strconv.ParseFloat(string(text), 64)
 	if err == nil && !(math.Abs(v) <= 1000) {
-		err = fmt.Errorf("%s is no part of a whole", text)
+		err = fmt.Errorf("%s is not a fraction", text)
 	}
-	*p = Fraction(math.Round(v * 1000))
+	*f = Fraction(math.Round(v * 1000))
 	return err
 }
 
-// MarshalText writes a part.
-func (p Fraction) MarshalText() ([]byte, error) {
-	return strconv.AppendFloat(nil, float64(p)/1000, 'f', -1, 64), nil
+// MarshalText formats the fraction.
+func (f Fraction) MarshalText() ([]byte, error) {
+	return strconv.AppendFloat(nil, float64(f)/1000, 'f', -1, 64), nil
 }
 
-// of is the whole machines of n that a part allows.
-func (p Fraction) of(n int) int { return n * int(p) / 1000 }
+// countOf returns the fraction of total, rounded down to whole machines.
+func (f Fraction) countOf(total int) int { return total * int(f) / 1000 }
 
-// Moment is a wall time in Unix milliseconds, written like "2026-10-03T04:00:00+02:00"; 0 is none.
+// Timestamp is a wall time in Unix milliseconds, written like "2026-10-03T04:00:00+02:00"; 0 means
+// none.
 type Timestamp int64
 
-// UnmarshalText reads a moment; one without an offset would mean another time at each node.
-func (m *Timestamp) UnmarshalText(text []byte) error {
+// UnmarshalText parses a timestamp. The offset is required: without one the time would depend on
+// the node that reads it.
+func (ts *Timestamp) UnmarshalText(text []byte) error {
 	t, err := time.Parse(time.RFC3339, string(text))
-	*m = Timestamp(t.UnixMilli())
+	*ts = Timestamp(t.UnixMilli())
 	return err
 }
 
-// MarshalText writes a moment.
-func (m Timestamp) MarshalText() ([]byte, error) {
-	return time.UnixMilli(int64(m)).UTC().AppendFormat(nil, time.RFC3339), nil
+// MarshalText formats the timestamp in UTC.
+func (ts Timestamp) MarshalText() ([]byte, error) {
+	return time.UnixMilli(int64(ts)).UTC().AppendFormat(nil, time.RFC3339), nil
 }
 
-func (m Timestamp) String() string {
-	text, _ := m.MarshalText() // of a moment there is always one
+func (ts Timestamp) String() string {
+	text, _ := ts.MarshalText() // MarshalText never fails
 	return string(text)
 }
 
-// Parse reads a work plan that stands alone. It is strict: a key that is not known is refused.
+// Parse parses a work plan that is a document of its own. It rejects unknown keys.
 func Parse(text []byte) (*Plan, error) {
 	if len(text) > MaxPlanBytes {
-		return nil, &PlanError{Key: "document", Reason: fmt.Sprintf("%d bytes", len(text)), Hint: fmt.Sprintf("keep it under %d, with ranges of hosts", MaxPlanBytes)}
+		return nil, &PlanError{Key: "document", Reason: fmt.Sprintf("%d bytes", len(text)), Hint: fmt.Sprintf("keep it under %d bytes, list hosts as ranges", MaxPlanBytes)}
 	}
 	p := &Plan{}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(p); err != nil {
-		var strict *toml.StrictMissingError
-		var wrong *toml.DecodeError
+		var unknownKeyErr *toml.StrictMissingError
+		var decodeErr *toml.DecodeError
 		switch {
-		case errors.As(err, &strict):
-			return nil, &PlanError{Key: strings.Join(strict.Errors[0].Key(), "."), Reason: "the key is not known", Hint: "take it out or mend its name"}
-		case errors.As(err, &wrong):
-			row, _ := wrong.Position()
-			return nil, &PlanError{Key: cmp.Or(strings.Join(wrong.Key(), "."), "document"), Reason: fmt.Sprintf("line %d: %s", row, oneLine(err)), Hint: "mend that line"}
+		case errors.As(err, &unknownKeyErr):
+			return nil, &PlanError{Key: strings.Join(unknownKeyErr.Errors[0].Key(), "."), Reason: "unknown key", Hint: "remove it or correct its name"}
+		case errors.As(err, &decodeErr):
+			line, _ := decodeErr.Position()
+			return nil, &PlanError{Key: cmp.Or(strings.Join(decodeErr.Key(), "."), "document"), Reason: fmt.Sprintf("line %d: %s", line, oneLine(err)), Hint: "correct that line"}
 		}
-		return nil, &PlanError{Key: "document", Reason: oneLine(err), Hint: "mend it"}
+		return nil, &PlanError{Key: "document", Reason: oneLine(err), Hint: "correct it"}
 	}
 	if len(p.AntiAffinityGroups) == 0 {
-		p.AntiAffinityGroups = nil // written as none, or not at all
+		p.AntiAffinityGroups = nil // an empty list equals an absent one
 	}
 	return p, p.Check()
 }
 
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// Check tells whether a plan can be followed at all; its error is a *PlanError. Whether a fleet has
-// the hosts, and the time, is said when it is loaded.
+// Check reports whether the plan is valid by itself; its error is a *PlanError. Whether the fleet
+// has the hosts and can meet the deadlines is determined by the forecast when the plan is loaded.
 func (p *Plan) Check() error {
 	_, err := compile(p)
 	return err
 }
 
-func (p *Plan) check() error {
-	spans := []struct {
-		key  string
-		v    Duration
-		zero bool
+func (p *Plan) checkValues() error {
+	durations := []struct {
+		key         string
+		value       Duration
+		zeroAllowed bool
 	}{{"grant", p.GrantTimeout, false}, {"drain", p.DrainDuration, false}, {"warm", p.WarmUpDuration, true}, {"bounds.uplink", p.Bounds.UplinkMargin, true},
 		{"trouble.lost", p.HaltPolicy.MaxNoMajorityDuration, false}, {"trouble.calm", p.HaltPolicy.ResumeDelay, true}}
-	for _, s := range spans {
-		if err := checkSpan(s.key, s.v, s.zero); err != nil {
+	for _, d := range durations {
+		if err := checkDuration(d.key, d.value, d.zeroAllowed); err != nil {
 			return err
 		}
 	}
-	parts := []struct {
-		key string
-		v   Fraction
+	fractions := []struct {
+		key   string
+		value Fraction
 	}{{"bounds.zone", p.Bounds.MaxZoneFraction}, {"bounds.set", p.Bounds.MaxSetFraction}, {"bounds.warm", p.Bounds.MaxCapacityFraction}, {"trouble.served", p.HaltPolicy.MaxServedDrop}}
-	for _, s := range parts {
-		if s.v < 1 || s.v > 1000 {
-			return &PlanError{Key: s.key, Reason: fmt.Sprintf("%g is no part from 0.001 to 1", float64(s.v)/1000), Hint: "name one; there is no bound by default"}
+	for _, f := range fractions {
+		if f.value < 1 || f.value > 1000 {
+			return &PlanError{Key: f.key, Reason: fmt.Sprintf("%g is not a fraction from 0.001 to 1", float64(f.value)/1000), Hint: "set one, there is no default"}
 		}
 	}
-	if r := p.HaltPolicy.ResumeMode; r != ResumeAutomatically && r != ResumeByOperator {
-		return &PlanError{Key: "trouble.resume", Reason: fmt.Sprintf("%q is neither rule nor hand", r), Hint: "say how work goes on after trouble"}
+	if mode := p.HaltPolicy.ResumeMode; mode != ResumeAutomatically && mode != ResumeByOperator {
+		return &PlanError{Key: "trouble.resume", Reason: fmt.Sprintf("%q is neither rule nor hand", mode), Hint: "choose how work resumes after a fault"}
 	}
-	if n := len(p.Bounds.SetSizes); n == 0 || n > sizesMost {
-		return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("%d sizes", n), Hint: fmt.Sprintf("name 1 to %d sizes of customers' sets", sizesMost)}
+	if n := len(p.Bounds.SetSizes); n == 0 || n > maxSetSizes {
+		return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("%d sizes", n), Hint: fmt.Sprintf("list 1 to %d sizes of customers' sets", maxSetSizes)}
 	}
-	for _, s := range p.Bounds.SetSizes {
-		if s < 1 || s > sizeMost {
-			return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("a set of %d nodes", s), Hint: fmt.Sprintf("name sizes from 1 to %d", sizeMost)}
+	for _, size := range p.Bounds.SetSizes {
+		if size < 1 || size > maxSetSize {
+			return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("a set of %d nodes", size), Hint: fmt.Sprintf("list sizes from 1 to %d", maxSetSize)}
 		}
 	}
 	return nil
 }
 
-func checkSpan(key string, s Duration, zero bool) error {
-	if s < 0 || (s == 0 && !zero) || time.Duration(s) > spanMost {
-		return &PlanError{Key: key, Reason: fmt.Sprintf("%v is no span up to %v", time.Duration(s), spanMost), Hint: "name one, like \"30s\""}
+func checkDuration(key string, d Duration, zeroAllowed bool) error {
+	if d < 0 || (d == 0 && !zeroAllowed) || time.Duration(d) > maxDuration {
+		return &PlanError{Key: key, Reason: fmt.Sprintf("%v is not a duration up to %v", time.Duration(d), maxDuration), Hint: "set one, like \"30s\""}
 	}
 	return nil
 }
--- a/fleet/maintenance/plan_test.go
+++ b/fleet/maintenance/plan_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const goodPlan = `
+const validPlan = `
 grant = "30s"
 drain = "5s"
 warm = "1m"
@@ -37,30 +37,31 @@
 most = 1
 `
 
-func TestPlanIsReadAndWritten(t *testing.T) {
-	p, err := Parse([]byte(goodPlan))
+func TestPlanRoundTrip(t *testing.T) {
+	plan, err := Parse([]byte(validPlan))
 	require.NoError(t, err)
-	c, err := compile(p)
+	compiled, err := compile(plan)
 	require.NoError(t, err)
-	assert.Len(t, c.hosts, 13)
-	assert.Equal(t, work{"kernel", Duration(20 * time.Minute), Timestamp(time.Date(2026, 10, 3, 2, 0, 0, 0, time.UTC).UnixMilli())}, c.work["edge-12"])
-	assert.Equal(t, Fraction(340), p.Bounds.MaxZoneFraction)
-	text, err := toml.Marshal(p) // as a rule set's document has it
+	assert.Len(t, compiled.hosts, 13)
+	assert.Equal(t, hostWork{"kernel", Duration(20 * time.Minute), Timestamp(time.Date(2026, 10, 3, 2, 0, 0, 0, time.UTC).UnixMilli())}, compiled.workByHost["edge-12"])
+	assert.Equal(t, Fraction(340), plan.Bounds.MaxZoneFraction)
+	text, err := toml.Marshal(plan) // as in the document of a rule set
 	require.NoError(t, err)
 	again, err := Parse(text)
 	require.NoError(t, err)
-	assert.Equal(t, p, again)
-	raw, err := (&Command{LoadPlan: &LoadPlan{Version: 1, Plan: p}}).Encode()
+	assert.Equal(t, plan, again)
+	raw, err := (&Command{LoadPlan: &LoadPlan{Version: 1, Plan: plan}}).Encode()
 	require.NoError(t, err)
-	read, err := DecodeCommand(raw)
+	decoded, err := DecodeCommand(raw)
 	require.NoError(t, err)
-	assert.Equal(t, p, read.LoadPlan.Plan)
+	assert.Equal(t, plan, decoded.LoadPlan.Plan)
 }
 
-// What can't be followed is refused with key and host, in one line that says what to do.
-func TestPlanIsRefused(t *testing.T) {
-	many := strings.Repeat(`"x-[000001-004000]", `, 3)
-	for _, c := range []struct{ old, new, key, host string }{
+// A plan that is not valid must be rejected with the key and host at fault, in one line with a
+// hint.
+func TestInvalidPlanIsRejected(t *testing.T) {
+	tooManyHosts := strings.Repeat(`"x-[000001-004000]", `, 3)
+	for _, tc := range []struct{ old, new, key, host string }{
 		{`drain = "5s"`, "drain = \"5s\"\nhurry = true", "hurry", ""},
 		{`sets = [3, 8]`, `sets = [3, 8]` + "\nsoon = 1", "bounds.soon", ""},
 		{`drain = "5s"`, `drain = "soon"`, "drain", ""},
@@ -74,7 +75,7 @@
 		{`"rate-a"`, `"rate a"`, "jobs.0.hosts", "rate a"},
 		{`"rate-a"`, `"edge-04"`, "jobs.0.hosts", "edge-04"},
 		{`"rate-a"`, `"edge-[9-1]"`, "jobs.0.hosts", "edge-[9-1]"},
-		{`"rate-a"`, many + `"y"`, "jobs.0.hosts", "x-[000001-004000]"},
+		{`"rate-a"`, tooManyHosts + `"y"`, "jobs.0.hosts", "x-[000001-004000]"},
 		{`+02:00`, ``, "jobs.deadline", ""},
 		{`most = 1`, `most = 2`, "apart.0.most", ""},
 		{`"edge-07"]`, `"edge-01"]`, "apart.0.hosts", "edge-01"},
@@ -83,36 +84,36 @@
 		{`[bounds]`, `#` + strings.Repeat("x", MaxPlanBytes) + "\n[bounds]", "document", ""},
 		{`[bounds]`, `[bounds`, "document", ""},
 	} {
-		text := strings.Replace(goodPlan, c.old, c.new, 1)
-		require.NotEqual(t, goodPlan, text, c.old)
+		text := strings.Replace(validPlan, tc.old, tc.new, 1)
+		require.NotEqual(t, validPlan, text, tc.old)
 		_, err := Parse([]byte(text))
-		var plan *PlanError
-		if !assert.ErrorAs(t, err, &plan, c.new) {
+		var planErr *PlanError
+		if !assert.ErrorAs(t, err, &planErr, tc.new) {
 			continue
 		}
-		assert.Equal(t, [2]string{c.key, c.host}, [2]string{plan.Key, plan.Host}, "%.80s: %v", c.new, err)
+		assert.Equal(t, [2]string{tc.key, tc.host}, [2]string{planErr.Key, planErr.Host}, "%.80s: %v", tc.new, err)
 		assert.NotContains(t, err.Error(), "\n")
-		assert.NotEmpty(t, plan.Hint)
+		assert.NotEmpty(t, planErr.Hint)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodPlan))
+	f.Add([]byte(validPlan))
 	f.Add([]byte(`jobs = [{name="x", hosts=["a-[1-9]"], length="1m"}]`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		p, err := Parse(text)
+		plan, err := Parse(text)
 		if err != nil {
 			if assert.NotContains(t, err.Error(), "\n") {
 				assert.ErrorAs(t, err, new(*PlanError))
 			}
 			return
 		}
-		again, err := toml.Marshal(p)
+		encoded, err := toml.Marshal(plan)
 		require.NoError(t, err)
-		q, err := Parse(again)
-		if len(again) <= MaxPlanBytes {
-			require.NoError(t, err, string(again))
-			require.Equal(t, p, q)
+		decoded, err := Parse(encoded)
+		if len(encoded) <= MaxPlanBytes {
+			require.NoError(t, err, string(encoded))
+			require.Equal(t, plan, decoded)
 		}
 	})
 }
--- a/fleet/maintenance/snapshot.go
+++ b/fleet/maintenance/snapshot.go
@@ -8,135 +8,135 @@
 	"time"
 )
 
-// snapshot is a state's canonical form: the same states have the same bytes.
+// snapshot is the encoded form of a State. It is canonical: equal states have equal bytes.
 type snapshot struct {
-	Now     time.Duration     `cbor:"1,keyasint"`
-	Wall    Timestamp         `cbor:"2,keyasint"`
-	Fence   uint64            `cbor:"3,keyasint"`
-	Version uint64            `cbor:"4,keyasint"`
-	Plan    *Plan             `cbor:"5,keyasint,omitempty"`
-	Looks   uint64            `cbor:"6,keyasint"`
-	Seen    time.Duration     `cbor:"7,keyasint"`
-	Blind   bool              `cbor:"8,keyasint"`
-	Group   int               `cbor:"9,keyasint"`
-	Zones   []Zone            `cbor:"10,keyasint,omitempty"`
-	Uplinks []UplinkWindow    `cbor:"11,keyasint,omitempty"`
-	Halt    haltSnapshot      `cbor:"12,keyasint"`
-	Fleet   []machineSnapshot `cbor:"13,keyasint,omitempty"`
-	Turns   []Lease           `cbor:"14,keyasint,omitempty"`
-	Done    [][2]string       `cbor:"15,keyasint,omitempty"` // host, job
-	Loaded  time.Duration     `cbor:"17,keyasint"`
-	Names   [][2]string       `cbor:"16,keyasint,omitempty"` // name, host
+	Now                    time.Duration     `cbor:"1,keyasint"`
+	WallTime               Timestamp         `cbor:"2,keyasint"`
+	LastFencingToken       uint64            `cbor:"3,keyasint"`
+	PlanVersion            uint64            `cbor:"4,keyasint"`
+	Plan                   *Plan             `cbor:"5,keyasint,omitempty"`
+	Observations           uint64            `cbor:"6,keyasint"`
+	ObservedAt             time.Duration     `cbor:"7,keyasint"`
+	LastObservationPartial bool              `cbor:"8,keyasint"`
+	RingSize               int               `cbor:"9,keyasint"`
+	Zones                  []Zone            `cbor:"10,keyasint,omitempty"`
+	UplinkWindows          []UplinkWindow    `cbor:"11,keyasint,omitempty"`
+	Halt                   haltSnapshot      `cbor:"12,keyasint"`
+	Machines               []machineSnapshot `cbor:"13,keyasint,omitempty"`
+	Leases                 []Lease           `cbor:"14,keyasint,omitempty"`
+	DoneJobs               [][2]string       `cbor:"15,keyasint,omitempty"` // pairs of host and job
+	PlanLoadedAt           time.Duration     `cbor:"17,keyasint"`
+	HostByAdoptedName      [][2]string       `cbor:"16,keyasint,omitempty"` // pairs of adopted name and host
 }
 
 type machineSnapshot struct {
-	_ struct{} `cbor:",toarray"`
-	M Machine
-	A time.Duration
+	_          struct{} `cbor:",toarray"`
+	Machine    Machine
+	ObservedAt time.Duration
 }
 
 type haltSnapshot struct {
-	_             struct{} `cbor:",toarray"`
-	Hand, Trouble string
-	Calm          time.Duration
-	Quiet         bool
-	Usual, Served int64
+	_                           struct{} `cbor:",toarray"`
+	OperatorReason, FaultReason string
+	ClearedAt                   time.Duration
+	Cleared                     bool
+	UsualServed, LastServed     int64
 }
 
-// Snapshot gives the state's bytes.
+// Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
 	h := s.halt
-	p := snapshot{Now: s.now, Wall: s.wall, Fence: s.fence, Version: s.version, Loaded: s.loaded, Looks: s.looks, Seen: s.seen, Blind: s.blind,
-		Group: len(s.yard.ring), Uplinks: s.uplinks, Done: pairs(s.done), Names: pairs(s.names),
-		Halt: haltSnapshot{Hand: h.hand, Trouble: h.trouble, Calm: h.calm, Quiet: h.quiet, Usual: h.usual, Served: h.served}}
+	snap := snapshot{Now: s.now, WallTime: s.wallTime, LastFencingToken: s.lastFencingToken, PlanVersion: s.planVersion, PlanLoadedAt: s.planLoadedAt, Observations: s.observations, ObservedAt: s.observedAt, LastObservationPartial: s.lastObservationPartial,
+		RingSize: len(s.usage.ring), UplinkWindows: s.uplinkWindows, DoneJobs: pairs(s.doneJobs), HostByAdoptedName: pairs(s.hostByAdoptedName),
+		Halt: haltSnapshot{OperatorReason: h.operatorReason, FaultReason: h.faultReason, ClearedAt: h.clearedAt, Cleared: h.cleared, UsualServed: h.usualServed, LastServed: h.lastServed}}
 	if s.plan != nil {
-		p.Plan = s.plan.plan
+		snap.Plan = s.plan.plan
 	}
-	for _, z := range slices.Sorted(maps.Keys(s.zones)) {
-		p.Zones = append(p.Zones, Zone{Name: z, State: s.zones[z]})
+	for _, zone := range slices.Sorted(maps.Keys(s.zones)) {
+		snap.Zones = append(snap.Zones, Zone{Name: zone, State: s.zones[zone]})
 	}
-	for _, h := range slices.Sorted(maps.Keys(s.fleet)) {
-		p.Fleet = append(p.Fleet, machineSnapshot{M: s.fleet[h].Machine, A: s.fleet[h].at})
+	for _, host := range slices.Sorted(maps.Keys(s.machines)) {
+		snap.Machines = append(snap.Machines, machineSnapshot{Machine: s.machines[host].Machine, ObservedAt: s.machines[host].observedAt})
 	}
-	for _, h := range slices.Sorted(maps.Keys(s.turns)) {
-		p.Turns = append(p.Turns, *s.turns[h])
+	for _, host := range slices.Sorted(maps.Keys(s.leases)) {
+		snap.Leases = append(snap.Leases, *s.leases[host])
 	}
-	raw, err := encoder.Marshal(&p)
+	raw, err := encoder.Marshal(&snap)
 	if err == nil && len(raw) > MaxSnapshotBytes {
 		err = &SpoiltError{What: "snapshot", Reason: fmt.Sprintf("%d bytes", len(raw)), Hint: "split the fleet's work over several plans"}
 	}
 	return raw, err
 }
 
-func pairs(m map[string]string) (p [][2]string) {
+func pairs(m map[string]string) (list [][2]string) {
 	for k, v := range m {
-		p = append(p, [2]string{k, v})
+		list = append(list, [2]string{k, v})
 	}
-	slices.SortFunc(p, func(a, b [2]string) int { return cmp.Compare(a[0], b[0]) })
-	return p
+	slices.SortFunc(list, func(a, b [2]string) int { return cmp.Compare(a[0], b[0]) })
+	return list
 }
 
-// Restore reads a state back. One that holds what can't be is refused whole.
+// Restore decodes a snapshot. It rejects one with any invalid value.
 func Restore(raw []byte) (*State, error) {
 	if len(raw) > MaxSnapshotBytes {
-		return nil, spoilt("snapshot", "%d bytes", len(raw))
+		return nil, malformed("snapshot", "%d bytes", len(raw))
 	}
-	var p snapshot
-	if err := decoder.Unmarshal(raw, &p); err != nil {
-		return nil, spoilt("snapshot", "%s", oneLine(err))
+	var snap snapshot
+	if err := decoder.Unmarshal(raw, &snap); err != nil {
+		return nil, malformed("snapshot", "%s", oneLine(err))
 	}
 	s := New()
-	h := p.Halt
-	s.now, s.wall, s.fence, s.version, s.looks, s.seen, s.blind, s.uplinks = p.Now, p.Wall, p.Fence, p.Version, p.Looks, p.Seen, p.Blind, p.Uplinks
-	s.loaded = p.Loaded
-	s.halt = halt{hand: h.Hand, trouble: h.Trouble, calm: h.Calm, quiet: h.Quiet, usual: h.Usual, served: h.Served}
-	if err := p.check(); err != nil {
+	h := snap.Halt
+	s.now, s.wallTime, s.lastFencingToken, s.planVersion, s.observations, s.observedAt, s.lastObservationPartial, s.uplinkWindows = snap.Now, snap.WallTime, snap.LastFencingToken, snap.PlanVersion, snap.Observations, snap.ObservedAt, snap.LastObservationPartial, snap.UplinkWindows
+	s.planLoadedAt = snap.PlanLoadedAt
+	s.halt = haltState{operatorReason: h.OperatorReason, faultReason: h.FaultReason, clearedAt: h.ClearedAt, cleared: h.Cleared, usualServed: h.UsualServed, lastServed: h.LastServed}
+	if err := snap.check(); err != nil {
 		return nil, err
 	}
-	if p.Plan != nil {
+	if snap.Plan != nil {
 		var err error
-		if s.plan, err = compile(p.Plan); err != nil {
+		if s.plan, err = compile(snap.Plan); err != nil {
 			return nil, err
 		}
 	}
-	for _, z := range p.Zones {
-		s.zones[z.Name] = z.State
+	for _, zone := range snap.Zones {
+		s.zones[zone.Name] = zone.State
 	}
-	for _, m := range p.Fleet {
-		s.fleet[m.M.Host] = &machine{Machine: m.M, at: m.A}
+	for _, m := range snap.Machines {
+		s.machines[m.Machine.Host] = &machine{Machine: m.Machine, observedAt: m.ObservedAt}
 	}
-	for _, t := range p.Turns {
-		s.turns[t.Host] = &t
+	for _, lease := range snap.Leases {
+		s.leases[lease.Host] = &lease
 	}
-	for _, d := range p.Done {
-		s.done[d[0]] = d[1]
+	for _, d := range snap.DoneJobs {
+		s.doneJobs[d[0]] = d[1]
 	}
-	for _, n := range p.Names {
-		s.names[n[0]] = n[1]
+	for _, adopted := range snap.HostByAdoptedName {
+		s.hostByAdoptedName[adopted[0]] = adopted[1]
 	}
-	s.yard.ring = make([]int, p.Group)
-	s.rebuild()
+	s.usage.ring = make([]int, snap.RingSize)
+	s.recountUsage()
 	return s, nil
 }
 
-func (p *snapshot) check() error {
-	if p.Now < 0 || p.Wall < 0 || p.Seen < 0 || p.Seen > p.Now || p.Group < 0 || p.Group > MaxMachines || len(p.Names) > namesMost || len(p.Done) > MaxPlanHosts {
-		return spoilt("snapshot", "figures that can't be")
+func (s *snapshot) check() error {
+	if s.Now < 0 || s.WallTime < 0 || s.ObservedAt < 0 || s.ObservedAt > s.Now || s.RingSize < 0 || s.RingSize > MaxMachines || len(s.HostByAdoptedName) > maxAdoptedNames || len(s.DoneJobs) > MaxPlanHosts {
+		return malformed("snapshot", "value out of range")
 	}
-	for i := range p.Fleet {
-		if err := p.Fleet[i].M.check(); err != nil {
+	for i := range s.Machines {
+		if err := s.Machines[i].Machine.check(); err != nil {
 			return err
 		}
 	}
-	fences := map[uint64]bool{0: true}
-	for _, t := range p.Turns {
-		if !nameGood(t.Host) || t.Stage >= StageDone || t.Stage.holds() == fences[t.FencingToken] || t.FencingToken > p.Fence || t.StageSince > p.Now || t.UnusedGrants < 0 {
-			return spoilt("snapshot", "the turn of host %q", t.Host)
+	heldTokens := map[uint64]bool{0: true}
+	for _, lease := range s.Leases {
+		if !validName(lease.Host) || lease.Stage >= StageDone || lease.Stage.isHeld() == heldTokens[lease.FencingToken] || lease.FencingToken > s.LastFencingToken || lease.StageSince > s.Now || lease.UnusedGrants < 0 {
+			return malformed("snapshot", "lease of host %q", lease.Host)
 		}
-		fences[t.FencingToken] = true
+		heldTokens[lease.FencingToken] = true
 	}
-	if err := checkUplinks(p.Uplinks); err != nil {
+	if err := checkUplinks(s.UplinkWindows); err != nil {
 		return err
 	}
-	return checkZones(p.Zones)
+	return checkZones(s.Zones)
 }
--- a/fleet/maintenance/status.go
+++ b/fleet/maintenance/status.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// Status is what operators see.
+// Status is the state of the work as shown to operators.
 type Status struct {
 	PlanVersion   uint64
-	HaltReason    string // why; "" is that work goes on
-	NeedsOperator bool   // it goes on by hand alone
-	PlanHosts     int    // of the plan
+	HaltReason    string // empty if work is not halted
+	NeedsOperator bool   // work resumes only by an operator's order
+	PlanHosts     int    // hosts in the plan
 	DoneHosts     int
-	Leases        []LeaseStatus // that hold a place, the longest over first
-	Blocked       []*BoundError
+	Leases        []LeaseStatus // held leases, the longest overrun first
+	Blocked       []*BoundError // bounds that keep requesting hosts in service, most urgent host first
 }
 
-// View is one turn as operators see it.
+// LeaseStatus is one lease as shown to operators.
 type LeaseStatus struct {
 	Lease
-	StageAge time.Duration // in its stage
-	Overrun  time.Duration // longer than expected: it blocks its place
+	StageAge time.Duration // time in the current stage
+	Overrun  time.Duration // time by which the stage exceeds its planned duration
 	Phase    Phase
-	Unlisted bool // the fleet does not list it
+	Unlisted bool // the fleet does not list the machine
 }
 
-// Status tells how the work stands; next is how many of those that ask are told why they wait.
-func (s *State) Status(next int) Status {
-	st := Status{PlanVersion: s.version, HaltReason: s.haltWhy(), DoneHosts: len(s.done)}
+// Status returns the state of the work, with the reasons why up to maxBlocked of the requesting
+// hosts wait.
+func (s *State) Status(maxBlocked int) Status {
+	status := Status{PlanVersion: s.planVersion, HaltReason: s.haltReason(), DoneHosts: len(s.doneJobs)}
 	if s.plan != nil {
-		st.PlanHosts = len(s.plan.hosts)
-		st.NeedsOperator = s.halt.hand != "" || (s.halt.trouble != "" && s.plan.plan.HaltPolicy.ResumeMode == ResumeByOperator)
+		status.PlanHosts = len(s.plan.hosts)
+		status.NeedsOperator = s.halt.operatorReason != "" || (s.halt.faultReason != "" && s.plan.plan.HaltPolicy.ResumeMode == ResumeByOperator)
 	}
-	for _, t := range s.held() {
-		v := LeaseStatus{Lease: *t, StageAge: s.now - t.StageSince, Overrun: s.over(t), Unlisted: s.fleet[t.Host] == nil}
-		if !v.Unlisted {
-			v.Phase = s.fleet[t.Host].Phase
+	for _, lease := range s.heldLeases() {
+		view := LeaseStatus{Lease: *lease, StageAge: s.now - lease.StageSince, Overrun: s.overrun(lease), Unlisted: s.machines[lease.Host] == nil}
+		if !view.Unlisted {
+			view.Phase = s.machines[lease.Host].Phase
 		}
-		st.Leases = append(st.Leases, v)
+		status.Leases = append(status.Leases, view)
 	}
-	slices.SortStableFunc(st.Leases, func(a, b LeaseStatus) int { return cmp.Compare(b.Overrun, a.Overrun) })
-	for _, q := range s.queue() {
-		if len(st.Blocked) == next {
+	slices.SortStableFunc(status.Leases, func(a, b LeaseStatus) int { return cmp.Compare(b.Overrun, a.Overrun) })
+	for _, c := range s.requestingCandidates() {
+		if len(status.Blocked) == maxBlocked {
 			break
 		}
-		if b := s.barred(&s.yard, q.m, false, s.need(q.length), s.wall); b.bound != BoundNone {
-			st.Blocked = append(st.Blocked, s.boundError(q.host, b))
+		if v := s.firstViolation(&s.usage, c.machine, false, s.expectedDuration(c.workDuration), s.wallTime); v.bound != BoundNone {
+			status.Blocked = append(status.Blocked, s.boundError(c.host, v))
 		}
 	}
-	return st
+	return status
 }
--- a/fleet/maintenance/trouble.go
+++ b/fleet/maintenance/trouble.go
@@ -5,106 +5,108 @@
 	"time"
 )
 
-// Figures of the usual served share: it follows what is served, up soon and down slowly, so that a
-// fall of some seconds is one. In 1/1024 of thousandths.
+// Divisors of the moving average of the served fraction, which is the reference for a drop. It
+// rises fast and falls slowly, so that a drop that lasts seconds does not become the reference.
 const (
-	usualUp   = 32
-	usualDown = 1024
+	usualRiseDivisor = 32
+	usualFallDivisor = 1024
 )
 
-// halt is why nothing new goes out; both are empty while work goes on.
-type halt struct {
-	hand    string        // by the operators' word
-	trouble string        // by evidence
-	calm    time.Duration // since when there is none, where trouble is over
-	quiet   bool          // calm counts
-	usual   int64         // served share, 0 is not known
-	served  int64         // of the last look that knew
+// haltState holds the reasons for a halt, both empty while work goes on, and the served fractions
+// from which a fault is detected.
+type haltState struct {
+	operatorReason string        // reason of an operator's halt
+	faultReason    string        // fault that halted work
+	clearedAt      time.Duration // group time since which no fault was observed, valid if cleared is set
+	cleared        bool          // the fault that halted work is no longer observed
+	usualServed    int64         // average served fraction in 1/1024 of a thousandth; 0 means unknown
+	lastServed     int64         // last known served fraction, in the same unit
 }
 
-// Halted tells whether nothing new goes out.
-func (s *State) Halted() bool { return s.halt.hand != "" || s.halt.trouble != "" }
+// Halted reports whether work is halted.
+func (s *State) Halted() bool { return s.halt.operatorReason != "" || s.halt.faultReason != "" }
 
-// haltAll lets nothing new out. What was granted is void, what drains comes back, and what is out
-// stays until it has returned.
-func (s *State) haltAll(reason *string, why string, r *Result) {
-	r.ForecastStale = r.ForecastStale || !s.Halted()
+// haltWork stops all grants. Grants that were not used are void, draining machines are recalled,
+// and machines out of service keep their lease until they are back.
+func (s *State) haltWork(reason *string, text string, result *Result) {
+	result.ForecastStale = result.ForecastStale || !s.Halted()
 	if *reason == "" {
-		*reason = why
+		*reason = text
 	}
-	for _, t := range s.held() {
-		if t.Stage == StageGranted {
-			s.giveUp(t, false)
+	for _, lease := range s.heldLeases() {
+		if lease.Stage == StageGranted {
+			s.release(lease, false)
 		}
-		s.recall(t)
+		s.recall(lease)
 	}
 }
 
-// resume goes on by hand. What is served now is usual from now on; trouble that is still there halts
-// all again at the next look.
-func (s *State) resume(r *Result) {
-	r.ForecastStale = s.Halted()
-	s.halt.hand, s.halt.trouble, s.halt.quiet = "", "", false
-	s.halt.usual = s.halt.served
+// resume ends a halt by an operator's order. The last served fraction becomes the reference for a
+// drop; a fault that persists halts work again at the next observation.
+func (s *State) resume(result *Result) {
+	result.ForecastStale = s.Halted()
+	s.halt.operatorReason, s.halt.faultReason, s.halt.cleared = "", "", false
+	s.halt.usualServed = s.halt.lastServed
 }
 
-// judge looks for trouble, and goes on by rule where the plan says so.
-func (s *State) judge(l *Observation, r *Result) {
+// checkFaults halts work if the observation shows a fault, and resumes it if the plan permits that.
+func (s *State) checkFaults(o *Observation, result *Result) {
 	if s.plan == nil {
 		return
 	}
-	rules := &s.plan.plan.HaltPolicy
-	why := s.trouble(l, rules)
+	policy := &s.plan.plan.HaltPolicy
+	fault := s.detectFault(o, policy)
 	switch {
-	case why != "":
-		s.halt.quiet = false
-		s.haltAll(&s.halt.trouble, why, r)
-	case s.halt.trouble == "":
-	case !s.halt.quiet:
-		s.halt.quiet, s.halt.calm = true, s.now
-	case rules.ResumeMode == ResumeAutomatically && s.now-s.halt.calm >= time.Duration(rules.ResumeDelay):
-		s.halt.trouble, s.halt.quiet, r.ForecastStale = "", false, true
+	case fault != "":
+		s.halt.cleared = false
+		s.haltWork(&s.halt.faultReason, fault, result)
+	case s.halt.faultReason == "":
+	case !s.halt.cleared:
+		s.halt.cleared, s.halt.clearedAt = true, s.now
+	case policy.ResumeMode == ResumeAutomatically && s.now-s.halt.clearedAt >= time.Duration(policy.ResumeDelay):
+		s.halt.faultReason, s.halt.cleared, result.ForecastStale = "", false, true
 	}
-	if !l.ServedUnknown && s.halt.trouble == "" {
-		s.usual(int64(l.ServedFraction) * 1024)
+	if !o.ServedUnknown && s.halt.faultReason == "" {
+		s.updateUsualServed(int64(o.ServedFraction) * 1024)
 	}
 }
 
-func (s *State) usual(served int64) {
-	switch d := served - s.halt.usual; {
-	case s.halt.usual == 0:
-		s.halt.usual = served
-	case d > 0:
-		s.halt.usual += d / usualUp
+func (s *State) updateUsualServed(served int64) {
+	switch diff := served - s.halt.usualServed; {
+	case s.halt.usualServed == 0:
+		s.halt.usualServed = served
+	case diff > 0:
+		s.halt.usualServed += diff / usualRiseDivisor
 	default:
-		s.halt.usual += d / usualDown
+		s.halt.usualServed += diff / usualFallDivisor
 	}
 }
 
-// trouble is what the evidence says against going on, or "".
-func (s *State) trouble(l *Observation, rules *HaltPolicy) string {
-	if l.NoMajorityDuration > time.Duration(rules.MaxNoMajorityDuration) {
-		return fmt.Sprintf("the council had no majority for %v", l.NoMajorityDuration.Round(time.Millisecond))
+// detectFault returns the fault that the observation shows, or "". The texts are part of the
+// replicated state, so that nodes of two program versions have to agree on them.
+func (s *State) detectFault(o *Observation, policy *HaltPolicy) string {
+	if o.NoMajorityDuration > time.Duration(policy.MaxNoMajorityDuration) {
+		return fmt.Sprintf("the council had no majority for %v", o.NoMajorityDuration.Round(time.Millisecond))
 	}
-	for _, z := range l.Zones {
-		if z.State == ZoneEvacuated {
-			return fmt.Sprintf("zone %s is left", z.Name)
+	for _, zone := range o.Zones {
+		if zone.State == ZoneEvacuated {
+			return fmt.Sprintf("zone %s is left", zone.Name)
 		}
 	}
-	if l.ServedUnknown {
+	if o.ServedUnknown {
 		return ""
 	}
-	s.halt.served = int64(l.ServedFraction) * 1024
-	if fell := s.halt.usual - s.halt.served; fell > int64(rules.MaxServedDrop)*1024 {
-		return fmt.Sprintf("the served share fell by %.3f to %.3f", float64(fell)/1024/1000, float64(l.ServedFraction)/1000)
+	s.halt.lastServed = int64(o.ServedFraction) * 1024
+	if drop := s.halt.usualServed - s.halt.lastServed; drop > int64(policy.MaxServedDrop)*1024 {
+		return fmt.Sprintf("the served share fell by %.3f to %.3f", float64(drop)/1024/1000, float64(o.ServedFraction)/1000)
 	}
 	return ""
 }
 
-// haltWhy is why nothing new goes out.
-func (s *State) haltWhy() string {
-	if s.halt.hand != "" {
-		return s.halt.hand
+// haltReason returns why work is halted, or "".
+func (s *State) haltReason() string {
+	if s.halt.operatorReason != "" {
+		return s.halt.operatorReason
 	}
-	return s.halt.trouble
+	return s.halt.faultReason
 }
--- a/fleet/maintenance/turns.go
+++ b/fleet/maintenance/turns.go
@@ -7,324 +7,335 @@
 	"time"
 )
 
-// Stage is how far a turn has come.
+// Stage is the stage of a lease.
 type Stage uint8
 
-// The stages. From Granted to Warming the turn holds its place; those before Out are called back by
-// a halt.
+// Stages of a lease. It is held from StageGranted to StageWarmingUp; in the stages before StageOut
+// a halt recalls the machine.
 const (
-	StageWaiting   Stage = iota // nobody asks for it, or what was granted was given up
-	StageRequested              // a process on the host asks for it
-	StageGranted                // its drain may begin, for a while
-	StageDraining               // its drain has begun
-	StageDrained                // seen idle from outside, it may go out
-	StageRecalled               // it is to come back from its drain
-	StageOut                    // it is worked on
-	StageArrived                // it has come back
-	StageWarmingUp              // it is seen back, and held to the cold rule
-	StageDone                   // returned
+	StageWaiting   Stage = iota // no process requests the lease, or the last grant was given up
+	StageRequested              // a process on the host requests the lease
+	StageGranted                // the drain may begin until the grant expires
+	StageDraining               // the drain has begun
+	StageDrained                // the machine was observed idle and may leave service
+	StageRecalled               // the machine has to undrain
+	StageOut                    // the machine is out of service for its work
+	StageArrived                // the machine is back from its work
+	StageWarmingUp              // the machine was observed in slow start after its work
+	StageDone                   // the machine is back in service, or there is no work for it
 )
 
 func (s Stage) String() string {
-	return name(s, "waiting", "asked", "granted", "draining", "drained", "recalled", "out", "arrived", "warming", "done")
+	return enumName(s, "waiting", "asked", "granted", "draining", "drained", "recalled", "out", "arrived", "warming", "done")
 }
 
-// holds tells whether a turn in a stage has a place that goes to nobody else.
-func (s Stage) holds() bool { return s >= StageGranted && s < StageDone }
+// isHeld reports whether a lease in this stage is held, so that its machine counts as unavailable.
+func (s Stage) isHeld() bool { return s >= StageGranted && s < StageDone }
 
-// Lease is one host's.
+// Lease is the maintenance lease of one host.
 type Lease struct {
-	Host             string        `cbor:"1,keyasint"`
-	Name             string        `cbor:"2,keyasint"` // under which the process that asked last runs
-	Job              string        `cbor:"3,keyasint"`
-	WorkDuration     Duration      `cbor:"4,keyasint"`
-	Deadline         Timestamp     `cbor:"5,keyasint"`
-	Stage            Stage         `cbor:"6,keyasint"`
-	FencingToken     uint64        `cbor:"7,keyasint"`  // under which it is held now; a word under any other does nothing
-	Nonce            uint64        `cbor:"8,keyasint"`  // of the process that asked last
-	StageSince       time.Duration `cbor:"9,keyasint"`  // of its stage; evidence from before does not count for it
-	TimerAt          time.Duration `cbor:"10,keyasint"` // when granted: then it is given up; when given up: it is not granted again before
-	UndrainConfirmed bool          `cbor:"11,keyasint"` // recalled, it has said that it is back
-	SeenGone         bool          `cbor:"12,keyasint"` // out, it was seen gone
-	UnusedGrants     int           `cbor:"13,keyasint"` // times in a row
+	Host         string    `cbor:"1,keyasint"`
+	Name         string    `cbor:"2,keyasint"` // name of the process that requested it last
+	Job          string    `cbor:"3,keyasint"`
+	WorkDuration Duration  `cbor:"4,keyasint"`
+	Deadline     Timestamp `cbor:"5,keyasint"`
+	Stage        Stage     `cbor:"6,keyasint"`
+	// FencingToken is the current fencing token, 0 if the lease is not held. Requests with another
+	// token are rejected.
+	FencingToken uint64        `cbor:"7,keyasint"`
+	Nonce        uint64        `cbor:"8,keyasint"` // random number of the process that requested it last
+	StageSince   time.Duration `cbor:"9,keyasint"` // group time at which the stage began; observations from before do not count
+	// TimerAt is a group time: in StageGranted the time at which the grant expires, in
+	// StageWaiting and StageRequested the time before which the lease is not granted again.
+	TimerAt          time.Duration `cbor:"10,keyasint"`
+	UndrainConfirmed bool          `cbor:"11,keyasint"` // the agent of a recalled machine confirmed that it serves again
+	SeenGone         bool          `cbor:"12,keyasint"` // the machine was observed gone while out of service
+	UnusedGrants     int           `cbor:"13,keyasint"` // consecutive grants that were not used
 }
 
-// Figures of the decisions.
+// Limits of the decisions on leases.
 const (
-	evidenceMost = time.Second // evidence older than this lets nobody out
-	againMost    = time.Hour   // after grants that nobody took, at most
-	namesMost    = 1024        // that are adopted
+	maxObservationAge = time.Second // age of the last observation above which no machine may leave service
+	maxRegrantDelay   = time.Hour   // delay after unused grants before the next one
+	maxAdoptedNames   = 1024        // names adopted by operators
 )
 
-// State is what the log's commands have come to. It is not safe for concurrent use.
+// State is the state that results from the commands applied so far. It is not safe for concurrent
+// use.
 type State struct {
-	now     time.Duration
-	wall    Timestamp
-	fence   uint64 // given last
-	version uint64
-	plan    *compiled     // nil is none
-	loaded  time.Duration // when it was put in force
-	looks   uint64
-	seen    time.Duration // as of when all evidence stands
-	blind   bool          // the last look told not all
-	zones   map[string]ZoneState
-	uplinks []UplinkWindow
-	halt    halt
-	fleet   map[string]*machine
-	turns   map[string]*Lease
-	done    map[string]string // the job that a host has had done
-	names   map[string]string // host that runs under a name, by hand
-	yard    yard
+	now                    time.Duration
+	wallTime               Timestamp
+	lastFencingToken       uint64
+	planVersion            uint64
+	plan                   *compiledPlan // nil means none
+	planLoadedAt           time.Duration // group time of the last LoadPlan
+	observations           uint64        // number of observations applied
+	observedAt             time.Duration // group time as of which all machines are known
+	lastObservationPartial bool
+	zones                  map[string]ZoneState
+	uplinkWindows          []UplinkWindow
+	halt                   haltState
+	machines               map[string]*machine
+	leases                 map[string]*Lease
+	doneJobs               map[string]string // job done at each host
+	hostByAdoptedName      map[string]string // hosts by adopted name
+	usage                  usage
 }
 
-// machine is a machine with what follows from its evidence and turn.
+// machine is a machine with what follows from its observations and its lease.
 type machine struct {
 	Machine
-	at   time.Duration // as of when this evidence stands, where later than the rest
-	away bool          // counted as such
+	observedAt  time.Duration // group time of its last observation, if later than State.observedAt
+	unavailable bool          // counted as unavailable in State.usage
 }
 
-// New is a state before the first command.
+// New returns the state before the first command.
 func New() *State {
-	return &State{zones: map[string]ZoneState{}, fleet: map[string]*machine{}, turns: map[string]*Lease{},
-		done: map[string]string{}, names: map[string]string{}, yard: newYard(0, 0)}
+	return &State{zones: map[string]ZoneState{}, machines: map[string]*machine{}, leases: map[string]*Lease{},
+		doneJobs: map[string]string{}, hostByAdoptedName: map[string]string{}, usage: newUsage(0, 0)}
 }
 
-// Result is what a command has come to.
+// Result is the outcome of a command.
 type Result struct {
-	Response      Response  // to a word
-	Granted       []string  // hosts whose turn it now is: they are to be told soon, as they ask now and then
-	Forecast      *Forecast // at Load
-	ForecastStale bool      // the forecast made before may be wrong
-	Err           error     // why the command did nothing; typed
+	Response      Response  // response to a Request
+	Granted       []string  // hosts that were granted a lease; to be notified soon, as their agents poll rarely
+	Forecast      *Forecast // set after LoadPlan
+	ForecastStale bool      // the last forecast may no longer hold
+	Err           error     // why the command had no effect; one of the package's error types
 }
 
-// Now is the council's time as the last command had it; a new leader counts on from there.
+// Now returns the group time of the last command. A new leader continues from it.
 func (s *State) Now() time.Duration { return s.now }
 
-// Active tells whether there is anything to look for.
+// Active reports whether any lease is held or any work is left, so that the leader has to observe
+// the fleet.
 func (s *State) Active() bool {
-	if s.plan != nil && len(s.done) < len(s.plan.hosts) {
+	if s.plan != nil && len(s.doneJobs) < len(s.plan.hosts) {
 		return true
 	}
-	for _, t := range s.turns {
-		if t.Stage.holds() {
+	for _, lease := range s.leases {
+		if lease.Stage.isHeld() {
 			return true
 		}
 	}
 	return false
 }
 
-// Apply takes the next command of the log. The same commands come to the same state everywhere.
-func (s *State) Apply(c *Command) (r Result) {
+// Apply applies the next command of the log. The same commands lead to the same state at each
+// replica.
+func (s *State) Apply(c *Command) (result Result) {
 	s.now = max(s.now, c.GroupTime)
-	s.wall = c.WallTime
-	s.expire(&r)
+	s.wallTime = c.WallTime
+	s.expireGrants(&result)
 	switch {
 	case c.LoadPlan != nil:
-		s.load(c.LoadPlan, &r)
+		s.loadPlan(c.LoadPlan, &result)
 	case c.Observation != nil:
-		s.look(c.Observation, &r)
+		s.observe(c.Observation, &result)
 	case c.Request != nil:
-		s.word(c.Request, &r)
+		s.handleRequest(c.Request, &result)
 	case c.Halt != nil:
-		s.haltAll(&s.halt.hand, cmp.Or(c.Halt.Reason, "by hand"), &r)
+		s.haltWork(&s.halt.operatorReason, cmp.Or(c.Halt.Reason, "by hand"), &result)
 	case c.Resume != nil:
-		s.resume(&r)
+		s.resume(&result)
 	case c.Uplinks != nil:
-		s.uplinks, r.ForecastStale = slices.Clone(c.Uplinks.Windows), true
+		s.uplinkWindows, result.ForecastStale = slices.Clone(c.Uplinks.Windows), true
 	case c.AdoptName != nil:
-		r.Err = s.adopt(c.AdoptName)
-		r.ForecastStale = r.Err == nil
+		result.Err = s.adoptName(c.AdoptName)
+		result.ForecastStale = result.Err == nil
 	case c.DropLease != nil:
-		s.drop(c.DropLease.Host, &r)
+		s.dropLease(c.DropLease.Host, &result)
 	}
-	return r
+	return result
 }
 
-// expire gives up what was granted and not begun in its time.
-func (s *State) expire(r *Result) {
-	for _, t := range s.turns {
-		if t.Stage == StageGranted && s.now >= t.TimerAt {
-			s.giveUp(t, true)
-			r.ForecastStale = true
+// expireGrants releases the leases whose drain has not begun before the grant expired.
+func (s *State) expireGrants(result *Result) {
+	for _, lease := range s.leases {
+		if lease.Stage == StageGranted && s.now >= lease.TimerAt {
+			s.release(lease, true)
+			result.ForecastStale = true
 		}
 	}
 }
 
-// held lists the turns that hold a place, by host.
-func (s *State) held() (held []*Lease) {
-	for _, t := range s.turns {
-		if t.Stage.holds() {
-			held = append(held, t)
+// heldLeases returns the held leases, sorted by host.
+func (s *State) heldLeases() (held []*Lease) {
+	for _, lease := range s.leases {
+		if lease.Stage.isHeld() {
+			held = append(held, lease)
 		}
 	}
 	slices.SortFunc(held, func(a, b *Lease) int { return cmp.Compare(a.Host, b.Host) })
 	return held
 }
 
-// turn moves a turn on.
-func (s *State) turn(t *Lease, to Stage) {
-	t.Stage, t.StageSince = to, s.now
-	s.settle(s.fleet[t.Host])
+// setStage moves a lease to a stage.
+func (s *State) setStage(lease *Lease, stage Stage) {
+	lease.Stage, lease.StageSince = stage, s.now
+	s.updateAvailability(s.machines[lease.Host])
 }
 
-// settle counts a machine as away or not, as its evidence and its turn have it.
-func (s *State) settle(m *machine) {
+// updateAvailability counts a machine as available or unavailable, by its phase and its lease.
+func (s *State) updateAvailability(m *machine) {
 	if m == nil {
 		return
 	}
-	away := m.Phase != PhaseWarm
-	if t := s.turns[m.Host]; t != nil && t.Stage.holds() {
-		away = true
+	unavailable := m.Phase != PhaseWarm
+	if lease := s.leases[m.Host]; lease != nil && lease.Stage.isHeld() {
+		unavailable = true
 	}
-	if away != m.away {
-		m.away = away
-		n := -1
-		if away {
-			n = 1
+	if unavailable != m.unavailable {
+		m.unavailable = unavailable
+		delta := -1
+		if unavailable {
+			delta = 1
 		}
-		s.yard.away(m, s.members(m.Host), n)
+		s.usage.addUnavailable(m, s.groupsOf(m.Host), delta)
 	}
 }
 
-func (s *State) members(host string) []int {
+func (s *State) groupsOf(host string) []int {
 	if s.plan == nil {
 		return nil
 	}
-	return s.plan.member[host]
+	return s.plan.groupsByHost[host]
 }
 
-// giveUp ends a turn that did not come to its work; its fencing number is void. One that nobody
-// took waits longer each time, so that a host that asks and never begins costs the others little.
-func (s *State) giveUp(t *Lease, idle bool) {
-	t.FencingToken, t.Nonce, t.UndrainConfirmed, t.SeenGone = 0, 0, false, false
-	t.UnusedGrants++
-	if !idle {
-		t.UnusedGrants = 0
+// release ends a lease whose work has not begun, and voids its fencing token. Each consecutive
+// unused grant doubles the delay before the next one, so that a host that requests a lease and
+// never drains costs the others little time.
+func (s *State) release(lease *Lease, unused bool) {
+	lease.FencingToken, lease.Nonce, lease.UndrainConfirmed, lease.SeenGone = 0, 0, false, false
+	lease.UnusedGrants++
+	if !unused {
+		lease.UnusedGrants = 0
 	}
-	t.TimerAt = s.now
-	if s.plan != nil && idle {
-		t.TimerAt += min(time.Duration(s.plan.plan.GrantTimeout)<<min(t.UnusedGrants, 10), againMost)
+	lease.TimerAt = s.now
+	if s.plan != nil && unused {
+		lease.TimerAt += min(time.Duration(s.plan.plan.GrantTimeout)<<min(lease.UnusedGrants, 10), maxRegrantDelay)
 	}
-	s.turn(t, StageWaiting)
-	if _, wanted := s.wanted(t.Host); !wanted {
-		delete(s.turns, t.Host)
+	s.setStage(lease, StageWaiting)
+	if _, pending := s.pendingWork(lease.Host); !pending {
+		delete(s.leases, lease.Host)
 	}
 }
 
-// wanted gives the work that a host still has to have done.
-func (s *State) wanted(host string) (work, bool) {
+// pendingWork returns the work that is still to be done at a host, and whether there is any.
+func (s *State) pendingWork(host string) (hostWork, bool) {
 	if s.plan == nil {
-		return work{}, false
+		return hostWork{}, false
 	}
-	w, ok := s.plan.work[host]
-	return w, ok && s.done[host] != w.job
+	work, ok := s.plan.workByHost[host]
+	return work, ok && s.doneJobs[host] != work.job
 }
 
-// finish ends a turn whose machine has returned.
-func (s *State) finish(t *Lease) {
-	if s.plan != nil && s.plan.work[t.Host].job == t.Job {
-		s.done[t.Host] = t.Job
+// finish ends the lease of a machine that is back in service.
+func (s *State) finish(lease *Lease) {
+	if s.plan != nil && s.plan.workByHost[lease.Host].job == lease.Job {
+		s.doneJobs[lease.Host] = lease.Job
 	}
-	delete(s.turns, t.Host)
-	s.settle(s.fleet[t.Host])
+	delete(s.leases, lease.Host)
+	s.updateAvailability(s.machines[lease.Host])
 }
 
-// load puts a plan in force. What is granted and not begun is void; what drains comes back where
-// the plan has no more work for it, and what is out stays until it has returned.
-func (s *State) load(l *LoadPlan, r *Result) {
-	if l.Version <= s.version {
-		r.Err = &StalePlanError{Current: s.version, Got: l.Version}
+// loadPlan puts a plan in force. Grants that were not used are void, draining machines are recalled
+// if the new plan has no work for them, and machines out of service keep their lease until they are
+// back.
+func (s *State) loadPlan(load *LoadPlan, result *Result) {
+	if load.Version <= s.planVersion {
+		result.Err = &StalePlanError{Current: s.planVersion, Got: load.Version}
 		return
 	}
-	var c *compiled
-	if l.Plan != nil {
-		c, r.Err = compile(l.Plan)
-		if r.Err != nil {
+	var plan *compiledPlan
+	if load.Plan != nil {
+		plan, result.Err = compile(load.Plan)
+		if result.Err != nil {
 			return
 		}
 	}
-	s.version, s.plan, s.loaded, r.ForecastStale = l.Version, c, s.now, true
-	maps.DeleteFunc(s.done, func(host, job string) bool { return c == nil || c.work[host].job != job })
-	for _, t := range s.turns {
-		w, wanted := s.wanted(t.Host)
-		if wanted && t.Stage < StageOut {
-			t.Job, t.WorkDuration, t.Deadline = w.job, w.length, w.deadline
+	s.planVersion, s.plan, s.planLoadedAt, result.ForecastStale = load.Version, plan, s.now, true
+	maps.DeleteFunc(s.doneJobs, func(host, job string) bool { return plan == nil || plan.workByHost[host].job != job })
+	for _, lease := range s.leases {
+		work, pending := s.pendingWork(lease.Host)
+		if pending && lease.Stage < StageOut {
+			lease.Job, lease.WorkDuration, lease.Deadline = work.job, work.duration, work.deadline
 		}
 		switch {
-		case t.Stage == StageGranted:
-			s.giveUp(t, false)
-		case t.Stage.holds() && t.Stage < StageOut && !wanted:
-			s.recall(t)
-		case !t.Stage.holds() && !wanted:
-			delete(s.turns, t.Host)
+		case lease.Stage == StageGranted:
+			s.release(lease, false)
+		case lease.Stage.isHeld() && lease.Stage < StageOut && !pending:
+			s.recall(lease)
+		case !lease.Stage.isHeld() && !pending:
+			delete(s.leases, lease.Host)
 		}
 	}
-	s.rebuild()
-	r.Forecast = s.Forecast()
+	s.recountUsage()
+	result.Forecast = s.Forecast()
 }
 
-// rebuild counts the fleet anew.
-func (s *State) rebuild() {
-	groups := 0
+// recountUsage counts the usage of the whole fleet again.
+func (s *State) recountUsage() {
+	groupCount := 0
 	if s.plan != nil {
-		groups = len(s.plan.groups)
+		groupCount = len(s.plan.groups)
 	}
-	s.yard = newYard(len(s.yard.ring), groups)
-	for _, m := range s.fleet {
-		m.away = false
-		s.yard.add(m, 1)
-		s.settle(m)
+	s.usage = newUsage(len(s.usage.ring), groupCount)
+	for _, m := range s.machines {
+		m.unavailable = false
+		s.usage.addMachine(m, 1)
+		s.updateAvailability(m)
 	}
 }
 
-// recall has a machine come back from its drain.
-func (s *State) recall(t *Lease) {
-	if t.Stage == StageDraining || t.Stage == StageDrained {
-		t.UndrainConfirmed = false
-		s.turn(t, StageRecalled)
+// recall makes a draining or drained machine undrain.
+func (s *State) recall(lease *Lease) {
+	if lease.Stage == StageDraining || lease.Stage == StageDrained {
+		lease.UndrainConfirmed = false
+		s.setStage(lease, StageRecalled)
 	}
 }
 
-// adopt has a host run under another name, as one that came back from a new disk may.
-func (s *State) adopt(a *AdoptName) error {
-	if (s.fleet[a.Host] == nil && s.turns[a.Host] == nil) || len(s.names) >= namesMost {
-		return &UnknownHostError{Host: a.Host}
+// adoptName binds a name to a host, for example one that came back with a new disk and another
+// name.
+func (s *State) adoptName(adoption *AdoptName) error {
+	if (s.machines[adoption.Host] == nil && s.leases[adoption.Host] == nil) || len(s.hostByAdoptedName) >= maxAdoptedNames {
+		return &UnknownHostError{Host: adoption.Host}
 	}
-	if t := s.turns[a.Name]; (t != nil && t.Stage.holds()) || a.Name == a.Host {
-		return &NameTakenError{Host: a.Host, Name: a.Name, UsedBy: a.Name}
+	if lease := s.leases[adoption.Name]; (lease != nil && lease.Stage.isHeld()) || adoption.Name == adoption.Host {
+		return &NameTakenError{Host: adoption.Host, Name: adoption.Name, UsedBy: adoption.Name}
 	}
-	s.names[a.Name] = a.Host
-	delete(s.turns, a.Name)
-	if m := s.fleet[a.Name]; m != nil {
-		s.remove(a.Name)
-		m.Host = a.Host
-		s.put(m.Machine, m.at)
+	s.hostByAdoptedName[adoption.Name] = adoption.Host
+	delete(s.leases, adoption.Name)
+	if m := s.machines[adoption.Name]; m != nil {
+		s.removeMachine(adoption.Name)
+		m.Host = adoption.Host
+		s.putMachine(m.Machine, m.observedAt)
 	}
 	return nil
 }
 
-// drop ends the turn of a machine that is gone and stays so. While the fleet lists it, it is away.
-func (s *State) drop(host string, r *Result) {
-	t, m := s.turns[host], s.fleet[host]
+// dropLease ends the lease of a machine that is gone for good. While the fleet lists the machine,
+// it counts as unavailable.
+func (s *State) dropLease(host string, result *Result) {
+	lease, m := s.leases[host], s.machines[host]
 	switch {
-	case t == nil || !t.Stage.holds():
-		r.Err = &OrderError{Host: host, Operation: "drop", Stage: s.stage(host)}
+	case lease == nil || !lease.Stage.isHeld():
+		result.Err = &OrderError{Host: host, Operation: "drop", Stage: s.stage(host)}
 	case m != nil && m.Phase != PhaseGone:
-		r.Err = &OrderError{Host: host, Operation: "drop", Stage: t.Stage, Phase: m.Phase, WrongPhase: true}
+		result.Err = &OrderError{Host: host, Operation: "drop", Stage: lease.Stage, Phase: m.Phase, WrongPhase: true}
 	default:
-		s.giveUp(t, false)
-		r.ForecastStale = true
+		s.release(lease, false)
+		result.ForecastStale = true
 	}
 }
 
-// stage is how far a host's turn is; one without work is done.
+// stage returns the stage of a host's lease; a host without pending work is done.
 func (s *State) stage(host string) Stage {
-	if t := s.turns[host]; t != nil {
-		return t.Stage
+	if lease := s.leases[host]; lease != nil {
+		return lease.Stage
 	}
-	if _, wanted := s.wanted(host); wanted {
+	if _, pending := s.pendingWork(host); pending {
 		return StageWaiting
 	}
 	return StageDone
--- a/fleet/maintenance/turns_test.go
+++ b/fleet/maintenance/turns_test.go
@@ -12,267 +12,269 @@
 	"pgregory.net/rapid"
 )
 
-// The same draws in each run, so that the verdict is the same; -rapid.seed gives others.
+// A fixed seed makes each run draw the same; -rapid.seed sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// drawn is a fleet in three zones with a plan for half of it, and what it is commanded.
-type drawn struct {
-	plan  *Plan
-	fleet []Machine
-	rng   *rand.Rand
-	now   time.Duration
+// randomFleet is a fleet in three zones, a plan for half of its hosts, and a source of commands.
+type randomFleet struct {
+	plan     *Plan
+	machines []Machine
+	rng      *rand.Rand
+	now      time.Duration
 }
 
-func draw(t *rapid.T) *drawn {
-	d := &drawn{rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))}
-	p := *threePlan
-	p.Bounds = Bounds{MaxZoneFraction: Fraction(100 + d.rng.IntN(900)), MaxSetFraction: Fraction(100 + d.rng.IntN(900)), SetSizes: []int{2, 1 + d.rng.IntN(9)},
-		MaxCapacityFraction: Fraction(50 + d.rng.IntN(700)), AllowOne: d.rng.IntN(2) == 0}
+func drawFleet(t *rapid.T) *randomFleet {
+	f := &randomFleet{rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))}
+	p := *threeHostPlan
+	p.Bounds = Bounds{MaxZoneFraction: Fraction(100 + f.rng.IntN(900)), MaxSetFraction: Fraction(100 + f.rng.IntN(900)), SetSizes: []int{2, 1 + f.rng.IntN(9)},
+		MaxCapacityFraction: Fraction(50 + f.rng.IntN(700)), AllowOne: f.rng.IntN(2) == 0}
 	p.Jobs = []Job{{Name: "disk", WorkDuration: Duration(time.Minute)}}
-	nodes := 3 + d.rng.IntN(12)
-	for i := range nodes + 2 + d.rng.IntN(8) {
-		m := Machine{Host: fmt.Sprint("h", i), Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", d.rng.IntN(3)), Index: i, Capacity: 1 + uint32(d.rng.IntN(20)), Phase: PhaseWarm, Voter: i%4 == 0}
+	nodes := 3 + f.rng.IntN(12)
+	for i := range nodes + 2 + f.rng.IntN(8) {
+		m := Machine{Host: fmt.Sprint("h", i), Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", f.rng.IntN(3)), Index: i, Capacity: 1 + uint32(f.rng.IntN(20)), Phase: PhaseWarm, Voter: i%4 == 0}
 		if i >= nodes {
 			m.Kind, m.Index, m.Voter = Server, 0, false
 		}
-		d.fleet = append(d.fleet, m)
-		if d.rng.IntN(2) == 0 || i == 0 {
+		f.machines = append(f.machines, m)
+		if f.rng.IntN(2) == 0 || i == 0 {
 			p.Jobs[0].Hosts = append(p.Jobs[0].Hosts, m.Host)
 		}
 	}
-	p.AntiAffinityGroups = []AntiAffinityGroup{{Name: "two", Hosts: []string{"h0", "h1", "h2"}, MaxUnavailable: 1 + d.rng.IntN(2)}}
-	d.plan = &p
-	return d
+	p.AntiAffinityGroups = []AntiAffinityGroup{{Name: "two", Hosts: []string{"h0", "h1", "h2"}, MaxUnavailable: 1 + f.rng.IntN(2)}}
+	f.plan = &p
+	return f
 }
 
-// command is the next of a log: mostly looks and words that fit, now and then anything.
-func (d *drawn) command(s *State) *Command {
-	d.now += time.Duration(d.rng.IntN(400)) * time.Millisecond
-	c := &Command{GroupTime: d.now, WallTime: Timestamp(d.now / time.Millisecond)}
-	m := &d.fleet[d.rng.IntN(len(d.fleet))]
-	switch roll := d.rng.IntN(40); {
+// nextCommand returns the next command of the log: mostly observations and requests that fit the
+// state, sometimes any other.
+func (f *randomFleet) nextCommand(state *State) *Command {
+	f.now += time.Duration(f.rng.IntN(400)) * time.Millisecond
+	c := &Command{GroupTime: f.now, WallTime: Timestamp(f.now / time.Millisecond)}
+	m := &f.machines[f.rng.IntN(len(f.machines))]
+	switch roll := f.rng.IntN(40); {
 	case roll < 10:
-		if m.Phase = Phase(d.rng.IntN(5)); d.rng.IntN(3) > 0 {
+		if m.Phase = Phase(f.rng.IntN(5)); f.rng.IntN(3) > 0 {
 			m.Phase = PhaseWarm
 		}
-		c.Observation = s.Diff(d.fleet)
-		c.Observation.MeasuredAt, c.Observation.RingSize, c.Observation.ServedFraction = d.now, 12, Fraction(900+d.rng.IntN(10))
-		if c.Observation.Base -= uint64(d.rng.IntN(20) / 19); d.rng.IntN(30) == 0 {
-			c.Observation.Zones = []Zone{{Name: "z0", State: ZoneState(1 + d.rng.IntN(3))}}
+		c.Observation = state.Diff(f.machines)
+		c.Observation.MeasuredAt, c.Observation.RingSize, c.Observation.ServedFraction = f.now, 12, Fraction(900+f.rng.IntN(10))
+		if c.Observation.Base -= uint64(f.rng.IntN(20) / 19); f.rng.IntN(30) == 0 {
+			c.Observation.Zones = []Zone{{Name: "z0", State: ZoneState(1 + f.rng.IntN(3))}}
 		}
 	case roll < 37:
-		t := s.turns[m.Host]
-		c.Request = &Request{Host: m.Host, Name: m.Host, Type: RequestAcquire, Nonce: 1 + uint64(d.rng.IntN(50)/49)}
-		if t != nil && t.Stage.holds() {
-			c.Request.FencingToken = t.FencingToken - uint64(d.rng.IntN(10)/9)
-			c.Request.Type = RequestStartDrain + RequestType(d.rng.IntN(4))
-			if next, ok := map[Stage]RequestType{StageGranted: RequestStartDrain, StageDrained: RequestStartWork, StageOut: RequestFinishWork, StageRecalled: RequestConfirmUndrain}[t.Stage]; ok && d.rng.IntN(3) > 0 {
-				c.Request.Type = next
-			} else if t.Stage == StageDraining && d.rng.IntN(2) > 0 {
+		lease := state.leases[m.Host]
+		c.Request = &Request{Host: m.Host, Name: m.Host, Type: RequestAcquire, Nonce: 1 + uint64(f.rng.IntN(50)/49)}
+		if lease != nil && lease.Stage.isHeld() {
+			c.Request.FencingToken = lease.FencingToken - uint64(f.rng.IntN(10)/9)
+			c.Request.Type = RequestStartDrain + RequestType(f.rng.IntN(4))
+			if expected, ok := map[Stage]RequestType{StageGranted: RequestStartDrain, StageDrained: RequestStartWork, StageOut: RequestFinishWork, StageRecalled: RequestConfirmUndrain}[lease.Stage]; ok && f.rng.IntN(3) > 0 {
+				c.Request.Type = expected
+			} else if lease.Stage == StageDraining && f.rng.IntN(2) > 0 {
 				m.Phase = PhaseIdle
 			}
 		}
 	case roll == 37:
 		c.Resume = &Resume{}
-	case roll == 38 && d.rng.IntN(4) == 0:
+	case roll == 38 && f.rng.IntN(4) == 0:
 		c.DropLease = &DropLease{Host: m.Host}
-	case roll == 38 && d.rng.IntN(4) == 0:
+	case roll == 38 && f.rng.IntN(4) == 0:
 		c.AdoptName = &AdoptName{Host: m.Host, Name: "x"}
 	default:
-		c.LoadPlan = &LoadPlan{Version: s.version + uint64(d.rng.IntN(2)), Plan: d.plan}
+		c.LoadPlan = &LoadPlan{Version: state.planVersion + uint64(f.rng.IntN(2)), Plan: f.plan}
 	}
 	return c
 }
 
-// breaks tells which bound the machines that are away break in the eyes of one of them, by the
-// formulas of docs/design.md.
-func (d *drawn) breaks(s *State, host string) string {
-	b, zones, sum, lost, voters := d.plan.Bounds, map[string]uint64{}, uint64(0), uint64(0), 0
-	me, inZone, ofZone, ring := s.fleet[host], 0, 0, make([]int, 12)
-	away := func(m *machine) int {
-		if t := s.turns[m.Host]; m.Phase != PhaseWarm || t != nil && t.Stage.holds() {
+// brokenBound returns the bound that the unavailable machines violate from the point of view of one
+// of them, or "". It computes the formulas of docs/design.md independently of firstViolation.
+func (f *randomFleet) brokenBound(state *State, host string) string {
+	bounds, zoneCapacity, total, unavailable, unavailableVoters := f.plan.Bounds, map[string]uint64{}, uint64(0), uint64(0), 0
+	granted, unavailableInZone, machinesInZone, ring := state.machines[host], 0, 0, make([]int, 12)
+	isUnavailable := func(m *machine) int {
+		if lease := state.leases[m.Host]; m.Phase != PhaseWarm || lease != nil && lease.Stage.isHeld() {
 			return 1
 		}
 		return 0
 	}
-	for _, m := range s.fleet {
+	for _, m := range state.machines {
 		if m.Kind == Node && m.Index < 12 {
-			ring[m.Index] += away(m)
+			ring[m.Index] += isUnavailable(m)
 		}
 		if m.Voter {
-			voters += away(m)
+			unavailableVoters += isUnavailable(m)
 		}
-		if m.Kind == me.Kind && m.Zone == me.Zone {
-			ofZone, inZone = ofZone+1, inZone+away(m)
+		if m.Kind == granted.Kind && m.Zone == granted.Zone {
+			machinesInZone, unavailableInZone = machinesInZone+1, unavailableInZone+isUnavailable(m)
 		}
-		if m.Kind == me.Kind && s.zones[m.Zone] != ZoneClosed {
-			zones[m.Zone] += uint64(m.Capacity)
-			sum, lost = sum+uint64(m.Capacity), lost+uint64(away(m))*uint64(m.Capacity)
+		if m.Kind == granted.Kind && state.zones[m.Zone] != ZoneClosed {
+			zoneCapacity[m.Zone] += uint64(m.Capacity)
+			total, unavailable = total+uint64(m.Capacity), unavailable+uint64(isUnavailable(m))*uint64(m.Capacity)
 		}
 	}
-	most := func(p Fraction, n int) int {
-		if k := n * int(p) / 1000; k > 0 || !b.AllowOne || n < 2 {
-			return k
+	limit := func(fraction Fraction, count int) int {
+		if allowed := count * int(fraction) / 1000; allowed > 0 || !bounds.AllowOne || count < 2 {
+			return allowed
 		}
 		return 1
 	}
-	worst := uint64(0)
-	for _, z := range zones {
-		worst = max(worst, z)
+	largest := uint64(0)
+	for _, capacity := range zoneCapacity {
+		largest = max(largest, capacity)
 	}
-	if len(zones) < 2 {
-		worst = 0
+	if len(zoneCapacity) < 2 {
+		largest = 0
 	}
 	switch {
-	case inZone > most(b.MaxZoneFraction, ofZone):
+	case unavailableInZone > limit(bounds.MaxZoneFraction, machinesInZone):
 		return "zone"
-	case lost*1000 > (sum-worst)*uint64(b.MaxCapacityFraction):
+	case unavailable*1000 > (total-largest)*uint64(bounds.MaxCapacityFraction):
 		return "warm"
-	case me.Voter && voters > 1:
+	case granted.Voter && unavailableVoters > 1:
 		return "voters"
-	case s.zones[me.Zone] != ZoneHealthy:
+	case state.zones[granted.Zone] != ZoneHealthy:
 		return "zone's state"
 	}
-	for _, size := range b.SetSizes {
+	for _, size := range bounds.SetSizes {
 		for first := range ring {
-			n, mine := 0, false
+			inSet, hasGranted := 0, false
 			for i := range size {
-				n, mine = n+ring[(first+i)%12], mine || (first+i)%12 == me.Index
+				inSet, hasGranted = inSet+ring[(first+i)%12], hasGranted || (first+i)%12 == granted.Index
 			}
-			if mine && me.Kind == Node && n > most(b.MaxSetFraction, size) {
+			if hasGranted && granted.Kind == Node && inSet > limit(bounds.MaxSetFraction, size) {
 				return "set"
 			}
 		}
 	}
-	group := 0
-	for _, h := range d.plan.AntiAffinityGroups[0].Hosts {
-		if m := s.fleet[h]; m != nil {
-			group += away(m)
+	inGroup := 0
+	for _, member := range f.plan.AntiAffinityGroups[0].Hosts {
+		if m := state.machines[member]; m != nil {
+			inGroup += isUnavailable(m)
 		}
 	}
-	if (host == "h0" || host == "h1" || host == "h2") && group > d.plan.AntiAffinityGroups[0].MaxUnavailable {
+	if (host == "h0" || host == "h1" || host == "h2") && inGroup > f.plan.AntiAffinityGroups[0].MaxUnavailable {
 		return "group"
 	}
 	return ""
 }
 
-// play applies commands to a state and to one that is restored from its snapshot before each, and
-// looks at every grant.
-func (d *drawn) play(t require.TestingT, planted bool) (broken string) {
-	s := New()
-	require.NoError(t, s.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: d.plan}}).Err)
-	fence := uint64(0)
+// run applies random commands to a state, and to another that is restored from its snapshot before
+// each command. It compares the two and checks the bounds after every grant.
+func (f *randomFleet) run(t require.TestingT, withBug bool) (broken string) {
+	state := New()
+	require.NoError(t, state.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: f.plan}}).Err)
+	lastToken := uint64(0)
 	for range 80 {
-		c := d.command(s)
-		raw, err := c.Encode()
+		command := f.nextCommand(state)
+		raw, err := command.Encode()
 		require.NoError(t, err)
-		read, err := DecodeCommand(raw)
+		decoded, err := DecodeCommand(raw)
 		require.NoError(t, err)
-		before, err := s.Snapshot()
+		before, err := state.Snapshot()
 		require.NoError(t, err)
-		twin, err := Restore(before)
+		restored, err := Restore(before)
 		require.NoError(t, err)
-		if planted { // a zone that is not there, as large as the largest, hides the worst one's loss
-			hide(s)
+		if withBug { // a zone that does not exist, as large as the largest, hides the loss of the largest zone
+			hideZoneLoss(state)
 		}
-		r := s.Apply(c)
+		result := state.Apply(command)
 		if broken == "" {
-			for _, h := range r.Granted {
-				broken = d.breaks(s, h)
+			for _, host := range result.Granted {
+				broken = f.brokenBound(state, host)
 			}
 		}
-		if planted {
+		if withBug {
 			continue
 		}
-		other := twin.Apply(read)
-		require.Equal(t, r.Granted, other.Granted)
-		require.Equal(t, r.Response, other.Response)
-		a, err := s.Snapshot()
+		restoredResult := restored.Apply(decoded)
+		require.Equal(t, result.Granted, restoredResult.Granted)
+		require.Equal(t, result.Response, restoredResult.Response)
+		after, err := state.Snapshot()
 		require.NoError(t, err)
-		b, err := twin.Snapshot()
+		restoredSnapshot, err := restored.Snapshot()
 		require.NoError(t, err)
-		require.Equal(t, a, b, "the twin has come to another state by %+v", c)
-		counted := s.yard.clone()
-		s.rebuild()
-		require.Equal(t, s.yard, counted, "counted step by step and anew, after %+v", c)
-		require.GreaterOrEqual(t, s.fence, fence)
-		fence = s.fence
-		held := map[uint64]bool{}
-		for _, turn := range s.held() {
-			require.False(t, held[turn.FencingToken], "two turns under number %d", turn.FencingToken)
-			held[turn.FencingToken] = true
+		require.Equal(t, after, restoredSnapshot, "the restored replica reached another state after %+v", command)
+		incremental := state.usage.clone()
+		state.recountUsage()
+		require.Equal(t, state.usage, incremental, "incremental usage differs from a full count after %+v", command)
+		require.GreaterOrEqual(t, state.lastFencingToken, lastToken)
+		lastToken = state.lastFencingToken
+		tokens := map[uint64]bool{}
+		for _, lease := range state.heldLeases() {
+			require.False(t, tokens[lease.FencingToken], "two leases with fencing token %d", lease.FencingToken)
+			tokens[lease.FencingToken] = true
 		}
-		s.Forecast()
-		s.Status(3)
+		state.Forecast()
+		state.Status(3)
 	}
 	return broken
 }
 
-func hide(s *State) {
-	for _, k := range []Kind{Node, Server} {
-		delete(s.yard.zones, place{"nowhere", k})
-		most := uint64(0)
-		for p, t := range s.yard.zones {
-			if p.kind == k {
-				most = max(most, t.bears)
+func hideZoneLoss(state *State) {
+	for _, kind := range []Kind{Node, Server} {
+		delete(state.usage.zones, zoneKind{"nowhere", kind})
+		largest := uint64(0)
+		for key, zone := range state.usage.zones {
+			if key.kind == kind {
+				largest = max(largest, zone.capacity)
 			}
 		}
-		s.yard.zones[place{"nowhere", k}] = &tally{bears: most}
+		state.usage.zones[zoneKind{"nowhere", kind}] = &zoneUsage{capacity: largest}
 	}
 }
 
-// Whatever is commanded: all replicas come to the same, also from a snapshot; and no grant breaks a
-// bound. One that is given without the worst zone's loss is found.
+// Whatever commands are applied, a replica that is restored from a snapshot must reach the same
+// state, and no grant may violate a bound. A bug that ignores the loss of the largest zone has to
+// be detected.
 func TestReplicasAgreeAndGrantsKeepBounds(t *testing.T) {
-	planted := 0
+	detected := 0
 	rapid.Check(t, func(t *rapid.T) {
-		d := draw(t)
-		again := *d
-		again.rng = rand.New(rand.NewPCG(d.rng.Uint64(), 1))
-		again.fleet = append([]Machine(nil), d.fleet...)
-		assert.Empty(t, d.play(t, false))
-		if again.play(t, true) == "warm" {
-			planted++
+		f := drawFleet(t)
+		buggy := *f
+		buggy.rng = rand.New(rand.NewPCG(f.rng.Uint64(), 1))
+		buggy.machines = append([]Machine(nil), f.machines...)
+		assert.Empty(t, f.run(t, false))
+		if buggy.run(t, true) == "warm" {
+			detected++
 		}
 	})
-	assert.Positive(t, planted)
-	t.Logf("planted: found in %d", planted)
+	assert.Positive(t, detected)
+	t.Logf("injected bug detected in %d runs", detected)
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, c := range []*Command{{LoadPlan: &LoadPlan{Version: 1, Plan: threePlan}}, {Request: &Request{Host: "a", Name: "a", Type: RequestStartWork, FencingToken: 3}},
+	for _, command := range []*Command{{LoadPlan: &LoadPlan{Version: 1, Plan: threeHostPlan}}, {Request: &Request{Host: "a", Name: "a", Type: RequestStartWork, FencingToken: 3}},
 		{Observation: &Observation{RingSize: 3, Machines: []Machine{{Host: "a", Name: "a", Zone: "z", Capacity: 1}}}}, {Halt: &Halt{Reason: "x"}},
 		{Uplinks: &UplinkCalendar{Windows: []UplinkWindow{{Zone: "z", End: 4}}}}} {
-		raw, err := c.Encode()
+		raw, err := command.Encode()
 		require.NoError(f, err)
 		f.Add(raw)
 	}
-	s := New()
-	s.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: threePlan}})
-	s.Apply(&Command{Request: &Request{Host: "n0", Name: "n0", Type: RequestAcquire, Nonce: 4}})
-	state, err := s.Snapshot()
+	state := New()
+	state.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: threeHostPlan}})
+	state.Apply(&Command{Request: &Request{Host: "n0", Name: "n0", Type: RequestAcquire, Nonce: 4}})
+	encodedState, err := state.Snapshot()
 	require.NoError(f, err)
-	f.Add(state)
+	f.Add(encodedState)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if c, err := DecodeCommand(raw); err == nil {
-			again, err := c.Encode()
+		if command, err := DecodeCommand(raw); err == nil {
+			encoded, err := command.Encode()
 			require.NoError(t, err)
-			_, err = DecodeCommand(again)
+			_, err = DecodeCommand(encoded)
 			require.NoError(t, err)
-			s, err := Restore(state)
+			state, err := Restore(encodedState)
 			require.NoError(t, err)
-			s.Apply(c)
+			state.Apply(command)
 		}
-		if s, err := Restore(raw); err == nil {
-			again, err := s.Snapshot()
+		if state, err := Restore(raw); err == nil {
+			encoded, err := state.Snapshot()
 			require.NoError(t, err)
-			twin, err := Restore(again)
+			restored, err := Restore(encoded)
 			require.NoError(t, err)
-			require.Equal(t, s.Response("n0"), twin.Response("n0"))
-			s.Forecast()
+			require.Equal(t, state.Response("n0"), restored.Response("n0"))
+			state.Forecast()
 		}
-		if a, err := DecodeResponse(raw); err == nil {
-			NewAgent("n0", "n0", 4, false).HandleResponse(1, 1, *a)
+		if response, err := DecodeResponse(raw); err == nil {
+			NewAgent("n0", "n0", 4, false).HandleResponse(1, 1, *response)
 		}
 	})
 }
--- a/fleet/maintenance/words.go
+++ b/fleet/maintenance/words.go
@@ -2,123 +2,127 @@
 
 import "time"
 
-// trust is the time for which an agent may act on an answer that lets it go on draining: without a
-// new one it comes back, as the council may have lost its majority.
-const trust = time.Second
+// responseTTL is the time for which an agent may act on a response to a request. A machine that
+// drains and receives no newer response within it is undrained, as the consensus group may have
+// lost its majority.
+const responseTTL = time.Second
 
-// Answer is what the council tells a machine's agent.
+// Response is the leader's response to a machine's agent: the state of its host's lease.
 type Response struct {
-	Host         string        `cbor:"1,keyasint"`
-	Stage        Stage         `cbor:"2,keyasint"`
-	FencingToken uint64        `cbor:"3,keyasint"`
-	Nonce        uint64        `cbor:"4,keyasint"` // of the process whose turn it is
-	TTL          time.Duration `cbor:"5,keyasint"` // for which the answer may be acted on, from before it was asked for
+	Host         string `cbor:"1,keyasint"`
+	Stage        Stage  `cbor:"2,keyasint"`
+	FencingToken uint64 `cbor:"3,keyasint"`
+	Nonce        uint64 `cbor:"4,keyasint"` // random number of the process that holds or requests the lease
+	// TTL is the time for which the agent may act on the response, counted from before it sent the
+	// request.
+	TTL          time.Duration `cbor:"5,keyasint"`
 	Job          string        `cbor:"6,keyasint,omitempty"`
 	WorkDuration Duration      `cbor:"7,keyasint,omitempty"`
 }
 
-// Answer tells how a host's turn stands.
+// Response returns the state of a host's lease.
 func (s *State) Response(host string) Response {
-	if adopted := s.names[host]; adopted != "" {
-		host = adopted
-	}
-	a := Response{Host: host, Stage: s.stage(host), TTL: trust}
-	if t := s.turns[host]; t != nil {
-		a.FencingToken, a.Nonce, a.Job, a.WorkDuration = t.FencingToken, t.Nonce, t.Job, t.WorkDuration
-		if t.Stage == StageGranted {
-			a.TTL = t.TimerAt - s.now
+	if adoptedHost := s.hostByAdoptedName[host]; adoptedHost != "" {
+		host = adoptedHost
+	}
+	response := Response{Host: host, Stage: s.stage(host), TTL: responseTTL}
+	if lease := s.leases[host]; lease != nil {
+		response.FencingToken, response.Nonce, response.Job, response.WorkDuration = lease.FencingToken, lease.Nonce, lease.Job, lease.WorkDuration
+		if lease.Stage == StageGranted {
+			response.TTL = lease.TimerAt - s.now
 		}
 	}
-	return a
+	return response
 }
 
-// Encode gives an answer's bytes, in canonical form.
-func (a *Response) Encode() ([]byte, error) { return encoder.Marshal(a) }
+// Encode returns the response in canonical CBOR.
+func (r *Response) Encode() ([]byte, error) { return encoder.Marshal(r) }
 
-// DecodeAnswer reads an answer.
+// DecodeResponse decodes and validates a response.
 func DecodeResponse(raw []byte) (*Response, error) {
-	const most = 512
-	a := &Response{}
-	if len(raw) > most {
-		return nil, spoilt("answer", "%d bytes", len(raw))
+	const maxBytes = 512
+	response := &Response{}
+	if len(raw) > maxBytes {
+		return nil, malformed("response", "%d bytes", len(raw))
 	}
-	if err := decoder.Unmarshal(raw, a); err != nil {
-		return nil, spoilt("answer", "%s", oneLine(err))
+	if err := decoder.Unmarshal(raw, response); err != nil {
+		return nil, malformed("response", "%s", oneLine(err))
 	}
-	if !nameGood(a.Host) || a.Stage > StageDone || a.TTL < 0 || time.Duration(a.WorkDuration) > spanMost || a.WorkDuration < 0 || (a.Job != "" && !nameGood(a.Job)) {
-		return nil, spoilt("answer", "of host %q, %v", a.Host, a.Stage)
+	if !validName(response.Host) || response.Stage > StageDone || response.TTL < 0 || time.Duration(response.WorkDuration) > maxDuration || response.WorkDuration < 0 || (response.Job != "" && !validName(response.Job)) {
+		return nil, malformed("response", "host %q, stage %v", response.Host, response.Stage)
 	}
-	return a, nil
+	return response, nil
 }
 
-// word takes what a machine's agent says. Each verb may come twice: the second does nothing more and
-// is answered like the first.
-func (s *State) word(w *Request, r *Result) {
-	host := w.Host
-	if adopted := s.names[host]; adopted != "" {
-		host = adopted
-	}
-	t := s.turns[host]
+// handleRequest applies the request of a machine's agent. Requests are idempotent: a repeated one
+// changes nothing and gets the same response.
+func (s *State) handleRequest(req *Request, result *Result) {
+	host := req.Host
+	if adoptedHost := s.hostByAdoptedName[host]; adoptedHost != "" {
+		host = adoptedHost
+	}
+	lease := s.leases[host]
 	switch {
-	case w.Type == RequestAcquire:
-		r.Err = s.ask(host, w, t)
-	case t == nil || !t.Stage.holds() || w.FencingToken != t.FencingToken:
-		r.Err = s.staleFence(host, w.FencingToken, t)
+	case req.Type == RequestAcquire:
+		result.Err = s.acquire(host, req, lease)
+	case lease == nil || !lease.Stage.isHeld() || req.FencingToken != lease.FencingToken:
+		result.Err = s.staleTokenError(host, req.FencingToken, lease)
 	default:
-		r.Err = s.say(t, w)
+		result.Err = s.advance(lease, req)
 	}
-	r.Response = s.Response(host)
+	result.Response = s.Response(host)
 }
 
-func (s *State) staleFence(host string, got uint64, t *Lease) error {
-	e := &StaleFenceError{Host: host, Got: got}
-	if t != nil {
-		e.Current = t.FencingToken
+func (s *State) staleTokenError(host string, got uint64, lease *Lease) error {
+	err := &StaleFenceError{Host: host, Got: got}
+	if lease != nil {
+		err.Current = lease.FencingToken
 	}
-	return e
+	return err
 }
 
-// ask takes a process's first word. A turn that another process of the host had goes on under a new
-// number, so that what the other still says does nothing.
-func (s *State) ask(host string, w *Request, t *Lease) error {
-	if m := s.owner(w.Name); m != nil && m.Host != host {
-		return &NameTakenError{Host: host, Name: w.Name, UsedBy: m.Host}
-	}
-	if t == nil || !t.Stage.holds() {
-		work, wanted := s.wanted(host)
-		if !wanted {
-			if s.plan == nil || s.done[host] == "" {
-				return &UnknownHostError{Host: host} // it polls until a plan has work for it
+// acquire applies the first request of a process. If another process of the host already holds the
+// lease, the lease continues under a new fencing token, so that requests of the other process no
+// longer take effect.
+func (s *State) acquire(host string, req *Request, lease *Lease) error {
+	if owner := s.machineNamed(req.Name); owner != nil && owner.Host != host {
+		return &NameTakenError{Host: host, Name: req.Name, UsedBy: owner.Host}
+	}
+	if lease == nil || !lease.Stage.isHeld() {
+		work, pending := s.pendingWork(host)
+		if !pending {
+			if s.plan == nil || s.doneJobs[host] == "" {
+				return &UnknownHostError{Host: host} // the agent polls until a plan has work for its host
 			}
 			return nil
 		}
-		if t == nil {
-			t = &Lease{Host: host}
-			s.turns[host] = t
+		if lease == nil {
+			lease = &Lease{Host: host}
+			s.leases[host] = lease
 		}
-		t.Name, t.Nonce, t.Job, t.WorkDuration, t.Deadline = w.Name, w.Nonce, work.job, work.length, work.deadline
-		if t.Stage != StageRequested {
-			s.turn(t, StageRequested)
+		lease.Name, lease.Nonce, lease.Job, lease.WorkDuration, lease.Deadline = req.Name, req.Nonce, work.job, work.duration, work.deadline
+		if lease.Stage != StageRequested {
+			s.setStage(lease, StageRequested)
 		}
 		return nil
 	}
-	if t.Nonce == w.Nonce {
+	if lease.Nonce == req.Nonce {
 		return nil
 	}
-	s.fence++
-	t.FencingToken, t.Nonce, t.Name, t.UndrainConfirmed = s.fence, w.Nonce, w.Name, false
-	if t.Stage == StageDrained { // the new process has to be seen idle
-		s.turn(t, StageDraining)
+	s.lastFencingToken++
+	lease.FencingToken, lease.Nonce, lease.Name, lease.UndrainConfirmed = s.lastFencingToken, req.Nonce, req.Name, false
+	if lease.Stage == StageDrained { // the new process has to be observed idle
+		s.setStage(lease, StageDraining)
 	}
 	return nil
 }
 
-// owner is the machine that has a name.
-func (s *State) owner(name string) *machine {
-	if m := s.fleet[name]; m != nil && m.Name == name { // most are called like their host
+// machineNamed returns the machine with the given node name or server UID, or nil.
+func (s *State) machineNamed(name string) *machine {
+	if m := s.machines[name]; m != nil && m.Name == name { // most machines are named like their host
 		return m
 	}
-	for _, m := range s.fleet {
+	for _, m := range s.machines {
 		if m.Name == name {
 			return m
 		}
@@ -126,49 +130,51 @@
 	return nil
 }
 
-// say takes a word under the number in force.
-func (s *State) say(t *Lease, w *Request) error {
+// advance applies a request that carries the lease's current fencing token.
+func (s *State) advance(lease *Lease, req *Request) error {
 	switch {
-	case w.Type == RequestStartDrain && t.Stage == StageGranted:
-		if err := s.stillFree(t); err != nil {
-			s.giveUp(t, false)
+	case req.Type == RequestStartDrain && lease.Stage == StageGranted:
+		if err := s.recheckBounds(lease); err != nil {
+			s.release(lease, false)
 			return err
 		}
-		t.UnusedGrants = 0
-		s.turn(t, StageDraining)
-	case w.Type == RequestStartWork && t.Stage == StageDrained:
-		if m := s.fleet[t.Host]; m == nil || m.Phase != PhaseIdle || s.now-max(m.at, s.seen) > evidenceMost {
-			return &OrderError{Host: t.Host, Operation: w.Type.String(), Stage: t.Stage}
+		lease.UnusedGrants = 0
+		s.setStage(lease, StageDraining)
+	case req.Type == RequestStartWork && lease.Stage == StageDrained:
+		if m := s.machines[lease.Host]; m == nil || m.Phase != PhaseIdle || s.now-max(m.observedAt, s.observedAt) > maxObservationAge {
+			return &OrderError{Host: lease.Host, Operation: req.Type.String(), Stage: lease.Stage}
 		}
-		if err := s.stillFree(t); err != nil {
-			s.recall(t)
+		if err := s.recheckBounds(lease); err != nil {
+			s.recall(lease)
 			return err
 		}
-		t.SeenGone = false
-		s.turn(t, StageOut)
-	case w.Type == RequestFinishWork && t.Stage == StageOut:
-		s.turn(t, StageArrived)
-	case w.Type == RequestConfirmUndrain && t.Stage == StageGranted:
-		s.giveUp(t, false)
-	case w.Type == RequestConfirmUndrain && !t.UndrainConfirmed && t.Stage <= StageOut:
-		s.turn(t, StageRecalled)
-		t.UndrainConfirmed = true
-	case w.Type == RequestStartDrain && (t.Stage == StageDraining || t.Stage == StageDrained), w.Type == RequestStartWork && t.Stage == StageOut,
-		w.Type == RequestFinishWork && t.Stage > StageOut, w.Type == RequestConfirmUndrain && t.UndrainConfirmed: // said before
+		lease.SeenGone = false
+		s.setStage(lease, StageOut)
+	case req.Type == RequestFinishWork && lease.Stage == StageOut:
+		s.setStage(lease, StageArrived)
+	case req.Type == RequestConfirmUndrain && lease.Stage == StageGranted:
+		s.release(lease, false)
+	case req.Type == RequestConfirmUndrain && !lease.UndrainConfirmed && lease.Stage <= StageOut:
+		// In StageOut the response that permitted the machine to leave was lost or came too late.
+		s.setStage(lease, StageRecalled)
+		lease.UndrainConfirmed = true
+	case req.Type == RequestStartDrain && (lease.Stage == StageDraining || lease.Stage == StageDrained), req.Type == RequestStartWork && lease.Stage == StageOut,
+		req.Type == RequestFinishWork && lease.Stage > StageOut, req.Type == RequestConfirmUndrain && lease.UndrainConfirmed: // repeated request
 	default:
-		return &OrderError{Host: t.Host, Operation: w.Type.String(), Stage: t.Stage}
+		return &OrderError{Host: lease.Host, Operation: req.Type.String(), Stage: lease.Stage}
 	}
 	return nil
 }
 
-// stillFree looks at the bounds once more before a step out: a machine may have died since.
-func (s *State) stillFree(t *Lease) error {
-	m := s.fleet[t.Host]
+// recheckBounds checks the bounds once more before a machine drains or leaves service, because
+// another machine may have failed since the grant.
+func (s *State) recheckBounds(lease *Lease) error {
+	m := s.machines[lease.Host]
 	switch {
 	case s.Halted():
-		return &HaltedError{Reason: s.haltWhy()}
+		return &HaltedError{Reason: s.haltReason()}
 	case s.plan == nil || m == nil:
-		return &UnknownHostError{Host: t.Host}
+		return &UnknownHostError{Host: lease.Host}
 	}
-	return s.err(t.Host, s.barred(&s.yard, m, true, s.need(t.WorkDuration), s.wall))
+	return s.violationError(lease.Host, s.firstViolation(&s.usage, m, true, s.expectedDuration(lease.WorkDuration), s.wallTime))
 }
