--- a/fleet/maintenance/world_test.go
+++ b/fleet/maintenance/world_test.go
@@ -12,293 +12,295 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a machine truly does, which only its own process and those who look from outside know.
-type truth uint8
+// actualState is what a machine really does. State learns of it only through observations and
+// requests.
+type actualState uint8
 
 const (
-	serves truth = iota
-	drains
-	isOut
-	isCold
+	actuallyServing actualState = iota
+	actuallyDraining
+	actuallyOut
+	actuallyCold
 )
 
 const (
-	tick   = 300 * time.Millisecond
-	faults = 2 // crashes, pauses, halts and lost leaders on one path
-	inAir  = 4 // words at most
-	cold   = 3 * tick
+	tickInterval        = 300 * time.Millisecond
+	maxFaults           = 2 // crashes, pauses, halts and leader changes on one path
+	maxRequestsInFlight = 4
+	slowStartDuration   = 3 * tickInterval
 )
 
-// letter is a message on its way: a word, its answer, or a look.
-type letter struct {
-	host   int
-	word   *Request
-	look   *Observation
-	answer *Response
-	nonce  uint64        // of the process that asked
-	asked  time.Duration // on its clock
+// message is a message in flight: a request, its response or an observation.
+type message struct {
+	host        int
+	request     *Request
+	observation *Observation
+	response    *Response
+	nonce       uint64        // random number of the sending process
+	sentAt      time.Duration // on the sender's clock
 }
 
-// world is three machines of which one may be away, the council's state, and all that is in flight.
-type world struct {
-	now    time.Duration
-	state  *State
-	truth  [3]truth
-	agents [3]Agent
-	paused [3]bool
-	warm   [3]time.Duration // when it is, where it is cold
-	procs  uint64
-	air    []letter
-	inAir  int
-	faults int
+// model is three machines of which at most one may be unavailable, the replicated state and all
+// messages in flight.
+type model struct {
+	now         time.Duration
+	state       *State
+	actual      [3]actualState
+	agents      [3]Agent
+	paused      [3]bool
+	warmAt      [3]time.Duration // end of the slow start, valid in actuallyCold
+	processes   uint64
+	inFlight    []message
+	maxInFlight int
+	faults      int
 }
 
-func skew(i int) time.Duration { return time.Duration(i) * time.Hour }
+func clockOffset(i int) time.Duration { return time.Duration(i) * time.Hour }
 
-var threePlan = &Plan{GrantTimeout: Duration(4 * tick), DrainDuration: Duration(time.Second), WarmUpDuration: Duration(time.Second),
+var threeHostPlan = &Plan{GrantTimeout: Duration(4 * tickInterval), DrainDuration: Duration(time.Second), WarmUpDuration: Duration(time.Second),
 	Bounds:     Bounds{MaxZoneFraction: 1000, MaxSetFraction: 340, SetSizes: []int{3}, MaxCapacityFraction: 1000},
 	HaltPolicy: HaltPolicy{MaxServedDrop: 20, MaxNoMajorityDuration: Duration(time.Second), ResumeMode: ResumeAutomatically},
 	Jobs:       []Job{{Name: "disk", Hosts: []string{"n[0-2]"}, WorkDuration: Duration(time.Minute)}}}
 
 var (
-	hosts  = [...]string{"n0", "n1", "n2"}
-	phases = [...]Phase{serves: PhaseWarm, drains: PhaseIdle, isOut: PhaseGone, isCold: PhaseCold}
+	hostNames      = [...]string{"n0", "n1", "n2"}
+	observedPhases = [...]Phase{actuallyServing: PhaseWarm, actuallyDraining: PhaseIdle, actuallyOut: PhaseGone, actuallyCold: PhaseCold}
 )
 
-func host(i int) string { return hosts[i] }
+func hostName(i int) string { return hostNames[i] }
 
-// newWorld has a plan in force and evidence of three that serve.
-func newWorld(t *testing.T) *world {
-	w := &world{inAir: inAir, now: gather} // the plan has waited for its hosts
-	s := New()
-	require.NoError(t, s.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: threePlan}}).Err)
-	for i := range w.agents {
-		w.start(i)
+// newModel returns a model with a plan in force and three serving machines.
+func newModel(t *testing.T) *model {
+	m := &model{maxInFlight: maxRequestsInFlight, now: firstGrantDelay} // firstGrantDelay has passed since the plan was loaded
+	state := New()
+	require.NoError(t, state.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: threeHostPlan}}).Err)
+	for i := range m.agents {
+		m.startProcess(i)
 	}
-	w.state = s
-	w.tick(s)
-	return w
+	m.state = state
+	m.tick(state)
+	return m
 }
 
-// clone copies what commands may change.
-func (s *State) clone() *State {
+// cloneForTest copies what commands may change.
+func (s *State) cloneForTest() *State {
 	c := *s
-	c.zones, c.done, c.yard = maps.Clone(s.zones), maps.Clone(s.done), s.yard.clone()
-	c.turns, c.fleet = make(map[string]*Lease, 3), make(map[string]*machine, 3)
-	for h, t := range s.turns {
-		copied := *t
-		c.turns[h] = &copied
+	c.zones, c.doneJobs, c.usage = maps.Clone(s.zones), maps.Clone(s.doneJobs), s.usage.clone()
+	c.leases, c.machines = make(map[string]*Lease, 3), make(map[string]*machine, 3)
+	for host, lease := range s.leases {
+		copied := *lease
+		c.leases[host] = &copied
 	}
-	for h, m := range s.fleet {
+	for host, m := range s.machines {
 		copied := *m
-		c.fleet[h] = &copied
+		c.machines[host] = &copied
 	}
 	return &c
 }
 
-// start has a new process on a host.
-func (w *world) start(i int) {
-	w.procs++
-	w.agents[i] = *NewAgent(host(i), host(i), w.procs, false)
-	w.paused[i] = false
+// startProcess starts a new process on a host.
+func (m *model) startProcess(i int) {
+	m.processes++
+	m.agents[i] = *NewAgent(hostName(i), hostName(i), m.processes, false)
+	m.paused[i] = false
 }
 
-// tick lets time pass: agents speak, the leader looks.
-func (w *world) tick(s *State) {
-	w.now += tick
-	for i := range w.agents {
-		if w.truth[i] == isCold && w.now >= w.warm[i] {
-			w.truth[i] = serves
+// tick advances the time: the agents send requests and the leader sends an observation.
+func (m *model) tick(state *State) {
+	m.now += tickInterval
+	for i := range m.agents {
+		if m.actual[i] == actuallyCold && m.now >= m.warmAt[i] {
+			m.actual[i] = actuallyServing
 		}
-		if w.paused[i] || w.truth[i] == isOut {
+		if m.paused[i] || m.actual[i] == actuallyOut {
 			continue
 		}
-		w.act(i, w.agents[i].CheckTimeout(w.now+skew(i)))
-		if len(w.air) < w.inAir {
-			word := w.agents[i].NextRequest(w.now + skew(i))
-			w.air = append(w.air, letter{host: i, word: &word, nonce: w.agents[i].nonce, asked: w.now + skew(i)})
+		m.perform(i, m.agents[i].CheckTimeout(m.now+clockOffset(i)))
+		if len(m.inFlight) < m.maxInFlight {
+			request := m.agents[i].NextRequest(m.now + clockOffset(i))
+			m.inFlight = append(m.inFlight, message{host: i, request: &request, nonce: m.agents[i].nonce, sentAt: m.now + clockOffset(i)})
 		}
 	}
-	l := s.Diff(w.observe())
-	l.MeasuredAt, l.RingSize, l.ServedFraction = w.now, 3, 900
-	w.air = append(w.air, letter{look: l})
+	o := state.Diff(m.observedMachines())
+	o.MeasuredAt, o.RingSize, o.ServedFraction = m.now, 3, 900
+	m.inFlight = append(m.inFlight, message{observation: o})
 }
 
-func (w *world) observe() (seen []Machine) {
-	for i, d := range w.truth {
-		seen = append(seen, Machine{Host: host(i), Name: host(i), Zone: "z" + host(i), Index: i, Capacity: 10, Phase: phases[d]})
+func (m *model) observedMachines() (observed []Machine) {
+	for i, actual := range m.actual {
+		observed = append(observed, Machine{Host: hostName(i), Name: hostName(i), Zone: "z" + hostName(i), Index: i, Capacity: 10, Phase: observedPhases[actual]})
 	}
-	return seen
+	return observed
 }
 
-func (w *world) act(i int, a Action) {
-	switch a {
+func (m *model) perform(i int, action Action) {
+	switch action {
 	case ActionDrain:
-		w.truth[i] = drains
+		m.actual[i] = actuallyDraining
 	case ActionUndrain:
-		w.truth[i] = serves
+		m.actual[i] = actuallyServing
 	case ActionLeave:
-		w.truth[i] = isOut
+		m.actual[i] = actuallyOut
 	}
 }
 
-// deliver brings a letter to where it goes.
-func (w *world) deliver(s *State, l letter, bug string) {
-	at := w.now + time.Millisecond // later than what was measured now
+// deliver delivers a message to its receiver.
+func (m *model) deliver(state *State, msg message, bug string) {
+	now := m.now + time.Millisecond // later than the measurement of the current tick
 	switch {
-	case l.look != nil:
-		s.Apply(&Command{GroupTime: at, Observation: l.look})
-	case l.answer != nil:
-		a := &w.agents[l.host]
-		if a.nonce != l.nonce || w.truth[l.host] == isOut {
-			return // its connection ended with its process
+	case msg.observation != nil:
+		state.Apply(&Command{GroupTime: now, Observation: msg.observation})
+	case msg.response != nil:
+		agent := &m.agents[msg.host]
+		if agent.nonce != msg.nonce || m.actual[msg.host] == actuallyOut {
+			return // the connection ended with the process
 		}
-		if bug == "old answers act" {
-			a.heard, a.ended, a.last.FencingToken = 0, 0, 0
-			l.answer.TTL = time.Hour
+		if bug == "stale responses are accepted" {
+			agent.responseSentAt, agent.abandonedToken, agent.response.FencingToken = 0, 0, 0
+			msg.response.TTL = time.Hour
 		}
-		w.act(l.host, a.HandleResponse(w.now+skew(l.host), l.asked, *l.answer))
+		m.perform(msg.host, agent.HandleResponse(m.now+clockOffset(msg.host), msg.sentAt, *msg.response))
 	default:
-		word := *l.word
-		if t := s.turns[word.Host]; bug == "old words count" && t != nil && word.Type > RequestAcquire {
-			word.FencingToken = t.FencingToken
+		request := *msg.request
+		if lease := state.leases[request.Host]; bug == "stale requests are accepted" && lease != nil && request.Type > RequestAcquire {
+			request.FencingToken = lease.FencingToken
 		}
-		answer := s.Response(word.Host)
-		if word.Type != RequestPoll {
-			answer = s.Apply(&Command{GroupTime: at, Request: &word}).Response
+		response := state.Response(request.Host)
+		if request.Type != RequestPoll {
+			response = state.Apply(&Command{GroupTime: now, Request: &request}).Response
 		}
-		if t := s.turns[word.Host]; bug == "back is returned" && t != nil && t.Stage == StageArrived {
-			s.finish(t)
+		if lease := state.leases[request.Host]; bug == "lease ends on arrival" && lease != nil && lease.Stage == StageArrived {
+			state.finish(lease)
 		}
-		w.air = append(w.air, letter{host: l.host, answer: &answer, nonce: l.nonce, asked: l.asked})
+		m.inFlight = append(m.inFlight, message{host: msg.host, response: &response, nonce: msg.nonce, sentAt: msg.sentAt})
 	}
 }
 
-// choices is how many ways there are to go on.
-func (w *world) choices() int {
-	n := 1 + 3*len(w.air)
-	if w.faults < faults {
-		n += 3*3 + 2
+// choiceCount returns the number of possible next steps.
+func (m *model) choiceCount() int {
+	count := 1 + 3*len(m.inFlight)
+	if m.faults < maxFaults {
+		count += 3*3 + 2
 	}
-	return n
+	return count
 }
 
-// step goes on by one choice; false is one that changes nothing.
-func (w *world) step(choice int, bug string) bool {
-	s := w.state.clone()
+// step takes one of the next steps. It returns false if the step is not possible.
+func (m *model) step(choice int, bug string) bool {
+	state := m.state.cloneForTest()
 	if choice == 0 {
-		w.tick(s)
-	} else if choice--; choice < 3*len(w.air) { // deliver, double or lose one, in any order
-		l := w.air[choice/3]
-		w.air = slices.Clone(w.air)
+		m.tick(state)
+	} else if choice--; choice < 3*len(m.inFlight) { // deliver, duplicate or drop a message, in any order
+		msg := m.inFlight[choice/3]
+		m.inFlight = slices.Clone(m.inFlight)
 		if choice%3 != 1 {
-			w.air = slices.Delete(w.air, choice/3, choice/3+1)
+			m.inFlight = slices.Delete(m.inFlight, choice/3, choice/3+1)
 		}
 		if choice%3 != 2 {
-			w.deliver(s, l, bug)
+			m.deliver(state, msg, bug)
 		}
-	} else if !w.fault(s, choice-3*len(w.air), bug) {
+	} else if !m.injectFault(state, choice-3*len(m.inFlight), bug) {
 		return false
 	}
-	w.state = s
+	m.state = state
 	return true
 }
 
-func (w *world) fault(s *State, fault int, bug string) bool {
+func (m *model) injectFault(state *State, fault int, bug string) bool {
 	i := fault % 3
-	w.faults++
+	m.faults++
 	switch fault / 3 {
-	case 0: // the process dies and another starts, on a disk with nothing; one that is out comes back from its work
-		if w.truth[i] == isOut {
-			w.truth[i], w.warm[i] = isCold, w.now+cold
-			w.faults-- // no fault
+	case 0: // the process crashes and another starts with an empty disk; a machine that is out of service returns from its work
+		if m.actual[i] == actuallyOut {
+			m.actual[i], m.warmAt[i] = actuallyCold, m.now+slowStartDuration
+			m.faults-- // not a fault
 		} else {
-			w.truth[i] = serves // as if it had been warm at once: only what turns did is judged
+			m.actual[i] = actuallyServing // slow start is skipped: only unavailability that leases cause is checked
 		}
-		w.start(i)
-	case 1: // it stands still, or wakes and looks at its clock first
-		if w.paused[i] = !w.paused[i]; !w.paused[i] {
-			w.act(i, w.agents[i].CheckTimeout(w.now+skew(i)))
+		m.startProcess(i)
+	case 1: // the process is paused, or resumes and first checks for a timeout
+		if m.paused[i] = !m.paused[i]; !m.paused[i] {
+			m.perform(i, m.agents[i].CheckTimeout(m.now+clockOffset(i)))
 		}
-	case 2: // it loses the council, or somebody resumes
-		if w.paused[i] {
+	case 2: // the connections of the process break
+		if m.paused[i] {
 			return false
 		}
-		w.air = slices.DeleteFunc(slices.Clone(w.air), func(l letter) bool { return l.look == nil && l.host == i })
+		m.inFlight = slices.DeleteFunc(slices.Clone(m.inFlight), func(msg message) bool { return msg.observation == nil && msg.host == i })
 	default:
 		if i == 1 {
-			s.Apply(&Command{GroupTime: w.now, Halt: &Halt{}})
+			state.Apply(&Command{GroupTime: m.now, Halt: &Halt{}})
 			break
 		}
-		// The leader dies: what it had proposed and nobody took is gone.
-		w.air = slices.DeleteFunc(slices.Clone(w.air), func(l letter) bool { return l.answer == nil })
-		if bug == "a turn is forgotten" {
-			for _, t := range s.held() {
-				s.turn(t, StageRequested)
+		// The leader crashes: its proposals that were not committed are lost.
+		m.inFlight = slices.DeleteFunc(slices.Clone(m.inFlight), func(msg message) bool { return msg.response == nil })
+		if bug == "leases are forgotten" {
+			for _, lease := range state.heldLeases() {
+				state.setStage(lease, StageRequested)
 			}
 		}
 	}
 	return true
 }
 
-// wrong is what must not be, or "".
-func (w *world) wrong() string {
-	s, away := w.state, 0
-	for i, d := range w.truth {
-		if d == serves {
+// violation describes a violated invariant, or returns "".
+func (m *model) violation() string {
+	state, unavailable := m.state, 0
+	for i, actual := range m.actual {
+		if actual == actuallyServing {
 			continue
 		}
-		if away++; !s.stage(host(i)).holds() {
-			return fmt.Sprintf("%s is away (%d) and its turn is %v", host(i), d, s.stage(host(i)))
+		if unavailable++; !state.stage(hostName(i)).isHeld() {
+			return fmt.Sprintf("%s is unavailable (actual state %d) and its lease is %v", hostName(i), actual, state.stage(hostName(i)))
 		}
 	}
-	if n := len(s.held()); away > 1 || n > 1 {
-		return fmt.Sprintf("%d are away, %d turns are held", away, n)
+	if n := len(state.heldLeases()); unavailable > 1 || n > 1 {
+		return fmt.Sprintf("%d machines are unavailable and %d leases are held, want at most 1 of each", unavailable, n)
 	}
 	return ""
 }
 
-// hash tells worlds apart.
-func (w *world) hash() uint64 {
-	b := make([]byte, 0, 1024)
+// hash identifies the model's state.
+func (m *model) hash() uint64 {
+	buf := make([]byte, 0, 1024)
 	put := func(values ...uint64) {
 		for _, v := range values {
-			b = binary.AppendUvarint(b, v)
+			buf = binary.AppendUvarint(buf, v)
 		}
 	}
-	bit := func(v bool) uint64 {
+	boolBit := func(v bool) uint64 {
 		if v {
 			return 1
 		}
 		return 0
 	}
-	answer := func(a *Response) { put(uint64(a.Stage), a.FencingToken, a.Nonce, uint64(a.TTL)) }
-	s := w.state
-	put(uint64(w.now), uint64(w.faults), uint64(s.now), uint64(s.seen), s.fence, s.looks, uint64(len(s.halt.hand)), uint64(len(s.halt.trouble)))
-	for i := range w.agents {
-		a := &w.agents[i]
-		put(uint64(w.truth[i]), uint64(w.warm[i]), bit(w.paused[i]), a.nonce, bit(a.asked), uint64(a.heard), a.ended, bit(a.drains), bit(a.out))
-		answer(&a.last)
-		if t := s.turns[host(i)]; t != nil {
-			put(uint64(t.Stage), t.FencingToken, t.Nonce, uint64(t.StageSince), uint64(t.TimerAt), bit(t.UndrainConfirmed), bit(t.SeenGone), uint64(t.UnusedGrants))
+	putResponse := func(r *Response) { put(uint64(r.Stage), r.FencingToken, r.Nonce, uint64(r.TTL)) }
+	state := m.state
+	put(uint64(m.now), uint64(m.faults), uint64(state.now), uint64(state.observedAt), state.lastFencingToken, state.observations, uint64(len(state.halt.operatorReason)), uint64(len(state.halt.faultReason)))
+	for i := range m.agents {
+		agent := &m.agents[i]
+		put(uint64(m.actual[i]), uint64(m.warmAt[i]), boolBit(m.paused[i]), agent.nonce, boolBit(agent.registered), uint64(agent.responseSentAt), agent.abandonedToken, boolBit(agent.draining), boolBit(agent.inWork))
+		putResponse(&agent.response)
+		if lease := state.leases[hostName(i)]; lease != nil {
+			put(uint64(lease.Stage), lease.FencingToken, lease.Nonce, uint64(lease.StageSince), uint64(lease.TimerAt), boolBit(lease.UndrainConfirmed), boolBit(lease.SeenGone), uint64(lease.UnusedGrants))
 		}
-		if m := s.fleet[host(i)]; m != nil {
-			put(uint64(m.Phase), uint64(m.at))
+		if seen := state.machines[hostName(i)]; seen != nil {
+			put(uint64(seen.Phase), uint64(seen.observedAt))
 		}
 	}
-	for _, l := range w.air {
-		put(uint64(l.host), l.nonce, uint64(l.asked))
+	for _, msg := range m.inFlight {
+		put(uint64(msg.host), msg.nonce, uint64(msg.sentAt))
 		switch {
-		case l.word != nil:
-			put(uint64(l.word.Type), l.word.FencingToken, l.word.Nonce)
-		case l.answer != nil:
-			answer(l.answer)
+		case msg.request != nil:
+			put(uint64(msg.request.Type), msg.request.FencingToken, msg.request.Nonce)
+		case msg.response != nil:
+			putResponse(msg.response)
 		default:
-			put(l.look.Base, uint64(l.look.MeasuredAt))
-			for _, m := range l.look.Machines {
-				put(uint64(m.Index), uint64(m.Phase))
+			put(msg.observation.Base, uint64(msg.observation.MeasuredAt))
+			for _, seen := range msg.observation.Machines {
+				put(uint64(seen.Index), uint64(seen.Phase))
 			}
 		}
 	}
-	return xxhash.Sum64(b)
+	return xxhash.Sum64(buf)
 }
