--- a/fleet/maintenance/agent.go
+++ b/fleet/maintenance/agent.go
@@ -61,7 +61,8 @@
 // take.
 func (a *Agent) HandleResponse(now, sentAt time.Duration, response Response) Action {
 	switch {
-	case response.Host == "" || sentAt < a.responseSentAt || now >= sentAt+response.TTL || (response.FencingToken != 0 && response.FencingToken < a.response.FencingToken):
+	case response.Host == "" || sentAt < a.responseSentAt || now >= sentAt+response.TTL ||
+		(response.FencingToken != 0 && response.FencingToken < a.response.FencingToken):
 		return a.CheckTimeout(now) // expired or overtaken
 	case response.Stage.isHeld() && response.Nonce != a.nonce: // another process of this host has requested the lease since
 		a.registered = false
--- a/fleet/maintenance/bounds.go
+++ b/fleet/maintenance/bounds.go
@@ -86,7 +86,8 @@
 )
 
 func (b Bound) String() string {
-	return enumName(b, "none", "phase", "zone", "zone's state", "customer's set", "warm capacity", "apart", "voters", "uplink")
+	return enumName(b, "none", "phase", "zone", "zone's state", "customer's set", "warm capacity", "apart",
+		"voters", "uplink")
 }
 
 // violation is a bound that taking a machine out of service would violate, with its figures.
@@ -109,11 +110,15 @@
 	if s.zones[m.Zone] != ZoneHealthy {
 		return violation{bound: BoundZoneState}
 	}
-	if zone := u.zones[zoneKind{m.Zone, m.Kind}]; zone.unavailable+added > bounds.maxMachines(bounds.MaxZoneFraction, zone.machines) {
-		return violation{BoundZone, uint64(zone.unavailable + added), uint64(bounds.maxMachines(bounds.MaxZoneFraction, zone.machines)), 0}
+	if zone := u.zones[zoneKind{m.Zone, m.Kind}]; zone.unavailable+added >
+		bounds.maxMachines(bounds.MaxZoneFraction, zone.machines) {
+		return violation{BoundZone, uint64(zone.unavailable + added),
+			uint64(bounds.maxMachines(bounds.MaxZoneFraction, zone.machines)), 0}
 	}
-	if remaining, unavailable := s.capacityAfterZoneLoss(u, m.Kind); (unavailable+uint64(added)*uint64(m.Capacity))*1000 > remaining*uint64(bounds.MaxCapacityFraction) {
-		return violation{BoundCapacity, unavailable + uint64(added)*uint64(m.Capacity), remaining * uint64(bounds.MaxCapacityFraction) / 1000, 0}
+	if remaining, unavailable := s.capacityAfterZoneLoss(u, m.Kind); (unavailable+uint64(added)*uint64(m.Capacity))*1000 >
+		remaining*uint64(bounds.MaxCapacityFraction) {
+		return violation{BoundCapacity, unavailable + uint64(added)*uint64(m.Capacity),
+			remaining * uint64(bounds.MaxCapacityFraction) / 1000, 0}
 	}
 	if m.Voter && u.voters+added > 1 {
 		return violation{BoundVoters, uint64(u.voters + added), 1, 0}
@@ -126,13 +131,15 @@
 	if m.Kind == Node && m.Index < len(u.ring) {
 		for _, size := range bounds.SetSizes {
 			size = min(size, len(u.ring))
-			if worst, limit := u.maxUnavailableInSet(m.Index, size)+added, bounds.maxMachines(bounds.MaxSetFraction, size); worst > limit {
+			if worst, limit := u.maxUnavailableInSet(m.Index, size)+added,
+				bounds.maxMachines(bounds.MaxSetFraction, size); worst > limit {
 				return violation{BoundCustomerSet, uint64(worst), uint64(limit), size}
 			}
 		}
 	}
 	for _, window := range s.uplinkWindows {
-		if window.Zone == m.Zone && wall < window.End && wall+Timestamp(duration.milliseconds()+bounds.UplinkMargin.milliseconds()) > window.Start {
+		if window.Zone == m.Zone && wall < window.End &&
+			wall+Timestamp(duration.milliseconds()+bounds.UplinkMargin.milliseconds()) > window.Start {
 			return violation{bound: BoundUplink}
 		}
 	}
@@ -158,7 +165,8 @@
 			continue
 		}
 		zones++
-		remaining, unavailable, largest = remaining+zone.capacity, unavailable+zone.unavailableCapacity, max(largest, zone.capacity)
+		remaining, unavailable, largest = remaining+zone.capacity, unavailable+zone.unavailableCapacity,
+			max(largest, zone.capacity)
 	}
 	if zones > 1 {
 		remaining -= largest
--- a/fleet/maintenance/command.go
+++ b/fleet/maintenance/command.go
@@ -222,7 +222,8 @@
 
 func (c *Command) check() error {
 	fieldsSet := 0
-	for _, set := range []bool{c.LoadPlan != nil, c.Observation != nil, c.Request != nil, c.Halt != nil, c.Resume != nil, c.Uplinks != nil, c.AdoptName != nil, c.DropLease != nil} {
+	for _, set := range []bool{c.LoadPlan != nil, c.Observation != nil, c.Request != nil, c.Halt != nil,
+		c.Resume != nil, c.Uplinks != nil, c.AdoptName != nil, c.DropLease != nil} {
 		if set {
 			fieldsSet++
 		}
@@ -237,14 +238,16 @@
 	case c.Observation != nil:
 		return c.Observation.check()
 	case c.Request != nil:
-		if req := c.Request; !validName(req.Host) || !validName(req.Name) || req.Type < RequestAcquire || req.Type > RequestConfirmUndrain || (req.Type == RequestAcquire && req.Nonce == 0) {
+		if req := c.Request; !validName(req.Host) || !validName(req.Name) || req.Type < RequestAcquire ||
+			req.Type > RequestConfirmUndrain || (req.Type == RequestAcquire && req.Nonce == 0) {
 			return malformed("request", "host %q, type %v", req.Host, req.Type)
 		}
 	case c.Halt != nil && len(c.Halt.Reason) > maxReasonBytes, c.Resume != nil && len(c.Resume.Reason) > maxReasonBytes:
 		return malformed("order", "reason longer than %d bytes", maxReasonBytes)
 	case c.Uplinks != nil:
 		return checkUplinks(c.Uplinks.Windows)
-	case c.AdoptName != nil && (!validName(c.AdoptName.Host) || !validName(c.AdoptName.Name)), c.DropLease != nil && !validName(c.DropLease.Host):
+	case c.AdoptName != nil && (!validName(c.AdoptName.Host) || !validName(c.AdoptName.Name)),
+		c.DropLease != nil && !validName(c.DropLease.Host):
 		return malformed("order", "invalid host name")
 	}
 	return nil
@@ -263,7 +266,8 @@
 }
 
 func (o *Observation) check() error {
-	if o.MeasuredAt < 0 || o.NoMajorityDuration < 0 || o.ServedFraction < 0 || o.ServedFraction > 1000 || o.RingSize < 0 || o.RingSize > MaxMachines ||
+	if o.MeasuredAt < 0 || o.NoMajorityDuration < 0 || o.ServedFraction < 0 || o.ServedFraction > 1000 ||
+		o.RingSize < 0 || o.RingSize > MaxMachines ||
 		len(o.Machines)+len(o.Removed) > maxObservationEntries || len(o.Zones) > maxZones {
 		return malformed("observation", "value out of range")
 	}
@@ -281,7 +285,8 @@
 }
 
 func (m *Machine) check() error {
-	if !validName(m.Host) || !validName(m.Name) || !validName(m.Zone) || m.Kind > Server || m.Phase > PhaseIdle || m.Index < 0 || m.Index >= MaxMachines || m.Capacity == 0 {
+	if !validName(m.Host) || !validName(m.Name) || !validName(m.Zone) || m.Kind > Server ||
+		m.Phase > PhaseIdle || m.Index < 0 || m.Index >= MaxMachines || m.Capacity == 0 {
 		return malformed("machine", "host %q, zone %q", m.Host, m.Zone)
 	}
 	return nil
--- a/fleet/maintenance/compile.go
+++ b/fleet/maintenance/compile.go
@@ -40,7 +40,9 @@
 	for i, job := range p.Jobs {
 		key := fmt.Sprintf("jobs.%d", i)
 		if !validName(job.Name) || seen[job.Name] {
-			return nil, &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is not a valid name or is used twice", job.Name), Hint: "give each job a unique name"}
+			return nil, &PlanError{Key: key + ".name",
+				Reason: fmt.Sprintf("%q is not a valid name or is used twice", job.Name),
+				Hint:   "give each job a unique name"}
 		}
 		seen[job.Name] = true
 		if err := checkDuration(key+".length", job.WorkDuration, false); err != nil {
@@ -55,7 +57,8 @@
 		}
 		for _, host := range hosts {
 			if _, repeated := c.workByHost[host]; repeated {
-				return nil, &PlanError{Key: key + ".hosts", Host: host, Reason: "it is listed twice", Hint: "put all its work into one job"}
+				return nil, &PlanError{Key: key + ".hosts", Host: host, Reason: "it is listed twice",
+					Hint: "put all its work into one job"}
 			}
 			c.workByHost[host] = hostWork{job.Name, job.WorkDuration, job.Deadline}
 		}
@@ -66,13 +69,16 @@
 
 func (c *compiledPlan) compileGroups(groups []AntiAffinityGroup) error {
 	if len(groups) > maxAntiAffinityGroups {
-		return &PlanError{Key: "apart", Reason: fmt.Sprintf("%d groups", len(groups)), Hint: fmt.Sprintf("list at most %d", maxAntiAffinityGroups)}
+		return &PlanError{Key: "apart", Reason: fmt.Sprintf("%d groups", len(groups)),
+			Hint: fmt.Sprintf("list at most %d", maxAntiAffinityGroups)}
 	}
 	seen, hostsLeft := map[string]bool{}, MaxPlanHosts
 	for i, group := range groups {
 		key := fmt.Sprintf("apart.%d", i)
 		if !validName(group.Name) || seen[group.Name] {
-			return &PlanError{Key: key + ".name", Reason: fmt.Sprintf("%q is not a valid name or is used twice", group.Name), Hint: "give each group a unique name"}
+			return &PlanError{Key: key + ".name",
+				Reason: fmt.Sprintf("%q is not a valid name or is used twice", group.Name),
+				Hint:   "give each group a unique name"}
 		}
 		seen[group.Name] = true
 		hosts, err := expandHosts(key+".hosts", group.Hosts, hostsLeft)
@@ -81,12 +87,15 @@
 		}
 		hostsLeft -= len(hosts)
 		if group.MaxUnavailable < 1 || group.MaxUnavailable >= len(hosts) {
-			return &PlanError{Key: key + ".most", Reason: fmt.Sprintf("%d of %d hosts is not a limit", group.MaxUnavailable, len(hosts)), Hint: "set at least 1 and fewer than the group has"}
+			return &PlanError{Key: key + ".most",
+				Reason: fmt.Sprintf("%d of %d hosts is not a limit", group.MaxUnavailable, len(hosts)),
+				Hint:   "set at least 1 and fewer than the group has"}
 		}
 		members := map[string]bool{}
 		for _, host := range hosts {
 			if members[host] {
-				return &PlanError{Key: key + ".hosts", Host: host, Reason: "it is listed twice", Hint: "list it once in a group"}
+				return &PlanError{Key: key + ".hosts", Host: host, Reason: "it is listed twice",
+					Hint: "list it once in a group"}
 			}
 			members[host] = true
 			c.groupsByHost[host] = append(c.groupsByHost[host], i)
@@ -105,9 +114,11 @@
 		prefix, first, last, width, suffix, err := parseHostRange(name)
 		switch {
 		case err != nil:
-			return nil, &PlanError{Key: key, Host: name, Reason: err.Error(), Hint: "write a name, or a range like edge-[001-120]"}
+			return nil, &PlanError{Key: key, Host: name, Reason: err.Error(),
+				Hint: "write a name, or a range like edge-[001-120]"}
 		case last-first >= maxHosts-len(hosts):
-			return nil, &PlanError{Key: key, Host: name, Reason: fmt.Sprintf("more than %d hosts with it", MaxPlanHosts), Hint: "split the work over several plans"}
+			return nil, &PlanError{Key: key, Host: name,
+				Reason: fmt.Sprintf("more than %d hosts with it", MaxPlanHosts), Hint: "split the work over several plans"}
 		case width == 0:
 			hosts = append(hosts, name)
 			continue
--- a/fleet/maintenance/errors.go
+++ b/fleet/maintenance/errors.go
@@ -29,14 +29,16 @@
 }
 
 func malformed(what, format string, values ...any) error {
-	return &SpoiltError{what, fmt.Sprintf(format, values...), "look for a node with another program version or a faulty disk"}
+	return &SpoiltError{what, fmt.Sprintf(format, values...),
+		"look for a node with another program version or a faulty disk"}
 }
 
 // StalePlanError reports a plan whose version is not higher than the version in force.
 type StalePlanError struct{ Current, Got uint64 }
 
 func (e *StalePlanError) Error() string {
-	return fmt.Sprintf("turns: plan %d rejected: version %d is in force; activate it under a higher version", e.Got, e.Current)
+	return fmt.Sprintf("turns: plan %d rejected: version %d is in force; activate it under a higher version",
+		e.Got, e.Current)
 }
 
 // StaleLookError reports an observation based on another state: a duplicate, an overtaken one, or
@@ -44,7 +46,8 @@
 type StaleLookError struct{ Current, Base uint64 }
 
 func (e *StaleLookError) Error() string {
-	return fmt.Sprintf("turns: observation based on number %d rejected: %d have been applied; no action is needed unless it recurs, then check which node leads the consensus group", e.Base, e.Current)
+	return fmt.Sprintf("turns: observation based on number %d rejected: %d have been applied; no action is needed unless it recurs, then check which node leads the consensus group",
+		e.Base, e.Current)
 }
 
 // StaleFenceError reports a request whose fencing token is not the lease's current one.
@@ -54,7 +57,8 @@
 }
 
 func (e *StaleFenceError) Error() string {
-	return fmt.Sprintf("turns: host %s: fencing token %d is void, the current one is %d; no action is needed, the agent requests the lease again", e.Host, e.Got, e.Current)
+	return fmt.Sprintf("turns: host %s: fencing token %d is void, the current one is %d; no action is needed, the agent requests the lease again",
+		e.Host, e.Got, e.Current)
 }
 
 // OrderError reports a request or an operator's order that the lease's stage or the machine's phase
@@ -69,7 +73,8 @@
 
 func (e *OrderError) Error() string {
 	if e.WrongPhase {
-		return fmt.Sprintf("turns: host %s: no %s while the machine is observed as %v; stop its process first, or wait until it is back in service", e.Host, e.Operation, e.Phase)
+		return fmt.Sprintf("turns: host %s: no %s while the machine is observed as %v; stop its process first, or wait until it is back in service",
+			e.Host, e.Operation, e.Phase)
 	}
 	return fmt.Sprintf("turns: host %s: no %s while its lease is %v; read turns status", e.Host, e.Operation, e.Stage)
 }
@@ -78,14 +83,16 @@
 type UnknownHostError struct{ Host string }
 
 func (e *UnknownHostError) Error() string {
-	return fmt.Sprintf("turns: host %s: neither the plan nor the fleet has work for it; if it came back under a new name, adopt that name", e.Host)
+	return fmt.Sprintf("turns: host %s: neither the plan nor the fleet has work for it; if it came back under a new name, adopt that name",
+		e.Host)
 }
 
 // NameTakenError reports a name that another host already uses.
 type NameTakenError struct{ Host, Name, UsedBy string }
 
 func (e *NameTakenError) Error() string {
-	return fmt.Sprintf("turns: host %s: the name %s is in use by host %s; start it under its own name", e.Host, e.Name, e.UsedBy)
+	return fmt.Sprintf("turns: host %s: the name %s is in use by host %s; start it under its own name",
+		e.Host, e.Name, e.UsedBy)
 }
 
 // HaltedError reports a request that work being halted does not permit.
@@ -100,13 +107,15 @@
 	Host        string
 	Bound       Bound
 	Scope       string // machines to which the bound applies
-	Unavailable uint64 // including the machine itself
-	Max         uint64
+	Unavailable uint64 // number or capacity, including the machine itself
+	Max         uint64 // permitted number or capacity
 }
 
 func (e *BoundError) Error() string {
 	if e.Max == 0 && e.Unavailable == 0 {
-		return fmt.Sprintf("turns: host %s: kept in service by its %v, %s; wait until that permits it", e.Host, e.Bound, e.Scope)
+		return fmt.Sprintf("turns: host %s: kept in service by its %v, %s; wait until that permits it",
+			e.Host, e.Bound, e.Scope)
 	}
-	return fmt.Sprintf("turns: host %s: kept in service by the bound on %v, %s: %d unavailable, at most %d permitted; wait for other machines, or raise the bound in the plan", e.Host, e.Bound, e.Scope, e.Unavailable, e.Max)
+	return fmt.Sprintf("turns: host %s: kept in service by the bound on %v, %s: %d unavailable, at most %d permitted; wait for other machines, or raise the bound in the plan",
+		e.Host, e.Bound, e.Scope, e.Unavailable, e.Max)
 }
--- a/fleet/maintenance/explore_test.go
+++ b/fleet/maintenance/explore_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// explore takes every sequence of up to depth steps from a model, and visits each state once.
+// explore runs every sequence of up to depth steps from a model and visits each state once. It
+// returns the number of states visited and the first violation found, or "".
 func explore(start *model, depth int, bug string) (states int, found string) {
 	seen := map[uint64]bool{}
 	frontier := []*model{start}
@@ -37,7 +38,7 @@
 	return states, ""
 }
 
-// runUntil takes fault-free steps until the lease of the first host has reached a stage.
+// runUntil runs fault-free steps until the lease of the first host has reached a stage.
 func (m *model) runUntil(t *testing.T, stage Stage) {
 	for range 200 {
 		if m.state.stage(hostName(0)) >= stage {
@@ -55,7 +56,8 @@
 	require.Fail(t, "the lease makes no progress", "stage %v is not reached", stage)
 }
 
-// randomWalk takes random steps, most of them without faults.
+// randomWalk runs random steps, most of them without faults, and returns the first violation found,
+// or "".
 func randomWalk(t *testing.T, seed uint64, steps int, bug string) (found string) {
 	m, rng := newModel(t), rand.New(rand.NewPCG(seed, 0))
 	m.maxInFlight *= 3
@@ -93,7 +95,8 @@
 	}
 	require.Less(t, staleToken, m.state.leases[hostName(0)].FencingToken)
 	for _, requestType := range []RequestType{RequestConfirmUndrain, RequestStartDrain} {
-		m.inFlight = append(m.inFlight, message{request: &Request{Host: hostName(0), Name: hostName(0), Type: requestType, FencingToken: staleToken}})
+		m.inFlight = append(m.inFlight, message{request: &Request{Host: hostName(0), Name: hostName(0),
+			Type: requestType, FencingToken: staleToken}})
 	}
 	return m
 }
--- a/fleet/maintenance/forecast.go
+++ b/fleet/maintenance/forecast.go
@@ -31,7 +31,8 @@
 	if e.ExpectedAt > 0 {
 		when = fmt.Sprintf("it is back in service at %v", e.ExpectedAt)
 	}
-	return fmt.Sprintf("turns: host %s: deadline %v can't be met: as things stand %s (%s); widen the plan's bounds, or move the deadline", e.Host, e.Deadline, when, e.Reason)
+	return fmt.Sprintf("turns: host %s: deadline %v can't be met: as things stand %s (%s); widen the plan's bounds, or move the deadline",
+		e.Host, e.Deadline, when, e.Reason)
 }
 
 // expectedReturn is the expected return to service of a machine, or the end of an uplink window.
@@ -79,8 +80,9 @@
 
 // remaining returns the expected time in milliseconds until the machine is back in service.
 func (s *State) remaining(lease *Lease) Timestamp {
-	laterStages := map[Stage]Duration{StageGranted: s.expectedDuration(lease.WorkDuration) - s.plan.plan.GrantTimeout, StageDraining: lease.WorkDuration + s.plan.plan.WarmUpDuration,
-		StageDrained: lease.WorkDuration + s.plan.plan.WarmUpDuration, StageOut: s.plan.plan.WarmUpDuration}[lease.Stage]
+	laterStages := map[Stage]Duration{StageGranted: s.expectedDuration(lease.WorkDuration) - s.plan.plan.GrantTimeout,
+		StageDraining: lease.WorkDuration + s.plan.plan.WarmUpDuration,
+		StageDrained:  lease.WorkDuration + s.plan.plan.WarmUpDuration, StageOut: s.plan.plan.WarmUpDuration}[lease.Stage]
 	return Timestamp(max(0, s.expectedStageDuration(lease)-Duration(s.now-lease.StageSince)).milliseconds() + laterStages.milliseconds())
 }
 
@@ -128,7 +130,8 @@
 	var returns returnHeap
 	for _, lease := range s.heldLeases() {
 		ret := expectedReturn{at: s.wallTime + s.remaining(lease), machine: s.machines[lease.Host]}
-		if work, pending := s.pendingWork(lease.Host); pending && (lease.Stage == StageRecalled || (lease.Stage >= StageOut && work.job != lease.Job)) {
+		if work, pending := s.pendingWork(lease.Host); pending &&
+			(lease.Stage == StageRecalled || (lease.Stage >= StageOut && work.job != lease.Job)) {
 			c := s.newCandidate(lease.Host, work)
 			ret.requeue = &c
 			if ret.machine != nil {
@@ -155,7 +158,8 @@
 		switch {
 		case !pending || (lease != nil && lease.Stage.isHeld()):
 		case s.machines[host] == nil:
-			f.addBlocked(host, work.deadline, &BoundError{Host: host, Bound: BoundPhase, Scope: "no machine of it is observed"})
+			f.addBlocked(host, work.deadline, &BoundError{Host: host, Bound: BoundPhase,
+				Scope: "no machine of it is observed"})
 		default:
 			candidates = append(candidates, s.newCandidate(host, work))
 		}
@@ -164,9 +168,10 @@
 	return candidates
 }
 
-// startLeases takes out of service, in order, all candidates that the bounds permit at the given
-// time, and returns the others.
-func (s *State) startLeases(f *Forecast, u *usage, returns *returnHeap, candidates []candidate, wall Timestamp) []candidate {
+// startLeases counts as unavailable, in order, all candidates that the bounds permit at the given
+// time, adds their returns, and returns the other candidates.
+func (s *State) startLeases(f *Forecast, u *usage, returns *returnHeap, candidates []candidate,
+	wall Timestamp) []candidate {
 	exhausted := map[zoneKind]bool{}
 	return slices.DeleteFunc(candidates, func(c candidate) bool {
 		m := c.machine
@@ -194,13 +199,15 @@
 	}
 	f.DoneAt = max(f.DoneAt, ret.at)
 	if deadline > 0 && ret.at > deadline {
-		f.Late = append(f.Late, &LateError{Host: host, Deadline: deadline, ExpectedAt: ret.at, Reason: "other hosts go first"})
+		f.Late = append(f.Late, &LateError{Host: host, Deadline: deadline, ExpectedAt: ret.at,
+			Reason: "other hosts go first"})
 	}
 }
 
 func (f *Forecast) addBlocked(host string, deadline Timestamp, err *BoundError) {
 	f.Blocked = append(f.Blocked, err)
 	if deadline > 0 {
-		f.Late = append(f.Late, &LateError{Host: host, Deadline: deadline, Reason: fmt.Sprintf("%v, %s", err.Bound, err.Scope)})
+		f.Late = append(f.Late, &LateError{Host: host, Deadline: deadline,
+			Reason: fmt.Sprintf("%v, %s", err.Bound, err.Scope)})
 	}
 }
--- a/fleet/maintenance/lease_test.go
+++ b/fleet/maintenance/lease_test.go
@@ -21,7 +21,8 @@
 	g := &testGroup{t: t, state: New()}
 	for _, host := range []string{"a", "b", "c", "d", "e", "f"} {
 		i := len(g.machines)
-		g.machines = append(g.machines, Machine{Host: host, Name: host, Zone: "z" + string(rune('0'+i%3)), Index: i, Capacity: 10, Load: uint32(100 - i), Phase: PhaseWarm})
+		g.machines = append(g.machines, Machine{Host: host, Name: host, Zone: "z" + string(rune('0'+i%3)),
+			Index: i, Capacity: 10, Load: uint32(100 - i), Phase: PhaseWarm})
 	}
 	g.loadPlan(change)
 	for _, host := range []string{"a", "b", "c", "d", "e", "f"} {
@@ -34,7 +35,8 @@
 // loadPlan loads a plan that permits three of six machines to be unavailable.
 func (g *testGroup) loadPlan(change func(*Plan)) Result {
 	p := *threeHostPlan
-	p.Bounds = Bounds{MaxZoneFraction: 500, MaxSetFraction: 500, SetSizes: []int{6}, MaxCapacityFraction: 1000, UplinkMargin: Duration(time.Minute)}
+	p.Bounds = Bounds{MaxZoneFraction: 500, MaxSetFraction: 500, SetSizes: []int{6}, MaxCapacityFraction: 1000,
+		UplinkMargin: Duration(time.Minute)}
 	p.Jobs = []Job{{Name: "disk", Hosts: []string{"a", "b", "c", "d", "e", "f"}, WorkDuration: Duration(10 * time.Minute)}}
 	if change != nil {
 		change(&p)
@@ -106,7 +108,8 @@
 	g.takeOut("e")
 	require.NoError(t, g.request("f", RequestStartDrain).Err)
 	r := g.loadPlan(func(p *Plan) { p.Jobs[0].Hosts, p.Jobs[0].Name = []string{"c", "d"}, "power" })
-	assert.Equal(t, map[string]Stage{"a": StageDone, "b": StageDone, "c": StageRequested, "d": StageOut, "e": StageOut, "f": StageRecalled}, g.stages())
+	assert.Equal(t, map[string]Stage{"a": StageDone, "b": StageDone, "c": StageRequested, "d": StageOut,
+		"e": StageOut, "f": StageRecalled}, g.stages())
 	assert.Empty(t, r.Forecast.Blocked)
 	g.now += firstGrantDelay
 	assert.Empty(t, g.observe(nil, nil).Granted, "f in the same zone is still unavailable")
@@ -114,7 +117,8 @@
 	assert.Equal(t, []string{"c"}, g.observe(map[string]Phase{"f": PhaseWarm}, nil).Granted)
 	g.observe(map[string]Phase{"d": PhaseCold, "e": PhaseCold}, nil)
 	g.observe(map[string]Phase{"d": PhaseWarm, "e": PhaseWarm}, nil)
-	assert.Equal(t, map[string]Stage{"a": StageDone, "b": StageDone, "c": StageGranted, "d": StageWaiting, "e": StageDone, "f": StageDone}, g.stages(), "the new job of d is still to be done")
+	assert.Equal(t, map[string]Stage{"a": StageDone, "b": StageDone, "c": StageGranted, "d": StageWaiting,
+		"e": StageDone, "f": StageDone}, g.stages(), "the new job of d is still to be done")
 }
 
 // A machine crashes after its grant, or is disconnected and continues after the grant has expired.
@@ -139,16 +143,19 @@
 	g := newTestGroup(t, func(p *Plan) { p.Bounds.MaxSetFraction = 170 })
 	g.observe(nil, nil)
 	g.takeOut("f")
-	assert.ErrorAs(t, g.apply(&Command{Request: &Request{Host: "f", Name: "a", Type: RequestAcquire, Nonce: 9}}).Err, new(*NameTakenError))
+	assert.ErrorAs(t, g.apply(&Command{Request: &Request{Host: "f", Name: "a", Type: RequestAcquire,
+		Nonce: 9}}).Err, new(*NameTakenError))
 	g.machines = append(g.machines, Machine{Host: "new", Name: "new", Zone: "z2", Index: 5, Capacity: 10, Phase: PhaseWarm})
 	assert.Empty(t, g.observe(nil, nil).Granted)
-	assert.ErrorAs(t, g.apply(&Command{Request: &Request{Host: "new", Name: "new", Type: RequestAcquire, Nonce: 9}}).Err, new(*UnknownHostError))
+	assert.ErrorAs(t, g.apply(&Command{Request: &Request{Host: "new", Name: "new", Type: RequestAcquire,
+		Nonce: 9}}).Err, new(*UnknownHostError))
 	assert.Equal(t, StageOut, g.state.stage("f"), "the lease is still held")
 	require.NoError(t, g.apply(&Command{AdoptName: &AdoptName{Host: "f", Name: "new"}}).Err)
 	g.machines = append(g.machines[:5:5], g.machines[6])
 	response := g.apply(&Command{Request: &Request{Host: "new", Name: "new", Type: RequestAcquire, Nonce: 9}}).Response
 	assert.Equal(t, StageOut, response.Stage)
-	require.NoError(t, g.apply(&Command{Request: &Request{Host: "new", Name: "new", Type: RequestFinishWork, FencingToken: response.FencingToken}}).Err)
+	require.NoError(t, g.apply(&Command{Request: &Request{Host: "new", Name: "new", Type: RequestFinishWork,
+		FencingToken: response.FencingToken}}).Err)
 	assert.Equal(t, []string{"e"}, g.observe(nil, nil).Granted)
 	assert.Equal(t, StageDone, g.state.stage("f"))
 }
@@ -188,8 +195,10 @@
 			voidToken := g.state.leases["f"].FencingToken
 			g.observe(nil, change)
 			assert.Contains(t, g.state.Status(0).HaltReason, reason)
-			assert.Equal(t, [3]Stage{StageOut, StageRecalled, StageWaiting}, [3]Stage{g.state.stage("d"), g.state.stage("e"), g.state.stage("f")})
-			assert.ErrorAs(t, g.apply(&Command{Request: &Request{Host: "f", Name: "f", Type: RequestStartDrain, FencingToken: voidToken}}).Err, new(*StaleFenceError))
+			assert.Equal(t, [3]Stage{StageOut, StageRecalled, StageWaiting},
+				[3]Stage{g.state.stage("d"), g.state.stage("e"), g.state.stage("f")})
+			assert.ErrorAs(t, g.apply(&Command{Request: &Request{Host: "f", Name: "f", Type: RequestStartDrain,
+				FencingToken: voidToken}}).Err, new(*StaleFenceError))
 			require.NoError(t, g.request("e", RequestConfirmUndrain).Err)
 			g.request("f", RequestAcquire)
 			for range 2 {
@@ -197,7 +206,8 @@
 				g.now += 5 * time.Second
 			}
 			granted := g.observe(nil, nil).Granted
-			assert.Equal(t, resumeMode == ResumeAutomatically, len(granted) > 0, "fault %q, resume mode %s: granted %v", reason, resumeMode, granted)
+			assert.Equal(t, resumeMode == ResumeAutomatically, len(granted) > 0,
+				"fault %q, resume mode %s: granted %v", reason, resumeMode, granted)
 			g.apply(&Command{Resume: &Resume{}})
 			assert.Empty(t, g.state.Status(0).HaltReason)
 		}
@@ -236,8 +246,10 @@
 	g := newTestGroup(t, nil)
 	g.machines[3].Voter, g.machines[4].Voter = true, true
 	windowStart := Timestamp(1e12) + Timestamp((5 * time.Minute).Milliseconds())
-	g.apply(&Command{Uplinks: &UplinkCalendar{Windows: []UplinkWindow{{Zone: "z2", Start: windowStart, End: windowStart + 60_000}}}})
-	assert.Equal(t, []string{"e", "a"}, g.observe(nil, nil).Granted, "f has to wait for the uplink window of its zone, d for the voter e")
+	g.apply(&Command{Uplinks: &UplinkCalendar{Windows: []UplinkWindow{{Zone: "z2", Start: windowStart,
+		End: windowStart + 60_000}}}})
+	assert.Equal(t, []string{"e", "a"}, g.observe(nil, nil).Granted,
+		"f has to wait for the uplink window of its zone, d for the voter e")
 	g.now += 7 * time.Minute
 	assert.Contains(t, g.observe(nil, nil).Granted, "f")
 }
--- a/fleet/maintenance/model_test.go
+++ b/fleet/maintenance/model_test.go
@@ -37,7 +37,7 @@
 	observation *Observation
 	response    *Response
 	nonce       uint64        // random number of the sending process
-	sentAt      time.Duration // on the sender's clock
+	sentAt      time.Duration // time on the sender's clock
 }
 
 // model is three machines of which at most one may be unavailable, the replicated state and all
@@ -57,14 +57,17 @@
 
 func clockOffset(i int) time.Duration { return time.Duration(i) * time.Hour }
 
-var threeHostPlan = &Plan{GrantTimeout: Duration(4 * tickInterval), DrainDuration: Duration(time.Second), WarmUpDuration: Duration(time.Second),
-	Bounds:     Bounds{MaxZoneFraction: 1000, MaxSetFraction: 340, SetSizes: []int{3}, MaxCapacityFraction: 1000},
-	HaltPolicy: HaltPolicy{MaxServedDrop: 20, MaxNoMajorityDuration: Duration(time.Second), ResumeMode: ResumeAutomatically},
-	Jobs:       []Job{{Name: "disk", Hosts: []string{"n[0-2]"}, WorkDuration: Duration(time.Minute)}}}
+var threeHostPlan = &Plan{GrantTimeout: Duration(4 * tickInterval), DrainDuration: Duration(time.Second),
+	WarmUpDuration: Duration(time.Second),
+	Bounds:         Bounds{MaxZoneFraction: 1000, MaxSetFraction: 340, SetSizes: []int{3}, MaxCapacityFraction: 1000},
+	HaltPolicy: HaltPolicy{MaxServedDrop: 20, MaxNoMajorityDuration: Duration(time.Second),
+		ResumeMode: ResumeAutomatically},
+	Jobs: []Job{{Name: "disk", Hosts: []string{"n[0-2]"}, WorkDuration: Duration(time.Minute)}}}
 
 var (
 	hostNames      = [...]string{"n0", "n1", "n2"}
-	observedPhases = [...]Phase{actuallyServing: PhaseWarm, actuallyDraining: PhaseIdle, actuallyOut: PhaseGone, actuallyCold: PhaseCold}
+	observedPhases = [...]Phase{actuallyServing: PhaseWarm, actuallyDraining: PhaseIdle, actuallyOut: PhaseGone,
+		actuallyCold: PhaseCold}
 )
 
 func hostName(i int) string { return hostNames[i] }
@@ -118,7 +121,8 @@
 		m.perform(i, m.agents[i].CheckTimeout(m.now+clockOffset(i)))
 		if len(m.inFlight) < m.maxInFlight {
 			request := m.agents[i].NextRequest(m.now + clockOffset(i))
-			m.inFlight = append(m.inFlight, message{host: i, request: &request, nonce: m.agents[i].nonce, sentAt: m.now + clockOffset(i)})
+			m.inFlight = append(m.inFlight, message{host: i, request: &request, nonce: m.agents[i].nonce,
+				sentAt: m.now + clockOffset(i)})
 		}
 	}
 	o := state.Diff(m.observedMachines())
@@ -128,7 +132,8 @@
 
 func (m *model) observedMachines() (observed []Machine) {
 	for i, actual := range m.actual {
-		observed = append(observed, Machine{Host: hostName(i), Name: hostName(i), Zone: "z" + hostName(i), Index: i, Capacity: 10, Phase: observedPhases[actual]})
+		observed = append(observed, Machine{Host: hostName(i), Name: hostName(i), Zone: "z" + hostName(i),
+			Index: i, Capacity: 10, Phase: observedPhases[actual]})
 	}
 	return observed
 }
@@ -162,14 +167,16 @@
 		m.perform(msg.host, agent.HandleResponse(m.now+clockOffset(msg.host), msg.sentAt, *msg.response))
 	default:
 		request := *msg.request
-		if lease := state.leases[request.Host]; bug == "stale requests are accepted" && lease != nil && request.Type > RequestAcquire {
+		if lease := state.leases[request.Host]; bug == "stale requests are accepted" && lease != nil &&
+			request.Type > RequestAcquire {
 			request.FencingToken = lease.FencingToken
 		}
 		response := state.Response(request.Host)
 		if request.Type != RequestPoll {
 			response = state.Apply(&Command{GroupTime: now, Request: &request}).Response
 		}
-		if lease := state.leases[request.Host]; bug == "lease ends on arrival" && lease != nil && lease.Stage == StageArrived {
+		if lease := state.leases[request.Host]; bug == "lease ends on arrival" && lease != nil &&
+			lease.Stage == StageArrived {
 			state.finish(lease)
 		}
 		m.inFlight = append(m.inFlight, message{host: msg.host, response: &response, nonce: msg.nonce, sentAt: msg.sentAt})
@@ -226,7 +233,8 @@
 		if m.paused[i] {
 			return false
 		}
-		m.inFlight = slices.DeleteFunc(slices.Clone(m.inFlight), func(msg message) bool { return msg.observation == nil && msg.host == i })
+		m.inFlight = slices.DeleteFunc(slices.Clone(m.inFlight),
+			func(msg message) bool { return msg.observation == nil && msg.host == i })
 	default:
 		if i == 1 {
 			state.Apply(&Command{GroupTime: m.now, Halt: &Halt{}})
@@ -251,7 +259,8 @@
 			continue
 		}
 		if unavailable++; !state.stage(hostName(i)).isHeld() {
-			return fmt.Sprintf("%s is unavailable (actual state %d) and its lease is %v", hostName(i), actual, state.stage(hostName(i)))
+			return fmt.Sprintf("%s is unavailable (actual state %d) and its lease is %v", hostName(i), actual,
+				state.stage(hostName(i)))
 		}
 	}
 	if n := len(state.heldLeases()); unavailable > 1 || n > 1 {
@@ -276,13 +285,17 @@
 	}
 	putResponse := func(r *Response) { put(uint64(r.Stage), r.FencingToken, r.Nonce, uint64(r.TTL)) }
 	state := m.state
-	put(uint64(m.now), uint64(m.faults), uint64(state.now), uint64(state.observedAt), state.lastFencingToken, state.observations, uint64(len(state.halt.operatorReason)), uint64(len(state.halt.faultReason)))
+	put(uint64(m.now), uint64(m.faults), uint64(state.now), uint64(state.observedAt), state.lastFencingToken,
+		state.observations, uint64(len(state.halt.operatorReason)), uint64(len(state.halt.faultReason)))
 	for i := range m.agents {
 		agent := &m.agents[i]
-		put(uint64(m.actual[i]), uint64(m.warmAt[i]), boolBit(m.paused[i]), agent.nonce, boolBit(agent.registered), uint64(agent.responseSentAt), agent.abandonedToken, boolBit(agent.draining), boolBit(agent.inWork))
+		put(uint64(m.actual[i]), uint64(m.warmAt[i]), boolBit(m.paused[i]), agent.nonce,
+			boolBit(agent.registered), uint64(agent.responseSentAt), agent.abandonedToken,
+			boolBit(agent.draining), boolBit(agent.inWork))
 		putResponse(&agent.response)
 		if lease := state.leases[hostName(i)]; lease != nil {
-			put(uint64(lease.Stage), lease.FencingToken, lease.Nonce, uint64(lease.StageSince), uint64(lease.TimerAt), boolBit(lease.UndrainConfirmed), boolBit(lease.SeenGone), uint64(lease.UnusedGrants))
+			put(uint64(lease.Stage), lease.FencingToken, lease.Nonce, uint64(lease.StageSince),
+				uint64(lease.TimerAt), boolBit(lease.UndrainConfirmed), boolBit(lease.SeenGone), uint64(lease.UnusedGrants))
 		}
 		if seen := state.machines[hostName(i)]; seen != nil {
 			put(uint64(seen.Phase), uint64(seen.observedAt))
--- a/fleet/maintenance/order.go
+++ b/fleet/maintenance/order.go
@@ -41,7 +41,8 @@
 }
 
 func (c candidate) compare(other candidate) int {
-	return cmp.Or(cmp.Compare(c.latestStart, other.latestStart), cmp.Compare(c.load, other.load), cmp.Compare(c.host, other.host))
+	return cmp.Or(cmp.Compare(c.latestStart, other.latestStart), cmp.Compare(c.load, other.load),
+		cmp.Compare(c.host, other.host))
 }
 
 // sortCandidates computes the latest starts and sorts the candidates.
@@ -63,7 +64,8 @@
 	}
 	for _, window := range s.uplinkWindows {
 		closing := int64(window.Start) - s.plan.plan.Bounds.UplinkMargin.milliseconds()
-		if c.machine != nil && window.Zone == c.machine.Zone && int64(s.wallTime)+s.expectedDuration(c.workDuration).milliseconds() <= closing {
+		if c.machine != nil && window.Zone == c.machine.Zone &&
+			int64(s.wallTime)+s.expectedDuration(c.workDuration).milliseconds() <= closing {
 			end = min(end, closing)
 		}
 	}
@@ -87,7 +89,8 @@
 // grantLeases grants leases, in order, to all candidates that the bounds permit. It runs only after
 // an observation has been applied, when the known state of the fleet is newest.
 func (s *State) grantLeases(result *Result) {
-	if s.plan == nil || s.Halted() || s.lastObservationPartial || s.now-s.observedAt > maxObservationAge || s.now < s.planLoadedAt+firstGrantDelay {
+	if s.plan == nil || s.Halted() || s.lastObservationPartial || s.now-s.observedAt > maxObservationAge ||
+		s.now < s.planLoadedAt+firstGrantDelay {
 		return
 	}
 	exhausted := map[zoneKind]bool{} // zones whose bounds permit no further machine
--- a/fleet/maintenance/plan.go
+++ b/fleet/maintenance/plan.go
@@ -156,7 +156,8 @@
 // Parse parses a work plan that is a document of its own. It rejects unknown keys.
 func Parse(text []byte) (*Plan, error) {
 	if len(text) > MaxPlanBytes {
-		return nil, &PlanError{Key: "document", Reason: fmt.Sprintf("%d bytes", len(text)), Hint: fmt.Sprintf("keep it under %d bytes, list hosts as ranges", MaxPlanBytes)}
+		return nil, &PlanError{Key: "document", Reason: fmt.Sprintf("%d bytes", len(text)),
+			Hint: fmt.Sprintf("keep it under %d bytes, list hosts as ranges", MaxPlanBytes)}
 	}
 	p := &Plan{}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(p); err != nil {
@@ -164,10 +165,12 @@
 		var decodeErr *toml.DecodeError
 		switch {
 		case errors.As(err, &unknownKeyErr):
-			return nil, &PlanError{Key: strings.Join(unknownKeyErr.Errors[0].Key(), "."), Reason: "unknown key", Hint: "remove it or correct its name"}
+			return nil, &PlanError{Key: strings.Join(unknownKeyErr.Errors[0].Key(), "."), Reason: "unknown key",
+				Hint: "remove it or correct its name"}
 		case errors.As(err, &decodeErr):
 			line, _ := decodeErr.Position()
-			return nil, &PlanError{Key: cmp.Or(strings.Join(decodeErr.Key(), "."), "document"), Reason: fmt.Sprintf("line %d: %s", line, oneLine(err)), Hint: "correct that line"}
+			return nil, &PlanError{Key: cmp.Or(strings.Join(decodeErr.Key(), "."), "document"),
+				Reason: fmt.Sprintf("line %d: %s", line, oneLine(err)), Hint: "correct that line"}
 		}
 		return nil, &PlanError{Key: "document", Reason: oneLine(err), Hint: "correct it"}
 	}
@@ -191,7 +194,8 @@
 		key         string
 		value       Duration
 		zeroAllowed bool
-	}{{"grant", p.GrantTimeout, false}, {"drain", p.DrainDuration, false}, {"warm", p.WarmUpDuration, true}, {"bounds.uplink", p.Bounds.UplinkMargin, true},
+	}{{"grant", p.GrantTimeout, false}, {"drain", p.DrainDuration, false}, {"warm", p.WarmUpDuration, true},
+		{"bounds.uplink", p.Bounds.UplinkMargin, true},
 		{"trouble.lost", p.HaltPolicy.MaxNoMajorityDuration, false}, {"trouble.calm", p.HaltPolicy.ResumeDelay, true}}
 	for _, d := range durations {
 		if err := checkDuration(d.key, d.value, d.zeroAllowed); err != nil {
@@ -201,21 +205,27 @@
 	fractions := []struct {
 		key   string
 		value Fraction
-	}{{"bounds.zone", p.Bounds.MaxZoneFraction}, {"bounds.set", p.Bounds.MaxSetFraction}, {"bounds.warm", p.Bounds.MaxCapacityFraction}, {"trouble.served", p.HaltPolicy.MaxServedDrop}}
+	}{{"bounds.zone", p.Bounds.MaxZoneFraction}, {"bounds.set", p.Bounds.MaxSetFraction},
+		{"bounds.warm", p.Bounds.MaxCapacityFraction}, {"trouble.served", p.HaltPolicy.MaxServedDrop}}
 	for _, f := range fractions {
 		if f.value < 1 || f.value > 1000 {
-			return &PlanError{Key: f.key, Reason: fmt.Sprintf("%g is not a fraction from 0.001 to 1", float64(f.value)/1000), Hint: "set one, there is no default"}
+			return &PlanError{Key: f.key,
+				Reason: fmt.Sprintf("%g is not a fraction from 0.001 to 1", float64(f.value)/1000),
+				Hint:   "set one, there is no default"}
 		}
 	}
 	if mode := p.HaltPolicy.ResumeMode; mode != ResumeAutomatically && mode != ResumeByOperator {
-		return &PlanError{Key: "trouble.resume", Reason: fmt.Sprintf("%q is neither rule nor hand", mode), Hint: "choose how work resumes after a fault"}
+		return &PlanError{Key: "trouble.resume", Reason: fmt.Sprintf("%q is neither rule nor hand", mode),
+			Hint: "choose how work resumes after a fault"}
 	}
 	if n := len(p.Bounds.SetSizes); n == 0 || n > maxSetSizes {
-		return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("%d sizes", n), Hint: fmt.Sprintf("list 1 to %d sizes of customers' sets", maxSetSizes)}
+		return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("%d sizes", n),
+			Hint: fmt.Sprintf("list 1 to %d sizes of customers' sets", maxSetSizes)}
 	}
 	for _, size := range p.Bounds.SetSizes {
 		if size < 1 || size > maxSetSize {
-			return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("a set of %d nodes", size), Hint: fmt.Sprintf("list sizes from 1 to %d", maxSetSize)}
+			return &PlanError{Key: "bounds.sets", Reason: fmt.Sprintf("a set of %d nodes", size),
+				Hint: fmt.Sprintf("list sizes from 1 to %d", maxSetSize)}
 		}
 	}
 	return nil
@@ -223,7 +233,9 @@
 
 func checkDuration(key string, d Duration, zeroAllowed bool) error {
 	if d < 0 || (d == 0 && !zeroAllowed) || time.Duration(d) > maxDuration {
-		return &PlanError{Key: key, Reason: fmt.Sprintf("%v is not a duration up to %v", time.Duration(d), maxDuration), Hint: "set one, like \"30s\""}
+		return &PlanError{Key: key,
+			Reason: fmt.Sprintf("%v is not a duration up to %v", time.Duration(d), maxDuration),
+			Hint:   "set one, like \"30s\""}
 	}
 	return nil
 }
--- a/fleet/maintenance/plan_test.go
+++ b/fleet/maintenance/plan_test.go
@@ -43,7 +43,8 @@
 	compiled, err := compile(plan)
 	require.NoError(t, err)
 	assert.Len(t, compiled.hosts, 13)
-	assert.Equal(t, hostWork{"kernel", Duration(20 * time.Minute), Timestamp(time.Date(2026, 10, 3, 2, 0, 0, 0, time.UTC).UnixMilli())}, compiled.workByHost["edge-12"])
+	assert.Equal(t, hostWork{"kernel", Duration(20 * time.Minute),
+		Timestamp(time.Date(2026, 10, 3, 2, 0, 0, 0, time.UTC).UnixMilli())}, compiled.workByHost["edge-12"])
 	assert.Equal(t, Fraction(340), plan.Bounds.MaxZoneFraction)
 	text, err := toml.Marshal(plan) // as in the document of a rule set
 	require.NoError(t, err)
--- a/fleet/maintenance/request.go
+++ b/fleet/maintenance/request.go
@@ -27,7 +27,8 @@
 	}
 	response := Response{Host: host, Stage: s.stage(host), TTL: responseTTL}
 	if lease := s.leases[host]; lease != nil {
-		response.FencingToken, response.Nonce, response.Job, response.WorkDuration = lease.FencingToken, lease.Nonce, lease.Job, lease.WorkDuration
+		response.FencingToken, response.Nonce, response.Job, response.WorkDuration = lease.FencingToken,
+			lease.Nonce, lease.Job, lease.WorkDuration
 		if lease.Stage == StageGranted {
 			response.TTL = lease.TimerAt - s.now
 		}
@@ -48,7 +49,9 @@
 	if err := decoder.Unmarshal(raw, response); err != nil {
 		return nil, malformed("response", "%s", oneLine(err))
 	}
-	if !validName(response.Host) || response.Stage > StageDone || response.TTL < 0 || time.Duration(response.WorkDuration) > maxDuration || response.WorkDuration < 0 || (response.Job != "" && !validName(response.Job)) {
+	if !validName(response.Host) || response.Stage > StageDone || response.TTL < 0 ||
+		time.Duration(response.WorkDuration) > maxDuration || response.WorkDuration < 0 ||
+		(response.Job != "" && !validName(response.Job)) {
 		return nil, malformed("response", "host %q, stage %v", response.Host, response.Stage)
 	}
 	return response, nil
@@ -100,7 +103,8 @@
 			lease = &Lease{Host: host}
 			s.leases[host] = lease
 		}
-		lease.Name, lease.Nonce, lease.Job, lease.WorkDuration, lease.Deadline = req.Name, req.Nonce, work.job, work.duration, work.deadline
+		lease.Name, lease.Nonce, lease.Job, lease.WorkDuration, lease.Deadline = req.Name, req.Nonce, work.job,
+			work.duration, work.deadline
 		if lease.Stage != StageRequested {
 			s.setStage(lease, StageRequested)
 		}
@@ -141,7 +145,8 @@
 		lease.UnusedGrants = 0
 		s.setStage(lease, StageDraining)
 	case req.Type == RequestStartWork && lease.Stage == StageDrained:
-		if m := s.machines[lease.Host]; m == nil || m.Phase != PhaseIdle || s.now-max(m.observedAt, s.observedAt) > maxObservationAge {
+		if m := s.machines[lease.Host]; m == nil || m.Phase != PhaseIdle ||
+			s.now-max(m.observedAt, s.observedAt) > maxObservationAge {
 			return &OrderError{Host: lease.Host, Operation: req.Type.String(), Stage: lease.Stage}
 		}
 		if err := s.recheckBounds(lease); err != nil {
@@ -158,7 +163,8 @@
 		// In StageOut the response that permitted the machine to leave was lost or came too late.
 		s.setStage(lease, StageRecalled)
 		lease.UndrainConfirmed = true
-	case req.Type == RequestStartDrain && (lease.Stage == StageDraining || lease.Stage == StageDrained), req.Type == RequestStartWork && lease.Stage == StageOut,
+	case req.Type == RequestStartDrain && (lease.Stage == StageDraining || lease.Stage == StageDrained),
+		req.Type == RequestStartWork && lease.Stage == StageOut,
 		req.Type == RequestFinishWork && lease.Stage > StageOut, req.Type == RequestConfirmUndrain && lease.UndrainConfirmed: // repeated request
 	default:
 		return &OrderError{Host: lease.Host, Operation: req.Type.String(), Stage: lease.Stage}
@@ -176,5 +182,6 @@
 	case s.plan == nil || m == nil:
 		return &UnknownHostError{Host: lease.Host}
 	}
-	return s.violationError(lease.Host, s.firstViolation(&s.usage, m, true, s.expectedDuration(lease.WorkDuration), s.wallTime))
+	return s.violationError(lease.Host, s.firstViolation(&s.usage, m, true,
+		s.expectedDuration(lease.WorkDuration), s.wallTime))
 }
--- a/fleet/maintenance/snapshot.go
+++ b/fleet/maintenance/snapshot.go
@@ -46,9 +46,13 @@
 // Snapshot returns the encoded state.
 func (s *State) Snapshot() ([]byte, error) {
 	h := s.halt
-	snap := snapshot{Now: s.now, WallTime: s.wallTime, LastFencingToken: s.lastFencingToken, PlanVersion: s.planVersion, PlanLoadedAt: s.planLoadedAt, Observations: s.observations, ObservedAt: s.observedAt, LastObservationPartial: s.lastObservationPartial,
-		RingSize: len(s.usage.ring), UplinkWindows: s.uplinkWindows, DoneJobs: pairs(s.doneJobs), HostByAdoptedName: pairs(s.hostByAdoptedName),
-		Halt: haltSnapshot{OperatorReason: h.operatorReason, FaultReason: h.faultReason, ClearedAt: h.clearedAt, Cleared: h.cleared, UsualServed: h.usualServed, LastServed: h.lastServed}}
+	snap := snapshot{Now: s.now, WallTime: s.wallTime, LastFencingToken: s.lastFencingToken,
+		PlanVersion: s.planVersion, PlanLoadedAt: s.planLoadedAt, Observations: s.observations,
+		ObservedAt: s.observedAt, LastObservationPartial: s.lastObservationPartial,
+		RingSize: len(s.usage.ring), UplinkWindows: s.uplinkWindows, DoneJobs: pairs(s.doneJobs),
+		HostByAdoptedName: pairs(s.hostByAdoptedName),
+		Halt: haltSnapshot{OperatorReason: h.operatorReason, FaultReason: h.faultReason, ClearedAt: h.clearedAt,
+			Cleared: h.cleared, UsualServed: h.usualServed, LastServed: h.lastServed}}
 	if s.plan != nil {
 		snap.Plan = s.plan.plan
 	}
@@ -56,14 +60,16 @@
 		snap.Zones = append(snap.Zones, Zone{Name: zone, State: s.zones[zone]})
 	}
 	for _, host := range slices.Sorted(maps.Keys(s.machines)) {
-		snap.Machines = append(snap.Machines, machineSnapshot{Machine: s.machines[host].Machine, ObservedAt: s.machines[host].observedAt})
+		snap.Machines = append(snap.Machines, machineSnapshot{Machine: s.machines[host].Machine,
+			ObservedAt: s.machines[host].observedAt})
 	}
 	for _, host := range slices.Sorted(maps.Keys(s.leases)) {
 		snap.Leases = append(snap.Leases, *s.leases[host])
 	}
 	raw, err := encoder.Marshal(&snap)
 	if err == nil && len(raw) > MaxSnapshotBytes {
-		err = &SpoiltError{What: "snapshot", Reason: fmt.Sprintf("%d bytes", len(raw)), Hint: "split the fleet's work over several plans"}
+		err = &SpoiltError{What: "snapshot", Reason: fmt.Sprintf("%d bytes", len(raw)),
+			Hint: "split the fleet's work over several plans"}
 	}
 	return raw, err
 }
@@ -87,9 +93,12 @@
 	}
 	s := New()
 	h := snap.Halt
-	s.now, s.wallTime, s.lastFencingToken, s.planVersion, s.observations, s.observedAt, s.lastObservationPartial, s.uplinkWindows = snap.Now, snap.WallTime, snap.LastFencingToken, snap.PlanVersion, snap.Observations, snap.ObservedAt, snap.LastObservationPartial, snap.UplinkWindows
+	s.now, s.wallTime, s.lastFencingToken, s.planVersion, s.observations, s.observedAt,
+		s.lastObservationPartial, s.uplinkWindows = snap.Now, snap.WallTime, snap.LastFencingToken,
+		snap.PlanVersion, snap.Observations, snap.ObservedAt, snap.LastObservationPartial, snap.UplinkWindows
 	s.planLoadedAt = snap.PlanLoadedAt
-	s.halt = haltState{operatorReason: h.OperatorReason, faultReason: h.FaultReason, clearedAt: h.ClearedAt, cleared: h.Cleared, usualServed: h.UsualServed, lastServed: h.LastServed}
+	s.halt = haltState{operatorReason: h.OperatorReason, faultReason: h.FaultReason, clearedAt: h.ClearedAt,
+		cleared: h.Cleared, usualServed: h.UsualServed, lastServed: h.LastServed}
 	if err := snap.check(); err != nil {
 		return nil, err
 	}
@@ -120,7 +129,8 @@
 }
 
 func (s *snapshot) check() error {
-	if s.Now < 0 || s.WallTime < 0 || s.ObservedAt < 0 || s.ObservedAt > s.Now || s.RingSize < 0 || s.RingSize > MaxMachines || len(s.HostByAdoptedName) > maxAdoptedNames || len(s.DoneJobs) > MaxPlanHosts {
+	if s.Now < 0 || s.WallTime < 0 || s.ObservedAt < 0 || s.ObservedAt > s.Now || s.RingSize < 0 ||
+		s.RingSize > MaxMachines || len(s.HostByAdoptedName) > maxAdoptedNames || len(s.DoneJobs) > MaxPlanHosts {
 		return malformed("snapshot", "value out of range")
 	}
 	for i := range s.Machines {
@@ -130,7 +140,9 @@
 	}
 	heldTokens := map[uint64]bool{0: true}
 	for _, lease := range s.Leases {
-		if !validName(lease.Host) || lease.Stage >= StageDone || lease.Stage.isHeld() == heldTokens[lease.FencingToken] || lease.FencingToken > s.LastFencingToken || lease.StageSince > s.Now || lease.UnusedGrants < 0 {
+		if !validName(lease.Host) || lease.Stage >= StageDone ||
+			lease.Stage.isHeld() == heldTokens[lease.FencingToken] || lease.FencingToken > s.LastFencingToken ||
+			lease.StageSince > s.Now || lease.UnusedGrants < 0 {
 			return malformed("snapshot", "lease of host %q", lease.Host)
 		}
 		heldTokens[lease.FencingToken] = true
--- a/fleet/maintenance/state.go
+++ b/fleet/maintenance/state.go
@@ -26,7 +26,8 @@
 )
 
 func (s Stage) String() string {
-	return enumName(s, "waiting", "asked", "granted", "draining", "drained", "recalled", "out", "arrived", "warming", "done")
+	return enumName(s, "waiting", "asked", "granted", "draining", "drained", "recalled", "out", "arrived",
+		"warming", "done")
 }
 
 // isHeld reports whether a lease in this stage is held, so that its machine counts as unavailable.
--- a/fleet/maintenance/status.go
+++ b/fleet/maintenance/status.go
@@ -32,10 +32,12 @@
 	status := Status{PlanVersion: s.planVersion, HaltReason: s.haltReason(), DoneHosts: len(s.doneJobs)}
 	if s.plan != nil {
 		status.PlanHosts = len(s.plan.hosts)
-		status.NeedsOperator = s.halt.operatorReason != "" || (s.halt.faultReason != "" && s.plan.plan.HaltPolicy.ResumeMode == ResumeByOperator)
+		status.NeedsOperator = s.halt.operatorReason != "" ||
+			(s.halt.faultReason != "" && s.plan.plan.HaltPolicy.ResumeMode == ResumeByOperator)
 	}
 	for _, lease := range s.heldLeases() {
-		view := LeaseStatus{Lease: *lease, StageAge: s.now - lease.StageSince, Overrun: s.overrun(lease), Unlisted: s.machines[lease.Host] == nil}
+		view := LeaseStatus{Lease: *lease, StageAge: s.now - lease.StageSince, Overrun: s.overrun(lease),
+			Unlisted: s.machines[lease.Host] == nil}
 		if !view.Unlisted {
 			view.Phase = s.machines[lease.Host].Phase
 		}
--- a/fleet/maintenance/turns_test.go
+++ b/fleet/maintenance/turns_test.go
@@ -26,12 +26,14 @@
 func drawFleet(t *rapid.T) *randomFleet {
 	f := &randomFleet{rng: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))}
 	p := *threeHostPlan
-	p.Bounds = Bounds{MaxZoneFraction: Fraction(100 + f.rng.IntN(900)), MaxSetFraction: Fraction(100 + f.rng.IntN(900)), SetSizes: []int{2, 1 + f.rng.IntN(9)},
+	p.Bounds = Bounds{MaxZoneFraction: Fraction(100 + f.rng.IntN(900)),
+		MaxSetFraction: Fraction(100 + f.rng.IntN(900)), SetSizes: []int{2, 1 + f.rng.IntN(9)},
 		MaxCapacityFraction: Fraction(50 + f.rng.IntN(700)), AllowOne: f.rng.IntN(2) == 0}
 	p.Jobs = []Job{{Name: "disk", WorkDuration: Duration(time.Minute)}}
 	nodes := 3 + f.rng.IntN(12)
 	for i := range nodes + 2 + f.rng.IntN(8) {
-		m := Machine{Host: fmt.Sprint("h", i), Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", f.rng.IntN(3)), Index: i, Capacity: 1 + uint32(f.rng.IntN(20)), Phase: PhaseWarm, Voter: i%4 == 0}
+		m := Machine{Host: fmt.Sprint("h", i), Name: fmt.Sprint("h", i), Zone: fmt.Sprint("z", f.rng.IntN(3)),
+			Index: i, Capacity: 1 + uint32(f.rng.IntN(20)), Phase: PhaseWarm, Voter: i%4 == 0}
 		if i >= nodes {
 			m.Kind, m.Index, m.Voter = Server, 0, false
 		}
@@ -40,7 +42,8 @@
 			p.Jobs[0].Hosts = append(p.Jobs[0].Hosts, m.Host)
 		}
 	}
-	p.AntiAffinityGroups = []AntiAffinityGroup{{Name: "two", Hosts: []string{"h0", "h1", "h2"}, MaxUnavailable: 1 + f.rng.IntN(2)}}
+	p.AntiAffinityGroups = []AntiAffinityGroup{{Name: "two", Hosts: []string{"h0", "h1", "h2"},
+		MaxUnavailable: 1 + f.rng.IntN(2)}}
 	f.plan = &p
 	return f
 }
@@ -57,7 +60,8 @@
 			m.Phase = PhaseWarm
 		}
 		c.Observation = state.Diff(f.machines)
-		c.Observation.MeasuredAt, c.Observation.RingSize, c.Observation.ServedFraction = f.now, 12, Fraction(900+f.rng.IntN(10))
+		c.Observation.MeasuredAt, c.Observation.RingSize, c.Observation.ServedFraction = f.now, 12,
+			Fraction(900+f.rng.IntN(10))
 		if c.Observation.Base -= uint64(f.rng.IntN(20) / 19); f.rng.IntN(30) == 0 {
 			c.Observation.Zones = []Zone{{Name: "z0", State: ZoneState(1 + f.rng.IntN(3))}}
 		}
@@ -67,7 +71,9 @@
 		if lease != nil && lease.Stage.isHeld() {
 			c.Request.FencingToken = lease.FencingToken - uint64(f.rng.IntN(10)/9)
 			c.Request.Type = RequestStartDrain + RequestType(f.rng.IntN(4))
-			if expected, ok := map[Stage]RequestType{StageGranted: RequestStartDrain, StageDrained: RequestStartWork, StageOut: RequestFinishWork, StageRecalled: RequestConfirmUndrain}[lease.Stage]; ok && f.rng.IntN(3) > 0 {
+			if expected, ok := map[Stage]RequestType{StageGranted: RequestStartDrain,
+				StageDrained: RequestStartWork, StageOut: RequestFinishWork,
+				StageRecalled: RequestConfirmUndrain}[lease.Stage]; ok && f.rng.IntN(3) > 0 {
 				c.Request.Type = expected
 			} else if lease.Stage == StageDraining && f.rng.IntN(2) > 0 {
 				m.Phase = PhaseIdle
@@ -88,7 +94,8 @@
 // brokenBound returns the bound that the unavailable machines violate from the point of view of one
 // of them, or "". It computes the formulas of docs/design.md independently of firstViolation.
 func (f *randomFleet) brokenBound(state *State, host string) string {
-	bounds, zoneCapacity, total, unavailable, unavailableVoters := f.plan.Bounds, map[string]uint64{}, uint64(0), uint64(0), 0
+	bounds, zoneCapacity, total, unavailable, unavailableVoters := f.plan.Bounds, map[string]uint64{},
+		uint64(0), uint64(0), 0
 	granted, unavailableInZone, machinesInZone, ring := state.machines[host], 0, 0, make([]int, 12)
 	isUnavailable := func(m *machine) int {
 		if lease := state.leases[m.Host]; m.Phase != PhaseWarm || lease != nil && lease.Stage.isHeld() {
@@ -242,8 +249,10 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, command := range []*Command{{LoadPlan: &LoadPlan{Version: 1, Plan: threeHostPlan}}, {Request: &Request{Host: "a", Name: "a", Type: RequestStartWork, FencingToken: 3}},
-		{Observation: &Observation{RingSize: 3, Machines: []Machine{{Host: "a", Name: "a", Zone: "z", Capacity: 1}}}}, {Halt: &Halt{Reason: "x"}},
+	for _, command := range []*Command{{LoadPlan: &LoadPlan{Version: 1, Plan: threeHostPlan}},
+		{Request: &Request{Host: "a", Name: "a", Type: RequestStartWork, FencingToken: 3}},
+		{Observation: &Observation{RingSize: 3, Machines: []Machine{{Host: "a", Name: "a", Zone: "z",
+			Capacity: 1}}}}, {Halt: &Halt{Reason: "x"}},
 		{Uplinks: &UplinkCalendar{Windows: []UplinkWindow{{Zone: "z", End: 4}}}}} {
 		raw, err := command.Encode()
 		require.NoError(f, err)
