--- a/fleet/maintenance/status.go
+++ b/fleet/maintenance/status.go
@@ -6,48 +6,51 @@
 	"time"
 )
 
-// Status is what operators see.
+// Status is the state of the work as shown to operators.
 type Status struct {
-	Version uint64
-	Halted  string // why; "" is that work goes on
-	ByHand  bool   // it goes on by hand alone
-	Hosts   int    // of the plan
-	Done    int
-	Turns   []View // that hold a place, the longest over first
-	Next    []*BoundError
+	PlanVersion   uint64
+	HaltReason    string // empty if work is not halted
+	NeedsOperator bool   // work resumes only by an operator's order
+	PlanHosts     int    // hosts in the plan
+	DoneHosts     int
+	Leases        []LeaseStatus // held leases, the longest overrun first
+	Blocked       []*BoundError // bounds that keep requesting hosts in service, most urgent host first
 }
 
-// View is one turn as operators see it.
-type View struct {
-	Turn
-	For  time.Duration // in its stage
-	Over time.Duration // longer than expected: it blocks its place
-	Seen Phase
-	Lost bool // the fleet does not list it
+// LeaseStatus is one lease as shown to operators.
+type LeaseStatus struct {
+	Lease
+	StageAge time.Duration // time in the current stage
+	Overrun  time.Duration // time by which the stage exceeds its planned duration
+	Phase    Phase
+	Unlisted bool // the fleet does not list the machine
 }
 
-// Status tells how the work stands; next is how many of those that ask are told why they wait.
-func (s *State) Status(next int) Status {
-	st := Status{Version: s.version, Halted: s.haltWhy(), Done: len(s.done)}
+// Status returns the state of the work, with the reasons why up to maxBlocked of the requesting
+// hosts wait.
+func (s *State) Status(maxBlocked int) Status {
+	status := Status{PlanVersion: s.planVersion, HaltReason: s.haltReason(), DoneHosts: len(s.doneJobs)}
 	if s.plan != nil {
-		st.Hosts = len(s.plan.hosts)
-		st.ByHand = s.halt.hand != "" || (s.halt.trouble != "" && s.plan.plan.Trouble.Resume == ByHand)
+		status.PlanHosts = len(s.plan.hosts)
+		status.NeedsOperator = s.halt.operatorReason != "" ||
+			(s.halt.faultReason != "" && s.plan.plan.HaltPolicy.ResumeMode == ResumeByOperator)
 	}
-	for _, t := range s.held() {
-		v := View{Turn: *t, For: s.now - t.Since, Over: s.over(t), Lost: s.fleet[t.Host] == nil}
-		if !v.Lost {
-			v.Seen = s.fleet[t.Host].Phase
+	for _, lease := range s.heldLeases() {
+		view := LeaseStatus{Lease: *lease, StageAge: s.now - lease.StageSince, Overrun: s.overrun(lease),
+			Unlisted: s.machines[lease.Host] == nil}
+		if !view.Unlisted {
+			view.Phase = s.machines[lease.Host].Phase
 		}
-		st.Turns = append(st.Turns, v)
+		status.Leases = append(status.Leases, view)
 	}
-	slices.SortStableFunc(st.Turns, func(a, b View) int { return cmp.Compare(b.Over, a.Over) })
-	for _, q := range s.queue() {
-		if len(st.Next) == next {
+	slices.SortStableFunc(status.Leases, func(a, b LeaseStatus) int { return cmp.Compare(b.Overrun, a.Overrun) })
+	for _, c := range s.requestingCandidates() {
+		if len(status.Blocked) == maxBlocked {
 			break
 		}
-		if b := s.barred(&s.yard, q.m, false, s.need(q.length), s.wall); b.bound != NoBound {
-			st.Next = append(st.Next, s.boundError(q.host, b))
+		if v := s.firstViolation(&s.usage, c.machine, false, s.expectedDuration(c.workDuration), s.wallTime); v.bound != BoundNone {
+			status.Blocked = append(status.Blocked, s.boundError(c.host, v))
 		}
 	}
-	return st
+	return status
 }
