--- a/fleet/rules/cluster_test.go
+++ b/fleet/rules/cluster_test.go
@@ -45,10 +45,10 @@
 	begunRound        [3]uint64               // by node, confirmation round that began last
 	confirmedRound    [3]uint64               // by node, round that a quorum has confirmed
 	commitTick        time.Duration           // tick of the last Commit
-	lastTick          time.Duration           // tick at which time stops
+	lastTick          time.Duration           // last tick; time does not advance beyond it
 	packets           []packet                // messages in transit, sorted
 	grantors          [3][]int                // by node, its grantors after a restart
-	isCut             func(from, to int) bool // links that deliver no message without a deviation from tick 2 on
+	isCut             func(from, to int) bool // links that are cut from tick 2 on; delivery over them is a deviation
 	duplicationsLeft  int                     // how often each fault may still happen
 	electionsLeft     int
 	crashesLeft       int
@@ -64,7 +64,7 @@
 // clock returns the time by a node's clock.
 func (c *cluster) clock(i int) time.Duration { return time.Second + c.tick*c.rate[i]*time.Millisecond }
 
-// clone returns a copy that shares nothing that steps change.
+// clone returns a copy. Steps applied to the copy do not change the original.
 func (c *cluster) clone() *cluster {
 	copied := *c
 	for i, n := range c.nodes {
@@ -207,7 +207,7 @@
 	return params
 }
 
-// step is an event that can happen next. A normal one needs no fault.
+// step is an event that can happen next. A normal step needs no fault.
 type step struct {
 	normal bool
 	do     func(*cluster)
--- a/fleet/rules/command.go
+++ b/fleet/rules/command.go
@@ -77,7 +77,7 @@
 var (
 	encoder = canonical.Encoder
 	// strictDecoder decodes commands and snapshots. It rejects unknown fields: a registry that skipped one would
-	// diverge.
+	// diverge from those of other nodes.
 	strictDecoder = canonical.Limits{MaxArrayElements: 2 * maxKeptVersions, MaxMapPairs: 16, MaxNestedLevels: 8, RejectUnknownFields: true}.Decoder()
 	// lenientDecoder decodes messages. It skips unknown fields, as the sender may run another version of the program.
 	lenientDecoder = canonical.Limits{MaxArrayElements: 256, MaxMapPairs: 64, MaxNestedLevels: 8}.Decoder()
@@ -114,7 +114,7 @@
 	return c, c.check()
 }
 
-// check reports whether exactly one field is set and within its limits.
+// check returns an error unless exactly one field is set and its values are within their limits.
 func (c Command) check() error {
 	if c.Publish != nil && len(c.Publish.Text) > MaxTextBytes {
 		return &TooLargeError{"bytes of a rule set", len(c.Publish.Text), MaxTextBytes}
--- a/fleet/rules/compile.go
+++ b/fleet/rules/compile.go
@@ -69,12 +69,11 @@
 	return nil
 }
 
-// Compiled is a rule set in the form that a node's decisions use: slices are in the order of the plans and classes of
-// its settings, and the fields say what
-// stands for a value that the set does not name.
+// Compiled is a rule set in the form that a node's decisions use. Its slices are in the order of the plans and classes
+// in the node's settings.
 type Compiled struct {
 	PriceFactor       []float64          // by plan; NaN means the factor in the settings
-	QuotaFactor       []float64          // by plan; multiplies the settings' rate and burst, 1 if not named
+	QuotaFactor       []float64          // by plan; factor on the settings' rate and burst, 1 if not named
 	TenantQuotaFactor map[string]float64 // by "PLAN ID"; replaces QuotaFactor for that tenant
 	MaxAttempts       []int              // by class; attempts per request, 0 means no limit
 	MaxInFlight       int                // requests held at once; 0 means no limit
--- a/fleet/rules/errors_test.go
+++ b/fleet/rules/errors_test.go
@@ -6,6 +6,7 @@
 	"sloestile/internal/oncall"
 )
 
+// Each error must fit on one line, name what failed, and end with a hint for the operator.
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
 		&AllClosedError{Zones: []string{"hall-a"}},
--- a/fleet/rules/explore_test.go
+++ b/fleet/rules/explore_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// explore runs every sequence of steps that deviates from the normal order at most so many times, and returns the
-// number of states explored and the first violation found, "" if there is none. A deviation is a fault, or a normal
-// step that is not the first one possible. seen holds the deviations left by a state's hash; a state is explored again
-// only with more left.
+// explore runs every sequence of steps that deviates from the normal order at most the given number of times. It
+// returns the number of states explored and the first violation found, "" if there is none. A deviation is a fault, or
+// a normal step that is not the first one possible. seen holds, by the hash of a state, the number of deviations that
+// were left when it was explored; it is explored again only if more are left.
 func explore(c *cluster, deviations int, seen map[uint64]int) (states int, violation string) {
 	for {
 		h := c.hash()
@@ -64,7 +64,7 @@
 	apply(Command{Commit: &Commit{Number: 1, Revision: 1}})
 	c.elect(0)
 	c.nodes[0].grantor.unknownLeasesUntil, c.nodes[0].grantor.previousLeasesUntil = 0, 0 // former leases have expired
-	for ; c.tick <= 0; c.tick++ {                                                        // until it is in effect at all nodes
+	for ; c.tick <= 0; c.tick++ {                                                        // until version 1 is in effect
 		for i := range c.nodes {
 			c.runNode(i)
 		}
@@ -142,7 +142,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom([]ActivationKind{Overlap, Exclusive})
 		rates := rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.IntRange(1, 2).Draw(t, "ms")) })
-		c := newCluster(t, noBug, kind.Draw(t, "kind"), rapid.SampledFrom([][3][]int{direct, chained}).Draw(t, "parents"),
+		c := newCluster(t, noBug, kind.Draw(t, "kind"), rapid.SampledFrom([][3][]int{direct, chained}).Draw(t, "grantors"),
 			[3]time.Duration{rates.Draw(t, "rate"), rates.Draw(t, "rate"), rates.Draw(t, "rate")})
 		c.isCut = func(from, to int) bool { return false }
 		c.duplicationsLeft, c.electionsLeft, c.crashesLeft, c.cancellationsLeft, c.lastTick = 20, 4, 6, 4, 1000
--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Each value of a text with every key is read as recorded, under the tables' names that the text gives.
+// A text with every key must be parsed to the recorded values, under the names that its tables have in the text.
 func TestEveryKeyIsReadAsRecorded(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	require.NoError(t, err)
@@ -117,18 +117,18 @@
 	golden.CheckText(t, "every-key", out.String())
 }
 
-// A key that a rule set does not have is refused, in each table.
-func TestUnknownKeyIsRefused(t *testing.T) {
+// An unknown key must be rejected in each table of a rule set.
+func TestUnknownKeyIsRejected(t *testing.T) {
 	for _, table := range []string{"plans.basic", `customers."basic 00000000000000ff"`, "classes.rate", "limits", "zones.hall-a"} {
 		_, err := Parse([]byte("[" + table + "]\nother = 1\n"))
-		var refused *DocumentError
-		require.ErrorAs(t, err, &refused, table)
-		require.Equal(t, "unknown key", refused.Reason)
+		var documentError *DocumentError
+		require.ErrorAs(t, err, &documentError, table)
+		require.Equal(t, "unknown key", documentError.Reason)
 	}
 }
 
-// Kinds of activation, statuses of versions and reasons have the recorded names, by their numbers; the last of each
-// is one number past those that there are.
+// The names of activation kinds, version statuses and reasons must not change, as operators see them. For each type the
+// recorded list ends with the name of a number that is out of range.
 func TestNamesAreAsRecorded(t *testing.T) {
 	text := "kinds:\n"
 	for k := range Exclusive + 2 {
--- a/fleet/rules/grantor.go
+++ b/fleet/rules/grantor.go
@@ -8,7 +8,7 @@
 const (
 	// earliestTime is before any reading of the clock.
 	earliestTime = -time.Duration(1 << 62)
-	// maxNotificationsPerState limits how often one state is sent to one holder that owes no acknowledgement of it.
+	// maxNotificationsPerState limits how often one state is sent to one holder from which no acknowledgement is needed.
 	maxNotificationsPerState = 6
 )
 
--- a/fleet/rules/grantors.go
+++ b/fleet/rules/grantors.go
@@ -19,7 +19,8 @@
 
 // ChooseGrantors returns the indices of the nodes from which a node requests leases, the preferred one first. Voters
 // and relays request from the leader; other nodes from a relay of their zone, then from a second one, then from the
-// leader. It returns nil if no leader is known (a negative index).
+// leader. With at most maxDirectNodes live nodes, all request from the leader. It returns nil if no leader is known (a
+// negative index).
 //
 // The fleet has about as many relays as the square root of its live nodes, distributed over the zones in proportion to
 // their nodes. Relays are chosen by rendezvous hashing, so that the loss of a node moves those that requested leases
--- a/fleet/rules/holder.go
+++ b/fleet/rules/holder.go
@@ -45,7 +45,7 @@
 type sentRequest struct {
 	sequence uint32
 	sentAt   time.Duration
-	fresh    bool // only a lease that the leader granted after the request was accepted as an answer
+	fresh    bool // whether the answer must be a lease that the leader granted after the request
 }
 
 // textStatus records whether this node can apply a version whose text it has.
@@ -62,7 +62,7 @@
 	index           int
 	state           VersionState
 	trimmedRevision uint64       // revision of the latest preparation for which the leases were shortened
-	leases          []lease      // by version number; at most two
+	leases          []lease      // sorted by version number; at most two
 	texts           []textStatus // oldest first
 	highWaterMark   uint64       // highest version number that was persisted; lower versions never take effect
 	hasFreshLease   bool         // whether a lease was granted by the leader since this process started
@@ -230,8 +230,8 @@
 	return request
 }
 
-// extendLease extends the lease on the active version, or adds one, up to an end. It keeps at most one lease on an
-// older version.
+// extendLease extends the lease on the active version to the given end, or adds a lease if there is none. It keeps at
+// most one lease on an older version.
 func (h *LeaseHolder) extendLease(now, end time.Duration) {
 	h.dropExpired(now)
 	l := h.newestLease()
--- a/fleet/rules/message.go
+++ b/fleet/rules/message.go
@@ -10,7 +10,7 @@
 const MaxMessageBytes = 256
 
 const (
-	maxNodes       = 1 << 20                              // size of a fleet
+	maxNodes       = 1 << 20                              // largest size of a fleet
 	maxLeaseMicros = uint32(time.Hour / time.Microsecond) // longest lease that a message may grant
 )
 
@@ -24,9 +24,9 @@
 	MaxHolders    int           // maximum number of holders of one grantor
 }
 
-// DefaultLeaseParams are the default parameters. A lease that is renewed every second has at least 3 s left when its
-// leader dies, and a new leader is elected within 2 s, so that a failover leaves no gap. A clock is slewed by up to 500
-// ppm and its crystal is off by less than 100 ppm; MaxClockDrift is about eight times the difference that two such
+// DefaultLeaseParams are the default parameters. A lease that is renewed every second has at least 3 s left when the
+// leader fails, and a new leader is elected within 2 s, so that a failover leaves no gap. A clock is slewed by up to
+// 500 ppm and its crystal is off by less than 100 ppm; MaxClockDrift is about eight times the difference that two such
 // clocks can have.
 var DefaultLeaseParams = LeaseParams{
 	LeaseDuration: 4 * time.Second,
@@ -84,7 +84,7 @@
 	Incarnation uint64        // incarnation of the requesting process
 	Sequence    uint32        // sequence number of the request
 	Revision    uint64        // revision of the state in which it was granted
-	Length      uint32        // microseconds from the sending of the request; 0 means no lease
+	Length      uint32        // in microseconds, counted from the sending of the request; 0 means no lease
 	Full        bool          // the grantor has MaxHolders holders already; request from another one
 	State       *VersionState // state of the grantor; nil if the requester had the same revision
 }
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// valid reports whether the values of a grant are in range.
+// valid reports whether the values of a grant are in range and its revision is that of its state.
 func (g *LeaseGrant) valid() bool {
 	if g.Sequence == 0 || g.Length > maxLeaseMicros {
 		return false
--- a/fleet/rules/node.go
+++ b/fleet/rules/node.go
@@ -215,11 +215,11 @@
 func (n *Node) Flush(now time.Duration) []Outgoing {
 	var out []Outgoing
 	for again := true; again; {
-		n.prepareMessages(now)
-		prepared := n.outgoing
+		n.addDueMessages(now)
+		due := n.outgoing
 		n.outgoing = nil
 		again = false
-		for _, o := range prepared {
+		for _, o := range due {
 			if o.To == n.index {
 				n.Receive(now, o.Message)
 				again = true
@@ -231,8 +231,8 @@
 	return out
 }
 
-// prepareMessages adds the due lease request, notifications and acknowledgements to the outgoing messages.
-func (n *Node) prepareMessages(now time.Duration) {
+// addDueMessages adds the due lease request, notifications and acknowledgements to the outgoing messages.
+func (n *Node) addDueMessages(now time.Duration) {
 	fresh := slices.ContainsFunc(n.grantor.pending, func(p pendingRequest) bool { return p.request.Fresh })
 	if to, ok := n.nextGrantor(now); ok {
 		if request, ok := n.holder.nextRequest(now, fresh); ok {
--- a/fleet/rules/registry.go
+++ b/fleet/rules/registry.go
@@ -41,7 +41,7 @@
 	Scheduled                       // its activation is agreed for a time, or as soon as possible
 	Prepared                        // its activation has begun: leases on the active version are shortened or run out
 	Active                          // leases are granted on it
-	Superseded                      // was active, and a newer version is now
+	Superseded                      // was active; a newer version has replaced it
 	Cancelled                       // its activation was cancelled; it may be scheduled again
 )
 
@@ -225,7 +225,7 @@
 	r.state.Versions = kept
 }
 
-// inUse reports whether a version is active, was active before, or is scheduled.
+// inUse reports whether a version is active, was active immediately before, or is scheduled.
 func (r *Registry) inUse(number uint64) bool {
 	return number == r.state.Active || number == r.state.Previous || slices.Contains(r.state.Scheduled, number)
 }
--- a/fleet/rules/registry_test.go
+++ b/fleet/rules/registry_test.go
@@ -21,7 +21,7 @@
 	}
 	offset := rapid.SampledFrom([]uint64{0, 0, 0, 1}).Draw(t, "offset")
 	kind := rapid.SampledFrom([]ActivationKind{Overlap, Exclusive}).Draw(t, "kind")
-	switch rapid.IntRange(0, 5).Draw(t, "part") {
+	switch rapid.IntRange(0, 5).Draw(t, "command") {
 	case 0:
 		return Command{Publish: &Publish{Parent: r.state.Newest + offset, Author: "a", Text: fmt.Append(nil, "# ", rapid.IntRange(0, 9).Draw(t, "text"))}}
 	case 1:
@@ -128,7 +128,7 @@
 	assert.Equal(t, Cancelled, cancelled.Status)
 }
 
-// Bytes that decode to a command must leave the registry in a state that can be restored from its snapshot.
+// Any bytes that are accepted as a command must leave the registry in a state that can be restored from its snapshot.
 func FuzzCommand(f *testing.F) {
 	for _, c := range []Command{{Publish: &Publish{Text: []byte("#")}}, {Commit: &Commit{Number: 1, Revision: 2}}, {Rollback: &Rollback{Target: 1, Kind: Overlap}}} {
 		raw, err := c.Encode()
@@ -190,10 +190,10 @@
 		if err != nil {
 			return
 		}
-		for _, leads := range []bool{false, true} {
+		for _, isLeader := range []bool{false, true} {
 			n := NewNode(Config{Node: 0, Incarnation: 9, LeaseParams: DefaultLeaseParams}, 0)
 			n.SetGrantors(0, []int{1})
-			if leads {
+			if isLeader {
 				n.BecomeLeader(0)
 			}
 			n.Flush(0)
--- a/fleet/rules/set.go
+++ b/fleet/rules/set.go
@@ -81,7 +81,8 @@
 	Cost   *float64 // value that an attempt from another zone costs; nil keeps the setting
 }
 
-// Parse parses a rule set's text and checks the ranges of its values. It rejects unknown keys.
+// Parse parses a rule set's text and checks the ranges of its values. It rejects unknown keys. Its error is a
+// *TooLargeError or a *DocumentError.
 func Parse(text []byte) (*Set, error) {
 	if len(text) > MaxTextBytes {
 		return nil, &TooLargeError{"bytes of a rule set", len(text), MaxTextBytes}
@@ -107,7 +108,7 @@
 	return &DocumentError{Key: "text", Reason: reason}
 }
 
-// checkRanges returns an error for the first value that is out of range for every node.
+// checkRanges returns an error for the first value that is outside its fixed range, which is the same for all nodes.
 func (s *Set) checkRanges() error {
 	var first error
 	report := func(key, reason string) {
