--- a/fleet/straggler/detector.go
+++ b/fleet/straggler/detector.go
@@ -11,7 +11,8 @@
 
 const (
 	thresholdFactor = 3.0 // multiple of the mean response time from which an attempt is a straggler
-	// minThreshold is the minimum of that duration. Shorter delays may be due to a pause of the node itself.
+	// minThreshold is the minimum duration from which an attempt is a straggler. Shorter delays may be due to a pause
+	// of the node itself.
 	minThreshold  = 100 * time.Millisecond
 	minMeanWeight = 0.05 // weight of a new response in the moving mean; the first 20 weigh equally
 	minResponses  = 10   // number of responses before which the mean is not used
--- a/fleet/zone/traffic.go
+++ b/fleet/zone/traffic.go
@@ -8,8 +8,9 @@
 // TrafficFractions returns, by zone name, the fraction of its usual traffic that each zone may receive. offered is the
 // traffic of the whole fleet in requests per second; it is used only if the capacity of every zone is known.
 //
-// If all zones are evacuated, each receives its full traffic. If the capacity left is below the offered traffic,
-// evacuated and reduced zones receive the rest, so that an evacuation does not overload the other zones.
+// If all zones are evacuated, each receives its full traffic. The usable capacity is the sum over the zones of
+// maxFillFraction of their capacity times their fraction. If it is below the offered traffic, evacuated and reduced
+// zones receive the rest, so that an evacuation does not overload the other zones.
 func (p *Policy) TrafficFractions(offered float64) map[string]float64 {
 	fractions := make(map[string]float64, len(p.zones))
 	total, usable, capacitiesKnown := 0.0, 0.0, true
--- a/fleet/zone/zone.go
+++ b/fleet/zone/zone.go
@@ -50,7 +50,7 @@
 	initialRampFraction = 0.05            // fraction of the usual traffic in the first step of the ramp
 	minRampStepTime     = time.Second     // minimum duration of a step
 	maxRampStepTime     = 5 * time.Second // duration of a step if there are too few attempts to show that it succeeded
-	maxFillFraction     = 0.8             // fraction of a zone's warm capacity that the traffic of others may fill
+	maxFillFraction     = 0.8             // fraction of a zone's warm capacity that counts as usable
 )
 
 // State is the state of a zone as one node sees it.
@@ -76,7 +76,7 @@
 	NoOrder Order = iota
 	Leave         // evacuate the zone as long as another zone can take its traffic
 	Hold          // keep the present state and fraction
-	Return        // start the recovery ramp now
+	Return        // start the recovery ramp now if the zone is evacuated
 )
 
 var orders = [...]string{"none", "leave", "hold", "return"}
@@ -117,7 +117,7 @@
 
 // Policy decides on the zones for one node. It is not safe for concurrent use.
 type Policy struct {
-	own    string
+	own    string  // name of the zone that the node is in; no decision depends on it
 	zones  []*Zone // the nearest first
 	byName map[string]*Zone
 }
--- a/fleet/zone/zone_test.go
+++ b/fleet/zone/zone_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestTrafficFractionByFault guards against a zone that keeps its traffic when it fails, or loses it when the fault
-// lies elsewhere: checks the fractions two seconds after the start of each kind of fault.
+// lies elsewhere. It checks the fractions two seconds after the start of each kind of fault.
 func TestTrafficFractionByFault(t *testing.T) {
 	healthy := zoneCondition{}
 	for _, test := range []struct {
