--- a/fleet/ratelimit/interleaving_test.go
+++ b/fleet/ratelimit/interleaving_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestEveryInterleaving guards against consumption that is applied twice. It explores all sequences of eight steps in
-// which messages of three nodes are delivered out of order, lost, duplicated or resent. As a check of the search
-// itself, an injected fault that applies duplicates must be found.
-func TestEveryInterleaving(t *testing.T) {
+// TestConsumptionIsAppliedOnceInEveryInterleaving guards against consumption that is applied twice. It explores all
+// sequences of eight steps in which messages of three nodes are delivered out of order, lost, duplicated or resent. As
+// a check of the search itself, an injected fault that applies duplicates must be found.
+func TestConsumptionIsAppliedOnceInEveryInterleaving(t *testing.T) {
 	for _, withFault := range []bool{false, true} {
 		states, duplicated := exploreInterleavings(t, 8, withFault)
 		if withFault != duplicated {
--- a/fleet/ratelimit/limiter.go
+++ b/fleet/ratelimit/limiter.go
@@ -9,7 +9,7 @@
 
 const (
 	batchInterval   = 50 * time.Millisecond  // time for which consumption for one owner is batched
-	correctionDelay = 400 * time.Millisecond // longest wait of a correction for consumption to be sent with
+	correctionDelay = 400 * time.Millisecond // longest wait of a correction for a message with consumption
 	resendInterval  = 300 * time.Millisecond // time after which an unacknowledged message is sent again
 	publishInterval = 250 * time.Millisecond // longest time between two publications of an active owner
 	relayInterval   = 100 * time.Millisecond // time for which a relay batches the reports that it forwards
@@ -81,7 +81,7 @@
 	epoch        uint64   // number of membership changes
 	liveNodes    []int    // indexes of the live nodes, sorted; includes this node unless hasLeft
 	alive        []bool   // whether a node is live, by index
-	hasLeft      bool     // set by Leave: this node notifies owners but owns no bucket
+	hasLeft      bool     // set by Leave: this node notifies owners and is not chosen as an owner
 	incarnations []uint64 // last known incarnation of each node, by index; 0 means unknown
 	relayGroups  relayGroups
 	relay        int   // relay of this node's group; may be this node
@@ -107,8 +107,8 @@
 	lastConsumptionAt time.Duration // time of the last consumption from a bucket owned here
 	publishAt         time.Duration // time of the next publication
 	relayAt           time.Duration // time of the next forwarding; 0 means that nothing is queued
-	maxDistance       int           // largest index distance from this node to a node of a tenant that it has owned
-	quietUntil        time.Duration // end of the quiet period after a suspension: no report, and no use of own buckets
+	maxDistance       int           // upper bound of the index distance to the nodes of tenants that this node has owned
+	quietUntil        time.Duration // end of the period after a suspension in which buckets are neither reported nor used
 	flushAt           time.Duration // time of the next flush; negative means none
 }
 
@@ -218,8 +218,9 @@
 	}
 }
 
-// Leave transfers the buckets that are owned here to the nodes that own them without this node. From then on this node
-// owns no bucket and notifies the owners of its consumption. The caller must call Flush afterwards.
+// Leave transfers each bucket that is owned here to the live node that becomes its owner when this node no longer is. A
+// bucket without such a node stays here, unused. From then on this node is not chosen as an owner, and notifies the
+// owners of its consumption. The caller must call Flush afterwards.
 func (l *Limiter) Leave(now time.Duration) {
 	l.epoch++
 	l.hasLeft = true
--- a/fleet/ratelimit/link.go
+++ b/fleet/ratelimit/link.go
@@ -21,7 +21,7 @@
 	sendAt              time.Duration                  // time of the next message; negative means none is due
 	pending             map[uint64]*pendingConsumption // consumption to be sent, by tenant
 	transfers           []Transfer                     // buckets to be sent
-	oldestProvisionalAt time.Duration                  // creation time of the oldest provisional bucket to be sent; 0 means none
+	oldestProvisionalAt time.Duration                  // creation time of the oldest provisional transfer; 0 means none
 
 	unacknowledged       *Message // last message with a Sequence, until it is acknowledged; nil means none
 	unacknowledgedSentAt time.Duration
--- a/fleet/ratelimit/message.go
+++ b/fleet/ratelimit/message.go
@@ -25,7 +25,7 @@
 // keys, which must not change; unknown fields are skipped.
 type Message struct {
 	Sender      int    `cbor:"1,keyasint"` // index in the fleet
-	Incarnation uint64 `cbor:"2,keyasint"` // of the sender's process
+	Incarnation uint64 `cbor:"2,keyasint"` // incarnation of the sender's process
 	Number      uint32 `cbor:"3,keyasint"` // number of the message from this sender to this receiver
 
 	// Echo is the highest message number that the sender has received from the receiver's process EchoIncarnation,
@@ -35,7 +35,8 @@
 	EchoIncarnation uint32 `cbor:"5,keyasint,omitempty"`
 	EchoDelay       uint32 `cbor:"6,keyasint,omitempty"`
 
-	Sequence     uint32        `cbor:"7,keyasint,omitempty"` // of Consumptions and Transfers; 0 means there are none
+	// Sequence is the number of the batch of Consumptions and Transfers; 0 means that there are none.
+	Sequence     uint32        `cbor:"7,keyasint,omitempty"`
 	Acknowledged uint32        `cbor:"8,keyasint,omitempty"` // Sequence of the receiver's message that was applied last
 	Consumptions []Consumption `cbor:"9,keyasint,omitempty"`
 	Transfers    []Transfer    `cbor:"10,keyasint,omitempty"`
@@ -80,7 +81,7 @@
 	First  int // NodeRange.First of the tenant
 	Count  int // NodeRange.Count of the tenant
 	Tokens float32
-	Age    uint32 // ms
+	Age    uint32 // age in ms
 }
 
 // OwnerReport states that an owner has reported the levels of all its low buckets, so that its other buckets are not
@@ -89,7 +90,7 @@
 	_           struct{} `cbor:",toarray"`
 	Node        int      // the owner
 	MaxDistance int      // upper bound of the index distance from the owner to the nodes of its tenants
-	Age         uint32   // ms
+	Age         uint32   // age in ms
 }
 
 var (
--- a/fleet/ratelimit/outliers.go
+++ b/fleet/ratelimit/outliers.go
@@ -40,7 +40,7 @@
 	ServerKey uint64   // Server.Key
 	StartedAt uint64   // Server.StartedAt
 	Reporter  int      // index of the reporting node
-	Age       uint32   // ms
+	Age       uint32   // age in ms
 }
 
 // Outlier is a server that enough nodes report as slow.
--- a/fleet/ratelimit/outliers_test.go
+++ b/fleet/ratelimit/outliers_test.go
@@ -37,9 +37,9 @@
 	return got
 }
 
-// TestOutliers guards against outliers that are not found at all nodes, and against healthy servers that are taken for
-// outliers because the reporting nodes have bad links.
-func TestOutliers(t *testing.T) {
+// TestOutlierNeedsAgreeingReports guards against outliers that are not found at all nodes, and against healthy servers
+// that are taken for outliers because the reporting nodes have bad links.
+func TestOutlierNeedsAgreeingReports(t *testing.T) {
 	slowServer := Server{Key: 3, StartedAt: 1}
 	for _, test := range []struct {
 		name        string
--- a/fleet/ratelimit/ratelimit.go
+++ b/fleet/ratelimit/ratelimit.go
@@ -22,8 +22,8 @@
 	// reportRenewalAge is the age of its last report at which the level of a low bucket is reported again. It is below
 	// ReportLifetime, so that the new report arrives before the last one expires.
 	reportRenewalAge = 700 * time.Millisecond
-	// lowFraction is the fraction of its burst below which a bucket is low. From this level on, package control admits
-	// requests without a random draw.
+	// lowFraction is the fraction of its burst below which a bucket is low. At a reported level of this fraction or
+	// more, package control admits requests without a random draw (its sharedFilledFraction).
 	lowFraction = 0.7
 	// minReportChange is the smallest difference, as a fraction of the burst, between a bucket's level and the level
 	// that the other nodes estimate for which a new report is sent.
--- a/fleet/ratelimit/send.go
+++ b/fleet/ratelimit/send.go
@@ -191,8 +191,8 @@
 	return out
 }
 
-// sendReports appends to out messages to a node, each of which fits a datagram, with the outlier reports of a batch and
-// those of its levels and owner reports for whose node ranges concerns returns true.
+// sendReports appends to out the messages that carry a batch of reports to a node; each fits a datagram. They hold all
+// outlier reports of the batch, and the levels and owner reports whose node range satisfies concerns.
 func (l *Limiter) sendReports(batch reportBatch, hop, to int, concerns func(NodeRange) bool, now time.Duration, out []Outgoing) []Outgoing {
 	var levels []LevelReport
 	for _, r := range batch.levels {
--- a/fleet/ratelimit/tenant.go
+++ b/fleet/ratelimit/tenant.go
@@ -116,33 +116,34 @@
 // Level returns the estimated level of a tenant's bucket. ok is false if the plan has no quota or the level must not be
 // used: without a report younger than ReportLifetime, for ownershipSettleTime after the owner changed, without a quorum
 // of the tenant's nodes, or, at the owner, in the quiet period after a suspension.
-func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (k LevelEstimate, ok bool) {
+func (l *Limiter) Level(now time.Duration, key uint64, plan uint32, nodes NodeRange) (estimate LevelEstimate, ok bool) {
 	t := l.tenantWithQuota(key, plan, nodes, now)
 	if t == nil {
-		return k, false
+		return estimate, false
 	}
 	owner := l.ownerOf(t, now)
 	settling := t.ownerChanged && now < t.ownerChangedAt+ownershipSettleTime
 	if owner < 0 || !t.hasQuorum || settling {
-		return k, false
+		return estimate, false
 	}
 	if owner == l.config.Node {
 		if now < l.quietUntil {
-			return k, false
+			return estimate, false
 		}
 		return LevelEstimate{Tokens: l.bucketOf(t, now).Level(now)}, true
 	}
 	l.applyOwnerReport(t, now)
 	if !t.cached.Fresh(now) {
-		return k, false
+		return estimate, false
 	}
 	level := t.cached.Level(t.quota, now)
 	return LevelEstimate{Tokens: level, IsLowerBound: t.cached.isLowerBound, Age: now - t.cached.validAt}, true
 }
 
-// applyOwnerReport sets the cached level of a bucket to lowFraction of the burst, as a lower bound, if its owner has
-// since the last report on it reported all low buckets and not this one. A bucket that was low in the last report stays
-// low until that report expires, because owners report no small change.
+// applyOwnerReport applies the latest OwnerReport of a tenant's owner. If it is newer than the cached level, the owner
+// has reported all its low buckets since then, but not this one. The bucket is therefore not low, and a cached level
+// that has expired or is lower becomes lowFraction of the burst, as a lower bound. A bucket that was low in the last
+// report stays low until that report expires, because owners report no small change.
 func (l *Limiter) applyOwnerReport(t *tenantState, now time.Duration) {
 	reportedAt, ok := l.ownerReportedAt[t.owner]
 	if !ok || now > reportedAt+ReportLifetime || (t.cached.known && reportedAt <= t.cached.validAt) {
