--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -52,7 +52,7 @@
 	Name, Zone           string   // name and zone of this node
 	Voters               []string // names of the voters
 	Settings             rules.Settings
-	Terms                rules.LeaseParams
+	LeaseParams          rules.LeaseParams
 	Dir                  string // directory of the high-water mark, on a disk that outlives the process
 	Disk                 disk.FS
 	Send                 func(to int, raw []byte) error // sends a message to the node with an index
@@ -149,7 +149,7 @@
 		Node:          cfg.NodeIndex,
 		Incarnation:   l.incarnation,
 		HighWaterMark: persisted,
-		LeaseParams:   cfg.Terms,
+		LeaseParams:   cfg.LeaseParams,
 	}, now)
 	l.effective.Store(&EffectiveVersion{Reason: rules.NoLease})
 	l.versionState.Store(&rules.VersionState{})
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -63,7 +63,7 @@
 	c := &consensusMember{config: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
 	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
 	lc := learner.Config{NodeIndex: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
-		Settings: c.settings, Terms: rules.DefaultLeaseParams, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.introduce, OnVersionChange: c.actingChanged}
+		Settings: c.settings, LeaseParams: rules.DefaultLeaseParams, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.introduce, OnVersionChange: c.actingChanged}
 	var voters []agreement.Peer
 	for _, v := range f.Voters {
 		lc.Voters = append(lc.Voters, v.Name)
--- a/internal/testbed/scale/exchange/learners.go
+++ b/internal/testbed/scale/exchange/learners.go
@@ -101,7 +101,7 @@
 func newLearnerFleet(dir string, size int) *learnerFleet {
 	f := &learnerFleet{learners: make(map[int]*learner.Learner), sent: make(map[int]*learnerCounts), acting: make(chan struct{}, 1)}
 	// The leader is the only voter: others, which take no part here, would be asked in vain.
-	cfg := learner.Config{FleetSize: size, Voters: []string{memberName(0)}, Terms: rules.DefaultLeaseParams, Disk: disk.Local{}, Settings: ruleSettings()}
+	cfg := learner.Config{FleetSize: size, Voters: []string{memberName(0)}, LeaseParams: rules.DefaultLeaseParams, Disk: disk.Local{}, Settings: ruleSettings()}
 	cfg.Settings.Zones = nil
 	for z := range memberZones {
 		cfg.Settings.Zones = append(cfg.Settings.Zones, memberZone(z))
