--- a/internal/consensus/admission.go
+++ b/internal/consensus/admission.go
@@ -94,7 +94,7 @@
 }
 
 // advanceAdmission does the next step of an admission, at the leader. Nil means that the identity is a voter; otherwise
-// the error is the step that was done, or the reason why none was.
+// the error names the step that was done, or the reason why none was.
 func (v *Voter) advanceAdmission(name string, identity raft.ServerID) error {
 	r, err := v.leadingRaft()
 	if err != nil {
--- a/internal/consensus/golden_test.go
+++ b/internal/consensus/golden_test.go
@@ -37,9 +37,9 @@
 // fixedStateMachine is a state machine whose state is the one restored last; commands do not change it.
 type fixedStateMachine struct{ state []byte }
 
-func (k *fixedStateMachine) Apply(uint64, []byte) any  { return nil }
-func (k *fixedStateMachine) Snapshot() ([]byte, error) { return k.state, nil }
-func (k *fixedStateMachine) Restore(b []byte) error    { k.state = b; return nil }
+func (m *fixedStateMachine) Apply(uint64, []byte) any  { return nil }
+func (m *fixedStateMachine) Snapshot() ([]byte, error) { return m.state, nil }
+func (m *fixedStateMachine) Restore(b []byte) error    { m.state = b; return nil }
 
 // A snapshot of the state machines has the encoding in the golden file, and restores their states.
 func TestSnapshotMatchesGoldenFile(t *testing.T) {
@@ -54,13 +54,15 @@
 	require.Equal(t, "rules", string(restored.state))
 }
 
-// The first byte of a call among voters, and the phases that operators see, are as recorded.
-func TestNamesAreAsRecorded(t *testing.T) {
+// The first byte of a call between voters, and the names of the phases that operators see, are those in the golden
+// file.
+func TestCallKindAndPhasesMatchGoldenFile(t *testing.T) {
 	golden.CheckText(t, "names", strings.Join([]string{string(rune(voterCallKind)), PhaseNotRunning, PhaseRequestingReports, PhaseAwaitingAdmission, PhaseVoting}, "\n")+"\n")
 }
 
-// A voter's record of another has the recorded bytes, also where nothing has been seen.
-func TestRecordsAreAsRecorded(t *testing.T) {
+// A voter's record of another has the encoding in the golden files, also the zero record, because voters with different
+// versions of the program exchange it.
+func TestPeerRecordsMatchGoldenFiles(t *testing.T) {
 	encode := func(p *peerRecord) ([]byte, error) { return cbor.Marshal(*p) }
 	golden.RoundTrip(t, "peer", encode, decodeAs[peerRecord])
 	golden.RoundTripOf(t, "peer-empty", &peerRecord{}, encode, decodeAs[peerRecord])
--- a/internal/consensus/guard.go
+++ b/internal/consensus/guard.go
@@ -10,10 +10,10 @@
 	"sloestile/internal/consensus/raftlog"
 )
 
-// guardedTransport records what the other voters acknowledge to this one, for their reports after a restart. It also
-// keeps this voter out of elections while its log ends before minPosition, the latest entry that any other voter
-// reported when this one started. This voter may have acknowledged that entry and lost it, so the entry may be
-// committed, and a leader without it would overwrite it.
+// guardedTransport records what the other voters acknowledge to this one, so that this voter can report it to them when
+// they restart. It also keeps this voter out of elections while its log ends before minPosition, the latest entry that
+// any other voter reported when this one started. This voter may have acknowledged that entry and lost it, so the entry
+// may be committed, and a leader without it would overwrite it.
 type guardedTransport struct {
 	*raft.NetworkTransport
 	records     *peerRecords
@@ -30,7 +30,8 @@
 	_ raft.WithPreVote = (*guardedTransport)(nil)
 )
 
-// errBehind is the answer to a vote request while the log ends before minPosition.
+// errBehind means that the log ends before minPosition. It is the answer to the vote requests that filterVoteRequests
+// rejects, and the result of this voter's own vote requests.
 var errBehind = errors.New("this voter's log is behind the logs that others reported at its start")
 
 func newGuardedTransport(n *raft.NetworkTransport, records *peerRecords, log *raftlog.Log, minPosition logPosition) *guardedTransport {
--- a/internal/consensus/propose.go
+++ b/internal/consensus/propose.go
@@ -23,7 +23,7 @@
 }
 
 // Verify confirms with a majority, in a round that begins after the call, that this voter leads. If it returns nil, all
-// entries committed before the call are applied here.
+// commands whose Propose had succeeded at any voter before the call are applied here.
 func (v *Voter) Verify() error {
 	r, err := v.leadingRaft()
 	if err != nil {
--- a/internal/consensus/raft.go
+++ b/internal/consensus/raft.go
@@ -110,7 +110,7 @@
 func (v *Voter) watchLog(ctx context.Context, log *raftlog.Log, r *raft.Raft, identity raft.ServerID) error {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	snapshotIndex := uint64(0) // last index when a snapshot was requested last
+	snapshotIndex := uint64(0) // index of the last log entry when watchLog last requested a snapshot
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/consensus/records.go
+++ b/internal/consensus/records.go
@@ -21,9 +21,9 @@
 // so less than that on its disk later means that the disk has lost it.
 type peerRecord struct {
 	LastEntry     logPosition `cbor:"1,keyasint"` // last entry that it acknowledged
-	Term          uint64      `cbor:"2,keyasint"`
+	Term          uint64      `cbor:"2,keyasint"` // latest term in its answers
 	VotedTerm     uint64      `cbor:"3,keyasint"` // last term in which it voted for this voter
-	lastContactAt time.Time
+	lastContactAt time.Time   // time of its last answer
 }
 
 // maxPeerRecords is the maximum number of identities with a record; beyond it, the one with the oldest contact is
--- a/internal/consensus/rejoin.go
+++ b/internal/consensus/rejoin.go
@@ -75,6 +75,7 @@
 			return evidence, minPosition, nil
 		}
 		allReported := len(reports) == len(v.peers)-1
+		// An empty disk has no state to rejoin with, and no report shows that it had any: the voter joins as a new one.
 		if onDisk.empty && (allReported || anyLeaderKnown(reports)) {
 			return nil, minPosition, nil
 		}
--- a/internal/consensus/statemachines.go
+++ b/internal/consensus/statemachines.go
@@ -20,7 +20,7 @@
 func (m *stateMachines) reset() error {
 	for kind, machine := range m.byKind {
 		if err := machine.Restore(nil); err != nil {
-			return fmt.Errorf("council: state machine %q: %w", kind, err)
+			return fmt.Errorf("council: resetting state machine %q: %w", kind, err)
 		}
 	}
 	return nil
@@ -44,7 +44,7 @@
 	for kind, machine := range m.byKind {
 		raw, err := machine.Snapshot()
 		if err != nil {
-			return nil, fmt.Errorf("council: state machine %q: %w", kind, err)
+			return nil, fmt.Errorf("council: taking a snapshot of state machine %q: %w", kind, err)
 		}
 		states[kind] = raw
 	}
@@ -60,7 +60,7 @@
 	}
 	states := make(machineStates)
 	if err := cbor.Unmarshal(raw, &states); err != nil {
-		return fmt.Errorf("council: snapshot: %w", err)
+		return fmt.Errorf("council: decoding a snapshot: %w", err)
 	}
 	for kind := range states {
 		if m.byKind[kind] == nil {
@@ -69,7 +69,7 @@
 	}
 	for kind, machine := range m.byKind {
 		if err := machine.Restore(states[kind]); err != nil {
-			return fmt.Errorf("council: state machine %q: %w", kind, err)
+			return fmt.Errorf("council: restoring state machine %q: %w", kind, err)
 		}
 	}
 	return nil
--- a/internal/consensus/voter.go
+++ b/internal/consensus/voter.go
@@ -61,25 +61,27 @@
 	PhaseNotRunning = "waits for its folder or port"
 	// PhaseRequestingReports means that the voter compares its disk with the reports of the others.
 	PhaseRequestingReports = "asks the others what they have seen of it"
-	// PhaseAwaitingAdmission means that the voter runs with an identity that is not a voter of the group yet.
+	// PhaseAwaitingAdmission means that the voter runs with an identity that is not a voter of the group yet. A voter
+	// with a new disk is in it too, and so are the voters of a new group until it is bootstrapped, although they have
+	// lost nothing.
 	PhaseAwaitingAdmission = "has lost what it agreed to and waits to be admitted"
 	// PhaseVoting means that the identity is a voter of the group.
 	PhaseVoting = "votes"
 )
 
-// Status is the state of a voter at one moment, for operators. The fields of the raft library are zero while it does
-// not run.
+// Status is the state of a voter at one moment, for operators. Leader, Term, CommitIndex, AppliedIndex and Voters are
+// zero while the raft library does not run.
 type Status struct {
 	Phase            string
-	Identity         string // name of the node, "#" and a random number that the voter's disk has
+	Identity         string // name of the node, "#" and a random number stored on the voter's disk
 	Leader           string // name of the leader; "" means that none is known
 	Term             uint64
 	CommitIndex      uint64
 	AppliedIndex     uint64
 	Voters           []string // identities in the latest configuration of the group
-	LastError        string   // "" means none
-	IdentityRenewals int      // new identities since the process started, because of lost or corrupt disk state
-	RejectedStreams  uint64   // number of streams closed because they had no header of this fleet
+	LastError        string   // why the last run ended or the identity was renewed, whichever was later; "" means none
+	IdentityRenewals int      // identities replaced since the process started, because of the disk or by the group
+	RejectedStreams  uint64   // number of incoming streams that were rejected; see transport.Transport.RejectedStreams
 }
 
 // Voter is this node's voter of the consensus group. It is active while Run runs.
