--- a/internal/consensus/raftlog/logger.go
+++ b/internal/consensus/raftlog/logger.go
@@ -14,7 +14,7 @@
 const minLogInterval = time.Second
 
 // NewLogger returns a logger for the raft library that writes its warnings and errors to the node's log, each text
-// after a prefix. It drops lines that come within minLogInterval of the last one.
+// after a prefix. It drops lines that come within minLogInterval of the last logged one.
 func NewLogger(prefix string) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.Warn, Output: &rateLimitedOutput{prefix: prefix}, DisableTime: true})
 }
--- a/internal/consensus/raftlog/metadata.go
+++ b/internal/consensus/raftlog/metadata.go
@@ -100,6 +100,7 @@
 // createMetadata creates an empty log and then the metadata. With this order a directory that has metadata but no log
 // has lost its log. A directory that has a snapshot but no metadata has lost its metadata.
 func createMetadata(d disk.FS, dir, node string) (*metadata, error) {
+	// The limit is 0 because only the existence of the snapshot matters.
 	if _, err := disk.ReadFile(d, filepath.Join(dir, snapshotName), 0); !errors.Is(err, fs.ErrNotExist) {
 		return nil, &CorruptError{File: metadataName, Err: errMissing}
 	}
--- a/internal/consensus/raftlog/raftlog.go
+++ b/internal/consensus/raftlog/raftlog.go
@@ -105,7 +105,7 @@
 		if errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, &InUseError{Dir: dir}
 		}
-		return nil, fmt.Errorf("council's log: %w", err)
+		return nil, fmt.Errorf("council's log: locking the directory: %w", err)
 	}
 	return lock, nil
 }
@@ -368,6 +368,6 @@
 	case 8:
 		return binary.BigEndian.Uint64(raw), nil
 	default:
-		return 0, fmt.Errorf("council's log: %s is not a number", key)
+		return 0, fmt.Errorf("council's log: the value of %s is not a number", key)
 	}
 }
