--- a/internal/consensus/transport/transport.go
+++ b/internal/consensus/transport/transport.go
@@ -53,8 +53,8 @@
 	Name          string            // name of this node
 	ListenAddress string            // host and port of a voter's listener; "" means no listener
 	DialAddresses map[string]string // addresses to dial in place of peer addresses, by peer address
-	// HandleCall returns the answer to a call of the node with the given name. A nil answer closes the call, and a nil
-	// function all calls. It is called by several goroutines at the same time.
+	// HandleCall returns the answer to a call of the node with the given name. A nil answer closes the call. It is
+	// called by several goroutines at the same time. If it is nil, all calls are closed.
 	HandleCall func(from string, body []byte) []byte
 }
 
@@ -116,8 +116,9 @@
 // closeConn closes a connection. It ignores the error, because nothing more is sent on the connection either way.
 func closeConn(conn net.Conn) { _ = conn.Close() }
 
-// RejectedStreams returns the number of incoming streams that were closed without being served: they had no header of
-// this fleet, were for another identity or name, exceeded a limit, or came while the disk was stalled.
+// RejectedStreams returns the number of incoming streams that were rejected: they had no valid header of this fleet,
+// were for another identity or name, exceeded a limit, or came while the disk was stalled. A stream that is closed
+// because there are maxUnidentifiedStreams already counts twice.
 func (t *Transport) RejectedStreams() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/consensus/transport/wire.go
+++ b/internal/consensus/transport/wire.go
@@ -76,7 +76,7 @@
 	}
 	size := binary.BigEndian.Uint32(prefix[:])
 	if size > MaxBodyBytes {
-		return nil, fmt.Errorf("body of %d bytes, over %d", size, MaxBodyBytes)
+		return nil, fmt.Errorf("body of %d bytes exceeds %d", size, MaxBodyBytes)
 	}
 	body := make([]byte, size)
 	_, err := io.ReadFull(r, body)
@@ -86,7 +86,7 @@
 // writeBody writes a length and a body.
 func writeBody(w io.Writer, body []byte) error {
 	if len(body) > MaxBodyBytes {
-		return fmt.Errorf("body of %d bytes, over %d", len(body), MaxBodyBytes)
+		return fmt.Errorf("body of %d bytes exceeds %d", len(body), MaxBodyBytes)
 	}
 	buffered := bufio.NewWriterSize(w, 4<<10)
 	if _, err := buffered.Write(binary.BigEndian.AppendUint32(nil, uint32(len(body)))); err != nil {
