--- a/internal/consensus/learner/fetch.go
+++ b/internal/consensus/learner/fetch.go
@@ -32,12 +32,12 @@
 // textFetch is the state of fetching one text.
 type textFetch struct {
 	version  rules.VersionID
-	parts    [][]byte // nil until the size of the text is known; a nil part is missing
-	size     int      // bytes of the whole text
-	sources  []int    // indices of nodes
-	current  int      // position in sources of the one in use, modulo their number
-	attempts int      // requests to the current source without progress
-	retryAt  time.Duration
+	parts    [][]byte      // nil until the size of the text is known; a nil part is missing
+	size     int           // bytes of the whole text
+	sources  []int         // indices of nodes
+	current  int           // position in sources of the one in use, modulo their number
+	attempts int           // requests to the current source without progress
+	retryAt  time.Duration // time of the next request, by Clock
 }
 
 // textByNumber returns the text of the version with a number, or nil if this node does not have it.
@@ -159,8 +159,8 @@
 	}
 }
 
-// receivePart adds a part to the fetch in progress. Once all parts of a request have come, the next request is due at
-// once.
+// receivePart adds a part to the fetch in progress. If the part is the last of a block of partsPerRequest parts and no
+// earlier part is missing, the next request is due at once. While no message is lost, each request is for one block.
 func (l *Learner) receivePart(part *textPart) {
 	f := l.fetch
 	if f == nil || part.Digest != f.version.Digest {
--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	maxTasks             = 256 // queued tasks; a message that arrives beyond is dropped
-	maxStepInterval      = 10 * time.Second
+	maxTasks             = 256              // queued tasks; a message that arrives at a full queue is dropped
+	maxStepInterval      = 10 * time.Second // maximum time between two steps of Run
 	minIntroduceInterval = 2 * time.Second  // silence before an introduction; also the first pause between two
 	maxIntroduceInterval = 30 * time.Second // the pause between introductions doubles up to this
 )
@@ -102,7 +102,7 @@
 	nextIntroductionAt time.Duration
 	introduceInterval  time.Duration
 	introducing        bool
-	introductions      int
+	introductions      int // number of introductions so far
 
 	texts          []fetchedText // the latest is last
 	fetch          *textFetch
--- a/internal/consensus/learner/registry.go
+++ b/internal/consensus/learner/registry.go
@@ -23,10 +23,10 @@
 	return &Registry{onChange: onChange, registry: &rules.Registry{}}
 }
 
-// Outcome is the result of an applied command: Err is why the registry rejected it.
+// Outcome is the result of an applied command.
 type Outcome struct {
 	Result rules.Result
-	Err    error
+	Err    error // why the registry rejected the command; nil if it did not
 }
 
 // Apply applies a committed command and returns an Outcome.
@@ -74,21 +74,21 @@
 	return r.registry.State()
 }
 
-// NextActivation returns the version and the time (Unix ms) of the next activation; see rules.Registry.
+// NextActivation returns the version number and the time (Unix ms) of the next activation; see rules.Registry.
 func (r *Registry) NextActivation() (number, at uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.NextActivation()
 }
 
-// Newest returns the highest version number given so far.
+// Newest returns the highest version number assigned so far, or 0 if there is none.
 func (r *Registry) Newest() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.registry.Newest()
 }
 
-// View returns the version state, the highest version number given so far and all versions that are kept, as of one
+// View returns the version state, the highest version number assigned so far and all versions that are kept, as of one
 // moment.
 func (r *Registry) View() (state rules.VersionState, newest uint64, versions []rules.Version) {
 	r.mu.Lock()
--- a/internal/consensus/learner/status.go
+++ b/internal/consensus/learner/status.go
@@ -20,8 +20,8 @@
 	maxFailureBytes    = 100                   // bytes of the reason of a failure
 )
 
-// VersionCount is the number of nodes with a version in effect or, for number 0, the number of nodes with none for a
-// reason.
+// VersionCount is the number of nodes at which a version is in effect. With Number 0 it is the number of nodes at which
+// none is, for the given reason.
 type VersionCount struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
