--- a/internal/store/checkpoints.go
+++ b/internal/store/checkpoints.go
@@ -12,7 +12,8 @@
 	// reserveFraction is the fraction of the burst by which a checkpoint is below the bucket's tokens. Requests granted
 	// before the next checkpoint use this reserve. A crash costs a tenant at most this fraction of its burst.
 	reserveFraction = 0.25
-	// renewFraction is the fraction of the reserve below which a new checkpoint is due.
+	// renewFraction is a fraction of the reserve. A new checkpoint is due when the bucket's tokens exceed those that
+	// recovery from the durable checkpoint would give by less than this.
 	renewFraction = 0.5
 )
 
@@ -71,8 +72,8 @@
 	return &Checkpoints{tenants: make(map[TenantKey]*tenantCheckpoint), maxTenants: maxTenants, due: make(map[TenantKey]bool)}
 }
 
-// RecordGrant records the state of a tenant's bucket after a request was granted. It reports whether a checkpoint is
-// due.
+// RecordGrant records the state of a tenant's bucket after a request was granted. It reports whether a checkpoint of
+// any tenant is due.
 func (c *Checkpoints) RecordGrant(key TenantKey, bucket BucketState, now time.Duration) bool {
 	t := c.tenants[key]
 	if t == nil {
--- a/internal/store/disk/faulty/faulty.go
+++ b/internal/store/disk/faulty/faulty.go
@@ -122,7 +122,8 @@
 	}) == 1
 }
 
-// random returns the result of draw, which gets the random numbers for the faults f.
+// random calls draw with the random numbers for the faults f and returns its result. When the faults change, the random
+// numbers begin again from their seed.
 func (d *FS) random(f Faults, draw func(*rand.Rand) int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -101,7 +101,7 @@
 
 // A state file with flipped bits in any byte, with any smaller length, with a trailing byte, or of another node is
 // rejected. A node that used it would start from wrong token buckets.
-func TestBitRot(t *testing.T) {
+func TestCorruptStateIsRejected(t *testing.T) {
 	raw, err := encode(testState(7))
 	if err != nil {
 		t.Fatal(err)
