--- a/internal/consensus/learner/learner.go
+++ b/internal/consensus/learner/learner.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	maxTasks             = 256 // queued tasks; a message that arrives beyond is dropped
-	maxStepInterval      = 10 * time.Second
+	maxTasks             = 256              // queued tasks; a message that arrives at a full queue is dropped
+	maxStepInterval      = 10 * time.Second // maximum time between two steps of Run
 	minIntroduceInterval = 2 * time.Second  // silence before an introduction; also the first pause between two
 	maxIntroduceInterval = 30 * time.Second // the pause between introductions doubles up to this
 )
@@ -52,7 +52,7 @@
 	Name, Zone           string   // name and zone of this node
 	Voters               []string // names of the voters
 	Settings             rules.Settings
-	Terms                rules.LeaseParams
+	LeaseParams          rules.LeaseParams
 	Dir                  string // directory of the high-water mark, on a disk that outlives the process
 	Disk                 disk.FS
 	Send                 func(to int, raw []byte) error // sends a message to the node with an index
@@ -102,7 +102,7 @@
 	nextIntroductionAt time.Duration
 	introduceInterval  time.Duration
 	introducing        bool
-	introductions      int
+	introductions      int // number of introductions so far
 
 	texts          []fetchedText // the latest is last
 	fetch          *textFetch
@@ -149,7 +149,7 @@
 		Node:          cfg.NodeIndex,
 		Incarnation:   l.incarnation,
 		HighWaterMark: persisted,
-		LeaseParams:   cfg.Terms,
+		LeaseParams:   cfg.LeaseParams,
 	}, now)
 	l.effective.Store(&EffectiveVersion{Reason: rules.NoLease})
 	l.versionState.Store(&rules.VersionState{})
