--- a/cmd/edgenode/subset_test.go
+++ b/cmd/edgenode/subset_test.go
@@ -33,7 +33,7 @@
 // subsetOf gives the servers that node 0 uses of a list, in order.
 func subsetOf(t *testing.T, list []listwatch.Target) (uids []string) {
 	t.Helper()
-	set, err := subset.New(subset.Config{Most: 6, ZoneLeast: 2, ListMost: 100})
+	set, err := subset.New(subset.Config{MaxServers: 6, MinPerZone: 2, MaxListed: 100})
 	require.NoError(t, err)
 	staged := set.NewList()
 	for _, x := range list {
--- a/fleet/prefetch/errors.go
+++ b/fleet/prefetch/errors.go
@@ -11,12 +11,12 @@
 
 // LoanError tells why an owner lends nothing.
 type LoanError struct {
-	Customer uint64
-	Reason   string
+	Tenant uint64
+	Reason string
 }
 
 func (e *LoanError) Error() string {
-	return fmt.Sprintf("provision: customer %016x: %s; the edge decides by its own readings in the window, no action is needed unless it recurs", e.Customer, e.Reason)
+	return fmt.Sprintf("provision: customer %016x: %s; the edge decides by its own readings in the window, no action is needed unless it recurs", e.Tenant, e.Reason)
 }
 
 // VoidError tells that what an edge kept on its disk of its loans may not be used.
--- a/fleet/prefetch/errors_test.go
+++ b/fleet/prefetch/errors_test.go
@@ -6,10 +6,10 @@
 	"sloestile/internal/oncall"
 )
 
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&CalendarError{Site: "ridge", Key: "windows.0", Reason: "no end"},
-		&LoanError{Customer: 7, Reason: "nothing left"},
+		&LoanError{Tenant: 7, Reason: "nothing left"},
 		&VoidError{Reason: "another start"},
 	)
 }
--- a/fleet/prefetch/golden_test.go
+++ b/fleet/prefetch/golden_test.go
@@ -25,11 +25,11 @@
 }
 
 // The name of a loan, a loan with its part of a store, and what the disk has of one have the recorded bytes.
-func TestLoansAreEncodedAsRecorded(t *testing.T) {
+func TestReservationsAreEncodedAsRecorded(t *testing.T) {
 	golden.RoundTrip(t, "id", encodeAs[ID], decodeAs[ID])
-	golden.RoundTrip(t, "part", encodeAs[Part], decodeAs[Part])
-	golden.RoundTrip(t, "loan", encodeAs[Loan], decodeAs[Loan])
-	golden.RoundTrip(t, "kept", encodeAs[Kept], decodeAs[Kept])
+	golden.RoundTrip(t, "part", encodeAs[Bucket], decodeAs[Bucket])
+	golden.RoundTrip(t, "loan", encodeAs[Reservation], decodeAs[Reservation])
+	golden.RoundTrip(t, "kept", encodeAs[Checkpoint], decodeAs[Checkpoint])
 }
 
 // A calendar with every key is read as recorded.
@@ -42,7 +42,7 @@
 	for _, name := range slices.Sorted(maps.Keys(calendar)) {
 		fmt.Fprintln(&out, name, calendar[name].Nodes)
 		for _, w := range calendar[name].Windows {
-			fmt.Fprintln(&out, w.First.Format(time.RFC3339Nano), w.ForS, w.EachS, w.Sure)
+			fmt.Fprintln(&out, w.FirstStart.Format(time.RFC3339Nano), w.LengthSeconds, w.PeriodSeconds, w.Probability)
 		}
 	}
 	golden.CheckText(t, "every-key", out.String())
--- a/fleet/prefetch/uplink.go
+++ b/fleet/prefetch/uplink.go
@@ -24,15 +24,15 @@
 
 const (
 	// Early is how long before its published start a window may begin and still be the known one, clock skew included.
-	Early = 5 * time.Second
+	MaxEarlyStart = 5 * time.Second
 	// Late is how long after its published start a window may begin and still be the known one, clock skew included.
-	Late = 5 * time.Second
+	MaxLateStart = 5 * time.Second
 
-	goneAfter = 1500 * time.Millisecond // without a word of anybody outside, by which the link counts as gone
-	backFor   = 500 * time.Millisecond  // of words from outside, by which it counts as back
-	calmFor   = 3 * time.Second         // after which a return is over; longer than a link is gone before that shows
-	spread    = time.Second             // over which the edges of one window come back
-	stepEach  = 250 * time.Millisecond  // between two looks at the link
+	lossTimeout  = 1500 * time.Millisecond // without a word of anybody outside, by which the link counts as gone
+	restoreDelay = 500 * time.Millisecond  // of words from outside, by which it counts as back
+	settleDelay  = 3 * time.Second         // after which a return is over; longer than a link is gone before that shows
+	returnSpread = time.Second             // over which the edges of one window come back
+	stepInterval = 250 * time.Millisecond  // between two looks at the link
 )
 
 // Change is a change of state with its reason.
@@ -43,102 +43,102 @@
 
 // Uplink is the state of an edge's link. Not safe for concurrent use.
 type Uplink struct {
-	state   State
-	lead    time.Duration // before a window, in which is fetched
-	turn    float64       // of 0 to 1, this edge's place in a return
-	span    Span          // the window that the state is about; empty is none
-	has     bool
-	since   time.Duration // own time of the last change
-	heardAt time.Duration // last word from outside
-	fromAt  time.Duration // from which words came without a gap
-	left    int           // of what was chosen, not there yet
-	doneTo  time.Duration // end of the last window in which the link was gone and came back: nothing more is fetched for it
+	state          State
+	fetchLead      time.Duration // before a window, in which is fetched
+	returnOrder    float64       // of 0 to 1, this edge's place in a return
+	outage         Outage        // the window that the state is about; empty is none
+	hasOutage      bool
+	changedAt      time.Duration // own time of the last change
+	receivedAt     time.Duration // last word from outside
+	receivingSince time.Duration // from which words came without a gap
+	missing        int           // of what was chosen, not there yet
+	finishedUntil  time.Duration // end of the last window in which the link was gone and came back: nothing more is fetched for it
 }
 
 // NewUplink makes one that fetches for lead before each window. turn, from 0 to 1, is this edge's
 // place among those that come back together.
-func NewUplink(lead time.Duration, turn float64, now time.Duration) *Uplink {
-	return &Uplink{lead: lead, turn: turn, since: now, heardAt: now, fromAt: now}
+func NewUplink(fetchLead time.Duration, returnOrder float64, now time.Duration) *Uplink {
+	return &Uplink{fetchLead: fetchLead, returnOrder: returnOrder, changedAt: now, receivedAt: now, receivingSince: now}
 }
 
 // State gives the state and, if it is about a window, that window.
-func (u *Uplink) State() (State, Span, bool) { return u.state, u.span, u.has }
+func (u *Uplink) State() (State, Outage, bool) { return u.state, u.outage, u.hasOutage }
 
 // Heard takes a word from outside the site.
-func (u *Uplink) Heard(now time.Duration) {
-	if now-u.heardAt > goneAfter {
-		u.fromAt = now
+func (u *Uplink) Received(now time.Duration) {
+	if now-u.receivedAt > lossTimeout {
+		u.receivingSince = now
 	}
-	u.heardAt = now
+	u.receivedAt = now
 }
 
 // Fetched takes how much of what was chosen is not there yet.
-func (u *Uplink) Fetched(left int) { u.left = left }
+func (u *Uplink) SetMissing(missing int) { u.missing = missing }
 
 // Step brings the state up to now. at is the fleet time with its error, next the window that the
 // calendar has then or after it. It tells the change, if there is one, and when to step again at the
 // latest. A window that has begun while the link stays is not fetched for any more.
-func (u *Uplink) Step(now, at, err time.Duration, next Span, has bool) (c Change, changed bool, again time.Duration) {
-	to, reason := u.decide(now, at, err, next, has)
+func (u *Uplink) Step(now, fleetTime, maxError time.Duration, next Outage, hasNext bool) (change Change, changed bool, stepAt time.Duration) {
+	to, reason := u.decide(now, fleetTime, maxError, next, hasNext)
 	if to != u.state {
-		c, changed = Change{u.state, to, reason}, true
-		if u.state == Cut && u.has && at >= u.span.From {
-			u.doneTo = u.span.To
+		change, changed = Change{u.state, to, reason}, true
+		if u.state == Cut && u.hasOutage && fleetTime >= u.outage.Start {
+			u.finishedUntil = u.outage.End
 		}
-		u.state, u.since = to, now
+		u.state, u.changedAt = to, now
 	}
 	if u.state != Cut && u.state != Returning {
-		u.span, u.has = next, has
+		u.outage, u.hasOutage = next, hasNext
 	}
-	return c, changed, now + stepEach
+	return change, changed, now + stepInterval
 }
 
-func (u *Uplink) decide(now, at, err time.Duration, next Span, has bool) (State, string) {
-	gone := now-u.heardAt > goneAfter
-	back := !gone && now-u.fromAt >= backFor
-	near := has && at+err >= next.From-Early // the window may have begun
-	past := has && at-err > next.From+Late+goneAfter
+func (u *Uplink) decide(now, fleetTime, maxError time.Duration, next Outage, hasNext bool) (State, string) {
+	lost := now-u.receivedAt > lossTimeout
+	restored := !lost && now-u.receivingSince >= restoreDelay
+	mayHaveStarted := hasNext && fleetTime+maxError >= next.Start-MaxEarlyStart // the window may have begun
+	startMissed := hasNext && fleetTime-maxError > next.Start+MaxLateStart+lossTimeout
 	switch u.state {
 	case Clear:
 		switch {
-		case gone && near:
+		case lost && mayHaveStarted:
 			return Cut, "the link went before anything was fetched"
-		case gone:
+		case lost:
 			return Surprised, "the link went and no window is known"
-		case has && next.To > u.doneTo && at+err >= next.From-u.lead && !past:
-			return Fetching, fmt.Sprintf("a window begins in %.1f s", (next.From - at).Seconds())
+		case hasNext && next.End > u.finishedUntil && fleetTime+maxError >= next.Start-u.fetchLead && !startMissed:
+			return Fetching, fmt.Sprintf("a window begins in %.1f s", (next.Start - fleetTime).Seconds())
 		}
 	case Fetching, Ready:
 		switch {
-		case gone && near:
+		case lost && mayHaveStarted:
 			return Cut, "the link went in its window"
-		case gone:
+		case lost:
 			return Surprised, "the link went before its window"
-		case past:
+		case startMissed:
 			return Surprised, "the window began and the link stays"
-		case !has || at+err < next.From-u.lead-Early:
+		case !hasNext || fleetTime+maxError < next.Start-u.fetchLead-MaxEarlyStart:
 			return Clear, "the calendar has another window now"
-		case u.state == Fetching && u.left == 0:
+		case u.state == Fetching && u.missing == 0:
 			return Ready, "all that was chosen is there"
-		case u.state == Ready && u.left > 0:
+		case u.state == Ready && u.missing > 0:
 			return Fetching, "more was chosen"
 		}
 	case Cut:
-		if back && now-u.fromAt >= backFor+time.Duration(u.turn*float64(spread)) {
+		if restored && now-u.receivingSince >= restoreDelay+time.Duration(u.returnOrder*float64(returnSpread)) {
 			return Returning, "the link is back"
 		}
 	case Returning:
 		switch {
-		case gone:
+		case lost:
 			return Cut, "the link went again"
-		case now-u.since >= calmFor:
+		case now-u.changedAt >= settleDelay:
 			return Clear, "the return is over"
 		}
 	case Surprised:
 		switch {
-		case gone && near:
+		case lost && mayHaveStarted:
 			return Cut, "the link is gone in its window"
-		case back && now-u.since >= calmFor:
+		case restored && now-u.changedAt >= settleDelay:
 			return Returning, "the link is there against the calendar"
 		}
 	}
--- a/fleet/subset/choose.go
+++ b/fleet/subset/choose.go
@@ -8,7 +8,7 @@
 
 // floorReach is how far floors are filled, in lengths of the window. It bounds the nodes that use a server
 // of a small zone: without it 5,800 nodes with a floor of two meet at the few servers of such a zone.
-const floorReach = 2
+const zoneReachFactor = 2
 
 // Change is what the consumer of a set has to be told after a change of the list.
 type Change struct {
@@ -51,10 +51,10 @@
 func (s *Set) chooseSome() []*entry {
 	chosen := s.window()
 	s.windowEnd = nil
-	if len(chosen) == s.config.Most {
+	if len(chosen) == s.config.MaxServers {
 		s.windowEnd = chosen[len(chosen)-1]
 	}
-	chosen = s.addFloors(chosen)
+	chosen = s.addZoneMinimums(chosen)
 	s.chosenAvailable = len(chosen)
 	chosen = append(chosen, s.draining...)
 	slices.SortFunc(chosen, s.compare)
@@ -63,10 +63,10 @@
 
 // window returns the first available servers clockwise from the node's position, at most Most.
 func (s *Set) window() []*entry {
-	window := make([]*entry, 0, s.config.Most)
+	window := make([]*entry, 0, s.config.MaxServers)
 	clockwise(s.index.available, s.start, func(e *entry) bool {
 		window = append(window, e)
-		return len(window) < s.config.Most
+		return len(window) < s.config.MaxServers
 	})
 	s.visited += len(window)
 	return window
@@ -74,26 +74,26 @@
 
 // addFloors appends for each zone those of its first ZoneLeast servers that are beyond the window and
 // within floorLimit. It records where these end, by which concerns recognizes later changes.
-func (s *Set) addFloors(chosen []*entry) []*entry {
-	s.floorLimit = s.limitOfFloors()
-	s.floorEnds = make(map[string]*entry, len(s.index.zones))
-	if s.config.ZoneLeast <= 0 || s.windowEnd == nil {
+func (s *Set) addZoneMinimums(chosen []*entry) []*entry {
+	s.maxZoneDistance = s.zoneDistanceLimit()
+	s.zoneEnds = make(map[string]*entry, len(s.index.zones))
+	if s.config.MinPerZone <= 0 || s.windowEnd == nil {
 		return chosen
 	}
 	for name, z := range s.index.zones {
 		found := 0
 		clockwise(z.available, s.start, func(e *entry) bool {
-			if e.position-s.start > s.floorLimit {
+			if e.position-s.start > s.maxZoneDistance {
 				return false
 			}
 			found++
 			if s.compare(e, s.windowEnd) > 0 {
 				chosen = append(chosen, e)
 			}
-			if found == s.config.ZoneLeast {
-				s.floorEnds[name] = e
+			if found == s.config.MinPerZone {
+				s.zoneEnds[name] = e
 			}
-			return found < s.config.ZoneLeast
+			return found < s.config.MinPerZone
 		})
 		s.visited += found
 	}
@@ -101,11 +101,11 @@
 }
 
 // limitOfFloors returns the distance from the node's position within which floors are filled.
-func (s *Set) limitOfFloors() uint64 {
+func (s *Set) zoneDistanceLimit() uint64 {
 	if s.windowEnd == nil {
 		return math.MaxUint64
 	}
-	high, low := bits.Mul64(s.windowEnd.position-s.start, floorReach)
+	high, low := bits.Mul64(s.windowEnd.position-s.start, zoneReachFactor)
 	if high > 0 {
 		return math.MaxUint64
 	}
@@ -130,11 +130,11 @@
 	for _, e := range s.chosen {
 		keep(e)
 	}
-	s.draining = kept[max(0, len(kept)-s.config.Most):]
+	s.draining = kept[max(0, len(kept)-s.config.MaxServers):]
 }
 
 // concerns reports whether a step can change the chosen servers. It is called before the step is applied.
-func (s *Set) concerns(change step) bool {
+func (s *Set) affects(change step) bool {
 	if change.old != nil {
 		if _, chosen := slices.BinarySearchFunc(s.chosen, change.old, s.compare); chosen {
 			return true
@@ -147,10 +147,10 @@
 	if s.within(e, s.windowEnd) {
 		return true
 	}
-	if s.config.ZoneLeast <= 0 || e.position-s.start > s.floorLimit {
+	if s.config.MinPerZone <= 0 || e.position-s.start > s.maxZoneDistance {
 		return false
 	}
-	return s.within(e, s.floorEnds[e.zone()])
+	return s.within(e, s.zoneEnds[e.zone()])
 }
 
 // within reports whether an entry comes no later than the end, clockwise. With no end each entry does.
--- a/fleet/subset/compare_test.go
+++ b/fleet/subset/compare_test.go
@@ -22,10 +22,10 @@
 	// assign returns the servers of each node among those that are listed.
 	assign(nodes int, listed []int32) [][]int32
 	// one chooses for one node, as it does when it starts.
-	one(node int, listed []int32)
+	chooseOne(node int, listed []int32)
 	// elsewhere takes in the removal of a server that the node does not use. It returns how many entries
 	// of the list it looked at to choose again.
-	elsewhere(node int, listed []int32, gone int32) int
+	removeUnused(node int, listed []int32, removed int32) int
 }
 
 // mix spreads the bits of a key, as the finalizer of SplitMix64.
@@ -37,9 +37,9 @@
 
 // rendezvous has a node use the servers with the highest scores, a hash of node and server.
 type rendezvous struct {
-	keys    []uint64
-	last    uint64 // the lowest score that was used
-	scratch []scored
+	keys       []uint64
+	lowestUsed uint64 // the lowest score that was used
+	scratch    []scored
 }
 
 type scored struct {
@@ -50,8 +50,8 @@
 func (r *rendezvous) assign(nodes int, listed []int32) [][]int32 {
 	sets := make([][]int32, nodes)
 	for node := range sets {
-		r.one(node, listed)
-		sets[node] = make([]int32, DefaultMost)
+		r.chooseOne(node, listed)
+		sets[node] = make([]int32, DefaultMaxServers)
 		for i := range sets[node] {
 			sets[node][i] = r.scratch[i].server
 		}
@@ -60,9 +60,9 @@
 }
 
 // one sorts only the scores above a threshold that about twice as many as needed exceed.
-func (r *rendezvous) one(node int, listed []int32) {
+func (r *rendezvous) chooseOne(node int, listed []int32) {
 	salt := mix(uint64(node) + 1)
-	wanted := min(1, 2*float64(DefaultMost)/float64(len(listed)))
+	wanted := min(1, 2*float64(DefaultMaxServers)/float64(len(listed)))
 	threshold := uint64((1 - wanted) * (1 << 63) * 2)
 	r.scratch = r.scratch[:0]
 	for _, server := range listed {
@@ -70,15 +70,15 @@
 			r.scratch = append(r.scratch, scored{score, server})
 		}
 	}
-	if len(r.scratch) < DefaultMost {
+	if len(r.scratch) < DefaultMaxServers {
 		panic("the threshold leaves too few")
 	}
 	slices.SortFunc(r.scratch, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
-	r.last = r.scratch[DefaultMost-1].score
+	r.lowestUsed = r.scratch[DefaultMaxServers-1].score
 }
 
-func (r *rendezvous) elsewhere(node int, _ []int32, gone int32) int {
-	if mix(r.keys[gone]^mix(uint64(node)+1)) >= r.last {
+func (r *rendezvous) removeUnused(node int, _ []int32, removed int32) int {
+	if mix(r.keys[removed]^mix(uint64(node)+1)) >= r.lowestUsed {
 		panic("the node uses the server")
 	}
 	return 1
@@ -98,7 +98,7 @@
 }
 
 func (r *rounds) assign(nodes int, listed []int32) [][]int32 {
-	parts := len(listed) / DefaultMost
+	parts := len(listed) / DefaultMaxServers
 	sets := make([][]int32, nodes)
 	var ordered []int32
 	for node := range sets {
@@ -106,15 +106,17 @@
 		if part == 0 {
 			ordered = r.order(node/parts, listed)
 		}
-		sets[node] = ordered[part*DefaultMost : (part+1)*DefaultMost]
+		sets[node] = ordered[part*DefaultMaxServers : (part+1)*DefaultMaxServers]
 	}
 	return sets
 }
 
-func (r *rounds) one(node int, listed []int32) { r.order(node/(len(listed)/DefaultMost), listed) }
+func (r *rounds) chooseOne(node int, listed []int32) {
+	r.order(node/(len(listed)/DefaultMaxServers), listed)
+}
 
-func (r *rounds) elsewhere(node int, listed []int32, _ int32) int {
-	r.one(node, listed)
+func (r *rounds) removeUnused(node int, listed []int32, _ int32) int {
+	r.chooseOne(node, listed)
 	return len(listed)
 }
 
@@ -136,14 +138,14 @@
 
 // walk assigns servers to the nodes in the order of their numbers.
 func (b *boundedRing) walk(nodes int) [][]int32 {
-	limit := int(b.multiple * float64(b.nodes) * DefaultMost / float64(len(b.ring)))
+	limit := int(b.multiple * float64(b.nodes) * DefaultMaxServers / float64(len(b.ring)))
 	users := make([]int, len(b.ring))
 	sets := make([][]int32, nodes)
 	for node := range sets {
 		start := bits.Reverse64(uint64(node))
 		at := sort.Search(len(b.ring), func(i int) bool { return b.keys[b.ring[i]] >= start })
-		set := make([]int32, 0, DefaultMost)
-		for ; len(set) < DefaultMost; at++ {
+		set := make([]int32, 0, DefaultMaxServers)
+		for ; len(set) < DefaultMaxServers; at++ {
 			if at %= len(b.ring); users[at] < limit {
 				users[at]++
 				set = append(set, b.ring[at])
@@ -154,22 +156,22 @@
 	return sets
 }
 
-func (b *boundedRing) one(node int, _ []int32) { b.walk(node + 1) }
+func (b *boundedRing) chooseOne(node int, _ []int32) { b.walk(node + 1) }
 
-func (b *boundedRing) elsewhere(node int, _ []int32, _ int32) int {
+func (b *boundedRing) removeUnused(node int, _ []int32, _ int32) int {
 	b.walk(node + 1)
-	return (node + 1) * DefaultMost
+	return (node + 1) * DefaultMaxServers
 }
 
 // ours is the package's own choice.
-type ours struct {
+type subsetScheme struct {
 	t       *testing.T
 	servers []Server
 	numbers map[string]int32 // by ID
 	set     *Set             // of the node in one
 }
 
-func (o *ours) list(listed []int32) []Server {
+func (o *subsetScheme) list(listed []int32) []Server {
 	servers := make([]Server, len(listed))
 	for i, number := range listed {
 		servers[i] = o.servers[number]
@@ -177,7 +179,7 @@
 	return servers
 }
 
-func (o *ours) assign(nodes int, listed []int32) [][]int32 {
+func (o *subsetScheme) assign(nodes int, listed []int32) [][]int32 {
 	sets := make([][]int32, nodes)
 	for node, set := range group(o.t, nodes, Config{}, o.list(listed)) {
 		for _, e := range set.chosen {
@@ -187,7 +189,7 @@
 	return sets
 }
 
-func (o *ours) one(node int, listed []int32) {
+func (o *subsetScheme) chooseOne(node int, listed []int32) {
 	o.set = mustNew(o.t, Config{Node: node})
 	list := o.set.NewList()
 	for _, number := range listed {
@@ -198,9 +200,9 @@
 	o.set.Replace(list)
 }
 
-func (o *ours) elsewhere(_ int, _ []int32, gone int32) int {
+func (o *subsetScheme) removeUnused(_ int, _ []int32, removed int32) int {
 	visited := o.set.visited
-	server := o.servers[gone]
+	server := o.servers[removed]
 	for _, state := range []State{Removed, Available} {
 		server.State = state
 		change, err := o.set.Apply([]Server{server})
@@ -214,10 +216,10 @@
 // comparison is what is measured of a scheme. Times and entries are those of one node; elsewhere is one
 // change that does not concern it, of which entries are looked at to choose again.
 type comparison struct {
-	load              spread
-	changed, busiest  float64 // nodes changed by one server's going, by the ideal number
-	choose, elsewhere time.Duration
-	entries           int
+	load                        distribution
+	affected, affectedByBusiest float64 // nodes changed by one server's going, by the ideal number
+	chooseTime, unusedTime      time.Duration
+	visitedEntries              int
 }
 
 // TestComparison compares ways of choosing 200 servers for each node: at a twentieth of the target's size, or
@@ -227,7 +229,7 @@
 	if *long {
 		nodes, count = targetNodes, targetServers
 	}
-	servers := fleet(1, count, evenZones())
+	servers := newServers(1, count, evenZoneWeights())
 	keys, numbers := make([]uint64, count), make(map[string]int32)
 	for i, server := range servers {
 		keys[i], numbers[server.ID] = xxhash.Sum64String(server.ID), int32(i)
@@ -240,21 +242,21 @@
 		{"rounds", &rounds{keys: keys}},
 		{"ring 1.25", &boundedRing{keys: keys, nodes: nodes, multiple: 1.25}},
 		{"ring 1.1", &boundedRing{keys: keys, nodes: nodes, multiple: 1.1}},
-		{"ours", &ours{t: t, servers: servers, numbers: numbers}},
+		{"ours", &subsetScheme{t: t, servers: servers, numbers: numbers}},
 	}
 	results := make(map[string]comparison)
 	for _, s := range schemes {
 		c := compareScheme(s.way, nodes, count)
 		t.Logf("%-10s load / mean: p99 %.3f, most %.3f; nodes changed / ideal: %.2f, of the busiest %.2f; choose %v; change elsewhere %v, %d entries",
-			s.name, c.load.p99, c.load.most, c.changed, c.busiest, c.choose, c.elsewhere, c.entries)
+			s.name, c.load.p99, c.load.max, c.affected, c.affectedByBusiest, c.chooseTime, c.unusedTime, c.visitedEntries)
 		results[s.name] = c
 	}
 	require.LessOrEqual(t, results["ours"].load.p99, 1.25)
-	require.LessOrEqual(t, results["ours"].busiest, 1.5)
-	require.Zero(t, results["ours"].entries)
+	require.LessOrEqual(t, results["ours"].affectedByBusiest, 1.5)
+	require.Zero(t, results["ours"].visitedEntries)
 	require.Greater(t, results["rendezvous"].load.p99, 1.5, "its servers are drawn by chance")
-	require.Greater(t, results["rounds"].changed, 10.0, "a change shifts what is divided")
-	require.Greater(t, results["ring 1.25"].entries, count, "a node works out what all others choose")
+	require.Greater(t, results["rounds"].affected, 10.0, "a change shifts what is divided")
+	require.Greater(t, results["ring 1.25"].visitedEntries, count, "a node works out what all others choose")
 }
 
 // compareScheme measures a scheme, with the going of six servers that are drawn and of the four with the
@@ -271,20 +273,20 @@
 			users[server]++
 		}
 	}
-	changedBy := func(gone int32) float64 {
-		rest := slices.Delete(slices.Clone(listed), int(gone), int(gone)+1)
-		ideal := float64(nodes) * DefaultMost / float64(count)
-		return float64(differing(before, way.assign(nodes, rest))) / ideal
+	affectedNodes := func(removed int32) float64 {
+		remaining := slices.Delete(slices.Clone(listed), int(removed), int(removed)+1)
+		ideal := float64(nodes) * DefaultMaxServers / float64(count)
+		return float64(countDifferent(before, way.assign(nodes, remaining))) / ideal
 	}
-	c := comparison{load: spreadOf(users)}
+	c := comparison{load: distributionOf(users)}
 	random := rand.New(rand.NewPCG(1, 3))
-	const drawn, busiest = 6, 4
-	for range drawn {
-		c.changed += changedBy(int32(random.IntN(count))) / drawn
+	const randomRemovals, busiestRemovals = 6, 4
+	for range randomRemovals {
+		c.affected += affectedNodes(int32(random.IntN(count))) / randomRemovals
 	}
 	byUsers := slices.SortedStableFunc(slices.Values(listed), func(a, b int32) int { return cmp.Compare(users[b], users[a]) })
-	for _, gone := range byUsers[:busiest] {
-		c.busiest += changedBy(gone) / busiest
+	for _, removed := range byUsers[:busiestRemovals] {
+		c.affectedByBusiest += affectedNodes(removed) / busiestRemovals
 	}
 	way.assign(nodes, listed)
 	c.measureNode(way, nodes-1, listed, before[nodes-1])
@@ -292,33 +294,33 @@
 }
 
 // differing returns how many nodes have another set, in whatever order.
-func differing(before, after [][]int32) int {
-	differ := 0
+func countDifferent(before, after [][]int32) int {
+	count := 0
 	for node := range before {
 		a, b := slices.Sorted(slices.Values(before[node])), slices.Sorted(slices.Values(after[node]))
 		if !slices.Equal(a, b) {
-			differ++
+			count++
 		}
 	}
-	return differ
+	return count
 }
 
 // measureNode measures a choice and a change elsewhere at one node, by the least time of three spans.
 func (c *comparison) measureNode(way scheme, node int, listed, used []int32) {
-	gone := int32(0)
-	for slices.Contains(used, gone) {
-		gone++
+	unused := int32(0)
+	for slices.Contains(used, unused) {
+		unused++
 	}
-	c.choose, c.elsewhere = time.Hour, time.Hour
+	c.chooseTime, c.unusedTime = time.Hour, time.Hour
 	for range 3 {
 		start := time.Now()
-		way.one(node, listed)
-		c.choose = min(c.choose, time.Since(start))
+		way.chooseOne(node, listed)
+		c.chooseTime = min(c.chooseTime, time.Since(start))
 		const repeats = 20
 		start = time.Now()
 		for range repeats {
-			c.entries = way.elsewhere(node, listed, gone)
+			c.visitedEntries = way.removeUnused(node, listed, unused)
 		}
-		c.elsewhere = min(c.elsewhere, time.Since(start)/repeats)
+		c.unusedTime = min(c.unusedTime, time.Since(start)/repeats)
 	}
 }
--- a/fleet/subset/delta.go
+++ b/fleet/subset/delta.go
@@ -13,9 +13,9 @@
 	if err != nil {
 		return Change{}, err
 	}
-	concerned := s.Whole()
+	affected := s.Whole()
 	for _, change := range steps {
-		concerned = concerned || s.concerns(change)
+		affected = affected || s.affects(change)
 	}
 	for _, change := range steps {
 		if change.old != nil {
@@ -25,7 +25,7 @@
 			s.index.insert(change.new)
 		}
 	}
-	if !concerned && !s.Whole() {
+	if !affected && !s.Whole() {
 		return Change{}, nil
 	}
 	return s.choose(), nil
@@ -33,8 +33,8 @@
 
 // plan validates a delta and returns its steps.
 func (s *Set) plan(servers []Server) ([]step, error) {
-	if len(servers) > s.config.ListMost {
-		return nil, &TooManyError{What: "entries", Have: len(servers), Most: s.config.ListMost}
+	if len(servers) > s.config.MaxListed {
+		return nil, &TooManyError{What: "entries", Count: len(servers), Max: s.config.MaxListed}
 	}
 	steps := make([]step, 0, len(servers))
 	earlier := make(map[string]Server, len(servers))
@@ -49,7 +49,7 @@
 			continue
 		}
 		earlier[server.ID] = server
-		if change, any := s.stepFor(server); any {
+		if change, changes := s.stepFor(server); changes {
 			steps = append(steps, change)
 		}
 	}
@@ -83,8 +83,8 @@
 			byZone[change.new.zone()]++
 		}
 	}
-	if listed > s.config.ListMost {
-		return &TooManyError{What: "servers", Have: listed, Most: s.config.ListMost}
+	if listed > s.config.MaxListed {
+		return &TooManyError{What: "servers", Count: listed, Max: s.config.MaxListed}
 	}
 	zones := len(s.index.zones)
 	for name, growth := range byZone {
--- a/fleet/subset/errors.go
+++ b/fleet/subset/errors.go
@@ -4,22 +4,22 @@
 
 // ConfigError reports a value of a Config that is out of its range.
 type ConfigError struct {
-	Key               string
-	Have, Least, Most int
+	Key             string
+	Value, Min, Max int
 }
 
 func (e *ConfigError) Error() string {
-	return fmt.Sprintf("server subset: %s: %d is not in %d to %d; correct it in the configuration", e.Key, e.Have, e.Least, e.Most)
+	return fmt.Sprintf("server subset: %s: %d is not in %d to %d; correct it in the configuration", e.Key, e.Value, e.Min, e.Max)
 }
 
 // TooManyError reports a list or a delta that holds more than it may.
 type TooManyError struct {
 	What       string // servers, entries or zones
-	Have, Most int
+	Count, Max int
 }
 
 func (e *TooManyError) Error() string {
-	return fmt.Sprintf("server list: %d %s, at most %d are taken; list fewer, or raise the node's bound", e.Have, e.What, e.Most)
+	return fmt.Sprintf("server list: %d %s, at most %d are taken; list fewer, or raise the node's bound", e.Count, e.What, e.Max)
 }
 
 // EntryError reports an entry of a list or a delta that cannot be used.
@@ -46,11 +46,11 @@
 }
 
 // idShown is the length to which an ID is cut in an error, in bytes.
-const idShown = 64
+const maxShownIDBytes = 64
 
 func newEntryError(number int, id, field, reason string) *EntryError {
-	if len(id) > idShown {
-		id = id[:idShown]
+	if len(id) > maxShownIDBytes {
+		id = id[:maxShownIDBytes]
 	}
 	return &EntryError{Number: number, ID: id, Field: field, Reason: reason}
 }
--- a/fleet/subset/errors_test.go
+++ b/fleet/subset/errors_test.go
@@ -8,21 +8,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestConfigIsChecked(t *testing.T) {
-	wrong := map[string]Config{
+func TestInvalidConfigIsRejected(t *testing.T) {
+	invalid := map[string]Config{
 		"node":       {Node: -1},
-		"most":       {Most: -1},
-		"zone least": {ZoneLeast: zoneLeastMost + 1},
-		"list most":  {Most: 300, ListMost: 299},
+		"most":       {MaxServers: -1},
+		"zone least": {MinPerZone: maxPerZoneMinimum + 1},
+		"list most":  {MaxServers: 300, MaxListed: 299},
 	}
-	for key, config := range wrong {
+	for key, config := range invalid {
 		_, err := New(config)
-		var failed *ConfigError
-		require.ErrorAs(t, err, &failed)
-		require.Equal(t, key, failed.Key)
+		var configErr *ConfigError
+		require.ErrorAs(t, err, &configErr)
+		require.Equal(t, key, configErr.Key)
 		requireOneLine(t, err)
 	}
-	require.NoError(t, Config{Node: nodeMost, ZoneLeast: NoZoneFloor}.Validate())
+	require.NoError(t, Config{Node: maxNode, MinPerZone: NoZoneMinimum}.Validate())
 }
 
 // requireOneLine requires a text of one line that ends with what an operator can do.
@@ -34,9 +34,9 @@
 
 // TestWrongEntriesAreDroppedWhole offers each kind of wrong entry, after a good one, as a list and as a
 // delta. The set stays as it was.
-func TestWrongEntriesAreDroppedWhole(t *testing.T) {
-	long := strings.Repeat("x", FieldMost+1)
-	wrong := map[string]Server{
+func TestInvalidEntryRejectsWholeMessage(t *testing.T) {
+	long := strings.Repeat("x", MaxFieldBytes+1)
+	invalid := map[string]Server{
 		"ID":        {},
 		"endpoint":  {ID: "w", Endpoint: long},
 		"zone":      {ID: "w", Zone: long},
@@ -46,29 +46,29 @@
 		"boot time": {ID: "w", BootMS: math.Inf(1)},
 		"":          {ID: "good", Endpoint: "10.0.0.9:80"},
 	}
-	wrong["ID\n"] = Server{ID: "\n" + long}
-	for field, server := range wrong {
-		requireDropped(t, Server{ID: "good"}, server, strings.TrimSpace(field))
+	invalid["ID\n"] = Server{ID: "\n" + long}
+	for field, server := range invalid {
+		requireRejected(t, Server{ID: "good"}, server, strings.TrimSpace(field))
 	}
 	for _, contradiction := range []Server{{ID: "good", State: Removed}, {ID: "good", State: Draining}} {
-		requireDropped(t, Server{ID: "good"}, contradiction, "")
-		requireDropped(t, contradiction, Server{ID: "good"}, "")
+		requireRejected(t, Server{ID: "good"}, contradiction, "")
+		requireRejected(t, contradiction, Server{ID: "good"}, "")
 	}
 }
 
 // requireDropped offers two entries of which the second is wrong in a field.
-func requireDropped(t *testing.T, good, wrong Server, field string) {
+func requireRejected(t *testing.T, valid, invalid Server, field string) {
 	t.Helper()
 	set := mustNew(t, Config{})
 	listed := Server{ID: "listed", Zone: "z"}
 	apply(t, set, listed)
-	change, err := set.Apply([]Server{good, wrong})
+	change, err := set.Apply([]Server{valid, invalid})
 	require.Empty(t, change)
 	requireEntryError(t, err, field)
 
 	list := set.NewList()
-	require.NoError(t, list.Add(good))
-	err = list.Add(wrong)
+	require.NoError(t, list.Add(valid))
+	err = list.Add(invalid)
 	requireEntryError(t, err, field)
 	require.Same(t, err, list.Add(Server{ID: "later"}), "the list stays unusable")
 	require.Empty(t, set.Replace(list))
@@ -77,21 +77,21 @@
 
 func requireEntryError(t *testing.T, err error, field string) {
 	t.Helper()
-	var failed *EntryError
-	require.ErrorAs(t, err, &failed)
-	require.Equal(t, field, failed.Field)
-	require.Equal(t, 2, failed.Number)
-	require.LessOrEqual(t, len(failed.ID), idShown)
+	var entryErr *EntryError
+	require.ErrorAs(t, err, &entryErr)
+	require.Equal(t, field, entryErr.Field)
+	require.Equal(t, 2, entryErr.Number)
+	require.LessOrEqual(t, len(entryErr.ID), maxShownIDBytes)
 	requireOneLine(t, err)
 }
 
 // TestRepeatedEntriesAreIgnored repeats entries with the same content within a message.
 func TestRepeatedEntriesAreIgnored(t *testing.T) {
-	a, gone := Server{ID: "a", Zone: "z"}, Server{ID: "gone", State: Removed}
+	a, removed := Server{ID: "a", Zone: "z"}, Server{ID: "gone", State: Removed}
 	set := mustNew(t, Config{})
-	replace(t, set, []Server{a, gone, a, gone})
+	replace(t, set, []Server{a, removed, a, removed})
 	require.Equal(t, []Server{a}, set.Chosen())
-	require.Empty(t, apply(t, set, a, gone, a, gone))
+	require.Empty(t, apply(t, set, a, removed, a, removed))
 	b := Server{ID: "b"}
 	require.Equal(t, Change{Updated: []Server{b}}, apply(t, set, b, b))
 	require.Equal(t, 2, set.Len())
@@ -99,9 +99,9 @@
 
 // TestTooManyServers exceeds the maximum by a list and by a delta; a delta that replaces as many as it
 // adds is taken.
-func TestTooManyServers(t *testing.T) {
-	set := mustNew(t, Config{Most: 5, ListMost: 20})
-	servers := fleet(1, 42, []float64{1})
+func TestTooManyServersAreRejected(t *testing.T) {
+	set := mustNew(t, Config{MaxServers: 5, MaxListed: 20})
+	servers := newServers(1, 42, []float64{1})
 	replace(t, set, servers[:20])
 	before := set.Chosen()
 
@@ -110,13 +110,13 @@
 		require.NoError(t, list.Add(server))
 	}
 	require.NoError(t, list.Add(servers[0]), "a repeated entry is not counted")
-	requireTooMany(t, list.Add(servers[20]), TooManyError{What: "servers", Have: 21, Most: 20})
+	requireTooMany(t, list.Add(servers[20]), TooManyError{What: "servers", Count: 21, Max: 20})
 	require.Empty(t, set.Replace(list))
 
 	_, err := set.Apply(servers[20:21])
-	requireTooMany(t, err, TooManyError{What: "servers", Have: 21, Most: 20})
+	requireTooMany(t, err, TooManyError{What: "servers", Count: 21, Max: 20})
 	_, err = set.Apply(servers[20:41])
-	requireTooMany(t, err, TooManyError{What: "entries", Have: 21, Most: 20})
+	requireTooMany(t, err, TooManyError{What: "entries", Count: 21, Max: 20})
 	require.Equal(t, before, set.Chosen())
 
 	apply(t, set, append(inState(Removed, servers[:3]...), servers[20:23]...)...)
@@ -124,49 +124,49 @@
 }
 
 // TestTooManyRemovals bounds what a list of removals can make a node remember.
-func TestTooManyRemovals(t *testing.T) {
-	set := mustNew(t, Config{Most: 5, ListMost: 20})
+func TestTooManyRemovalsAreRejected(t *testing.T) {
+	set := mustNew(t, Config{MaxServers: 5, MaxListed: 20})
 	list := set.NewList()
-	for _, server := range inState(Removed, fleet(1, 20, []float64{1})...) {
+	for _, server := range inState(Removed, newServers(1, 20, []float64{1})...) {
 		require.NoError(t, list.Add(server))
 	}
-	requireTooMany(t, list.Add(Server{ID: "a"}), TooManyError{What: "servers", Have: 21, Most: 20})
+	requireTooMany(t, list.Add(Server{ID: "a"}), TooManyError{What: "servers", Count: 21, Max: 20})
 }
 
 func requireTooMany(t *testing.T, err error, want TooManyError) {
 	t.Helper()
-	var failed *TooManyError
-	require.ErrorAs(t, err, &failed)
-	require.Equal(t, want, *failed)
+	var tooMany *TooManyError
+	require.ErrorAs(t, err, &tooMany)
+	require.Equal(t, want, *tooMany)
 	requireOneLine(t, err)
 }
 
 // TestTooManyZones bounds the zones of a list that is not used whole, by a list and by a delta.
-func TestTooManyZones(t *testing.T) {
-	servers := fleet(1, 100, hundredZones())
-	want := TooManyError{What: "zones", Have: ZonesMost + 1, Most: ZonesMost}
-	whole := mustNew(t, Config{Most: 100})
+func TestTooManyZonesAreRejected(t *testing.T) {
+	servers := newServers(1, 100, hundredZoneWeights())
+	want := TooManyError{What: "zones", Count: MaxZones + 1, Max: MaxZones}
+	whole := mustNew(t, Config{MaxServers: 100})
 	replace(t, whole, servers)
 	require.Len(t, whole.Chosen(), 100, "each server in a zone of its own, but the list is short")
-	_, err := whole.Apply(fleet(2, 1, []float64{1}))
-	requireTooMany(t, err, TooManyError{What: "zones", Have: 100, Most: ZonesMost})
+	_, err := whole.Apply(newServers(2, 1, []float64{1}))
+	requireTooMany(t, err, TooManyError{What: "zones", Count: 100, Max: MaxZones})
 
-	set := mustNew(t, Config{Most: 10})
-	replace(t, set, servers[:ZonesMost])
+	set := mustNew(t, Config{MaxServers: 10})
+	replace(t, set, servers[:MaxZones])
 	list := set.NewList()
-	for _, server := range servers[:ZonesMost] {
+	for _, server := range servers[:MaxZones] {
 		require.NoError(t, list.Add(server))
 	}
-	requireTooMany(t, list.Add(servers[ZonesMost]), want)
-	_, err = set.Apply(servers[ZonesMost : ZonesMost+1])
+	requireTooMany(t, list.Add(servers[MaxZones]), want)
+	_, err = set.Apply(servers[MaxZones : MaxZones+1])
 	requireTooMany(t, err, want)
-	exchanged := append(inState(Removed, servers[0]), servers[ZonesMost])
+	exchanged := append(inState(Removed, servers[0]), servers[MaxZones])
 	apply(t, set, exchanged...)
-	require.Len(t, set.index.zones, ZonesMost)
+	require.Len(t, set.index.zones, MaxZones)
 }
 
 // hundredZones are the weights of 100 zones of the same size.
-func hundredZones() []float64 {
+func hundredZoneWeights() []float64 {
 	weights := make([]float64, 100)
 	for i := range weights {
 		weights[i] = 1
@@ -175,7 +175,7 @@
 }
 
 // TestListIsUsedOnce replaces by a list twice, adds to it later, and offers it to another set.
-func TestListIsUsedOnce(t *testing.T) {
+func TestListCanBeUsedOnlyOnce(t *testing.T) {
 	set, other := mustNew(t, Config{}), mustNew(t, Config{})
 	list := set.NewList()
 	require.NoError(t, list.Add(Server{ID: "a"}))
--- a/fleet/subset/helpers_test.go
+++ b/fleet/subset/helpers_test.go
@@ -62,18 +62,18 @@
 
 // fleet returns servers of equal capacity whose IDs depend on the seed, spread over zones by their
 // weights. IDs have 20 bytes and endpoints 16 to 18.
-func fleet(seed uint64, count int, zoneWeights []float64) []Server {
+func newServers(seed uint64, count int, zoneWeights []float64) []Server {
 	random := rand.New(rand.NewPCG(seed, 0))
 	total := 0.0
 	for _, weight := range zoneWeights {
 		total += weight
 	}
 	servers := make([]Server, count)
-	zone, left := 0, zoneWeights[0]/total*float64(count)
+	zone, zoneEnd := 0, zoneWeights[0]/total*float64(count)
 	for i := range servers {
-		for float64(i) >= left && zone+1 < len(zoneWeights) {
+		for float64(i) >= zoneEnd && zone+1 < len(zoneWeights) {
 			zone++
-			left += zoneWeights[zone] / total * float64(count)
+			zoneEnd += zoneWeights[zone] / total * float64(count)
 		}
 		servers[i] = Server{
 			ID:       fmt.Sprintf("srv-%016x", random.Uint64()),
@@ -89,7 +89,7 @@
 }
 
 // evenZones are the weights of 17 zones of the same size.
-func evenZones() []float64 {
+func evenZoneWeights() []float64 {
 	weights := make([]float64, 17)
 	for i := range weights {
 		weights[i] = 1
@@ -98,7 +98,7 @@
 }
 
 // unevenZones are the weights of 17 zones of which the largest is ten times the smallest.
-func unevenZones() []float64 {
+func unevenZoneWeights() []float64 {
 	weights := make([]float64, 17)
 	for i := range weights {
 		weights[i] = 1 + 9*float64(i)/16
@@ -112,11 +112,11 @@
 	t.Helper()
 	key := targetKey{seed: seed, uneven: uneven}
 	if targetGroups[key] == nil {
-		weights := evenZones()
+		weights := evenZoneWeights()
 		if uneven {
-			weights = unevenZones()
+			weights = unevenZoneWeights()
 		}
-		targetGroups[key] = group(t, targetNodes, Config{}, fleet(seed, targetServers, weights))
+		targetGroups[key] = group(t, targetNodes, Config{}, newServers(seed, targetServers, weights))
 	}
 	return targetGroups[key]
 }
--- a/fleet/subset/oncall_test.go
+++ b/fleet/subset/hints_test.go
@@ -6,10 +6,10 @@
 	"sloestile/internal/oncall"
 )
 
-func TestErrorsTellStaffWhatToDo(t *testing.T) {
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
-		&ConfigError{Key: "most", Have: 5000, Least: 1, Most: mostMost},
-		&TooManyError{What: "servers", Have: 3, Most: 2},
+		&ConfigError{Key: "most", Value: 5000, Min: 1, Max: maxServersBound},
+		&TooManyError{What: "servers", Count: 3, Max: 2},
 		&EntryError{Number: 3, ID: "s-1", Field: "zone", Reason: "too long"},
 		&ListUsedError{},
 	)
--- a/fleet/subset/list.go
+++ b/fleet/subset/list.go
@@ -36,8 +36,8 @@
 	if repeated, err := l.repeats(&probe, server); repeated || err != nil {
 		return err
 	}
-	if have := l.index.listed() + len(l.removed) + 1; have > l.set.config.ListMost {
-		return &TooManyError{What: "servers", Have: have, Most: l.set.config.ListMost}
+	if have := l.index.listed() + len(l.removed) + 1; have > l.set.config.MaxListed {
+		return &TooManyError{What: "servers", Count: have, Max: l.set.config.MaxListed}
 	}
 	if server.State == Removed {
 		if l.removed == nil {
--- a/fleet/subset/lists_test.go
+++ b/fleet/subset/lists_test.go
@@ -33,7 +33,7 @@
 // TestShortListIsUsedWhole has a list of exactly Most entries in all states, one zone with draining
 // servers only.
 func TestShortListIsUsedWhole(t *testing.T) {
-	servers := fleet(1, DefaultMost, evenZones())
+	servers := newServers(1, DefaultMaxServers, evenZoneWeights())
 	for i := range servers {
 		if servers[i].Zone == "zone-00" || i%9 == 0 {
 			servers[i].State = Draining
@@ -51,12 +51,12 @@
 // TestThresholdIsCrossedByDeltas adds one server to a list of Most entries and removes it again. The
 // draining servers that were chosen while the list was whole stay, one that begins to drain elsewhere
 // does not enter.
-func TestThresholdIsCrossedByDeltas(t *testing.T) {
-	servers := fleet(2, 50, []float64{1, 1})
+func TestDeltasCrossWholeListThreshold(t *testing.T) {
+	servers := newServers(2, 50, []float64{1, 1})
 	servers[0].State = Draining
-	extra := fleet(3, 2, []float64{1})
+	extra := newServers(3, 2, []float64{1})
 	extra[1].State = Draining
-	set := mustNew(t, Config{Most: 50})
+	set := mustNew(t, Config{MaxServers: 50})
 	replace(t, set, servers)
 
 	apply(t, set, extra...)
@@ -79,10 +79,10 @@
 
 // TestListBecomesWholeByAChangeElsewhere removes a draining server that was not chosen, so that the list
 // has Most entries: now the other draining server is used too.
-func TestListBecomesWholeByAChangeElsewhere(t *testing.T) {
-	servers := fleet(3, 51, []float64{1})
+func TestRemovalOfUnusedServerMakesListWhole(t *testing.T) {
+	servers := newServers(3, 51, []float64{1})
 	servers[3].State, servers[4].State = Draining, Draining
-	set := mustNew(t, Config{Most: 50})
+	set := mustNew(t, Config{MaxServers: 50})
 	replace(t, set, servers)
 	require.Empty(t, idsOf(set.Chosen(), Draining))
 	change := apply(t, set, inState(Removed, servers[3])...)
@@ -92,8 +92,8 @@
 
 // TestOrderOfTheListDoesNotCount compares nodes that got the same list in other orders and by other
 // messages, as one that restarts does.
-func TestOrderOfTheListDoesNotCount(t *testing.T) {
-	servers := fleet(4, 5000, unevenZones())
+func TestChoiceIgnoresListOrder(t *testing.T) {
+	servers := newServers(4, 5000, unevenZoneWeights())
 	first := mustNew(t, Config{Node: 17})
 	replace(t, first, servers)
 	random := rand.New(rand.NewPCG(4, 4))
@@ -111,15 +111,15 @@
 
 // TestServerReturnsToTheSameNodes removes a chosen server and lists it again, restarted.
 func TestServerReturnsToTheSameNodes(t *testing.T) {
-	servers := fleet(5, 5000, unevenZones())
+	servers := newServers(5, 5000, unevenZoneWeights())
 	set := mustNew(t, Config{Node: 8})
 	replace(t, set, servers)
 	before := set.Chosen()
-	gone := before[10]
-	change := apply(t, set, inState(Removed, gone)...)
-	require.Equal(t, []string{gone.ID}, change.Removed)
+	removed := before[10]
+	change := apply(t, set, inState(Removed, removed)...)
+	require.Equal(t, []string{removed.ID}, change.Removed)
 	require.Len(t, change.Updated, 1, "the next server takes its place")
-	restarted := gone
+	restarted := removed
 	restarted.BootMS++
 	change = apply(t, set, restarted)
 	require.Equal(t, []Server{restarted}, change.Updated)
@@ -129,22 +129,22 @@
 }
 
 // TestAllDrain drains a whole list that is longer than Most, and brings it back.
-func TestAllDrain(t *testing.T) {
-	servers := fleet(6, 1000, unevenZones())
+func TestAllServersDrainAndReturn(t *testing.T) {
+	servers := newServers(6, 1000, unevenZoneWeights())
 	set := mustNew(t, Config{})
 	replace(t, set, servers)
 	before := set.Chosen()
 	apply(t, set, inState(Draining, servers...)...)
 	require.Zero(t, set.Available())
 	require.Zero(t, set.Sharers(10))
-	require.Len(t, set.Chosen(), DefaultMost, "those that were chosen stay as draining, up to the maximum")
+	require.Len(t, set.Chosen(), DefaultMaxServers, "those that were chosen stay as draining, up to the maximum")
 	apply(t, set, servers...)
 	require.Equal(t, before, set.Chosen())
 }
 
 // TestFewerAvailableThanMost has a long list of which fewer than Most are available: all of them are used.
-func TestFewerAvailableThanMost(t *testing.T) {
-	servers := fleet(7, 1000, unevenZones())
+func TestAllAreUsedIfFewerAvailableThanMax(t *testing.T) {
+	servers := newServers(7, 1000, unevenZoneWeights())
 	for i := range servers {
 		if i%10 != 0 {
 			servers[i].State = Draining
@@ -158,7 +158,7 @@
 }
 
 func TestRemovalOfUnknownServer(t *testing.T) {
-	servers := fleet(8, 1000, unevenZones())
+	servers := newServers(8, 1000, unevenZoneWeights())
 	set := mustNew(t, Config{})
 	replace(t, set, servers)
 	before := set.Chosen()
@@ -169,7 +169,7 @@
 
 // TestServerMovesToAnotherZone moves the only two servers of a zone into another one.
 func TestServerMovesToAnotherZone(t *testing.T) {
-	servers := fleet(9, 300, []float64{149, 1})
+	servers := newServers(9, 300, []float64{149, 1})
 	set := mustNew(t, Config{})
 	replace(t, set, servers)
 	moved := slices.Clone(servers[298:])
@@ -193,7 +193,7 @@
 	}
 	for name, hash := range positions {
 		t.Run(name, func(t *testing.T) {
-			set, err := newSet(Config{Most: 3, ZoneLeast: NoZoneFloor}, ordering{hash: hash, less: lessOnRing})
+			set, err := newSet(Config{MaxServers: 3, MinPerZone: NoZoneMinimum}, ordering{hash: hash, less: lessOnRing})
 			require.NoError(t, err)
 			servers := []Server{{ID: "e"}, {ID: "c"}, {ID: "a"}, {ID: "d"}, {ID: "b"}, {ID: "f"}}
 			replace(t, set, servers)
--- a/fleet/subset/load_test.go
+++ b/fleet/subset/load_test.go
@@ -17,29 +17,29 @@
 )
 
 // idealUsers is the mean number of nodes that use one server at the target's size.
-const idealUsers = float64(targetNodes) * DefaultMost / targetServers
+const idealUsers = float64(targetNodes) * DefaultMaxServers / targetServers
 
 // spread is a distribution relative to its mean.
-type spread struct{ least, p99, most float64 }
+type distribution struct{ min, p99, max float64 }
 
-func spreadOf(values []float64) spread {
+func distributionOf(values []float64) distribution {
 	sorted := slices.Sorted(slices.Values(values))
 	mean := stat.Mean(sorted, nil)
-	return spread{
-		least: sorted[0] / mean,
-		p99:   stat.Quantile(0.99, stat.Empirical, sorted, nil) / mean,
-		most:  sorted[len(sorted)-1] / mean,
+	return distribution{
+		min: sorted[0] / mean,
+		p99: stat.Quantile(0.99, stat.Empirical, sorted, nil) / mean,
+		max: sorted[len(sorted)-1] / mean,
 	}
 }
 
 // perServer sums over all nodes what each puts on each of its available servers. It has one value for
 // each available server of the list.
-func perServer(sets []*Set, put func(chosen []*entry, e *entry) float64) []float64 {
+func perServer(sets []*Set, amount func(chosen []*entry, e *entry) float64) []float64 {
 	sums := make(map[*entry]float64)
 	for _, set := range sets {
 		for _, e := range set.chosen {
 			if e.available() {
-				sums[e] += put(set.chosen, e)
+				sums[e] += amount(set.chosen, e)
 			}
 		}
 	}
@@ -52,10 +52,10 @@
 }
 
 // one counts the nodes that use a server.
-func one([]*entry, *entry) float64 { return 1 }
+func countOne([]*entry, *entry) float64 { return 1 }
 
 // evenPart is the part of a node's traffic that each of its servers gets if it is split evenly.
-func evenPart(chosen []*entry, _ *entry) float64 { return 1 / float64(len(chosen)) }
+func evenShare(chosen []*entry, _ *entry) float64 { return 1 / float64(len(chosen)) }
 
 // meanSharers returns the mean of what the sets state as the users of one server.
 func meanSharers(sets []*Set) float64 {
@@ -74,31 +74,31 @@
 	for _, uneven := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
 			sets := targetGroup(t, seed, uneven)
-			load := spreadOf(perServer(sets, evenPart))
-			users := perServer(sets, one)
+			load := distributionOf(perServer(sets, evenShare))
+			users := perServer(sets, countOne)
 			mean := stat.Mean(users, nil) / idealUsers
-			change := spreadOf(users)
+			change := distributionOf(users)
 			t.Logf("uneven zones %v, seed %d: load / mean: least %.3f, p99 %.3f, most %.3f; nodes changed by one server / ideal %.2f: mean %.3f, p99 %.3f, most %.3f",
-				uneven, seed, load.least, load.p99, load.most, idealUsers, mean, change.p99*mean, change.most*mean)
+				uneven, seed, load.min, load.p99, load.max, idealUsers, mean, change.p99*mean, change.max*mean)
 			require.InDelta(t, mean*idealUsers, meanSharers(sets), 1e-6)
-			require.Greater(t, load.least, 0.5)
+			require.Greater(t, load.min, 0.5)
 			require.LessOrEqual(t, load.p99, 1.25)
 			require.LessOrEqual(t, mean, 1.05)
 			require.LessOrEqual(t, change.p99*mean, 1.5)
 			// Floors are filled within twice the window, so that a server of a small zone can have twice
 			// the users of another.
-			most := 1.5
+			maxChange := 1.5
 			if uneven {
-				most *= floorReach
+				maxChange *= zoneReachFactor
 			}
-			require.LessOrEqual(t, change.most*mean, most)
+			require.LessOrEqual(t, change.max*mean, maxChange)
 		}
 	}
 }
 
 // TestChangeConcernsItsUsers removes servers one by one from the lists of 300 nodes and lists them again.
-func TestChangeConcernsItsUsers(t *testing.T) {
-	servers := fleet(4, 10_000, unevenZones())
+func TestChangeAffectsExactlyTheUsers(t *testing.T) {
+	servers := newServers(4, 10_000, unevenZoneWeights())
 	sets := group(t, 300, Config{}, servers)
 	index := sets[0].index
 	random := rand.New(rand.NewPCG(4, 1))
@@ -106,7 +106,7 @@
 		server := servers[random.IntN(len(servers))]
 		probe := index.probe(server.ID)
 		e := index.find(&probe)
-		going, coming := changedBy(sets, e, index.remove), changedBy(sets, e, index.insert)
+		byRemoval, byAddition := affectedBy(sets, e, index.remove), affectedBy(sets, e, index.insert)
 		var users []int
 		for node, set := range sets {
 			if slices.Contains(set.chosen, e) {
@@ -114,13 +114,13 @@
 			}
 		}
 		require.NotEmpty(t, users)
-		require.Equal(t, users, going)
-		require.Equal(t, users, coming)
+		require.Equal(t, users, byRemoval)
+		require.Equal(t, users, byAddition)
 	}
 }
 
 // changedBy changes the index that the nodes share and returns those whose chosen servers change.
-func changedBy(sets []*Set, e *entry, update func(*entry)) []int {
+func affectedBy(sets []*Set, e *entry, update func(*entry)) []int {
 	update(e)
 	var changed []int
 	for node, set := range sets {
@@ -135,7 +135,7 @@
 // TestLoadWithCapacityThatDiffersTenfold has each node split its traffic by capacity, of servers whose
 // capacity is 1 to 10, evenly on a logarithmic scale. Capacity has no part in the choice. The bound on p99
 // over mean of load by capacity leaves a margin over the 1.235 measured for these seeds.
-func TestLoadWithCapacityThatDiffersTenfold(t *testing.T) {
+func TestLoadWithTenfoldCapacityDifferences(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		sets := targetGroup(t, seed, false)
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -151,17 +151,17 @@
 			}
 		}
 		byCapacity := func(chosen []*entry, _ *entry) float64 { return 1 / totals[&chosen[0]] }
-		load := spreadOf(perServer(sets, byCapacity))
-		t.Logf("seed %d: load by capacity / mean: least %.3f, p99 %.3f, most %.3f", seed, load.least, load.p99, load.most)
+		load := distributionOf(perServer(sets, byCapacity))
+		t.Logf("seed %d: load by capacity / mean: least %.3f, p99 %.3f, most %.3f", seed, load.min, load.p99, load.max)
 		require.LessOrEqual(t, load.p99, 1.3)
 	}
 }
 
 // TestGroupSizeNeedNotBeKnown takes away a tenth of the nodes at the end. The others choose as before
 // since a set is not told the size of its group, and the load stays even.
-func TestGroupSizeNeedNotBeKnown(t *testing.T) {
+func TestLoadStaysEvenWithFewerNodes(t *testing.T) {
 	sets := targetGroup(t, 1, false)[:targetNodes*9/10]
-	load := spreadOf(perServer(sets, evenPart))
-	t.Logf("%d nodes: load / mean: least %.3f, p99 %.3f, most %.3f", len(sets), load.least, load.p99, load.most)
+	load := distributionOf(perServer(sets, evenShare))
+	t.Logf("%d nodes: load / mean: least %.3f, p99 %.3f, most %.3f", len(sets), load.min, load.p99, load.max)
 	require.LessOrEqual(t, load.p99, 1.25)
 }
--- a/fleet/subset/server.go
+++ b/fleet/subset/server.go
@@ -31,7 +31,7 @@
 }
 
 // FieldMost is the maximum length of each string of a Server, in bytes.
-const FieldMost = 256
+const MaxFieldBytes = 256
 
 // check reports the first field of the server that cannot be used, as an *EntryError for the given
 // entry number.
@@ -40,8 +40,8 @@
 		{"ID", s.ID}, {"endpoint", s.Endpoint}, {"zone", s.Zone}, {"model", s.Model},
 	}
 	for _, field := range fields {
-		if len(field.value) > FieldMost {
-			return newEntryError(number, s.ID, field.name, fmt.Sprintf("it is longer than %d bytes", FieldMost))
+		if len(field.value) > MaxFieldBytes {
+			return newEntryError(number, s.ID, field.name, fmt.Sprintf("it is longer than %d bytes", MaxFieldBytes))
 		}
 	}
 	switch {
--- a/fleet/subset/subset.go
+++ b/fleet/subset/subset.go
@@ -24,39 +24,39 @@
 
 // Defaults and bounds of a Config.
 const (
-	DefaultMost      = 200
-	DefaultZoneLeast = 2
-	DefaultListMost  = 131_072
+	DefaultMaxServers = 200
+	DefaultMinPerZone = 2
+	DefaultMaxListed  = 131_072
 
 	// NoZoneFloor as ZoneLeast switches the zones' floor off.
-	NoZoneFloor = -1
+	NoZoneMinimum = -1
 	// ZonesMost is the maximum number of zones of a list that is longer than Most.
-	ZonesMost = 64
+	MaxZones = 64
 
-	nodeMost      = 1 << 30
-	mostMost      = 4096
-	zoneLeastMost = 64
-	listMostMost  = 1 << 20
+	maxNode           = 1 << 30
+	maxServersBound   = 4096
+	maxPerZoneMinimum = 64
+	maxListedBound    = 1 << 20
 )
 
 // Config is the configuration of a Set. A field that is 0 has its default; Node has none.
 type Config struct {
-	Node      int // number of the node in its group, from 0
-	Most      int // available servers of the window; a list that is no longer is used whole
-	ZoneLeast int // servers of each zone, if it has as many within twice the length of the window
-	ListMost  int // servers of the list, at most
+	Node       int // number of the node in its group, from 0
+	MaxServers int // available servers of the window; a list that is no longer is used whole
+	MinPerZone int // servers of each zone, if it has as many within twice the length of the window
+	MaxListed  int // servers of the list, at most
 }
 
 // withDefaults returns the configuration with defaults for what is 0.
 func (c Config) withDefaults() Config {
-	if c.Most == 0 {
-		c.Most = DefaultMost
+	if c.MaxServers == 0 {
+		c.MaxServers = DefaultMaxServers
 	}
-	if c.ZoneLeast == 0 {
-		c.ZoneLeast = DefaultZoneLeast
+	if c.MinPerZone == 0 {
+		c.MinPerZone = DefaultMinPerZone
 	}
-	if c.ListMost == 0 {
-		c.ListMost = DefaultListMost
+	if c.MaxListed == 0 {
+		c.MaxListed = DefaultMaxListed
 	}
 	return c
 }
@@ -65,13 +65,13 @@
 func (c Config) Validate() error {
 	c = c.withDefaults()
 	values := []ConfigError{
-		{Key: "node", Have: c.Node, Least: 0, Most: nodeMost},
-		{Key: "most", Have: c.Most, Least: 1, Most: mostMost},
-		{Key: "zone least", Have: c.ZoneLeast, Least: NoZoneFloor, Most: zoneLeastMost},
-		{Key: "list most", Have: c.ListMost, Least: c.Most, Most: listMostMost},
+		{Key: "node", Value: c.Node, Min: 0, Max: maxNode},
+		{Key: "most", Value: c.MaxServers, Min: 1, Max: maxServersBound},
+		{Key: "zone least", Value: c.MinPerZone, Min: NoZoneMinimum, Max: maxPerZoneMinimum},
+		{Key: "list most", Value: c.MaxListed, Min: c.MaxServers, Max: maxListedBound},
 	}
 	for _, value := range values {
-		if value.Have < value.Least || value.Have > value.Most {
+		if value.Value < value.Min || value.Value > value.Max {
 			return &value
 		}
 	}
@@ -80,15 +80,15 @@
 
 // ChosenMost returns the maximum number of chosen servers: the window, the floors of ZonesMost zones, and
 // as many draining servers as the window holds.
-func (c Config) ChosenMost() int {
+func (c Config) MaxChosen() int {
 	c = c.withDefaults()
-	return c.Most + ZonesMost*max(c.ZoneLeast, 0) + c.Most
+	return c.MaxServers + MaxZones*max(c.MinPerZone, 0) + c.MaxServers
 }
 
 // checkZones reports whether a list of a size has too many zones.
 func (c Config) checkZones(listed, zones int) error {
-	if listed > c.Most && zones > ZonesMost {
-		return &TooManyError{What: "zones", Have: zones, Most: ZonesMost}
+	if listed > c.MaxServers && zones > MaxZones {
+		return &TooManyError{What: "zones", Count: zones, Max: MaxZones}
 	}
 	return nil
 }
@@ -105,8 +105,8 @@
 	chosenAvailable int
 	draining        []*entry          // those of the chosen ones that drain, the longest-draining first
 	windowEnd       *entry            // the last server of a full window; nil if it is not full
-	floorLimit      uint64            // distance from start within which floors are filled
-	floorEnds       map[string]*entry // by zone: its server number ZoneLeast; none if it has fewer within floorLimit
+	maxZoneDistance uint64            // distance from start within which floors are filled
+	zoneEnds        map[string]*entry // by zone: its server number ZoneLeast; none if it has fewer within floorLimit
 	visited         int               // entries visited by all choices so far
 }
 
@@ -139,7 +139,7 @@
 }
 
 // Whole reports whether the chosen servers are the whole list.
-func (s *Set) Whole() bool { return s.Len() <= s.config.Most }
+func (s *Set) Whole() bool { return s.Len() <= s.config.MaxServers }
 
 // Len returns the number of listed servers.
 func (s *Set) Len() int { return s.index.listed() }
--- a/fleet/subset/zones_test.go
+++ b/fleet/subset/zones_test.go
@@ -8,26 +8,26 @@
 
 // capacityLeft returns the least part of the chosen servers that a node has left, over all nodes, when a
 // zone is lost and before the list says so.
-func capacityLeft(sets []*Set) float64 {
-	least := 1.0
+func minFractionLeft(sets []*Set) float64 {
+	minLeft := 1.0
 	for _, set := range sets {
 		byZone := make(map[string]int)
 		for _, e := range set.chosen {
 			byZone[e.zone()]++
 		}
 		for _, lost := range byZone {
-			least = min(least, 1-float64(lost)/float64(len(set.chosen)))
+			minLeft = min(minLeft, 1-float64(lost)/float64(len(set.chosen)))
 		}
 	}
-	return least
+	return minLeft
 }
 
 // TestZoneLossLeavesCapacity loses each of 17 zones of uneven size at each of 5,800 nodes. The largest
 // zone has 10.7% of the servers. The bound has a margin of 0.05 below the 0.800 measured for these seeds.
 // See TestZoneLossIsRefilled for what follows when the list reports the loss.
-func TestZoneLossLeavesCapacity(t *testing.T) {
+func TestZoneLossLeavesMostServers(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		left := capacityLeft(targetGroup(t, seed, true))
+		left := minFractionLeft(targetGroup(t, seed, true))
 		t.Logf("seed %d: least part of its servers left to a node by the loss of one zone: %.3f", seed, left)
 		require.GreaterOrEqual(t, left, 0.75)
 	}
@@ -35,7 +35,7 @@
 
 // TestZoneLossIsRefilled removes the largest zone from the list of some nodes in one delta.
 func TestZoneLossIsRefilled(t *testing.T) {
-	servers := fleet(6, 20_000, unevenZones())
+	servers := newServers(6, 20_000, unevenZoneWeights())
 	largest := servers[len(servers)-1].Zone
 	var lost []Server
 	for _, server := range servers {
@@ -48,7 +48,7 @@
 		replace(t, set, servers)
 		before := set.Chosen()
 		apply(t, set, inState(Removed, lost...)...)
-		require.GreaterOrEqual(t, len(set.Chosen()), DefaultMost)
+		require.GreaterOrEqual(t, len(set.Chosen()), DefaultMaxServers)
 		for _, server := range set.Chosen() {
 			require.NotEqual(t, largest, server.Zone)
 		}
@@ -59,22 +59,22 @@
 
 // TestZoneFloor has a zone of a hundredth of the servers: a node has two of it wherever two lie within
 // twice the length of its window, and no node has more of it than it would have without a floor or two.
-func TestZoneFloor(t *testing.T) {
-	servers := fleet(7, 20_000, []float64{1, 33, 33, 33})
+func TestZoneMinimum(t *testing.T) {
+	servers := newServers(7, 20_000, []float64{1, 33, 33, 33})
 	small := servers[0].Zone
-	with := group(t, 500, Config{}, servers)
-	without := group(t, 500, Config{ZoneLeast: NoZoneFloor}, servers)
+	withMinimum := group(t, 500, Config{}, servers)
+	withoutMinimum := group(t, 500, Config{MinPerZone: NoZoneMinimum}, servers)
 	filled, short := 0, 0
-	for node, set := range with {
-		reached, before, after := 0, 0, 0
+	for node, set := range withMinimum {
+		inReach, before, after := 0, 0, 0
 		limit := 2 * float64(set.windowEnd.position-set.start)
 		set.index.zones[small].available.Ascend(func(e *entry) bool {
 			if float64(e.position-set.start) <= limit {
-				reached++
+				inReach++
 			}
 			return true
 		})
-		for _, e := range without[node].chosen {
+		for _, e := range withoutMinimum[node].chosen {
 			if e.zone() == small {
 				before++
 			}
@@ -84,11 +84,11 @@
 				after++
 			}
 		}
-		require.Equal(t, max(before, min(DefaultZoneLeast, reached)), after)
+		require.Equal(t, max(before, min(DefaultMinPerZone, inReach)), after)
 		if after > before {
 			filled++
 		}
-		if after < DefaultZoneLeast {
+		if after < DefaultMinPerZone {
 			short++
 		}
 	}
@@ -99,7 +99,7 @@
 // TestHalfDrainsAtOnce drains every second server in one delta. Each node has a full window of available
 // servers, keeps what it had chosen as draining, and stays within the stated maximum.
 func TestHalfDrainsAtOnce(t *testing.T) {
-	servers := fleet(8, 4_000, unevenZones())
+	servers := newServers(8, 4_000, unevenZoneWeights())
 	var half []Server
 	for i := 0; i < len(servers); i += 2 {
 		half = append(half, servers[i])
@@ -110,36 +110,36 @@
 		before := idsOf(set.Chosen(), Available)
 		drained := inState(Draining, half...)
 		change := apply(t, set, drained...)
-		require.GreaterOrEqual(t, len(idsOf(set.Chosen(), Available)), DefaultMost)
-		require.ElementsMatch(t, shared(before, drained), idsOf(set.Chosen(), Draining))
-		require.ElementsMatch(t, shared(before, drained), idsOf(change.Updated, Draining))
-		require.LessOrEqual(t, len(set.Chosen()), set.config.ChosenMost())
+		require.GreaterOrEqual(t, len(idsOf(set.Chosen(), Available)), DefaultMaxServers)
+		require.ElementsMatch(t, intersection(before, drained), idsOf(set.Chosen(), Draining))
+		require.ElementsMatch(t, intersection(before, drained), idsOf(change.Updated, Draining))
+		require.LessOrEqual(t, len(set.Chosen()), set.config.MaxChosen())
 		apply(t, set, inState(Removed, half...)...)
 		require.Empty(t, idsOf(set.Chosen(), Draining))
-		require.GreaterOrEqual(t, len(set.Chosen()), DefaultMost)
+		require.GreaterOrEqual(t, len(set.Chosen()), DefaultMaxServers)
 	}
 }
 
 // shared returns the IDs that are among the servers.
-func shared(ids []string, servers []Server) []string {
+func intersection(ids []string, servers []Server) []string {
 	among := make(map[string]bool)
 	for _, server := range servers {
 		among[server.ID] = true
 	}
-	var both []string
+	var common []string
 	for _, id := range ids {
 		if among[id] {
-			both = append(both, id)
+			common = append(common, id)
 		}
 	}
-	return both
+	return common
 }
 
 // TestDrainingServersAreBounded drains each chosen server again and again: those kept as draining never
 // exceed Most, and the longest-draining ones leave.
 func TestDrainingServersAreBounded(t *testing.T) {
-	servers := fleet(9, 2000, evenZones())
-	config := Config{Most: 50}
+	servers := newServers(9, 2000, evenZoneWeights())
+	config := Config{MaxServers: 50}
 	set := mustNew(t, config)
 	replace(t, set, servers)
 	var drained []string
@@ -152,10 +152,10 @@
 		}
 		change := apply(t, set, inState(Draining, available...)...)
 		drained = append(drained, idsOf(available, Available)...)
-		kept := drained[max(0, len(drained)-config.Most):]
+		kept := drained[max(0, len(drained)-config.MaxServers):]
 		require.ElementsMatch(t, kept, idsOf(set.Chosen(), Draining))
-		require.LessOrEqual(t, len(set.Chosen()), config.ChosenMost())
-		require.Empty(t, shared(change.Removed, inState(Draining, set.Chosen()...)))
+		require.LessOrEqual(t, len(set.Chosen()), config.MaxChosen())
+		require.Empty(t, intersection(change.Removed, inState(Draining, set.Chosen()...)))
 	}
-	require.Greater(t, len(drained), 5*config.Most)
+	require.Greater(t, len(drained), 5*config.MaxServers)
 }
--- a/internal/config/subset.go
+++ b/internal/config/subset.go
@@ -32,22 +32,22 @@
 	if !errors.As(c.config(0).Validate(), &wrong) {
 		return "", nil
 	}
-	return subsetFileKeys[wrong.Key], fmt.Errorf("%d is not in %d to %d", wrong.Have, wrong.Least, wrong.Most)
+	return subsetFileKeys[wrong.Key], fmt.Errorf("%d is not in %d to %d", wrong.Value, wrong.Min, wrong.Max)
 }
 
 func (c *Subset) config(node int) subset.Config {
-	s := subset.Config{Node: node, Most: subset.DefaultMost, ZoneLeast: subset.DefaultZoneLeast, ListMost: subset.DefaultListMost}
+	s := subset.Config{Node: node, MaxServers: subset.DefaultMaxServers, MinPerZone: subset.DefaultMinPerZone, MaxListed: subset.DefaultMaxListed}
 	if c.MaxServers != nil {
-		s.Most = *c.MaxServers
+		s.MaxServers = *c.MaxServers
 	}
 	if c.MinPerZone != nil {
-		s.ZoneLeast = *c.MinPerZone
-		if s.ZoneLeast == 0 {
-			s.ZoneLeast = subset.NoZoneFloor
+		s.MinPerZone = *c.MinPerZone
+		if s.MinPerZone == 0 {
+			s.MinPerZone = subset.NoZoneMinimum
 		}
 	}
 	if c.MaxListed != nil {
-		s.ListMost = *c.MaxListed
+		s.MaxListed = *c.MaxListed
 	}
 	return s
 }
--- a/internal/discovery/progress_test.go
+++ b/internal/discovery/progress_test.go
@@ -49,7 +49,7 @@
 // it takes longer than an unanswered call may.
 func TestSlowListWithProgressIsOneCall(t *testing.T) {
 	t.Parallel()
-	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
+	cfg := subset.Config{MaxServers: 200, MinPerZone: 2, MaxListed: 131072}
 	text := list(t, Update{Rev: 7, All: true, Targets: servers(20_000)}, "")
 	pieces := 25
 	pause := 200 * time.Millisecond
@@ -73,7 +73,7 @@
 			t.Parallel()
 			addr, calls := slowDiscovery(t, text, 1024, pause) // 20 kB a second at most
 			begun := time.Now()
-			s := startSubset(t, addr, subset.Config{Most: 20, ListMost: 10_000}, Update{})
+			s := startSubset(t, addr, subset.Config{MaxServers: 20, MaxListed: 10_000}, Update{})
 			err := next(t, s.dropped)
 			took := time.Since(begun)
 			require.True(t, is[*StalledError](err), "%v", err)
--- a/internal/discovery/selection.go
+++ b/internal/discovery/selection.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		return nil, err
 	}
-	return &selection{config: cfg, fleetSize: group, set: set, maxKeptEntries: 2 * cmp.Or(cfg.Most, subset.DefaultMost),
-		maxListed: cmp.Or(cfg.ListMost, subset.DefaultListMost)}, nil
+	return &selection{config: cfg, fleetSize: group, set: set, maxKeptEntries: 2 * cmp.Or(cfg.MaxServers, subset.DefaultMaxServers),
+		maxListed: cmp.Or(cfg.MaxListed, subset.DefaultMaxListed)}, nil
 }
 
 // stage begins a whole list. It changes nothing until choose takes it.
--- a/internal/discovery/selection_test.go
+++ b/internal/discovery/selection_test.go
@@ -28,7 +28,7 @@
 
 // By changes one at a time a node comes to the same subset as by the whole list, and is told only of its own.
 func TestChangesComeToTheSubsetOfTheList(t *testing.T) {
-	s, err := newSelection(subset.Config{Node: 3, Most: 20, ZoneLeast: 2, ListMost: 1000}, 5800)
+	s, err := newSelection(subset.Config{Node: 3, MaxServers: 20, MinPerZone: 2, MaxListed: 1000}, 5800)
 	require.NoError(t, err)
 	node := &subsetWatch{shown: map[string]Target{}}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -67,7 +67,7 @@
 				targets = append(targets, x)
 			}
 			slices.SortFunc(targets, func(a, b Target) int { return strings.Compare(a.UID, b.UID) })
-			require.Equal(t, chosen(t, subset.Config{Most: 20, ZoneLeast: 2, ListMost: 1000}, targets), node.uids(), "rev %d", rev)
+			require.Equal(t, chosen(t, subset.Config{MaxServers: 20, MinPerZone: 2, MaxListed: 1000}, targets), node.uids(), "rev %d", rev)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // A process that begins with a subset shows it, asks for the whole list, and comes to the same subset; one
 // that begins with a complete list asks for changes.
 func TestBeginsWithWhatWasHeld(t *testing.T) {
-	cfg := subset.Config{Most: 20, ZoneLeast: subset.NoZoneFloor, ListMost: 100}
+	cfg := subset.Config{MaxServers: 20, MinPerZone: subset.NoZoneMinimum, MaxListed: 100}
 	a := discoverytest.NewAgent(t)
 	before := startSubset(t, a.Addr(), cfg, Update{})
 	a.Tell <- list(t, Update{Rev: 7, All: true, Targets: servers(60)}, "")
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -176,7 +176,7 @@
 	}
 	r.entries++
 	if r.entries > r.selection.maxListed {
-		return &subset.TooManyError{What: "entries", Have: r.entries, Most: r.selection.maxListed}
+		return &subset.TooManyError{What: "entries", Count: r.entries, Max: r.selection.maxListed}
 	}
 	if r.entries%yieldInterval == 0 {
 		runtime.Gosched() // a long list would hold up requests on a machine of few cores
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -117,15 +117,15 @@
 // bounded has every told update hold the stated number of servers at most.
 func (s *subsetWatch) bounded(t *testing.T, cfg subset.Config) {
 	t.Helper()
-	require.LessOrEqual(t, len(s.shown), cfg.ChosenMost())
+	require.LessOrEqual(t, len(s.shown), cfg.MaxChosen())
 }
 
-var small = subset.Config{Most: 20, ZoneLeast: subset.NoZoneFloor, ListMost: 100}
+var small = subset.Config{MaxServers: 20, MinPerZone: subset.NoZoneMinimum, MaxListed: 100}
 
 // A list of 85,000 entries, over 4 MB and indented, ends in a subset of some 200; a change that does not
 // concern the node is not told to it, and one that does is a few entries.
 func TestListAtTheTargetSizeEndsInASubset(t *testing.T) {
-	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
+	cfg := subset.Config{MaxServers: 200, MinPerZone: 2, MaxListed: 131072}
 	all := servers(85_000)
 	for _, indent := range []string{"", "  "} {
 		text := list(t, Update{Rev: 7, All: true, Targets: all}, indent)
@@ -168,7 +168,7 @@
 // The server set of the target's size, with what the watcher holds beside it, takes under 16 MB of the
 // heap: the budget of a node is 128 MB, and an eighth of it is the set's.
 func TestHeapOfTheWholeList(t *testing.T) {
-	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
+	cfg := subset.Config{MaxServers: 200, MinPerZone: 2, MaxListed: 131072}
 	d := &body{}
 	addr := d.start(t)
 	s := startSubset(t, addr, cfg, Update{})
--- a/internal/testbed/scale/outage/servers.go
+++ b/internal/testbed/scale/outage/servers.go
@@ -26,7 +26,7 @@
 )
 
 // subsetMost is the size of the window that the events are simulated with.
-const subsetMost = subset.DefaultMost
+const subsetMost = subset.DefaultMaxServers
 
 // serverList is the list of all servers, and their order on the ring of fleet/subset. All hollow nodes
 // share it.
@@ -72,7 +72,7 @@
 
 // newSet returns a node's set over a part of the list.
 func newSet(node int, servers []subset.Server) (*subset.Set, error) {
-	set, err := subset.New(subset.Config{Node: node, Most: subsetMost})
+	set, err := subset.New(subset.Config{Node: node, MaxServers: subsetMost})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/virtual/virtual.go
+++ b/internal/testbed/virtual/virtual.go
@@ -145,7 +145,7 @@
 	var part *counts
 	if p.win != nil {
 		if p.inside(n) {
-			p.win.demand.Saw(p.now, uint64(a.Customer), float64(a.Units))
+			p.win.demand.Observe(p.now, uint64(a.Customer), float64(a.Units))
 		}
 		if part = p.win.at(p.now, p.inside(n)); part != nil && !passes {
 			part.saw(p.truth, a.Customer, p.now, float64(a.Units), false, false)
--- a/internal/testbed/virtual/window.go
+++ b/internal/testbed/virtual/window.go
@@ -25,8 +25,8 @@
 	gone    bool
 	resting bool // the hall's nodes own nothing
 	demand  *prefetch.Demand
-	ledgers map[int]*prefetch.Ledger
-	purses  map[int]*prefetch.Purse
+	ledgers map[int]*prefetch.Account
+	purses  map[int]*prefetch.LocalBucket
 	loans   int
 	lent    float64
 	unspent float64
@@ -49,7 +49,7 @@
 	for _, e := range d.Faults {
 		if e.Kind == "split" && len(e.Targets) > 0 {
 			return &window{span: e, zone: e.Targets[0], demand: prefetch.NewDemand(0, 20000, 0),
-				ledgers: make(map[int]*prefetch.Ledger), purses: make(map[int]*prefetch.Purse)}
+				ledgers: make(map[int]*prefetch.Account), purses: make(map[int]*prefetch.LocalBucket)}
 		}
 	}
 	return nil
@@ -89,8 +89,8 @@
 func (p *play) plan(all []ratelimit.Peer) {
 	w := p.win
 	if p.way == Provided {
-		p.after(w.span.At-prefetch.Margin-handAhead, func() { p.handOut(all) })
-		p.after(w.span.At-prefetch.Margin, p.lend)
+		p.after(w.span.At-prefetch.FetchMargin-handAhead, func() { p.handOut(all) })
+		p.after(w.span.At-prefetch.FetchMargin, p.lend)
 	}
 	if p.way != Uncut {
 		p.after(w.span.At, func() { w.gone = true; p.members(all) })
@@ -132,21 +132,21 @@
 // lend has each customer's owner lend the hall what it is expected to ask in the window.
 func (p *play) lend() {
 	w := p.win
-	length := w.span.For + prefetch.Margin + prefetch.Late
+	length := w.span.For + prefetch.FetchMargin + prefetch.MaxLateStart
 	for i := range p.d.Customers {
-		expect, spare := w.demand.Expect(p.now, uint64(i), prefetch.Margin, w.span.For)
+		expect, spare := w.demand.Expect(p.now, uint64(i), prefetch.FetchMargin, w.span.For)
 		q, owner := p.quota(i), p.owners[i]
 		if expect == 0 || owner < 0 { // all of its set is in the hall
 			continue
 		}
-		l := prefetch.NewLedger(uint64(i), p.now)
-		whole := prefetch.Part{Depth: q.Burst, Rate: q.Rate}
+		l := prefetch.NewAccount(uint64(i), p.now)
+		whole := prefetch.Bucket{Burst: q.Burst, Rate: q.Rate}
 		c, now := &p.d.Customers[i], p.now+p.nodes[owner].skew
 		if k, ok := p.nodes[owner].Level(now, uint64(i)+1, uint32(c.Plan), ratelimit.NodeRange{First: c.First, Count: c.Spread}); ok {
-			whole.Units = k.Tokens
+			whole.Tokens = k.Tokens
 		}
-		want := prefetch.Size(expect, spare, whole, w.span.For)
-		loan, take, err := l.Lend(p.now, prefetch.ID{Edge: w.zone, Life: 1, Seq: uint32(i) + 1}, want, length, whole)
+		want := prefetch.SizeReservation(expect, spare, whole, w.span.For)
+		loan, take, err := l.Reserve(p.now, prefetch.ID{Edge: w.zone, Incarnation: 1, Seq: uint32(i) + 1}, want, length, whole)
 		if err != nil {
 			continue
 		}
@@ -163,7 +163,7 @@
 func (p *play) accrue() {
 	for i := range p.d.Customers {
 		if l := p.win.ledgers[i]; l != nil {
-			if take := l.Accrue(p.now); take > 0 {
+			if take := l.Advance(p.now); take > 0 {
 				p.told(p.owners[i], i, take, false)
 			}
 		}
@@ -190,14 +190,14 @@
 		}
 		unspent := x.Close(p.now)
 		p.win.unspent += unspent
-		if put := l.Return(p.now, x.ID(), unspent); put > 0 {
+		if put := l.Release(p.now, x.ID(), unspent); put > 0 {
 			p.told(p.owners[i], i, -put, true)
 		}
 	}
 }
 
 // purse gives what the hall was lent of a customer's store, while it is for a node to use.
-func (p *play) purse(n, customer int) *prefetch.Purse {
+func (p *play) purse(n, customer int) *prefetch.LocalBucket {
 	if p.win == nil || !p.win.gone || !p.inside(n) {
 		return nil
 	}
