--- a/fleet/prefetch/calendar.go
+++ b/fleet/prefetch/calendar.go
@@ -13,45 +13,45 @@
 
 const (
 	maxSites         = 256
-	maxWindows       = 32 // of a site
+	maxWindows       = 32 // of one site
 	maxWindowLength  = 24 * time.Hour
 	maxPeriod        = 366 * 24 * time.Hour
-	maxYear          = 2200 // Unix time in ns overflows in 2262
+	maxYear          = 2200 // a year well before 2262, in which Unix time in ns overflows an int64
 	maxCalendarBytes = 64 << 10
-	maxMergeSteps    = 4 * maxWindows // windows that are looked at to find the next
+	maxMergeSteps    = 4 * maxWindows // steps of merging overlapping windows into one outage
 )
 
-// Window is a time for which a site's link is gone, once or again and again.
+// Window is a period without the uplink of a site, either single or recurring.
 type Window struct {
-	FirstStart    time.Time `toml:"first"`   // begin
-	LengthSeconds float64   `toml:"for_s"`   // length, s
-	PeriodSeconds float64   `toml:"every_s"` // from one begin to the next, s; 0 is once
-	Probability   float64   `toml:"sure"`    // how likely it comes, above 0 to 1; 0 is as 1
+	FirstStart    time.Time `toml:"first"`   // start of the first occurrence
+	LengthSeconds float64   `toml:"for_s"`   // length of each occurrence, s
+	PeriodSeconds float64   `toml:"every_s"` // time from one start to the next, s; 0 means a single occurrence
+	Probability   float64   `toml:"sure"`    // probability that the link is lost, from 0 to 1; 0 means 1
 }
 
-// Site is an edge site whose link goes at known times.
+// Site is an edge site with planned outages of its uplink.
 type Site struct {
 	Nodes   []string // names of its edge nodes
 	Windows []Window
 }
 
-// Calendar is when links go, by the site's name.
+// Calendar holds the sites with planned outages, by site name.
 type Calendar map[string]Site
 
-// Span is a time without the link, from several windows where they overlap.
+// Outage is a planned time without the uplink. Overlapping windows form one outage.
 type Outage struct {
 	Start, End  time.Duration // fleet time
-	Probability float64       // the likeliest of its windows
+	Probability float64       // highest probability among its windows
 }
 
-// Length is how long the span lasts.
-func (s Outage) Length() time.Duration { return s.End - s.Start }
+// Length returns the duration of the outage.
+func (o Outage) Length() time.Duration { return o.End - o.Start }
 
-// ParseCalendar reads the calendar of a rule set: a TOML document with a table for each site. Its
-// error is a *CalendarError, which names the key.
+// ParseCalendar decodes and validates the calendar of a rule set, a TOML document with a table for each
+// site. The error is a *CalendarError, which names the key.
 func ParseCalendar(text []byte) (Calendar, error) {
 	if len(text) > maxCalendarBytes {
-		return nil, &CalendarError{Key: "document", Reason: fmt.Sprintf("%d bytes, %d are the most", len(text), maxCalendarBytes)}
+		return nil, &CalendarError{Key: "document", Reason: fmt.Sprintf("%d bytes, at most %d are allowed", len(text), maxCalendarBytes)}
 	}
 	c := Calendar{}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&c); err != nil {
@@ -64,37 +64,37 @@
 	return c, c.Validate()
 }
 
-// Check tells what can't be used.
+// Validate returns a *CalendarError for the first invalid value, with sites in the order of their names.
 func (c Calendar) Validate() error {
 	if len(c) > maxSites {
-		return &CalendarError{Key: "sites", Reason: fmt.Sprintf("%d, %d are the most", len(c), maxSites)}
+		return &CalendarError{Key: "sites", Reason: fmt.Sprintf("%d sites, at most %d are allowed", len(c), maxSites)}
 	}
 	siteByNode := map[string]string{}
 	for _, name := range slices.Sorted(siteNames(c)) {
 		site := c[name]
 		if len(site.Nodes) == 0 {
-			return &CalendarError{name, "nodes", "there are none"}
+			return &CalendarError{name, "nodes", "the site has no nodes"}
 		}
 		for _, node := range site.Nodes {
 			if siteByNode[node] != "" {
-				return &CalendarError{name, "nodes", fmt.Sprintf("%q is in site %q as well", node, siteByNode[node])}
+				return &CalendarError{name, "nodes", fmt.Sprintf("%q is also in site %q", node, siteByNode[node])}
 			}
 			siteByNode[node] = name
 		}
 		if len(site.Windows) > maxWindows {
-			return &CalendarError{name, "windows", fmt.Sprintf("%d, %d are the most", len(site.Windows), maxWindows)}
+			return &CalendarError{name, "windows", fmt.Sprintf("%d windows, at most %d are allowed", len(site.Windows), maxWindows)}
 		}
 		for i, w := range site.Windows {
 			key := func(field string) string { return fmt.Sprintf("windows.%d.%s", i, field) }
 			switch length, period := w.length(), w.period(); {
 			case w.FirstStart.Year() < 1970 || w.FirstStart.Year() > maxYear:
-				return &CalendarError{name, key("first"), fmt.Sprintf("no time from 1970 to %d", maxYear)}
+				return &CalendarError{name, key("first"), fmt.Sprintf("the year is not in 1970 to %d", maxYear)}
 			case !(w.LengthSeconds > 0) || w.LengthSeconds > maxWindowLength.Seconds():
-				return &CalendarError{name, key("for_s"), fmt.Sprintf("%g is not above 0 and at most %g", w.LengthSeconds, maxWindowLength.Seconds())}
+				return &CalendarError{name, key("for_s"), fmt.Sprintf("%g is not greater than 0 and at most %g", w.LengthSeconds, maxWindowLength.Seconds())}
 			case !(w.PeriodSeconds >= 0) || w.PeriodSeconds > maxPeriod.Seconds() || (period > 0 && period <= length):
-				return &CalendarError{name, key("every_s"), fmt.Sprintf("%g is neither 0 nor over for_s and at most %g", w.PeriodSeconds, maxPeriod.Seconds())}
+				return &CalendarError{name, key("every_s"), fmt.Sprintf("%g is neither 0 nor greater than for_s and at most %g", w.PeriodSeconds, maxPeriod.Seconds())}
 			case !(w.Probability >= 0 && w.Probability <= 1):
-				return &CalendarError{name, key("sure"), fmt.Sprintf("%g is no part of 1", w.Probability)}
+				return &CalendarError{name, key("sure"), fmt.Sprintf("%g is not in 0 to 1", w.Probability)}
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-// SiteOf gives the site of a node, if it is of one.
+// SiteOf returns the site that lists a node and its name. ok is false if none does.
 func (c Calendar) SiteOf(node string) (name string, s Site, ok bool) {
 	for name, s := range c {
 		if slices.Contains(s.Nodes, node) {
@@ -125,7 +125,7 @@
 
 func (w Window) period() time.Duration { return time.Duration(w.PeriodSeconds * float64(time.Second)) }
 
-// next gives the window's first occurrence that ends after at.
+// next returns the window's first occurrence that ends after a fleet time.
 func (w Window) next(at time.Duration) (Outage, bool) {
 	probability := w.Probability
 	if probability == 0 {
@@ -141,8 +141,9 @@
 	return Outage{start, start + w.length(), probability}, start+w.length() > at
 }
 
-// Next gives the first time without the link that ends after at; windows that overlap, or follow on
-// each other within gap, are one. It lasts lengthMost at most.
+// Next returns the first outage that ends after a fleet time. Windows that overlap, or of which one starts
+// at most gap after another ends, form one outage, which is cut to maxWindowLength. ok is false if the
+// calendar has no later outage.
 func (s Site) Next(at, gap time.Duration) (next Outage, ok bool) {
 	for _, w := range s.Windows {
 		if candidate, found := w.next(at); found && (!ok || candidate.Start < next.Start) {
@@ -152,7 +153,7 @@
 	for range maxMergeSteps {
 		extended := false
 		for _, w := range s.Windows {
-			// An occurrence that ends later than what there is, and begins no later than it ends.
+			// The occurrence extends the outage if it starts by its end, plus gap, and ends later.
 			candidate, found := w.next(next.End)
 			if found && candidate.Start <= next.End+gap && candidate.End > next.End {
 				next.End, next.Probability, extended = candidate.End, max(next.Probability, candidate.Probability), true
--- a/fleet/prefetch/choose.go
+++ b/fleet/prefetch/choose.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// Margin is how long before a window all that is fetched is to be there.
+	// FetchMargin is the time before an outage by which all fetches have to be complete.
 	FetchMargin = 2 * time.Second
 
 	maxItems = 4096
 )
 
-// Item is something that can be fetched.
+// Item is a piece of data that can be fetched before an outage.
 type Item struct {
 	Key       uint64
-	Value     float64       // that it is expected to save in the window
-	Bytes     int           // on the link, with the question
-	Source    int           // that has it
-	MaxAge    time.Duration // age from which it is useless; 0 is never
-	NeededFor time.Duration // into the window, by which it must be useful still
+	Value     float64       // expected benefit during the outage, in units that all items share
+	Bytes     int           // size on the link, including the request
+	Source    int           // index of the node to fetch it from
+	MaxAge    time.Duration // age at which it becomes useless; 0 means no limit
+	NeededFor time.Duration // time after the start of the outage until which it has to be usable
 }
 
-// Fetch is an item with the time by which it is to be begun.
+// Fetch is an item with the latest local times at which its fetch starts and completes.
 type Fetch struct {
 	Item
 	StartAt, DoneAt time.Duration
 }
 
-// Link is what may be used to fetch.
+// Link is the bandwidth and volume available for fetching.
 type Link struct {
-	BytesPerSecond float64 // bytes a second
-	MaxBytes       int     // in all
+	BytesPerSecond float64
+	MaxBytes       int // total of all fetches
 }
 
-// Choose gives what to fetch before a window that begins at from, in the order and at the times in
-// which to do it, on the clock of now. The densest worth goes first, while it can be had: what is
-// fetched is all done Margin before the window, and nothing so early that it is useless in it. What
-// lasts longest is fetched first, what ages fastest last.
+// Choose plans the fetches before an outage that starts at the local time outageStart. It returns them in
+// the order of their start times, and the items that it skipped. Items with the highest value per byte are
+// accepted first, as far as all fetches complete FetchMargin before the outage and none starts so early
+// that its item would expire too soon. Items that stay usable longest are fetched first.
 //
-// With one link and one time by which all is done, a choice can be had if, for each time, what may
-// not begin before it fits between it and the end; so items are added one by one where that holds.
-func Choose(now, windowStart time.Duration, link Link, items []Item) (plan []Fetch, skipped []Item) {
-	deadline := windowStart - FetchMargin
+// With one link and a common deadline, a set of items is feasible if, for each earliest start time, all
+// items that may not start before it fit between it and the deadline. Items are therefore accepted one by
+// one while that holds.
+func Choose(now, outageStart time.Duration, link Link, items []Item) (plan []Fetch, skipped []Item) {
+	deadline := outageStart - FetchMargin
 	if len(items) > maxItems {
 		items, skipped = items[:maxItems], slices.Clone(items[maxItems:])
 	}
@@ -51,17 +52,17 @@
 	slices.SortStableFunc(byDensity, func(a, b Item) int {
 		return cmp.Or(cmp.Compare(b.Value*float64(a.Bytes), a.Value*float64(b.Bytes)), cmp.Compare(a.Key, b.Key))
 	})
-	// release is the earliest time at which an item fetched is useful for as long as it must be.
+	// earliestStart returns the time before which an item must not be fetched, as it would expire too soon.
 	earliestStart := func(item Item) time.Duration {
 		if item.MaxAge == 0 {
 			return now
 		}
-		return max(now, windowStart+item.NeededFor-item.MaxAge)
+		return max(now, outageStart+item.NeededFor-item.MaxAge)
 	}
 	transferTime := func(item Item) time.Duration {
 		return time.Duration(float64(item.Bytes) / link.BytesPerSecond * float64(time.Second))
 	}
-	var accepted []Fetch // by release, the latest first; Done is the time at which its fetch ends at the latest
+	var accepted []Fetch // by earliest start, latest first
 	budget := link.MaxBytes
 	for _, item := range byDensity {
 		if item.Value <= 0 || item.Bytes <= 0 || item.Bytes > budget || !(link.BytesPerSecond > 0) {
@@ -69,7 +70,7 @@
 			continue
 		}
 		earliest := earliestStart(item)
-		index, _ := slices.BinarySearchFunc(accepted, earliest, func(f Fetch, r time.Duration) int { return cmp.Compare(r, earliestStart(f.Item)) })
+		index, _ := slices.BinarySearchFunc(accepted, earliest, func(f Fetch, target time.Duration) int { return cmp.Compare(target, earliestStart(f.Item)) })
 		if !fits(accepted, index, earliest, transferTime(item), deadline, earliestStart, transferTime) {
 			skipped = append(skipped, item)
 			continue
@@ -77,7 +78,7 @@
 		accepted = slices.Insert(accepted, index, Fetch{Item: item})
 		budget -= item.Bytes
 	}
-	// As late as can be: backwards from the end.
+	// Fetches are scheduled as late as possible, backwards from the deadline.
 	for i := range accepted {
 		accepted[i].DoneAt = deadline
 		deadline -= transferTime(accepted[i].Item)
@@ -87,7 +88,8 @@
 	return accepted, skipped
 }
 
-// fits tells whether one more item, put at a place among those taken, leaves each its time.
+// fits reports whether all items can still be fetched in time if one more, with the given earliest start
+// and transfer time, is inserted at an index of the accepted ones.
 func fits(accepted []Fetch, index int, earliest, transfer, deadline time.Duration, earliestStart, transferTime func(Item) time.Duration) bool {
 	for _, f := range accepted[:index] {
 		deadline -= transferTime(f.Item)
@@ -107,35 +109,35 @@
 
 const (
 	maxEdges          = 256
-	maxQueuedRequests = 4096 // questions of one edge that wait
+	maxQueuedRequests = 4096 // queued requests of one edge
 )
 
-// Source shares what one node gives to edges that go: a stated part of its link, so that ordinary
-// talk keeps the rest, and of that the edge whose window is next first, but no edge more than half
-// while others wait. Not safe for concurrent use.
+// Source schedules a node's answers to edges that fetch before an outage. It limits them to a fixed
+// bandwidth, so that other traffic keeps the rest of the link. The edge whose outage starts first is served
+// first, but not more than twice in a row while others wait. It is not safe for concurrent use.
 type Source struct {
-	bytesPerSecond float64 // bytes a second for all edges
-	tokens         float64 // bytes that may go now
+	bytesPerSecond float64 // bandwidth for all edges, bytes/s
+	tokens         float64 // bytes that may be sent now; negative after a large answer
 	updatedAt      time.Duration
 	edges          map[int]*queue
-	lastServed     int // edge served last
+	lastServed     int // edge that was served last; -1 if none
 	servedTwice    bool
 }
 
-// queue is what one edge waits for.
+// queue holds the requests of one edge that are not answered yet.
 type queue struct {
-	windowStart time.Duration // begin of its window
+	outageStart time.Duration // start of the edge's outage
 	sizes       []int
 }
 
-// NewSource makes one that gives so many bytes a second to edges.
+// NewSource returns a source that sends at most bytesPerSecond to all edges together.
 func NewSource(bytesPerSecond float64, now time.Duration) *Source {
 	return &Source{bytesPerSecond: bytesPerSecond, updatedAt: now, edges: make(map[int]*queue), lastServed: -1}
 }
 
-// Ask takes a question of an edge whose window begins at from. It tells false where it has no room
-// for one more: the edge asks another source or later.
-func (s *Source) Enqueue(edge int, windowStart time.Duration, bytes int) bool {
+// Enqueue adds a request, for an answer of a size in bytes, of an edge whose outage starts at outageStart.
+// It returns false if the queue is full; the edge then has to ask another source, or later.
+func (s *Source) Enqueue(edge int, outageStart time.Duration, bytes int) bool {
 	q := s.edges[edge]
 	if q == nil {
 		if len(s.edges) >= maxEdges {
@@ -147,17 +149,17 @@
 	if len(q.sizes) >= maxQueuedRequests {
 		return false
 	}
-	q.windowStart, q.sizes = windowStart, append(q.sizes, bytes)
+	q.outageStart, q.sizes = outageStart, append(q.sizes, bytes)
 	return true
 }
 
-// Drop forgets what an edge waits for: its link is gone.
+// Drop discards the requests of an edge, for example when its uplink is lost.
 func (s *Source) Drop(edge int) { delete(s.edges, edge) }
 
-// Next gives the edge to be answered now, or when to ask again; ok is false where nobody waits.
-// The answers of an edge go in the order of its questions.
+// Next returns the edge to answer now, in the order of its requests. If the bandwidth is used up, edge is -1
+// and retryAt is the time at which to call again. ok is false if no edge waits.
 func (s *Source) Next(now time.Duration) (edge int, retryAt time.Duration, ok bool) {
-	burst := max(s.bytesPerSecond/10, 1500) // a tenth of a second, a datagram at least
+	burst := max(s.bytesPerSecond/10, 1500) // the bytes of 0.1 s, but at least one datagram
 	s.tokens = min(burst, s.tokens+s.bytesPerSecond*(now-s.updatedAt).Seconds())
 	s.updatedAt = now
 	if len(s.edges) == 0 {
@@ -179,7 +181,7 @@
 	if s.tokens < 0 {
 		return -1, now + time.Duration(-s.tokens/s.bytesPerSecond*float64(time.Second)) + time.Millisecond, true
 	}
-	s.tokens -= float64(q.sizes[0]) // one answer may go into debt, so that a large one goes at all
+	s.tokens -= float64(q.sizes[0]) // may become negative, so that an answer larger than the burst can be sent
 	q.sizes = q.sizes[1:]
 	if len(q.sizes) == 0 {
 		delete(s.edges, best)
@@ -189,5 +191,5 @@
 }
 
 func servedBefore(a *queue, edgeA int, b *queue, edgeB int) bool {
-	return a.windowStart < b.windowStart || (a.windowStart == b.windowStart && edgeA < edgeB)
+	return a.outageStart < b.outageStart || (a.outageStart == b.outageStart && edgeA < edgeB)
 }
--- a/fleet/prefetch/clock.go
+++ b/fleet/prefetch/clock.go
@@ -3,22 +3,25 @@
 import "time"
 
 const (
-	maxClockDrift = 200e-6 // by which a machine's clock may run fast or slow, in parts of one
+	maxClockDrift = 200e-6 // maximum rate error of a machine's clock in either direction, as a fraction
 	maxRoundTrip  = 2 * time.Second
-	maxReadingAge = 10 * time.Minute // after which a new reading goes before one that is nearer
+	maxReadingAge = 10 * time.Minute // age after which a new reading replaces a more precise one
 )
 
-// Clock turns the own monotonic clock into fleet time. It asks nobody: a reading is a round trip to
-// a voter, and fleet time lay between its two ends when the voter answered (Cristian's algorithm).
+// Clock converts between the local monotonic clock and fleet time. The caller supplies readings: round
+// trips to a voter, which reads fleet time between the two ends of the trip (Cristian's algorithm). The
+// zero Clock has no reading; its conversions are meaningless until Known returns true.
 type Clock struct {
-	fleetTime time.Duration // fleet time in the middle of the trip
-	localTime time.Duration // own time in the middle of the trip
-	halfTrip  time.Duration // of the trip
+	fleetTime time.Duration // fleet time in the middle of the round trip
+	localTime time.Duration // local time in the middle of the round trip
+	halfTrip  time.Duration // half of the round trip
 	known     bool
 }
 
-// Read takes a round trip: the own times at which the question went and the answer came, and the
-// fleet time in it. It tells whether the reading is used: the one with the least error is.
+// AddReading adds a round trip: the local times at which the request was sent and the reply received, and
+// the fleet time in the reply. It reports whether the reading is used. A reading that took longer than
+// maxRoundTrip is discarded, and so is one that is no more precise than the present one, unless that is
+// older than maxReadingAge.
 func (c *Clock) AddReading(sentAt, receivedAt, fleetTime time.Duration) bool {
 	roundTrip := receivedAt - sentAt
 	if roundTrip < 0 || roundTrip > maxRoundTrip {
@@ -31,17 +34,17 @@
 	return true
 }
 
-// Known tells whether there was a reading.
+// Known reports whether the clock has a reading.
 func (c *Clock) Known() bool { return c.known }
 
-// At gives fleet time and by how much it may be wrong, either way: half of the round trip, and what
-// the clock may have drifted since.
+// FleetTime converts a local time to fleet time. maxError bounds the error in either direction: half of
+// the round trip plus the possible drift since then.
 func (c *Clock) FleetTime(now time.Duration) (fleetTime, maxError time.Duration) {
 	elapsed := now - c.localTime
 	return c.fleetTime + elapsed, c.halfTrip + time.Duration(maxClockDrift*float64(max(elapsed, -elapsed)))
 }
 
-// Now gives the own time of a fleet time, and by how much it may be wrong.
+// LocalTime converts a fleet time to local time, and returns the maximum error in either direction.
 func (c *Clock) LocalTime(fleetTime time.Duration) (now, maxError time.Duration) {
 	now = c.localTime + fleetTime - c.fleetTime
 	_, maxError = c.FleetTime(now)
--- a/fleet/prefetch/demand.go
+++ b/fleet/prefetch/demand.go
@@ -8,56 +8,65 @@
 )
 
 const (
-	phaseCount         = 12               // parts of a cycle that are learnt apart
-	retainedPerCycle   = 0.7              // of what a part of the cycle has taught, that stays to the next cycle
-	recentTimeConstant = 2 * time.Minute  // over which the present rate of a customer is reckoned
-	marginRoots        = 4                // two deviations of what requests of some four units ask, in roots of the units
-	minObservation     = 10 * time.Second // of watching, below which a rate is taken for that of so long
+	// phaseCount is the number of phases of a cycle. Each has an estimate of its own.
+	phaseCount = 12
+	// retainedPerCycle is the weight that past observations of a phase keep in each further cycle.
+	retainedPerCycle = 0.7
+	// recentTimeConstant is the time constant of the decay of a tenant's present rate.
+	recentTimeConstant = 2 * time.Minute
+	// marginRoots is the margin in square roots of the expected tokens: two standard deviations for requests
+	// of about four tokens each.
+	marginRoots = 4
+	// minObservation is the minimum time by which recent tokens are divided. Without it a tenant's first
+	// request would make a high rate.
+	minObservation = 10 * time.Second
 )
 
-// Demand learns what customers ask at this edge, by part of the cycle in which its windows recur.
-// It remembers so many customers at most; beyond it the one met longest ago is forgotten.
+// Demand estimates the tokens that tenants request at this edge, separately for each phase of the cycle
+// in which its outages recur. It holds a limited number of tenants and evicts the least recently used one.
 type Demand struct {
-	cycle     time.Duration // 0 is none: the present rate alone
+	cycle     time.Duration // 0 means no cycle: estimates use the present rate only
 	tenants   *simplelru.LRU[uint64, *tenantDemand]
 	startedAt time.Duration
 }
 
-// asked is one customer's units.
+// tenantDemand holds the observations of one tenant.
 type tenantDemand struct {
 	phases       [phaseCount]phaseDemand
-	recentTokens float64 // units, each weighed down with its age by recentSpan
+	recentTokens float64 // tokens, weighted by an exponential decay with recentTimeConstant
 	updatedAt    time.Duration
 	firstSeenAt  time.Duration
 }
 
-// part is what one part of the cycle has taught: units and the time in which they were asked, both
-// weighed down by each cycle.
+// phaseDemand holds the observations of one phase of the cycle: tokens and the time in which they were
+// requested. Both are weighted down by each further cycle.
 type phaseDemand struct {
 	tokens, seconds float64
-	cycle           int64 // cycle in which it was last touched
+	cycle           int64 // number of the cycle in which it was last updated
 }
 
-// NewDemand makes one for so many customers. now begins what is learnt.
+// NewDemand returns an estimator for at most maxTenants tenants, whose first cycle starts now. A cycle of
+// less than one second per phase, such as 0, disables the estimates by phase.
 func NewDemand(cycle time.Duration, maxTenants int, now time.Duration) *Demand {
 	tenants, err := simplelru.NewLRU[uint64, *tenantDemand](max(1, maxTenants), nil)
-	if err != nil { // of a size below one alone
+	if err != nil { // only for a size below 1
 		panic(err)
 	}
 	return &Demand{cycle: cycle, tenants: tenants, startedAt: now}
 }
 
-// Len is how many customers are remembered.
+// Len returns the number of tenants held.
 func (d *Demand) Len() int { return d.tenants.Len() }
 
-// place gives the cycle and the part of it that a time is in, and how far it is into that part, s.
+// position returns the number of the cycle and the phase that a time is in, and the seconds since that
+// phase started.
 func (d *Demand) position(now time.Duration) (cycle int64, phase int, secondsInto float64) {
 	width := d.cycle / phaseCount
 	elapsed := now - d.startedAt
 	return int64(elapsed / d.cycle), int(elapsed % d.cycle / width), (elapsed % width).Seconds()
 }
 
-// Saw takes units that a customer has asked for, let in or not.
+// Observe records tokens that a tenant has requested, whether or not they were admitted.
 func (d *Demand) Observe(now time.Duration, tenant uint64, tokens float64) {
 	demand, ok := d.tenants.Get(tenant)
 	if !ok {
@@ -78,8 +87,8 @@
 	p.tokens += tokens
 }
 
-// after gives a part when so many more cycles have come to it, the last of them without a request yet:
-// each weighs what was before down.
+// afterCycles returns the observations after a number of further cycles, without requests in them. Each
+// reduces the weight of earlier observations and adds the length of one phase, width, in seconds.
 func (p phaseDemand) afterCycles(cycles int64, width float64) phaseDemand {
 	if p.seconds == 0 {
 		return phaseDemand{seconds: width, cycle: p.cycle}
@@ -88,8 +97,8 @@
 	return phaseDemand{p.tokens * retained, p.seconds*retained + width*(1-retained)/(1-retainedPerCycle), p.cycle}
 }
 
-// rate is what a customer is taken to ask in a part of the cycle, units a second: what past cycles
-// taught, with a little of the present rate; where they taught nothing, the present rate.
+// tokensPerSecond returns the expected rate of a tenant in a phase: the mean of past cycles with a small
+// weight of the present rate. It is the present rate if the phase has no observations or is negative.
 func (d *Demand) tokensPerSecond(demand *tenantDemand, now time.Duration, phase int) float64 {
 	observed := math.Max(minObservation.Seconds(), math.Min(recentTimeConstant.Seconds(), (now-demand.firstSeenAt).Seconds()))
 	present := demand.recentTokens * math.Exp(-(now-demand.updatedAt).Seconds()/recentTimeConstant.Seconds()) / observed
@@ -98,18 +107,18 @@
 	}
 	p, width := demand.phases[phase], (d.cycle / phaseCount).Seconds()
 	cycle, currentPhase, secondsInto := d.position(now)
-	if idleCycles := cycle - p.cycle - 1; idleCycles > 0 { // without a request
+	if idleCycles := cycle - p.cycle - 1; idleCycles > 0 { // cycles without a request
 		p = p.afterCycles(idleCycles, width)
 	}
-	if demand.phases[phase].cycle == cycle && currentPhase == phase { // this part is not over
+	if demand.phases[phase].cycle == cycle && currentPhase == phase { // the phase has not ended yet
 		p.seconds -= width - secondsInto
 	}
-	const recentWeight = 10.0 // s that the present counts for beside what past cycles taught
+	const recentWeight = 10.0 // weight of the present rate, in seconds of observation
 	return (p.tokens + present*recentWeight) / (math.Max(p.seconds, 0) + recentWeight)
 }
 
-// Expect gives the units that a customer is taken to ask in a span that begins in so long, and for
-// how much more than that it should be ready.
+// Expect returns the tokens that a tenant is expected to request in a period that starts in startsIn and
+// lasts length, and the margin to add for the variation of demand. Both are 0 for an unknown tenant.
 func (d *Demand) Expect(now time.Duration, tenant uint64, startsIn, length time.Duration) (tokens, margin float64) {
 	demand, ok := d.tenants.Peek(tenant)
 	if !ok {
@@ -129,5 +138,5 @@
 	return tokens, marginRoots * math.Sqrt(tokens)
 }
 
-// Customers gives those remembered, the one met longest ago first.
+// Tenants returns the tenants held, least recently observed first.
 func (d *Demand) Tenants() []uint64 { return d.tenants.Keys() }
--- a/fleet/prefetch/doc.go
+++ b/fleet/prefetch/doc.go
@@ -1,13 +1,15 @@
-// Package prefetch is the pure part of getting an edge ready for a time in which it is alone. Some
-// sites lose the link to the rest of the fleet at known times: a satellite passes, a leased line has
-// windows. Their own hall's rating servers stay; peers, owners of customers' stores and the council
-// are gone. What is fetched ahead is what a node needs to go on deciding well alone.
+// Package prefetch prepares an edge site for a planned outage of its uplink. Some sites lose the link to
+// the rest of the fleet at known times, for example between satellite passes or outside the windows of a
+// leased line. During such an outage a node still reaches the rating servers of its own site, but not its
+// peers, the owners of tenants' token buckets, or the consensus group. It therefore fetches what it needs
+// to admit requests on its own, and reserves tokens at the owners, before the outage starts.
 //
-// A Calendar tells when the link goes, a Demand what customers will ask meanwhile, Choose what to
-// fetch and when, a Ledger at the owner and a Purse at the edge hold the units that are lent, and an
-// Uplink is the state of all that, with a reason for each change.
+// A Calendar lists the outages of each site. A Demand estimates the tokens that tenants will request
+// during one. Choose plans what to fetch and when, and a Source divides a node's bandwidth among the
+// edges that fetch from it. An Account at the owner and a LocalBucket at the edge hold reserved tokens.
+// An Uplink is the state machine of the link and reports a reason for each change of state.
 //
-// It has no clock, no socket and no goroutine. A time.Duration named now is on the caller's own
-// monotonic clock; one named at is fleet time, which is Unix time as the council's clock has it, and
-// a Clock turns one into the other.
+// The package reads no clock, opens no socket and starts no goroutine. Times are of two kinds: local time
+// is the caller's own monotonic clock, and fleet time is Unix time according to the consensus group. A
+// parameter named now is local time. A Clock converts between the two.
 package prefetch
--- a/fleet/prefetch/golden_test.go
+++ b/fleet/prefetch/golden_test.go
@@ -24,7 +24,8 @@
 	return v, cbor.Unmarshal(raw, v)
 }
 
-// The name of a loan, a loan with its part of a store, and what the disk has of one have the recorded bytes.
+// Guards against a change of the encoding of reservations and checkpoints, which nodes of other versions and
+// stored checkpoints rely on.
 func TestReservationsAreEncodedAsRecorded(t *testing.T) {
 	golden.RoundTrip(t, "id", encodeAs[ID], decodeAs[ID])
 	golden.RoundTrip(t, "part", encodeAs[Bucket], decodeAs[Bucket])
@@ -32,7 +33,7 @@
 	golden.RoundTrip(t, "kept", encodeAs[Checkpoint], decodeAs[Checkpoint])
 }
 
-// A calendar with every key is read as recorded.
+// Guards against a key of the calendar that is renamed or no longer read.
 func TestCalendarIsReadAsRecorded(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	require.NoError(t, err)
@@ -48,20 +49,20 @@
 	golden.CheckText(t, "every-key", out.String())
 }
 
-// A key that a calendar does not have is refused, at each depth.
+// Guards against a misspelt key that is ignored silently, at each depth of the document.
 func TestCalendarRefusesUnknownKey(t *testing.T) {
 	for key, text := range map[string]string{
 		"hall-a.other":         "[hall-a]\nnodes = [\"n0\"]\nother = 1\n",
 		"hall-a.windows.other": "[hall-a]\nnodes = [\"n0\"]\n[[hall-a.windows]]\nfirst = 2026-12-01T00:00:00Z\nfor_s = 1.0\nother = 1\n",
 	} {
 		_, err := ParseCalendar([]byte(text))
-		var refused *CalendarError
-		require.ErrorAs(t, err, &refused)
-		require.Equal(t, key+": unknown key", refused.Key+": "+refused.Reason)
+		var calendarErr *CalendarError
+		require.ErrorAs(t, err, &calendarErr)
+		require.Equal(t, key+": unknown key", calendarErr.Key+": "+calendarErr.Reason)
 	}
 }
 
-// The states of an uplink have the recorded names, in the recorded order.
+// Guards against a renamed or reordered state of an uplink.
 func TestStateNamesAreAsRecorded(t *testing.T) {
 	text := ""
 	for s := Clear; s <= Surprised; s++ {
--- a/fleet/prefetch/prefetch_test.go
+++ b/fleet/prefetch/prefetch_test.go
@@ -11,18 +11,19 @@
 	"pgregory.net/rapid"
 )
 
-// The next window of a calendar, overlaps made one, is what a look at every moment finds.
+// Guards against errors in finding and merging windows: compares the next outage with a scan of the windows
+// second by second.
 func TestNextOutageMatchesScanOfEverySecond(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Site
 		for range rapid.IntRange(1, 4).Draw(t, "windows") {
-			w := Window{FirstStart: time.Unix(rapid.Int64Range(0, 100).Draw(t, "first"), 0), LengthSeconds: float64(rapid.IntRange(1, 20).Draw(t, "for"))}
+			w := Window{FirstStart: time.Unix(rapid.Int64Range(0, 100).Draw(t, "first"), 0), LengthSeconds: float64(rapid.IntRange(1, 20).Draw(t, "length"))}
 			if rapid.Bool().Draw(t, "repeats") {
-				w.PeriodSeconds = w.LengthSeconds + float64(rapid.IntRange(15, 60).Draw(t, "more"))
+				w.PeriodSeconds = w.LengthSeconds + float64(rapid.IntRange(15, 60).Draw(t, "gap"))
 			}
 			s.Windows = append(s.Windows, w)
 		}
-		down := func(sec int64) bool { // in the second that begins then
+		down := func(sec int64) bool { // reports whether the link is down in that second
 			for _, w := range s.Windows {
 				sinceStart := sec - w.FirstStart.Unix()
 				if w.PeriodSeconds > 0 && sinceStart >= 0 {
@@ -41,7 +42,7 @@
 			switch inside := ok && at >= next.Start && at < next.End; {
 			case ok && at >= next.End:
 				if at == next.End && next.Length() < 300*time.Second {
-					require.False(t, down(sec), "it ends at %v and goes on", next.End)
+					require.False(t, down(sec), "the outage ends at %v but a window continues", next.End)
 				}
 				return
 			default:
@@ -51,6 +52,7 @@
 	})
 }
 
+// Guards against an invalid calendar that is accepted, or an error that does not name the key to correct.
 func TestCalendarErrorNamesTheKey(t *testing.T) {
 	for text, key := range map[string]string{
 		"[a]\nnodes=['x']\nwindows=[{first=2300-01-01T00:00:00Z, for_s=60}]":                             "windows.0.first",
@@ -72,6 +74,7 @@
 	}
 }
 
+// Guards against a calendar that is accepted but leads to an invalid outage.
 func FuzzCalendar(f *testing.F) {
 	f.Add([]byte("[pass]\nnodes = ['n1']\nwindows = [{first = 2026-01-01T00:00:00Z, for_s = 60, every_s = 5400}]"), int64(1e18))
 	f.Fuzz(func(t *testing.T, text []byte, at int64) {
@@ -88,44 +91,45 @@
 	})
 }
 
-// Fleet time is within what the clock says of itself, whatever the trips take.
+// Guards against a reported maximum error that the fleet time exceeds, for any delays and drift.
 func TestClockErrorIsWithinReportedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Clock
-		offset := time.Duration(rapid.Int64Range(-int64(30*time.Second), int64(30*time.Second)).Draw(t, "off"))
+		offset := time.Duration(rapid.Int64Range(-int64(30*time.Second), int64(30*time.Second)).Draw(t, "offset"))
 		drift := rapid.Float64Range(-maxClockDrift, maxClockDrift).Draw(t, "drift")
 		fleetTime := func(now time.Duration) time.Duration { return now + offset + time.Duration(drift*float64(now)) }
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 20).Draw(t, "readings") {
 			now += time.Duration(rapid.Int64Range(0, int64(5*time.Minute)).Draw(t, "pause"))
-			requestDelay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "there"))
-			replyDelay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "back"))
+			requestDelay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "request delay"))
+			replyDelay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "reply delay"))
 			c.AddReading(now, now+requestDelay+replyDelay, fleetTime(now+requestDelay))
 			now += requestDelay + replyDelay
 			estimate, maxError := c.FleetTime(now)
 			if deviation := (estimate - fleetTime(now)).Abs(); deviation > maxError+time.Microsecond {
-				t.Fatalf("%v wrong, %v at most by its word", deviation, maxError)
+				t.Fatalf("fleet time is wrong by %v, the reported maximum is %v", deviation, maxError)
 			}
 		}
 	})
 }
 
-// What is chosen is there in time, fresh in its window, within the budget, and one at a time; and on
-// few items worth no less than half of the best choice.
+// Guards against plans that miss the deadline, fetch items that expire too soon, exceed the volume, or fetch
+// two items at once. For a few items the plan, or the best single item, has at least half of the value of
+// the best feasible set.
 func TestChosenFetchesMeetTheirTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var items []Item
 		for i := range rapid.IntRange(0, 9).Draw(t, "items") {
-			items = append(items, Item{Key: uint64(i), Value: float64(rapid.IntRange(0, 20).Draw(t, "worth")), Bytes: rapid.IntRange(1, 400).Draw(t, "bytes"),
-				MaxAge: time.Duration(rapid.IntRange(0, 30).Draw(t, "useful")) * time.Second, NeededFor: time.Duration(rapid.IntRange(0, 5).Draw(t, "until")) * time.Second})
+			items = append(items, Item{Key: uint64(i), Value: float64(rapid.IntRange(0, 20).Draw(t, "value")), Bytes: rapid.IntRange(1, 400).Draw(t, "bytes"),
+				MaxAge: time.Duration(rapid.IntRange(0, 30).Draw(t, "max age")) * time.Second, NeededFor: time.Duration(rapid.IntRange(0, 5).Draw(t, "needed for")) * time.Second})
 		}
-		now, windowStart := time.Hour, time.Hour+time.Duration(rapid.IntRange(1, 20).Draw(t, "in"))*time.Second
+		now, outageStart := time.Hour, time.Hour+time.Duration(rapid.IntRange(1, 20).Draw(t, "starts in"))*time.Second
 		link := Link{BytesPerSecond: 100, MaxBytes: rapid.IntRange(0, 2000).Draw(t, "budget")}
 		valid := func(plan []Fetch) bool {
 			free, bytes := now, 0
 			for _, f := range plan {
 				bytes += f.Bytes
-				if f.StartAt < free || f.DoneAt > windowStart-FetchMargin || f.MaxAge > 0 && f.StartAt < windowStart+f.NeededFor-f.MaxAge {
+				if f.StartAt < free || f.DoneAt > outageStart-FetchMargin || f.MaxAge > 0 && f.StartAt < outageStart+f.NeededFor-f.MaxAge {
 					return false
 				}
 				free = f.DoneAt
@@ -138,7 +142,7 @@
 			}
 			return total
 		}
-		plan, skipped := Choose(now, windowStart, link, items)
+		plan, skipped := Choose(now, outageStart, link, items)
 		require.True(t, valid(plan), "%v", plan)
 		require.Len(t, items, len(plan)+len(skipped))
 		best, single := 0.0, 0.0
@@ -149,7 +153,7 @@
 					subset = append(subset, item)
 				}
 			}
-			if subsetPlan, rest := Choose(now, windowStart, link, subset); len(rest) == 0 {
+			if subsetPlan, rest := Choose(now, outageStart, link, subset); len(rest) == 0 {
 				if best = math.Max(best, value(subsetPlan)); len(subsetPlan) == 1 {
 					single = math.Max(single, value(subsetPlan))
 				}
@@ -159,8 +163,8 @@
 	})
 }
 
-// Of many edges that ask at once none starves, the one that goes first has at least half, and ordinary
-// talk keeps the rest of the link.
+// Guards against a starved edge and an exceeded bandwidth when many edges fetch at once. The edge whose
+// outage starts first gets at least half.
 func TestSourceSharesBandwidth(t *testing.T) {
 	source, bytes := NewSource(50_000, 0), map[int]int{}
 	for edge := range 5 {
@@ -191,14 +195,14 @@
 			}
 		}
 		return true
-	}(), "a queue without a bound")
+	}(), "the queue of one edge is not bounded")
 }
 
-// What is learnt of a customer by part of the cycle tells what it asks there; memory stays bounded.
+// Guards against estimates that ignore the phase of the cycle, and against unbounded memory.
 func TestDemandLearnsRatePerPhase(t *testing.T) {
 	const cycle = 10 * time.Minute
 	d, rng := NewDemand(cycle, 100, 0), rand.New(rand.NewPCG(1, 1))
-	rate := func(now time.Duration) float64 { // 5 a second in the first half of each cycle, else 1
+	rate := func(now time.Duration) float64 { // requests/s: 5 in the first half of each cycle, else 1
 		if now%cycle < cycle/2 {
 			return 5
 		}
@@ -212,7 +216,7 @@
 			d.Observe(now, uint64(1000+now), 1)
 		}
 	}
-	// At the end of a slow half; in a minute the fast half has begun for two minutes.
+	// Now a slow half ends; the period begins in one minute, in the fast half, and lasts two minutes.
 	tokens, margin := d.Expect(6*cycle, 1, time.Minute, 2*time.Minute)
 	assert.InDelta(t, 600, tokens, 120)
 	assert.InDelta(t, marginRoots*math.Sqrt(tokens), margin, 1e-9)
@@ -223,30 +227,31 @@
 	assert.Zero(t, unknown)
 }
 
-// The link goes early, late, never, twice, without a window, outside of its clock; each has its state.
+// Guards against a wrong sequence of states when the link is lost early, late, never, twice, or outside
+// planned outages.
 func TestUplinkStatesForEachOutage(t *testing.T) {
-	window := Outage{Start: 100 * time.Second, End: 130 * time.Second, Probability: 1}
+	outage := Outage{Start: 100 * time.Second, End: 130 * time.Second, Probability: 1}
 	for name, c := range map[string]struct {
-		gone [][2]float64 // s, from and to
+		down [][2]float64 // periods without the link, from and to, s
 		want []State
 	}{
-		"known":        {[][2]float64{{100, 130}}, []State{Fetching, Ready, Cut, Returning, Clear}},
-		"early":        {[][2]float64{{95, 130}}, []State{Fetching, Ready, Cut, Returning, Clear}},
-		"much early":   {[][2]float64{{91, 130}}, []State{Fetching, Ready, Surprised, Cut, Returning, Clear}},
-		"late":         {[][2]float64{{104, 130}}, []State{Fetching, Ready, Cut, Returning, Clear}},
-		"never":        {nil, []State{Fetching, Ready, Surprised, Returning, Clear}},
-		"back early":   {[][2]float64{{100, 110}}, []State{Fetching, Ready, Cut, Returning, Clear}},
-		"flaps":        {[][2]float64{{100, 110}, {112, 130}}, []State{Fetching, Ready, Cut, Returning, Cut, Returning, Clear}},
-		"back, away":   {[][2]float64{{100, 105}, {115, 130}}, []State{Fetching, Ready, Cut, Returning, Clear, Cut, Returning, Clear}},
-		"no window":    {[][2]float64{{20, 40}, {100, 130}}, []State{Surprised, Returning, Clear, Fetching, Ready, Cut, Returning, Clear}},
-		"outlasts it":  {[][2]float64{{100, 160}}, []State{Fetching, Ready, Cut, Returning, Clear}},
-		"while asking": {[][2]float64{{81, 101}}, []State{Fetching, Surprised, Cut, Returning, Clear}},
+		"as planned":                   {[][2]float64{{100, 130}}, []State{Fetching, Ready, Cut, Returning, Clear}},
+		"5 s early":                    {[][2]float64{{95, 130}}, []State{Fetching, Ready, Cut, Returning, Clear}},
+		"9 s early":                    {[][2]float64{{91, 130}}, []State{Fetching, Ready, Surprised, Cut, Returning, Clear}},
+		"4 s late":                     {[][2]float64{{104, 130}}, []State{Fetching, Ready, Cut, Returning, Clear}},
+		"link stays up":                {nil, []State{Fetching, Ready, Surprised, Returning, Clear}},
+		"restored early":               {[][2]float64{{100, 110}}, []State{Fetching, Ready, Cut, Returning, Clear}},
+		"lost again while returning":   {[][2]float64{{100, 110}, {112, 130}}, []State{Fetching, Ready, Cut, Returning, Cut, Returning, Clear}},
+		"lost again after the return":  {[][2]float64{{100, 105}, {115, 130}}, []State{Fetching, Ready, Cut, Returning, Clear, Cut, Returning, Clear}},
+		"lost outside outages as well": {[][2]float64{{20, 40}, {100, 130}}, []State{Surprised, Returning, Clear, Fetching, Ready, Cut, Returning, Clear}},
+		"lasts longer":                 {[][2]float64{{100, 160}}, []State{Fetching, Ready, Cut, Returning, Clear}},
+		"lost while fetching":          {[][2]float64{{81, 101}}, []State{Fetching, Surprised, Cut, Returning, Clear}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			uplink, got := NewUplink(20*time.Second, 0.5, 0), []State(nil)
 			for now := time.Duration(0); now < 200*time.Second; now += 100 * time.Millisecond {
 				up := true
-				for _, period := range c.gone {
+				for _, period := range c.down {
 					up = up && (now.Seconds() < period[0] || now.Seconds() >= period[1])
 				}
 				if up {
@@ -257,7 +262,7 @@
 				} else if now < 85*time.Second {
 					uplink.SetMissing(3)
 				}
-				if change, changed, _ := uplink.Step(now, now, 10*time.Millisecond, window, now < window.End); changed {
+				if change, changed, _ := uplink.Step(now, now, 10*time.Millisecond, outage, now < outage.End); changed {
 					got = append(got, change.To)
 					require.NotEmpty(t, change.Reason)
 				}
--- a/fleet/prefetch/reservation.go
+++ b/fleet/prefetch/reservation.go
@@ -7,105 +7,112 @@
 )
 
 const (
-	// LoanMost is the longest loan: a window that lasts longer outlives its loans, and the edge then
-	// decides alone.
+	// MaxReservationTTL is the maximum lifetime of a reservation. In a longer outage reservations expire,
+	// and the edge then enforces quotas by its own meter readings.
 	MaxReservationTTL = maxWindowLength
 
-	maxReservedFraction = 0.5 // of a store's level, depth and rate, that may be lent to all edges together
-	maxReservations     = 64  // of one customer's store
+	maxReservedFraction = 0.5 // fraction of a token bucket's tokens, burst and rate that all edges together can reserve
+	maxReservations     = 64  // outstanding reservations of one tenant
 )
 
-// ID names a loan: the edge's index, its process, and a number that it gives once.
+// ID identifies a reservation: the index of the edge, the incarnation of its process, and a sequence
+// number that the process uses once.
 type ID struct {
 	Edge        int    `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Seq         uint32 `cbor:"3,keyasint"`
 }
 
-// Bucket is a part of a customer's store: units that it holds, those that it can hold, and units a
-// second that fill it.
+// Bucket is a tenant's token bucket or a share of one: its present tokens, its burst (the tokens that it
+// can hold), and its refill rate in tokens/s.
 type Bucket struct {
 	Tokens float64 `cbor:"1,keyasint"`
 	Burst  float64 `cbor:"2,keyasint"`
 	Rate   float64 `cbor:"3,keyasint"`
 }
 
-// Reservation is what an edge may send on by itself for a customer while it lasts: a store of its own that is
-// a part of the whole one.
+// Reservation is a share of a tenant's token bucket. Until it expires, the edge admits the tenant's
+// requests against it without asking the owner.
 type Reservation struct {
 	Bucket
 	ID     ID            `cbor:"4,keyasint"`
 	Tenant uint64        `cbor:"5,keyasint"`
-	TTL    time.Duration `cbor:"6,keyasint"` // that it lasts, when it was told
+	TTL    time.Duration `cbor:"6,keyasint"` // remaining lifetime when the owner replied
 }
 
-// Ledger is an owner's account of one customer's store: what of it is lent. The store itself is the
-// owner's; it takes off it what Lend and Accrue tell, and puts back what Return tells. Owner and edges
-// together give no more than the depth, the rate and the depth that is lent. Not taken: an owner that
-// holds back the lent depth as well; it gives 0.004 less beyond quotas and refuses 0.1 more that has room.
+// Account records the outstanding reservations of one tenant at the owner of its token bucket. The owner
+// keeps the bucket itself: it deducts the tokens that Reserve and Advance return, and credits those that
+// Release returns. Owner and edges together admit at most the burst, the refill, and the reserved burst.
+//
+// An owner could also hold back the reserved burst. This was rejected: it admits 0.004 less beyond quotas,
+// but rejects 0.1 more requests that are within them.
 type Account struct {
 	tenant      uint64
 	outstanding []outstandingReservation
-	lastClosed  map[int]ID // by edge, the last loan that was given back or is void: none of them counts again
+	lastClosed  map[int]ID // by edge, its last reservation that was released or expired
 	updatedAt   time.Duration
 }
 
-// owed is a loan that is out.
+// outstandingReservation is a reservation that is neither released nor expired.
 type outstandingReservation struct {
 	Reservation
-	grantedAt, expiresAt time.Duration // own clock
+	grantedAt, expiresAt time.Duration // local time of the owner
 }
 
-// NewLedger makes an empty account.
+// NewAccount returns an account without reservations.
 func NewAccount(tenant uint64, now time.Duration) *Account {
 	return &Account{tenant: tenant, lastClosed: make(map[int]ID), updatedAt: now}
 }
 
-// Lend lends to an edge up to a part, for a span, of a store that is whole as given. take is what is
-// to be taken off the store now. The same ID again gives the same loan with the time it has left, so
-// an answer that was lost costs nothing. The owner's count ends no earlier than the edge's, which
-// counts from before it asked, by the drift of the two clocks.
+// Reserve reserves at most want of the token bucket whole for an edge. deduct is the number of tokens to
+// deduct from the bucket now. A repeated ID returns the same reservation with its remaining lifetime, so
+// that a retry after a lost reply deducts nothing. The reservation expires at the owner no earlier than at
+// the edge, which counts its lifetime from before the request: the owner adds the possible clock drift.
+// The error is a *LoanError.
 func (a *Account) Reserve(now time.Duration, id ID, want Bucket, ttl time.Duration, whole Bucket) (reservation Reservation, deduct float64, err error) {
 	if i := slices.IndexFunc(a.outstanding, func(o outstandingReservation) bool { return o.ID == id }); i >= 0 {
 		o := a.outstanding[i]
 		reservation = o.Reservation
 		reservation.TTL = o.TTL - (now - o.grantedAt)
 		if reservation.TTL <= 0 {
-			return Reservation{}, 0, &LoanError{a.tenant, "the loan has ended"}
+			return Reservation{}, 0, &LoanError{a.tenant, "the reservation has expired"}
 		}
 		return reservation, 0, nil
 	}
 	if last, ok := a.lastClosed[id.Edge]; ok && !later(id, last) {
-		return Reservation{}, 0, &LoanError{a.tenant, "the loan was given back or is void"}
+		return Reservation{}, 0, &LoanError{a.tenant, "the reservation has been released or has expired"}
 	}
 	if len(a.outstanding) >= maxReservations {
-		return Reservation{}, 0, &LoanError{a.tenant, "so many loans are out already"}
+		return Reservation{}, 0, &LoanError{a.tenant, "the maximum number of reservations is outstanding"}
 	}
 	if ttl <= 0 || ttl > MaxReservationTTL || !(want.Tokens >= 0) || !(want.Burst >= 0) || !(want.Rate >= 0) {
-		return Reservation{}, 0, &LoanError{a.tenant, "the question is improper"}
+		return Reservation{}, 0, &LoanError{a.tenant, "the request has an invalid lifetime or amount"}
 	}
 	reserved := a.reservedTotal()
 	granted := Bucket{Burst: math.Max(0, math.Min(want.Burst, maxReservedFraction*whole.Burst-reserved.Burst)),
 		Rate: math.Max(0, math.Min(want.Rate, maxReservedFraction*whole.Rate-reserved.Rate))}
 	granted.Tokens = math.Min(math.Min(want.Tokens, granted.Burst), maxReservedFraction*math.Max(0, whole.Tokens))
 	if granted.Burst == 0 {
-		return Reservation{}, 0, &LoanError{a.tenant, "nothing is left to lend"}
+		return Reservation{}, 0, &LoanError{a.tenant, "nothing is left to reserve"}
 	}
 	reservation = Reservation{Bucket: granted, ID: id, Tenant: a.tenant, TTL: ttl}
 	a.outstanding = append(a.outstanding, outstandingReservation{reservation, now, now + ttl + maxDrift(ttl)})
 	return reservation, granted.Tokens, nil
 }
 
+// maxDrift returns the time by which a reservation is kept longer at the owner than at the edge: the drift
+// of both clocks, which may run in opposite directions, and a margin.
 func maxDrift(span time.Duration) time.Duration {
 	return time.Duration(3 * maxClockDrift * float64(span))
 }
 
-// later tells whether a loan of one edge is a later one than another of it.
+// later reports whether reservation a of an edge was made after its reservation b. Sequence numbers may
+// wrap around.
 func later(a, b ID) bool {
 	return a.Incarnation > b.Incarnation || (a.Incarnation == b.Incarnation && int32(a.Seq-b.Seq) > 0)
 }
 
-// out is what is lent.
+// reservedTotal returns the sum of all outstanding reservations.
 func (a *Account) reservedTotal() (total Bucket) {
 	for _, o := range a.outstanding {
 		total.Tokens, total.Burst, total.Rate = total.Tokens+o.Tokens, total.Burst+o.Burst, total.Rate+o.Rate
@@ -113,9 +120,8 @@
 	return total
 }
 
-// Accrue brings the account up to now and gives what has gone of the refill to edges since the last
-// call. Loans that have ended are void: what was not spent of them is gone, and nothing given back
-// counts any more.
+// Advance brings the account up to date and returns the tokens to deduct: the refill of reservations since
+// the last call. It removes expired reservations, whose unused tokens are lost.
 func (a *Account) Advance(now time.Duration) (deduct float64) {
 	if now <= a.updatedAt {
 		return 0
@@ -134,15 +140,16 @@
 	return deduct
 }
 
+// markClosed records that a reservation and all earlier ones of its edge are no longer accepted.
 func (a *Account) markClosed(id ID) {
 	if last, ok := a.lastClosed[id.Edge]; !ok || later(id, last) {
 		a.lastClosed[id.Edge] = id
 	}
 }
 
-// Return takes a loan back with what was not spent of it, and gives what is to be put back into the
-// store. Only the first word counts, and only while the loan lasts; no more comes back than was
-// lent until now.
+// Release ends a reservation with its unused tokens, and returns the tokens to credit to the bucket. Only
+// the first call for a reservation has an effect, and only before it expires. The credit is limited to the
+// tokens reserved so far.
 func (a *Account) Release(now time.Duration, id ID, unused float64) (credit float64) {
 	i := slices.IndexFunc(a.outstanding, func(o outstandingReservation) bool { return o.ID == id })
 	if i < 0 || now >= a.outstanding[i].expiresAt || !(unused >= 0) {
@@ -154,46 +161,47 @@
 	return math.Min(unused, math.Min(o.Burst, o.Tokens+o.Rate*(now-o.grantedAt).Seconds()))
 }
 
-// Out is how many loans are out.
+// Outstanding returns the number of outstanding reservations.
 func (a *Account) Outstanding() int { return len(a.outstanding) }
 
-// Idle tells whether the account may be forgotten: nothing is out, and none of the loans that were
-// can come back any more.
+// Idle reports whether the account can be discarded: no reservation is outstanding, and none that was made
+// earlier can still be released.
 func (a *Account) Idle(now time.Duration) bool {
 	return len(a.outstanding) == 0 && now > a.updatedAt+MaxReservationTTL
 }
 
-// Purse is what an edge has of one customer's loan. It may spend what a mark on its disk covers: a
-// crash costs what was covered and not spent, and nothing is spent twice.
+// LocalBucket is the token bucket of one tenant at an edge, filled from a reservation. Only tokens up to
+// the high-water mark, which has to be on disk first, can be spent. After a crash all tokens up to the mark
+// count as spent, so that none is spent twice.
 type LocalBucket struct {
-	loan          Reservation
-	tokens        float64 // that may be spent
+	reservation   Reservation
+	tokens        float64 // tokens left, including those above the high-water mark
 	updatedAt     time.Duration
-	expiresAt     time.Duration // own clock
+	expiresAt     time.Duration // local time of the edge
 	spent         float64
-	highWaterMark float64 // units spent that the disk has as gone
+	highWaterMark float64 // tokens that count as spent after a restart, as stored on disk
 }
 
-// Open takes a loan that was asked for at asked and whose answer is here now, on the own clock. It
-// ends counted from the question and refills from the answer, so that the owner, who answered in
-// between, has both on its account. The mark is the units that the disk has as gone already, before
-// anything is spent.
+// Open returns the bucket of a reservation that was requested at the local time requestedAt and received
+// now. Its lifetime counts from the request and its refill from the reply, so that the owner, which replied
+// in between, accounts for both. mark is the high-water mark that is already on disk.
 func Open(reservation Reservation, requestedAt, now time.Duration, mark float64) *LocalBucket {
-	return &LocalBucket{loan: reservation, tokens: reservation.Tokens, updatedAt: now, expiresAt: requestedAt + reservation.TTL, highWaterMark: mark}
+	return &LocalBucket{reservation: reservation, tokens: reservation.Tokens, updatedAt: now, expiresAt: requestedAt + reservation.TTL, highWaterMark: mark}
 }
 
+// refill adds the tokens of the time since the last refill, until the reservation expires.
 func (b *LocalBucket) refill(now time.Duration) {
 	now = min(now, b.expiresAt)
 	if now > b.updatedAt {
-		b.tokens = math.Min(b.loan.Burst, b.tokens+b.loan.Rate*(now-b.updatedAt).Seconds())
+		b.tokens = math.Min(b.reservation.Burst, b.tokens+b.reservation.Rate*(now-b.updatedAt).Seconds())
 		b.updatedAt = now
 	}
 }
 
-// ID names the loan.
-func (b *LocalBucket) ID() ID { return b.loan.ID }
+// ID returns the ID of the reservation.
+func (b *LocalBucket) ID() ID { return b.reservation.ID }
 
-// Level gives what may be spent now; nothing once the loan has ended.
+// Available returns the tokens that can be spent now. It is 0 once the reservation has expired.
 func (b *LocalBucket) Available(now time.Duration) float64 {
 	if now >= b.expiresAt {
 		return 0
@@ -202,7 +210,7 @@
 	return math.Min(b.tokens, b.highWaterMark-b.spent)
 }
 
-// Spend takes units, if they are there.
+// Spend deducts tokens if they are available, and reports whether they were.
 func (b *LocalBucket) Spend(now time.Duration, tokens float64) bool {
 	if !(tokens >= 0) || b.Available(now) < tokens {
 		return false
@@ -212,8 +220,8 @@
 	return true
 }
 
-// Settle takes the true units of what was spent in place of the guess: so much more or, below zero,
-// less. What comes after the loan has ended is not the loan's any more.
+// Settle corrects earlier calls of Spend by the difference between actual and estimated tokens, which is
+// negative if fewer were needed. It has no effect once the reservation has expired.
 func (b *LocalBucket) Settle(now time.Duration, difference float64) {
 	if b.refill(now); now < b.expiresAt {
 		b.tokens -= difference
@@ -221,8 +229,8 @@
 	}
 }
 
-// Want gives the units that the next mark should have as gone, where one is wanted: half of what the
-// last one covers is spent. The caller writes it, then tells Cover.
+// NextMark returns the next high-water mark, step tokens above those spent. due is false while more than
+// half of a step is left below the present mark. The caller stores a mark on disk, then calls MarkStored.
 func (b *LocalBucket) NextMark(now time.Duration, step float64) (mark float64, due bool) {
 	if now >= b.expiresAt || b.highWaterMark-b.spent > step/2 {
 		return 0, false
@@ -230,10 +238,11 @@
 	return b.spent + step, true
 }
 
-// Cover takes that the disk has so many units as gone.
+// MarkStored raises the high-water mark to one that is on disk.
 func (b *LocalBucket) MarkStored(mark float64) { b.highWaterMark = math.Max(b.highWaterMark, mark) }
 
-// Close ends the loan and gives what was not spent, to be given back once.
+// Close ends the reservation at the edge and returns its unused tokens, to be released at the owner. It
+// returns 0 when called again or after the reservation has expired.
 func (b *LocalBucket) Close(now time.Duration) (unused float64) {
 	if now < b.expiresAt {
 		b.refill(now)
@@ -243,41 +252,44 @@
 	return unused
 }
 
-// Kept is what the disk has of a purse: fleet time, as the own clock may not go on over a restart.
+// Checkpoint is the stored form of a LocalBucket. Its times are fleet time, because local time may start
+// anew at a restart.
 type Checkpoint struct {
 	Reservation   Reservation   `cbor:"1,keyasint"`
-	RequestedAt   time.Duration `cbor:"2,keyasint"` // fleet time of the question
-	ReceivedAt    time.Duration `cbor:"3,keyasint"` // and of the answer, each the latest that it can have been
-	WrittenAt     time.Duration `cbor:"4,keyasint"` // fleet time, the latest that this edge has seen
+	RequestedAt   time.Duration `cbor:"2,keyasint"` // latest possible time of the request
+	ReceivedAt    time.Duration `cbor:"3,keyasint"` // latest possible time of the reply
+	WrittenAt     time.Duration `cbor:"4,keyasint"` // latest fleet time that the edge had seen when writing
 	HighWaterMark float64       `cbor:"5,keyasint"`
 }
 
-// Keep gives what is to be written with a mark.
+// Checkpoint returns the checkpoint to store with a high-water mark. The times are fleet times.
 func (b *LocalBucket) Checkpoint(mark float64, requestedAt, receivedAt, writtenAt time.Duration) Checkpoint {
-	return Checkpoint{b.loan, requestedAt, receivedAt, writtenAt, mark}
+	return Checkpoint{b.reservation, requestedAt, receivedAt, writtenAt, mark}
 }
 
-// Reopen takes up a loan from the disk at a fleet time that may be wrong by err: what the mark has
-// as gone is gone, and the loan ends as if fleet time were the latest that it can be.
+// Restore returns the bucket of a stored checkpoint. now is local time, and fleetTime may be wrong by
+// maxError. All tokens up to the high-water mark count as spent, and the lifetime is computed from the
+// latest possible fleet time. The error is a *VoidError.
 func Restore(c Checkpoint, now, fleetTime, maxError time.Duration) (*LocalBucket, error) {
 	switch age := fleetTime + maxError - c.RequestedAt; {
 	case fleetTime+maxError < c.WrittenAt:
-		return nil, &VoidError{"the clock is behind what was written"}
+		return nil, &VoidError{"the clock is behind the time of the checkpoint"}
 	case !(c.HighWaterMark >= 0) || !(c.Reservation.Tokens >= 0) || !(c.Reservation.Rate >= 0) || !(c.Reservation.Burst >= 0) || c.Reservation.TTL <= 0 || c.Reservation.TTL > MaxReservationTTL:
-		return nil, &VoidError{"no loan has such figures"}
+		return nil, &VoidError{"the checkpoint has invalid values"}
 	case age >= c.Reservation.TTL:
-		return nil, &VoidError{"the loan has ended"}
+		return nil, &VoidError{"the reservation has expired"}
 	default:
-		// Refilled for the least that can have passed, ended by the most.
+		// The refill counts the shortest time that can have passed, the lifetime the longest.
 		minElapsed := max(0, fleetTime-maxError-c.ReceivedAt)
 		tokens := math.Min(c.Reservation.Burst, c.Reservation.Tokens+c.Reservation.Rate*minElapsed.Seconds()-c.HighWaterMark)
-		return &LocalBucket{loan: c.Reservation, tokens: tokens, updatedAt: now, expiresAt: now + c.Reservation.TTL - age, spent: c.HighWaterMark, highWaterMark: c.HighWaterMark}, nil
+		return &LocalBucket{reservation: c.Reservation, tokens: tokens, updatedAt: now, expiresAt: now + c.Reservation.TTL - age, spent: c.HighWaterMark, highWaterMark: c.HighWaterMark}, nil
 	}
 }
 
-// Size gives what to ask for of a store: the rate at which units are expected at this edge in a window,
-// as much of the depth as that is of the rate and what it should have to spare, filled. So the owner's
-// other nodes miss no more than the edge is expected to use.
+// SizeReservation returns the share of a token bucket that an edge should reserve for an outage. Its rate is
+// the rate at which tokens are expected to be requested at the edge. Its burst is the same fraction of the
+// whole burst, plus a margin, and is full. So the reservation withholds from other nodes little more than
+// the edge is expected to use.
 func SizeReservation(expectedTokens, margin float64, whole Bucket, window time.Duration) Bucket {
 	if window <= 0 || !(expectedTokens > 0) || !(whole.Rate > 0) {
 		return Bucket{}
--- a/fleet/prefetch/reservation_test.go
+++ b/fleet/prefetch/reservation_test.go
@@ -11,23 +11,24 @@
 	"pgregory.net/rapid"
 )
 
-// The same draws in each run, so that the verdict is the same; -rapid.seed gives others.
+// The seed is fixed so that each run checks the same cases. The flag -rapid.seed selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// lending is one owner, one edge and what is between them. Both spend all that they may at once.
+// reservationModel simulates one owner, one edge and the messages in transit between them. The owner and
+// the edge spend half of their available tokens whenever they can.
 type reservationModel struct {
 	now                           time.Duration
 	account                       *Account
-	ownerTokens                   float64 // of the owner's store
-	spent                         float64 // by both, in all
-	staleSpent                    float64 // of that, by an edge that a disk told less than was gone
+	ownerTokens                   float64 // tokens in the owner's bucket
+	spent                         float64 // tokens spent by owner and edge since the start
+	staleSpent                    float64 // part of spent that an outdated checkpoint did not cover
 	seq                           uint32
 	incarnation                   uint64
 	bucket                        *LocalBucket
 	requestedAt, receivedAt       time.Duration
 	stored, previous              *Checkpoint
 	inTransit                     []any
-	releaseTwice, expireFromReply bool // planted
+	releaseTwice, expireFromReply bool // injected faults
 }
 
 const (
@@ -53,7 +54,7 @@
 	m.inTransit = append(m.inTransit, reserveMessage{0, m.incarnation, m.seq})
 }
 
-// pass lets time pass, and the owner and the edge spend what they have.
+// advance advances the time; then the owner and the edge spend.
 func (m *reservationModel) advance(span time.Duration) {
 	m.now += span
 	m.ownerTokens = math.Min(modelBurst, m.ownerTokens+modelRate*span.Seconds()-m.account.Advance(m.now))
@@ -77,6 +78,7 @@
 	}
 }
 
+// deliver delivers the message in transit with an index. A duplicate leaves it in transit as well.
 func (m *reservationModel) deliver(i int, duplicate bool) {
 	message := m.inTransit[i]
 	if !duplicate {
@@ -110,19 +112,19 @@
 	}
 }
 
-// choose makes one choice of those there are; false is that there are no more.
+// step performs the event with a number. It returns false if there is no such event now.
 func (m *reservationModel) step(choice int) bool {
 	switch {
 	case choice == 0:
 		m.advance(3 * time.Second)
-	case choice == 1: // the edge dies and starts from its disk
+	case choice == 1: // the edge restarts with its latest checkpoint
 		m.restart(m.stored)
-	case choice == 2: // or from what that was before
+	case choice == 2: // the edge restarts with the checkpoint before that
 		if m.previous != nil && m.bucket != nil {
 			m.staleSpent += math.Max(0, m.bucket.spent-m.previous.HighWaterMark)
 		}
 		m.restart(m.previous)
-	case choice == 3: // the link is back
+	case choice == 3: // the uplink is up again
 		if m.bucket != nil {
 			m.inTransit = append(m.inTransit, releaseMessage{m.bucket.ID(), m.bucket.Close(m.now)})
 			m.bucket, m.stored, m.previous = nil, nil, nil
@@ -147,6 +149,7 @@
 	return true
 }
 
+// restart starts a new incarnation of the edge. A nil or invalid checkpoint means a new request.
 func (m *reservationModel) restart(checkpoint *Checkpoint) {
 	m.incarnation++
 	m.bucket = nil
@@ -160,9 +163,10 @@
 	m.request()
 }
 
-// Whatever is lost, doubled, late or starts anew, owner and edge together give no more than the
-// store's depth, its rate and the depth that is lent; a disk that tells of less than was gone gives that much again and no
-// more. Planted bugs are found.
+// Guards against tokens that are spent twice when messages are lost, duplicated or delayed, or the edge
+// restarts: all sequences of six events are tried. Owner and edge together never exceed the bucket's burst
+// and refill. An outdated checkpoint allows as many more as were spent above its high-water mark. The test
+// detects an injected fault, a release that is credited twice.
 func TestNoOvershootInAnyOrderOfEvents(t *testing.T) {
 	explore := func(depth int, injectFault func(*reservationModel)) (stateCount int, maxOvershoot float64) {
 		var visit func(done []int)
@@ -187,36 +191,36 @@
 		return stateCount, maxOvershoot
 	}
 	stateCount, maxOvershoot := explore(6, func(*reservationModel) {})
-	t.Logf("%d states, %g over", stateCount, maxOvershoot)
+	t.Logf("%d states, overshoot of at most %g tokens", stateCount, maxOvershoot)
 	assert.LessOrEqual(t, maxOvershoot, 1e-9)
-	_, maxOvershoot = explore(6, func(l *reservationModel) { l.releaseTwice = true })
-	assert.Greater(t, maxOvershoot, 0.5, "units given back twice are not found")
+	_, maxOvershoot = explore(6, func(m *reservationModel) { m.releaseTwice = true })
+	assert.Greater(t, maxOvershoot, 0.5, "the check does not detect a release that is credited twice")
 }
 
-// A loan ends at the edge before it does at its owner, whichever way the clocks drift and however
-// long the answer takes; counted from the answer it would not.
+// Guards against an edge that spends a reservation after the owner has counted it as expired, with any clock
+// drift and any delay of the messages. This would occur if the edge counted the lifetime from the reply.
 func TestReservationExpiresAtEdgeFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		requestedAt := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "asked"))
-		requestDelay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "there"))
-		replyDelay := time.Duration(rapid.Int64Range(1, int64(time.Second)).Draw(t, "back"))
-		ttl := time.Duration(rapid.Int64Range(int64(time.Second), int64(MaxReservationTTL)).Draw(t, "span"))
-		edgeDrift := rapid.Float64Range(-maxClockDrift, maxClockDrift).Draw(t, "slow")
+		requestedAt := time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "requested at"))
+		requestDelay := time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(t, "request delay"))
+		replyDelay := time.Duration(rapid.Int64Range(1, int64(time.Second)).Draw(t, "reply delay"))
+		ttl := time.Duration(rapid.Int64Range(int64(time.Second), int64(MaxReservationTTL)).Draw(t, "ttl"))
+		edgeDrift := rapid.Float64Range(-maxClockDrift, maxClockDrift).Draw(t, "edge drift")
 		a := NewAccount(1, 0)
 		reservation, _, err := a.Reserve(requestedAt+requestDelay, ID{0, 1, 1}, Bucket{1, 1, 0}, ttl, Bucket{10, 10, 1})
 		require.NoError(t, err)
 		b := Open(reservation, requestedAt, requestedAt+requestDelay+replyDelay, 10)
-		// The edge's clock runs slow from the question on, the owner's fast.
+		// From the request on the edge's clock has a random drift, and the owner's runs fast.
 		edgeExpiry := requestedAt + time.Duration(float64(b.expiresAt-requestedAt)*(1+edgeDrift))
 		ownerExpiry := requestedAt + requestDelay + time.Duration(float64(a.outstanding[0].expiresAt-requestedAt-requestDelay)*(1-maxClockDrift))
 		if edgeExpiry > ownerExpiry+time.Microsecond {
-			t.Fatalf("the edge has it until %v, the owner counts until %v", edgeExpiry, ownerExpiry)
+			t.Fatalf("the reservation expires at the edge at %v, at the owner at %v", edgeExpiry, ownerExpiry)
 		}
 	})
 }
 
-// A store lends half of what it has and of its rate at most, whoever asks; old and improper
-// questions get nothing.
+// Guards against reservations of more than half of a bucket, by however many edges, and against accepting
+// late or invalid requests, releases and checkpoints.
 func TestAccountBoundsReservations(t *testing.T) {
 	a, tokens := NewAccount(1, 0), 100.0
 	for edge := range 3 * maxReservations {
@@ -226,22 +230,22 @@
 	assert.LessOrEqual(t, a.Outstanding(), maxReservations)
 	assert.LessOrEqual(t, a.reservedTotal().Rate, maxReservedFraction*20)
 	assert.LessOrEqual(t, a.reservedTotal().Burst, maxReservedFraction*100)
-	assert.Zero(t, a.Release(0, ID{0, 2, 1}, 5), "of a loan that there is none")
+	assert.Zero(t, a.Release(0, ID{0, 2, 1}, 5), "an unknown reservation is credited")
 	assert.Positive(t, a.Release(0, ID{1, 1, 1}, 5))
 	_, _, err := a.Reserve(0, ID{1, 1, 1}, Bucket{1, 1, 0}, time.Minute, Bucket{tokens, 100, 20})
-	var refused *LoanError
-	require.ErrorAs(t, err, &refused, "a late question")
+	var loanErr *LoanError
+	require.ErrorAs(t, err, &loanErr, "a late request of a released reservation")
 	_, _, err = a.Reserve(0, ID{2, 9, 1}, Bucket{Tokens: math.NaN()}, time.Minute, Bucket{tokens, 100, 20})
-	require.ErrorAs(t, err, &refused)
+	require.ErrorAs(t, err, &loanErr)
 	assert.InDelta(t, maxReservedFraction*20*60, a.Advance(2*time.Minute), 20*60*0.01)
-	assert.Zero(t, a.Outstanding(), "void after their end")
+	assert.Zero(t, a.Outstanding(), "expired reservations are outstanding")
 	for name, checkpoint := range map[string]Checkpoint{
-		"ended":  {Reservation: Reservation{Bucket: Bucket{Tokens: 1}, TTL: time.Second}, RequestedAt: 0},
-		"behind": {Reservation: Reservation{Bucket: Bucket{Tokens: 1}, TTL: time.Hour}, RequestedAt: 0, WrittenAt: time.Hour},
-		"spoilt": {Reservation: Reservation{Bucket: Bucket{Tokens: math.NaN()}, TTL: time.Hour}},
+		"expired":                 {Reservation: Reservation{Bucket: Bucket{Tokens: 1}, TTL: time.Second}, RequestedAt: 0},
+		"clock before checkpoint": {Reservation: Reservation{Bucket: Bucket{Tokens: 1}, TTL: time.Hour}, RequestedAt: 0, WrittenAt: time.Hour},
+		"invalid value":           {Reservation: Reservation{Bucket: Bucket{Tokens: math.NaN()}, TTL: time.Hour}},
 	} {
 		_, err := Restore(checkpoint, 0, time.Minute, 30*time.Second)
-		var void *VoidError
-		assert.ErrorAs(t, err, &void, name)
+		var voidErr *VoidError
+		assert.ErrorAs(t, err, &voidErr, name)
 	}
 }
--- a/fleet/prefetch/uplink.go
+++ b/fleet/prefetch/uplink.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// State is how an edge stands to its link.
+// State is the state of an edge's uplink.
 type State int
 
-// The states.
+// The states of an uplink.
 const (
-	Clear     State = iota // the link is there and no window near
-	Fetching               // a window is near: what is needed in it is on its way
-	Ready                  // all that was chosen is there
-	Cut                    // the link is gone, as the calendar has it
-	Returning              // the link is back: units go back, others are heard again
-	Surprised              // the link went or stayed against the calendar
+	Clear     State = iota // The link is up and no outage is near.
+	Fetching               // An outage is near, and the chosen items are being fetched.
+	Ready                  // All chosen items have been fetched.
+	Cut                    // The link is down, as planned in the calendar.
+	Returning              // The link is up again: reservations are released and peers are received.
+	Surprised              // The link is down or up contrary to the calendar.
 )
 
 var stateNames = [...]string{"clear", "fetching", "ready", "cut", "returning", "surprised"}
@@ -23,16 +23,18 @@
 func (s State) String() string { return stateNames[s] }
 
 const (
-	// Early is how long before its published start a window may begin and still be the known one, clock skew included.
+	// MaxEarlyStart is the time before the start of a planned outage from which a loss of the link counts as
+	// its start. It includes clock skew.
 	MaxEarlyStart = 5 * time.Second
-	// Late is how long after its published start a window may begin and still be the known one, clock skew included.
+	// MaxLateStart is the time after the start of a planned outage until which a loss of the link counts as its
+	// start. It includes clock skew.
 	MaxLateStart = 5 * time.Second
 
-	lossTimeout  = 1500 * time.Millisecond // without a word of anybody outside, by which the link counts as gone
-	restoreDelay = 500 * time.Millisecond  // of words from outside, by which it counts as back
-	settleDelay  = 3 * time.Second         // after which a return is over; longer than a link is gone before that shows
-	returnSpread = time.Second             // over which the edges of one window come back
-	stepInterval = 250 * time.Millisecond  // between two looks at the link
+	lossTimeout  = 1500 * time.Millisecond // time without a message from outside after which the link counts as down
+	restoreDelay = 500 * time.Millisecond  // time of uninterrupted messages after which the link counts as up again
+	settleDelay  = 3 * time.Second         // time after which a return is complete; has to exceed lossTimeout
+	returnSpread = time.Second             // period over which the edges of one outage return
+	stepInterval = 250 * time.Millisecond  // time between two steps
 )
 
 // Change is a change of state with its reason.
@@ -41,30 +43,31 @@
 	Reason   string
 }
 
-// Uplink is the state of an edge's link. Not safe for concurrent use.
+// Uplink is the state machine of an edge's uplink. It is not safe for concurrent use.
 type Uplink struct {
 	state          State
-	fetchLead      time.Duration // before a window, in which is fetched
-	returnOrder    float64       // of 0 to 1, this edge's place in a return
-	outage         Outage        // the window that the state is about; empty is none
+	fetchLead      time.Duration // time before an outage at which fetching starts
+	returnOrder    float64       // position of this edge in returnSpread, from 0 to 1
+	outage         Outage        // the outage that the state refers to, if hasOutage
 	hasOutage      bool
-	changedAt      time.Duration // own time of the last change
-	receivedAt     time.Duration // last word from outside
-	receivingSince time.Duration // from which words came without a gap
-	missing        int           // of what was chosen, not there yet
-	finishedUntil  time.Duration // end of the last window in which the link was gone and came back: nothing more is fetched for it
+	changedAt      time.Duration // time of the last change of state
+	receivedAt     time.Duration // time of the last message from outside the site
+	receivingSince time.Duration // start of the present series of messages without a gap of lossTimeout
+	missing        int           // number of chosen items that are not fetched yet
+	finishedUntil  time.Duration // end of the last outage after which the link was up again; no more is fetched for it
 }
 
-// NewUplink makes one that fetches for lead before each window. turn, from 0 to 1, is this edge's
-// place among those that come back together.
+// NewUplink returns an uplink in state Clear that starts to fetch fetchLead before each outage.
+// returnOrder, from 0 to 1, is the position of this edge among those that return together: it delays the
+// return by that fraction of returnSpread.
 func NewUplink(fetchLead time.Duration, returnOrder float64, now time.Duration) *Uplink {
 	return &Uplink{fetchLead: fetchLead, returnOrder: returnOrder, changedAt: now, receivedAt: now, receivingSince: now}
 }
 
-// State gives the state and, if it is about a window, that window.
+// State returns the state and the outage that it refers to. The last result is false if there is none.
 func (u *Uplink) State() (State, Outage, bool) { return u.state, u.outage, u.hasOutage }
 
-// Heard takes a word from outside the site.
+// Received records that a message from outside the site has arrived.
 func (u *Uplink) Received(now time.Duration) {
 	if now-u.receivedAt > lossTimeout {
 		u.receivingSince = now
@@ -72,12 +75,12 @@
 	u.receivedAt = now
 }
 
-// Fetched takes how much of what was chosen is not there yet.
+// SetMissing sets the number of chosen items that are not fetched yet.
 func (u *Uplink) SetMissing(missing int) { u.missing = missing }
 
-// Step brings the state up to now. at is the fleet time with its error, next the window that the
-// calendar has then or after it. It tells the change, if there is one, and when to step again at the
-// latest. A window that has begun while the link stays is not fetched for any more.
+// Step updates the state. fleetTime is wrong by at most maxError, and next is the outage of the calendar at
+// or after that time, if hasNext. It returns the change of state, if there is one, and the latest time for
+// the next call. Nothing more is fetched for an outage that should have started while the link stays up.
 func (u *Uplink) Step(now, fleetTime, maxError time.Duration, next Outage, hasNext bool) (change Change, changed bool, stepAt time.Duration) {
 	to, reason := u.decide(now, fleetTime, maxError, next, hasNext)
 	if to != u.state {
@@ -93,53 +96,54 @@
 	return change, changed, now + stepInterval
 }
 
+// decide returns the next state, with a reason if it differs from the present one.
 func (u *Uplink) decide(now, fleetTime, maxError time.Duration, next Outage, hasNext bool) (State, string) {
 	lost := now-u.receivedAt > lossTimeout
 	restored := !lost && now-u.receivingSince >= restoreDelay
-	mayHaveStarted := hasNext && fleetTime+maxError >= next.Start-MaxEarlyStart // the window may have begun
+	mayHaveStarted := hasNext && fleetTime+maxError >= next.Start-MaxEarlyStart // the outage may have started
 	startMissed := hasNext && fleetTime-maxError > next.Start+MaxLateStart+lossTimeout
 	switch u.state {
 	case Clear:
 		switch {
 		case lost && mayHaveStarted:
-			return Cut, "the link went before anything was fetched"
+			return Cut, "the link was lost before anything was fetched"
 		case lost:
-			return Surprised, "the link went and no window is known"
+			return Surprised, "the link was lost outside planned outages"
 		case hasNext && next.End > u.finishedUntil && fleetTime+maxError >= next.Start-u.fetchLead && !startMissed:
-			return Fetching, fmt.Sprintf("a window begins in %.1f s", (next.Start - fleetTime).Seconds())
+			return Fetching, fmt.Sprintf("an outage starts in %.1f s", (next.Start - fleetTime).Seconds())
 		}
 	case Fetching, Ready:
 		switch {
 		case lost && mayHaveStarted:
-			return Cut, "the link went in its window"
+			return Cut, "the link was lost in a planned outage"
 		case lost:
-			return Surprised, "the link went before its window"
+			return Surprised, "the link was lost before a planned outage"
 		case startMissed:
-			return Surprised, "the window began and the link stays"
+			return Surprised, "a planned outage has started but the link stays up"
 		case !hasNext || fleetTime+maxError < next.Start-u.fetchLead-MaxEarlyStart:
-			return Clear, "the calendar has another window now"
+			return Clear, "the calendar has changed"
 		case u.state == Fetching && u.missing == 0:
-			return Ready, "all that was chosen is there"
+			return Ready, "all chosen items have been fetched"
 		case u.state == Ready && u.missing > 0:
-			return Fetching, "more was chosen"
+			return Fetching, "further items were chosen"
 		}
 	case Cut:
 		if restored && now-u.receivingSince >= restoreDelay+time.Duration(u.returnOrder*float64(returnSpread)) {
-			return Returning, "the link is back"
+			return Returning, "the link is up again"
 		}
 	case Returning:
 		switch {
 		case lost:
-			return Cut, "the link went again"
+			return Cut, "the link was lost again"
 		case now-u.changedAt >= settleDelay:
-			return Clear, "the return is over"
+			return Clear, "the return is complete"
 		}
 	case Surprised:
 		switch {
 		case lost && mayHaveStarted:
-			return Cut, "the link is gone in its window"
+			return Cut, "the link is down in a planned outage"
 		case restored && now-u.changedAt >= settleDelay:
-			return Returning, "the link is there against the calendar"
+			return Returning, "the link is up contrary to the calendar"
 		}
 	}
 	return u.state, ""
