--- a/fleet/subset/choose.go
+++ b/fleet/subset/choose.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// floorReach is how far floors are filled, in lengths of the window. It bounds the nodes that use a server
-// of a small zone: without it 5,800 nodes with a floor of two meet at the few servers of such a zone.
+// zoneReachFactor is the distance within which zone minimums are filled, in lengths of the window. It bounds
+// the number of nodes that use a server of a small zone: without it all of 5,800 nodes with a minimum of two
+// would use the few servers of such a zone.
 const zoneReachFactor = 2
 
-// Change is what the consumer of a set has to be told after a change of the list.
+// Change is the change of the chosen servers that a change of the list causes.
 type Change struct {
 	Updated []Server // servers that entered the chosen set or changed in it, in ring order
 	Removed []string // IDs of servers that left the chosen set, listed or not, in ring order
 }
 
-// choose determines the chosen servers anew and returns the difference to those before.
+// choose chooses the servers again and returns the difference from the previous choice.
 func (s *Set) choose() Change {
 	s.keepDraining()
 	before := s.chosen
@@ -47,7 +48,7 @@
 	return all
 }
 
-// chooseSome returns the window, the zones' additions to it and the draining servers, in ring order.
+// chooseSome returns the window, the servers added for zone minimums, and the draining servers, in ring order.
 func (s *Set) chooseSome() []*entry {
 	chosen := s.window()
 	s.windowEnd = nil
@@ -61,7 +62,7 @@
 	return chosen
 }
 
-// window returns the first available servers clockwise from the node's position, at most Most.
+// window returns the first available servers clockwise from the node's position, at most MaxServers.
 func (s *Set) window() []*entry {
 	window := make([]*entry, 0, s.config.MaxServers)
 	clockwise(s.index.available, s.start, func(e *entry) bool {
@@ -72,8 +73,8 @@
 	return window
 }
 
-// addFloors appends for each zone those of its first ZoneLeast servers that are beyond the window and
-// within floorLimit. It records where these end, by which concerns recognizes later changes.
+// addZoneMinimums appends for each zone those of its first MinPerZone servers that lie beyond the window and
+// within maxZoneDistance. It records the last of these in zoneEnds, by which affects recognizes later changes.
 func (s *Set) addZoneMinimums(chosen []*entry) []*entry {
 	s.maxZoneDistance = s.zoneDistanceLimit()
 	s.zoneEnds = make(map[string]*entry, len(s.index.zones))
@@ -100,7 +101,7 @@
 	return chosen
 }
 
-// limitOfFloors returns the distance from the node's position within which floors are filled.
+// zoneDistanceLimit returns the distance from the node's position within which zone minimums are filled.
 func (s *Set) zoneDistanceLimit() uint64 {
 	if s.windowEnd == nil {
 		return math.MaxUint64
@@ -112,8 +113,8 @@
 	return low
 }
 
-// keepDraining updates the draining servers that stay in the set because they were chosen: those that
-// still drain, then those that have begun to. Beyond the maximum the longest-draining ones leave.
+// keepDraining updates the draining servers that stay in the set because they were chosen: first those that
+// still drain, then those that have begun to. Beyond the maximum, those draining longest leave.
 func (s *Set) keepDraining() {
 	kept := make([]*entry, 0, len(s.draining))
 	known := make(map[string]bool, len(s.draining))
@@ -133,7 +134,7 @@
 	s.draining = kept[max(0, len(kept)-s.config.MaxServers):]
 }
 
-// concerns reports whether a step can change the chosen servers. It is called before the step is applied.
+// affects reports whether a step can change the chosen servers. It is called before the step is applied.
 func (s *Set) affects(change step) bool {
 	if change.old != nil {
 		if _, chosen := slices.BinarySearchFunc(s.chosen, change.old, s.compare); chosen {
@@ -153,7 +154,7 @@
 	return s.within(e, s.zoneEnds[e.zone()])
 }
 
-// within reports whether an entry comes no later than the end, clockwise. With no end each entry does.
+// within reports whether an entry lies no farther clockwise than end. A nil end means no limit.
 func (s *Set) within(e, end *entry) bool {
 	return end == nil || s.compare(e, end) <= 0
 }
--- a/fleet/subset/compare_test.go
+++ b/fleet/subset/compare_test.go
@@ -14,31 +14,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-var long = flag.Bool("long", false, "compare the ways of choosing at the target's size, for about a minute")
+var long = flag.Bool("long", false, "compare the selection schemes at the target's size, for about a minute")
 
-// scheme is a way in which the nodes of a group choose servers. Servers are named by their number in a
-// list of hash keys.
+// scheme is an algorithm by which the nodes of a group choose servers. A server is identified by its number
+// in a list of hash keys.
 type scheme interface {
-	// assign returns the servers of each node among those that are listed.
+	// assign returns the servers that each node chooses from the listed ones.
 	assign(nodes int, listed []int32) [][]int32
-	// one chooses for one node, as it does when it starts.
+	// chooseOne makes the choice of one node, as at its start.
 	chooseOne(node int, listed []int32)
-	// elsewhere takes in the removal of a server that the node does not use. It returns how many entries
-	// of the list it looked at to choose again.
+	// removeUnused applies the removal of a server that the node does not use. It returns the number of list
+	// entries that were visited to choose again.
 	removeUnused(node int, listed []int32, removed int32) int
 }
 
-// mix spreads the bits of a key, as the finalizer of SplitMix64.
+// mix hashes a key with the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
 	return x ^ x>>31
 }
 
-// rendezvous has a node use the servers with the highest scores, a hash of node and server.
+// rendezvous is rendezvous hashing: a node uses the servers with the highest hash of node and server.
 type rendezvous struct {
 	keys       []uint64
-	lowestUsed uint64 // the lowest score that was used
+	lowestUsed uint64 // lowest score of a used server
 	scratch    []scored
 }
 
@@ -59,7 +59,7 @@
 	return sets
 }
 
-// one sorts only the scores above a threshold that about twice as many as needed exceed.
+// chooseOne sorts only the scores above a threshold, which about twice as many servers as needed exceed.
 func (r *rendezvous) chooseOne(node int, listed []int32) {
 	salt := mix(uint64(node) + 1)
 	wanted := min(1, 2*float64(DefaultMaxServers)/float64(len(listed)))
@@ -71,7 +71,7 @@
 		}
 	}
 	if len(r.scratch) < DefaultMaxServers {
-		panic("the threshold leaves too few")
+		panic("too few servers have a score above the threshold")
 	}
 	slices.SortFunc(r.scratch, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	r.lowestUsed = r.scratch[DefaultMaxServers-1].score
@@ -84,8 +84,9 @@
 	return 1
 }
 
-// rounds divides the servers among as many nodes as it takes to use each once, in an order that differs
-// by round. The order is by hash, so that a change moves as few servers as this way allows.
+// rounds divides all servers among a group of nodes in each round, so that each server is used once, in an
+// order that differs by round. The order is by hash, so that a change moves as few servers as possible with
+// this scheme.
 type rounds struct{ keys []uint64 }
 
 func (r *rounds) order(round int, listed []int32) []int32 {
@@ -120,9 +121,9 @@
 	return len(listed)
 }
 
-// boundedRing is a ring on which a server that has its maximum of users already, a multiple of the mean, is
-// passed over. A node has to work out the choices of all nodes with lower numbers, and to know how many
-// nodes there are.
+// boundedRing is consistent hashing with bounded loads: a server that already has its maximum number of
+// users, a multiple of the mean, is skipped. A node has to compute the choices of all nodes with lower
+// numbers, and to know the number of nodes.
 type boundedRing struct {
 	keys     []uint64
 	nodes    int
@@ -163,67 +164,67 @@
 	return (node + 1) * DefaultMaxServers
 }
 
-// ours is the package's own choice.
+// subsetScheme is the algorithm of this package.
 type subsetScheme struct {
 	t       *testing.T
 	servers []Server
 	numbers map[string]int32 // by ID
-	set     *Set             // of the node in one
+	set     *Set             // set of the node of chooseOne
 }
 
-func (o *subsetScheme) list(listed []int32) []Server {
+func (s *subsetScheme) list(listed []int32) []Server {
 	servers := make([]Server, len(listed))
 	for i, number := range listed {
-		servers[i] = o.servers[number]
+		servers[i] = s.servers[number]
 	}
 	return servers
 }
 
-func (o *subsetScheme) assign(nodes int, listed []int32) [][]int32 {
+func (s *subsetScheme) assign(nodes int, listed []int32) [][]int32 {
 	sets := make([][]int32, nodes)
-	for node, set := range group(o.t, nodes, Config{}, o.list(listed)) {
+	for node, set := range group(s.t, nodes, Config{}, s.list(listed)) {
 		for _, e := range set.chosen {
-			sets[node] = append(sets[node], o.numbers[e.id()])
+			sets[node] = append(sets[node], s.numbers[e.id()])
 		}
 	}
 	return sets
 }
 
-func (o *subsetScheme) chooseOne(node int, listed []int32) {
-	o.set = mustNew(o.t, Config{Node: node})
-	list := o.set.NewList()
+func (s *subsetScheme) chooseOne(node int, listed []int32) {
+	s.set = mustNew(s.t, Config{Node: node})
+	list := s.set.NewList()
 	for _, number := range listed {
-		if err := list.Add(o.servers[number]); err != nil {
-			o.t.Fatal(err)
+		if err := list.Add(s.servers[number]); err != nil {
+			s.t.Fatal(err)
 		}
 	}
-	o.set.Replace(list)
+	s.set.Replace(list)
 }
 
-func (o *subsetScheme) removeUnused(_ int, _ []int32, removed int32) int {
-	visited := o.set.visited
-	server := o.servers[removed]
+func (s *subsetScheme) removeUnused(_ int, _ []int32, removed int32) int {
+	visited := s.set.visited
+	server := s.servers[removed]
 	for _, state := range []State{Removed, Available} {
 		server.State = state
-		change, err := o.set.Apply([]Server{server})
+		change, err := s.set.Apply([]Server{server})
 		if err != nil || len(change.Removed) > 0 {
-			o.t.Fatal(err, change)
+			s.t.Fatal(err, change)
 		}
 	}
-	return o.set.visited - visited
+	return s.set.visited - visited
 }
 
-// comparison is what is measured of a scheme. Times and entries are those of one node; elsewhere is one
-// change that does not concern it, of which entries are looked at to choose again.
+// comparison holds the measurements of a scheme. Times and visited entries are those of one node.
 type comparison struct {
 	load                        distribution
-	affected, affectedByBusiest float64 // nodes changed by one server's going, by the ideal number
-	chooseTime, unusedTime      time.Duration
-	visitedEntries              int
+	affected, affectedByBusiest float64       // nodes affected by the removal of a server, relative to the ideal number
+	chooseTime, unusedTime      time.Duration // of a choice, and of the removal of an unused server
+	visitedEntries              int           // entries visited at the removal of an unused server
 }
 
-// TestComparison compares ways of choosing 200 servers for each node: at a twentieth of the target's size, or
-// with -long at the target's size.
+// TestComparison compares selection schemes with 200 servers for each node: at a twentieth of the target's
+// size, or with -long at the target's size. It guards against a change by which this package's scheme
+// distributes load less evenly or makes changes more expensive.
 func TestComparison(t *testing.T) {
 	nodes, count := targetNodes/20, targetServers/20
 	if *long {
@@ -235,8 +236,8 @@
 		keys[i], numbers[server.ID] = xxhash.Sum64String(server.ID), int32(i)
 	}
 	schemes := []struct {
-		name string
-		way  scheme
+		name      string
+		candidate scheme
 	}{
 		{"rendezvous", &rendezvous{keys: keys}},
 		{"rounds", &rounds{keys: keys}},
@@ -246,27 +247,27 @@
 	}
 	results := make(map[string]comparison)
 	for _, s := range schemes {
-		c := compareScheme(s.way, nodes, count)
-		t.Logf("%-10s load / mean: p99 %.3f, most %.3f; nodes changed / ideal: %.2f, of the busiest %.2f; choose %v; change elsewhere %v, %d entries",
+		c := compareScheme(s.candidate, nodes, count)
+		t.Logf("%-10s load / mean: p99 %.3f, max %.3f; nodes affected / ideal: %.2f, of the busiest servers %.2f; choose %v; change of an unused server %v, %d entries",
 			s.name, c.load.p99, c.load.max, c.affected, c.affectedByBusiest, c.chooseTime, c.unusedTime, c.visitedEntries)
 		results[s.name] = c
 	}
 	require.LessOrEqual(t, results["ours"].load.p99, 1.25)
 	require.LessOrEqual(t, results["ours"].affectedByBusiest, 1.5)
 	require.Zero(t, results["ours"].visitedEntries)
-	require.Greater(t, results["rendezvous"].load.p99, 1.5, "its servers are drawn by chance")
-	require.Greater(t, results["rounds"].affected, 10.0, "a change shifts what is divided")
-	require.Greater(t, results["ring 1.25"].visitedEntries, count, "a node works out what all others choose")
+	require.Greater(t, results["rendezvous"].load.p99, 1.5, "rendezvous hashing distributes load at random")
+	require.Greater(t, results["rounds"].affected, 10.0, "a change shifts the division of the servers")
+	require.Greater(t, results["ring 1.25"].visitedEntries, count, "a node computes the choices of the other nodes")
 }
 
-// compareScheme measures a scheme, with the going of six servers that are drawn and of the four with the
-// most users.
-func compareScheme(way scheme, nodes, count int) comparison {
+// compareScheme measures a scheme, with the removal of six random servers and of the four with the most
+// users.
+func compareScheme(candidate scheme, nodes, count int) comparison {
 	listed := make([]int32, count)
 	for i := range listed {
 		listed[i] = int32(i)
 	}
-	before := way.assign(nodes, listed)
+	before := candidate.assign(nodes, listed)
 	users := make([]float64, count)
 	for _, set := range before {
 		for _, server := range set {
@@ -276,7 +277,7 @@
 	affectedNodes := func(removed int32) float64 {
 		remaining := slices.Delete(slices.Clone(listed), int(removed), int(removed)+1)
 		ideal := float64(nodes) * DefaultMaxServers / float64(count)
-		return float64(countDifferent(before, way.assign(nodes, remaining))) / ideal
+		return float64(countDifferent(before, candidate.assign(nodes, remaining))) / ideal
 	}
 	c := comparison{load: distributionOf(users)}
 	random := rand.New(rand.NewPCG(1, 3))
@@ -288,12 +289,12 @@
 	for _, removed := range byUsers[:busiestRemovals] {
 		c.affectedByBusiest += affectedNodes(removed) / busiestRemovals
 	}
-	way.assign(nodes, listed)
-	c.measureNode(way, nodes-1, listed, before[nodes-1])
+	candidate.assign(nodes, listed)
+	c.measureNode(candidate, nodes-1, listed, before[nodes-1])
 	return c
 }
 
-// differing returns how many nodes have another set, in whatever order.
+// countDifferent returns the number of nodes whose sets differ, regardless of order.
 func countDifferent(before, after [][]int32) int {
 	count := 0
 	for node := range before {
@@ -305,8 +306,9 @@
 	return count
 }
 
-// measureNode measures a choice and a change elsewhere at one node, by the least time of three spans.
-func (c *comparison) measureNode(way scheme, node int, listed, used []int32) {
+// measureNode measures a choice and the removal of an unused server at one node. Each time is the minimum of
+// three measurements.
+func (c *comparison) measureNode(candidate scheme, node int, listed, used []int32) {
 	unused := int32(0)
 	for slices.Contains(used, unused) {
 		unused++
@@ -314,12 +316,12 @@
 	c.chooseTime, c.unusedTime = time.Hour, time.Hour
 	for range 3 {
 		start := time.Now()
-		way.chooseOne(node, listed)
+		candidate.chooseOne(node, listed)
 		c.chooseTime = min(c.chooseTime, time.Since(start))
 		const repeats = 20
 		start = time.Now()
 		for range repeats {
-			c.visitedEntries = way.removeUnused(node, listed, unused)
+			c.visitedEntries = candidate.removeUnused(node, listed, unused)
 		}
 		c.unusedTime = min(c.unusedTime, time.Since(start)/repeats)
 	}
--- a/fleet/subset/cost_test.go
+++ b/fleet/subset/cost_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// counted returns a set at the given size whose comparisons in ordered trees are counted.
+// newCountingSet returns a set with a number of servers, the servers, and a counter of its comparisons in
+// ordered trees.
 func newCountingSet(t testing.TB, size int) (*Set, []Server, *int) {
 	t.Helper()
 	comparisons := new(int)
@@ -25,8 +26,8 @@
 	return set, servers, comparisons
 }
 
-// TestCostOfAChange bounds what one change costs by counts, which do not depend on the machine: the
-// comparisons in ordered trees, and the entries visited to choose again.
+// TestCostOfChangeIsBounded guards against a change whose cost grows with the length of the list. It counts
+// comparisons in ordered trees and entries visited to choose again, which do not depend on the machine.
 func TestCostOfChangeIsBounded(t *testing.T) {
 	for _, size := range []int{1000, 10_000, targetServers} {
 		set, servers, comparisons := newCountingSet(t, size)
@@ -44,7 +45,7 @@
 		}
 		unusedComparisons, unusedVisits := costliestChange(t, set, unused, comparisons)
 		usedComparisons, usedVisits := costliestChange(t, set, used, comparisons)
-		t.Logf("%d servers: a change elsewhere: at most %d comparisons, %d entries visited; one of a chosen server: %d and %d",
+		t.Logf("%d servers: a change of an unused server: at most %d comparisons, %d entries visited; of a chosen server: %d and %d",
 			size, unusedComparisons, unusedVisits, usedComparisons, usedVisits)
 		require.LessOrEqual(t, unusedComparisons, 200)
 		require.Zero(t, unusedVisits)
@@ -53,8 +54,8 @@
 	}
 }
 
-// worstChange drains, removes and lists again 100 of the servers, one change at a time. It returns the most
-// comparisons and visited entries of a change.
+// costliestChange drains, removes and lists again 100 of the servers, one change at a time. It returns the
+// maximum numbers of comparisons and visited entries of a change.
 func costliestChange(t *testing.T, set *Set, servers []Server, comparisons *int) (maxComparisons, maxVisited int) {
 	t.Helper()
 	random := rand.New(rand.NewPCG(1, 1))
@@ -69,7 +70,7 @@
 	return maxComparisons, maxVisited
 }
 
-// heapOf returns the heap in use after a full collection, in bytes.
+// heapInUse returns the heap in use after a full garbage collection, in bytes.
 func heapInUse() int {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -78,8 +79,8 @@
 	return int(stats.HeapAlloc)
 }
 
-// realistic returns entry i of a list in random order, with an ID of 20 bytes and an endpoint of 17 or 18.
-// Its strings are new at each call, as those of a decoded message.
+// realisticServer returns entry i of a list in random order, with an ID of 20 bytes and an endpoint of 17 or
+// 18. Its strings are allocated at each call, like those of a decoded message.
 func realisticServer(seed uint64, i int) Server {
 	hash := rand.New(rand.NewPCG(seed, uint64(i))).Uint64()
 	return Server{
@@ -93,11 +94,11 @@
 	}
 }
 
-// heapBound is the maximum heap of a set of 85,000 servers, in bytes.
+// maxHeapBytes is the maximum heap of a set of 85,000 servers, in bytes.
 const maxHeapBytes = 16 << 20
 
-// TestHeap measures the heap of a set of 85,000 servers, while a repeated list is staged, after changes,
-// and while a list of all new servers is staged: then two lists are held.
+// TestHeapIsBounded guards against a larger heap of a set of 85,000 servers: with a repeated list staged, after
+// changes, and with a list of all new servers staged, when two lists are held.
 func TestHeapIsBounded(t *testing.T) {
 	start := heapInUse()
 	set := mustNew(t, Config{Node: 99})
@@ -134,14 +135,14 @@
 
 func megabytes(bytes int) float64 { return float64(bytes) / (1 << 20) }
 
-// BenchmarkChangeElsewhere is one change at a node that it does not concern.
-func BenchmarkChangeOfUnused(b *testing.B) {
+// BenchmarkChangeElsewhere measures one change of a server that the node does not use.
+func BenchmarkChangeElsewhere(b *testing.B) {
 	for _, size := range []int{1000, 10_000, targetServers} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) { benchmarkChange(b, size, false) })
 	}
 }
 
-// BenchmarkChangeOfChosen is one change of a chosen server.
+// BenchmarkChangeOfChosen measures one change of a chosen server.
 func BenchmarkChangeOfChosen(b *testing.B) {
 	for _, size := range []int{1000, 10_000, targetServers} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) { benchmarkChange(b, size, true) })
--- a/fleet/subset/delta.go
+++ b/fleet/subset/delta.go
@@ -1,13 +1,13 @@
 package subset
 
-// step is one change of the list: an entry that goes, one that comes, or both.
+// step is one change of the list. A nil old means an addition, a nil new a removal.
 type step struct{ old, new *entry }
 
-// Apply takes in a delta: each entry is added, replaces the one with its ID, or is removed. The delta is
-// validated whole first, and on an error nothing changes. An entry that repeats one of the same delta is
-// ignored, one that contradicts it is an *EntryError, and the removal of an ID that is not listed changes
-// nothing. A *TooManyError reports a delta with more entries than a list may hold, or one after which the list would be
-// too large.
+// Apply applies a delta: each entry is added, replaces the one with its ID, or is removed. The whole delta is
+// validated first, and on an error nothing changes. An entry that repeats one of the same delta is ignored,
+// one that contradicts it is an *EntryError, and the removal of an ID that is not listed has no effect. The
+// error is a *TooManyError if the delta has more entries than a list can hold, or the list would become too
+// large.
 func (s *Set) Apply(servers []Server) (Change, error) {
 	steps, err := s.plan(servers)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return steps, s.checkSize(steps)
 }
 
-// stepFor returns the step that an entry of a delta asks for, and whether it changes anything.
+// stepFor returns the step of an entry of a delta, and whether it changes the list.
 func (s *Set) stepFor(server Server) (step, bool) {
 	probe := s.index.probe(server.ID)
 	old := s.index.find(&probe)
@@ -69,10 +69,10 @@
 	return step{old: old, new: newEntry(probe.position, server)}, true
 }
 
-// checkSize reports whether the list would be too large after the steps.
+// checkSize returns a *TooManyError if the list would be too large after the steps.
 func (s *Set) checkSize(steps []step) error {
 	listed := s.Len()
-	byZone := make(map[string]int) // change of the number of listed servers
+	byZone := make(map[string]int) // change of the number of listed servers of each zone
 	for _, change := range steps {
 		if change.old != nil {
 			listed--
--- a/fleet/subset/errors.go
+++ b/fleet/subset/errors.go
@@ -12,21 +12,21 @@
 	return fmt.Sprintf("server subset: %s: %d is not in %d to %d; correct it in the configuration", e.Key, e.Value, e.Min, e.Max)
 }
 
-// TooManyError reports a list or a delta that holds more than it may.
+// TooManyError reports a list or a delta that exceeds a limit.
 type TooManyError struct {
 	What       string // servers, entries or zones
 	Count, Max int
 }
 
 func (e *TooManyError) Error() string {
-	return fmt.Sprintf("server list: %d %s, at most %d are taken; list fewer, or raise the node's bound", e.Count, e.What, e.Max)
+	return fmt.Sprintf("server list: %d %s, at most %d are accepted; list fewer, or raise the node's limit", e.Count, e.What, e.Max)
 }
 
 // EntryError reports an entry of a list or a delta that cannot be used.
 type EntryError struct {
-	Number int    // of the entry in its message, from 1
-	ID     string // of the server, cut to 64 bytes
-	Field  string // empty where the entry as a whole is wrong
+	Number int    // number of the entry in its message, from 1
+	ID     string // ID of the server, cut to 64 bytes
+	Field  string // empty if the entry as a whole is invalid
 	Reason string
 }
 
@@ -45,7 +45,7 @@
 	return "server list: this list has been used already; stage a new one"
 }
 
-// idShown is the length to which an ID is cut in an error, in bytes.
+// maxShownIDBytes is the length in bytes to which an ID is cut in an error.
 const maxShownIDBytes = 64
 
 func newEntryError(number int, id, field, reason string) *EntryError {
--- a/fleet/subset/errors_test.go
+++ b/fleet/subset/errors_test.go
@@ -8,6 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestInvalidConfigIsRejected guards against a value out of its range that is accepted, or reported by
+// another key.
 func TestInvalidConfigIsRejected(t *testing.T) {
 	invalid := map[string]Config{
 		"node":       {Node: -1},
@@ -25,15 +27,15 @@
 	require.NoError(t, Config{Node: maxNode, MinPerZone: NoZoneMinimum}.Validate())
 }
 
-// requireOneLine requires a text of one line that ends with what an operator can do.
+// requireOneLine requires an error text of one line with a hint for the operator.
 func requireOneLine(t *testing.T, err error) {
 	t.Helper()
 	require.NotContains(t, err.Error(), "\n")
 	require.Contains(t, err.Error(), "; ")
 }
 
-// TestWrongEntriesAreDroppedWhole offers each kind of wrong entry, after a good one, as a list and as a
-// delta. The set stays as it was.
+// TestInvalidEntryRejectsWholeMessage guards against a message of which only a part is applied: it sends each
+// kind of invalid entry after a valid one, as a list and as a delta. The set must not change.
 func TestInvalidEntryRejectsWholeMessage(t *testing.T) {
 	long := strings.Repeat("x", MaxFieldBytes+1)
 	invalid := map[string]Server{
@@ -56,7 +58,8 @@
 	}
 }
 
-// requireDropped offers two entries of which the second is wrong in a field.
+// requireRejected sends two entries, the second of which is invalid in a field, and requires that the set
+// rejects both.
 func requireRejected(t *testing.T, valid, invalid Server, field string) {
 	t.Helper()
 	set := mustNew(t, Config{})
@@ -85,7 +88,8 @@
 	requireOneLine(t, err)
 }
 
-// TestRepeatedEntriesAreIgnored repeats entries with the same content within a message.
+// TestRepeatedEntriesAreIgnored guards against an error or a double entry when a message repeats an entry with
+// the same content.
 func TestRepeatedEntriesAreIgnored(t *testing.T) {
 	a, removed := Server{ID: "a", Zone: "z"}, Server{ID: "gone", State: Removed}
 	set := mustNew(t, Config{})
@@ -97,8 +101,8 @@
 	require.Equal(t, 2, set.Len())
 }
 
-// TestTooManyServers exceeds the maximum by a list and by a delta; a delta that replaces as many as it
-// adds is taken.
+// TestTooManyServersAreRejected guards against a list or a delta that exceeds the maximum number of servers,
+// and against rejecting a delta that removes as many servers as it adds.
 func TestTooManyServersAreRejected(t *testing.T) {
 	set := mustNew(t, Config{MaxServers: 5, MaxListed: 20})
 	servers := newServers(1, 42, []float64{1})
@@ -123,7 +127,7 @@
 	require.Equal(t, 20, set.Len())
 }
 
-// TestTooManyRemovals bounds what a list of removals can make a node remember.
+// TestTooManyRemovalsAreRejected guards against unbounded memory for a list of removals.
 func TestTooManyRemovalsAreRejected(t *testing.T) {
 	set := mustNew(t, Config{MaxServers: 5, MaxListed: 20})
 	list := set.NewList()
@@ -141,13 +145,14 @@
 	requireOneLine(t, err)
 }
 
-// TestTooManyZones bounds the zones of a list that is not used whole, by a list and by a delta.
+// TestTooManyZonesAreRejected guards against a list or a delta with too many zones, unless the list is short
+// enough to be used whole.
 func TestTooManyZonesAreRejected(t *testing.T) {
 	servers := newServers(1, 100, hundredZoneWeights())
 	want := TooManyError{What: "zones", Count: MaxZones + 1, Max: MaxZones}
 	whole := mustNew(t, Config{MaxServers: 100})
 	replace(t, whole, servers)
-	require.Len(t, whole.Chosen(), 100, "each server in a zone of its own, but the list is short")
+	require.Len(t, whole.Chosen(), 100, "a short list may have any number of zones")
 	_, err := whole.Apply(newServers(2, 1, []float64{1}))
 	requireTooMany(t, err, TooManyError{What: "zones", Count: 100, Max: MaxZones})
 
@@ -165,7 +170,7 @@
 	require.Len(t, set.index.zones, MaxZones)
 }
 
-// hundredZones are the weights of 100 zones of the same size.
+// hundredZoneWeights returns the weights of 100 zones of the same size.
 func hundredZoneWeights() []float64 {
 	weights := make([]float64, 100)
 	for i := range weights {
@@ -174,7 +179,8 @@
 	return weights
 }
 
-// TestListIsUsedOnce replaces by a list twice, adds to it later, and offers it to another set.
+// TestListCanBeUsedOnlyOnce guards against a staged list that has an effect when it is used twice, extended
+// later, or passed to another set.
 func TestListCanBeUsedOnlyOnce(t *testing.T) {
 	set, other := mustNew(t, Config{}), mustNew(t, Config{})
 	list := set.NewList()
--- a/fleet/subset/helpers_test.go
+++ b/fleet/subset/helpers_test.go
@@ -31,7 +31,7 @@
 	return set.Replace(list)
 }
 
-// apply takes in a delta that has to be valid.
+// apply applies a delta that has to be valid.
 func apply(t testing.TB, set *Set, servers ...Server) Change {
 	t.Helper()
 	change, err := set.Apply(servers)
@@ -39,7 +39,7 @@
 	return change
 }
 
-// inState returns the servers with their state replaced.
+// inState returns copies of the servers with another state.
 func inState(state State, servers ...Server) []Server {
 	changed := make([]Server, len(servers))
 	for i, server := range servers {
@@ -60,7 +60,7 @@
 	return ids
 }
 
-// fleet returns servers of equal capacity whose IDs depend on the seed, spread over zones by their
+// newServers returns servers of equal capacity whose IDs depend on the seed, distributed over zones by their
 // weights. IDs have 20 bytes and endpoints 16 to 18.
 func newServers(seed uint64, count int, zoneWeights []float64) []Server {
 	random := rand.New(rand.NewPCG(seed, 0))
@@ -88,7 +88,7 @@
 	return servers
 }
 
-// evenZones are the weights of 17 zones of the same size.
+// evenZoneWeights returns the weights of 17 zones of the same size.
 func evenZoneWeights() []float64 {
 	weights := make([]float64, 17)
 	for i := range weights {
@@ -97,7 +97,7 @@
 	return weights
 }
 
-// unevenZones are the weights of 17 zones of which the largest is ten times the smallest.
+// unevenZoneWeights returns the weights of 17 zones, the largest of which is ten times the smallest.
 func unevenZoneWeights() []float64 {
 	weights := make([]float64, 17)
 	for i := range weights {
@@ -106,8 +106,8 @@
 	return weights
 }
 
-// targetGroup returns the sets of 5,800 nodes among 85,000 servers with uneven or even zones. It is built
-// once for each seed; tests must not change it.
+// targetGroup returns the sets of 5,800 nodes with 85,000 servers in uneven or even zones. It is built once
+// for each seed and kind of zones; tests must not change it.
 func targetGroup(t testing.TB, seed uint64, uneven bool) []*Set {
 	t.Helper()
 	key := targetKey{seed: seed, uneven: uneven}
@@ -128,8 +128,8 @@
 
 var targetGroups = make(map[targetKey][]*Set)
 
-// group returns the sets of nodes 0 to size-1, which share one index so that thousands fit in memory.
-// Each node chooses by its own code.
+// group returns the sets of nodes 0 to size-1. They share one index so that thousands fit in memory, but each
+// makes its own choice.
 func group(t testing.TB, size int, config Config, servers []Server) []*Set {
 	t.Helper()
 	first := mustNew(t, config)
--- a/fleet/subset/hints_test.go
+++ b/fleet/subset/hints_test.go
@@ -6,6 +6,7 @@
 	"sloestile/internal/oncall"
 )
 
+// TestErrorsIncludeOperatorHint guards against an error without a hint for the operator.
 func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&ConfigError{Key: "most", Value: 5000, Min: 1, Max: maxServersBound},
--- a/fleet/subset/index.go
+++ b/fleet/subset/index.go
@@ -50,7 +50,7 @@
 // listed returns the number of servers in any state.
 func (x *index) listed() int { return x.available.Len() + x.draining.Len() }
 
-// probe returns an entry by which the server with the ID is found.
+// probe returns an entry with an ID and its position, to search for the listed entry.
 func (x *index) probe(id string) entry {
 	return entry{position: x.hash(id), text: id, idLength: uint16(len(id))}
 }
@@ -97,8 +97,7 @@
 	}
 }
 
-// clockwise visits the entries of a tree in ring order from a position on, once round the ring, until
-// visit returns false.
+// clockwise visits all entries of a tree once, in ring order from a position, until visit returns false.
 func clockwise(tree *btree.BTreeG[*entry], start uint64, visit func(*entry) bool) {
 	first := &entry{position: start}
 	more := true
@@ -111,7 +110,7 @@
 	}
 }
 
-// compareFrom orders entries as they are met clockwise from a position.
+// compareFrom returns a comparison of entries by their distance clockwise from a position, then by ID.
 func compareFrom(start uint64) func(a, b *entry) int {
 	return func(a, b *entry) int {
 		if order := cmp.Compare(a.position-start, b.position-start); order != 0 {
--- a/fleet/subset/list.go
+++ b/fleet/subset/list.go
@@ -1,8 +1,8 @@
 package subset
 
-// List stages a whole server list while the message that carries it is read. The set that it is meant
-// for stays as it is until Replace. Entries that the set already lists with the same content are shared
-// with it, so that a repeated list costs little memory.
+// List stages a whole server list while the message that carries it is read. The set is unchanged until
+// Replace. Entries that the set already lists with the same content are shared with it, so that a repeated
+// list costs little memory.
 type List struct {
 	set     *Set
 	index   *index
@@ -50,8 +50,8 @@
 	return l.set.config.checkZones(l.index.listed(), len(l.index.zones))
 }
 
-// repeats reports whether the list already holds the same entry. It returns an error if it holds another
-// one with the same ID.
+// repeats reports whether the list already holds the same entry. It returns an *EntryError if the list holds
+// a different one with the same ID.
 func (l *List) repeats(probe *entry, server Server) (bool, error) {
 	earlier, found := l.removed[server.ID]
 	if staged := l.index.find(probe); staged != nil {
@@ -71,9 +71,8 @@
 	return newEntry(probe.position, server)
 }
 
-// Replace makes the staged list the set's list, at once and whole, and returns what this changes in the
-// chosen servers. The list cannot be used again. A list whose Add has failed changes nothing, and so does
-// one that was staged for another set.
+// Replace replaces the set's whole list by the staged one and returns the change of the chosen servers. The
+// list cannot be used again. A list whose Add has failed, or that was staged for another set, has no effect.
 func (s *Set) Replace(l *List) Change {
 	if l.err != nil || l.set != s {
 		return Change{}
--- a/fleet/subset/lists_test.go
+++ b/fleet/subset/lists_test.go
@@ -30,8 +30,8 @@
 	require.Zero(t, set.Len())
 }
 
-// TestShortListIsUsedWhole has a list of exactly Most entries in all states, one zone with draining
-// servers only.
+// TestShortListIsUsedWhole guards against a choice from a list that should be used whole. The list has exactly
+// MaxServers entries, available and draining, and a zone with draining servers only.
 func TestShortListIsUsedWhole(t *testing.T) {
 	servers := newServers(1, DefaultMaxServers, evenZoneWeights())
 	for i := range servers {
@@ -48,9 +48,9 @@
 	require.Equal(t, 30.0, set.Sharers(30))
 }
 
-// TestThresholdIsCrossedByDeltas adds one server to a list of Most entries and removes it again. The
-// draining servers that were chosen while the list was whole stay, one that begins to drain elsewhere
-// does not enter.
+// TestDeltasCrossWholeListThreshold guards against a wrong choice when deltas make a list longer than
+// MaxServers and short enough again. Draining servers that were chosen while the list was used whole stay; a
+// new draining server is not chosen.
 func TestDeltasCrossWholeListThreshold(t *testing.T) {
 	servers := newServers(2, 50, []float64{1, 1})
 	servers[0].State = Draining
@@ -77,8 +77,8 @@
 	require.InDelta(t, 100*50/51.0, set.Sharers(100), 1e-9)
 }
 
-// TestListBecomesWholeByAChangeElsewhere removes a draining server that was not chosen, so that the list
-// has Most entries: now the other draining server is used too.
+// TestRemovalOfUnusedServerMakesListWhole guards against missing that a list is to be used whole after the
+// removal of an unused server: then the other draining server is used too.
 func TestRemovalOfUnusedServerMakesListWhole(t *testing.T) {
 	servers := newServers(3, 51, []float64{1})
 	servers[3].State, servers[4].State = Draining, Draining
@@ -90,8 +90,8 @@
 	require.True(t, set.Whole())
 }
 
-// TestOrderOfTheListDoesNotCount compares nodes that got the same list in other orders and by other
-// messages, as one that restarts does.
+// TestChoiceIgnoresListOrder guards against a choice that depends on the order of the entries or on how they
+// are divided into messages, as a restarted node would then choose other servers.
 func TestChoiceIgnoresListOrder(t *testing.T) {
 	servers := newServers(4, 5000, unevenZoneWeights())
 	first := mustNew(t, Config{Node: 17})
@@ -109,7 +109,8 @@
 	require.Equal(t, first.Chosen(), third.Chosen())
 }
 
-// TestServerReturnsToTheSameNodes removes a chosen server and lists it again, restarted.
+// TestServerReturnsToTheSameNodes guards against another choice after a chosen server is removed and listed
+// again, restarted.
 func TestServerReturnsToTheSameNodes(t *testing.T) {
 	servers := newServers(5, 5000, unevenZoneWeights())
 	set := mustNew(t, Config{Node: 8})
@@ -128,7 +129,8 @@
 	require.Equal(t, before, set.Chosen())
 }
 
-// TestAllDrain drains a whole list that is longer than Most, and brings it back.
+// TestAllServersDrainAndReturn guards against an unbounded or empty choice when all servers of a list longer
+// than MaxServers drain, and against another choice when they are available again.
 func TestAllServersDrainAndReturn(t *testing.T) {
 	servers := newServers(6, 1000, unevenZoneWeights())
 	set := mustNew(t, Config{})
@@ -137,12 +139,13 @@
 	apply(t, set, inState(Draining, servers...)...)
 	require.Zero(t, set.Available())
 	require.Zero(t, set.Sharers(10))
-	require.Len(t, set.Chosen(), DefaultMaxServers, "those that were chosen stay as draining, up to the maximum")
+	require.Len(t, set.Chosen(), DefaultMaxServers, "chosen servers stay as draining, up to the maximum")
 	apply(t, set, servers...)
 	require.Equal(t, before, set.Chosen())
 }
 
-// TestFewerAvailableThanMost has a long list of which fewer than Most are available: all of them are used.
+// TestAllAreUsedIfFewerAvailableThanMax guards against unused available servers in a long list of which fewer
+// than MaxServers are available.
 func TestAllAreUsedIfFewerAvailableThanMax(t *testing.T) {
 	servers := newServers(7, 1000, unevenZoneWeights())
 	for i := range servers {
@@ -167,7 +170,7 @@
 	require.Equal(t, 1000, set.Len())
 }
 
-// TestServerMovesToAnotherZone moves the only two servers of a zone into another one.
+// TestServerMovesToAnotherZone guards against a stale zone when its only two servers move to another zone.
 func TestServerMovesToAnotherZone(t *testing.T) {
 	servers := newServers(9, 300, []float64{149, 1})
 	set := mustNew(t, Config{})
@@ -183,8 +186,9 @@
 	require.Len(t, set.index.zones, 1)
 }
 
-// TestCollidingPositions puts all servers on one position, then on the node's own and its opposite: they
-// are used in the order of their IDs, and each is found and removed by its own ID.
+// TestCollidingPositions guards against servers that are confused because their positions collide: at one
+// position, at the end of the ring, or at the node's own position and the opposite one. They are used in the
+// order of their IDs, and each is found and removed by its own ID.
 func TestCollidingPositions(t *testing.T) {
 	positions := map[string]func(id string) uint64{
 		"one":       func(string) uint64 { return 1 << 40 },
--- a/fleet/subset/load_test.go
+++ b/fleet/subset/load_test.go
@@ -10,7 +10,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// The target's size.
+// The numbers of nodes and servers that the package is designed for.
 const (
 	targetNodes   = 5_800
 	targetServers = 85_000
@@ -19,7 +19,7 @@
 // idealUsers is the mean number of nodes that use one server at the target's size.
 const idealUsers = float64(targetNodes) * DefaultMaxServers / targetServers
 
-// spread is a distribution relative to its mean.
+// distribution summarizes values relative to their mean.
 type distribution struct{ min, p99, max float64 }
 
 func distributionOf(values []float64) distribution {
@@ -32,8 +32,7 @@
 	}
 }
 
-// perServer sums over all nodes what each puts on each of its available servers. It has one value for
-// each available server of the list.
+// perServer returns for each available server of the list the sum of the amounts of the nodes that use it.
 func perServer(sets []*Set, amount func(chosen []*entry, e *entry) float64) []float64 {
 	sums := make(map[*entry]float64)
 	for _, set := range sets {
@@ -51,13 +50,13 @@
 	return values
 }
 
-// one counts the nodes that use a server.
+// countOne is the amount for counting the nodes that use a server.
 func countOne([]*entry, *entry) float64 { return 1 }
 
-// evenPart is the part of a node's traffic that each of its servers gets if it is split evenly.
+// evenShare is the fraction of a node's traffic that each of its servers receives if it is split evenly.
 func evenShare(chosen []*entry, _ *entry) float64 { return 1 / float64(len(chosen)) }
 
-// meanSharers returns the mean of what the sets state as the users of one server.
+// meanSharers returns the mean of Sharers over the sets.
 func meanSharers(sets []*Set) float64 {
 	sum := 0.0
 	for _, set := range sets {
@@ -66,10 +65,10 @@
 	return sum / float64(len(sets))
 }
 
-// TestLoadIsEvenAtTargetSize has 5,800 nodes that split equal traffic evenly over their servers, of
-// 85,000 with equal capacity. A server that comes or goes changes the subsets of exactly the nodes that
-// use it while it is listed (see TestChangeConcernsItsUsers), so that the users of each server are also
-// the nodes that its coming or going concerns.
+// TestLoadIsEvenAtTargetSize guards against uneven load: 5,800 nodes split equal traffic evenly over their
+// servers, out of 85,000 with equal capacity. The addition or removal of a server affects exactly the nodes
+// that use it (see TestChangeAffectsExactlyTheUsers), so that the number of users of a server is also the
+// number of nodes that such a change affects.
 func TestLoadIsEvenAtTargetSize(t *testing.T) {
 	for _, uneven := range []bool{false, true} {
 		for seed := uint64(1); seed <= 3; seed++ {
@@ -78,15 +77,15 @@
 			users := perServer(sets, countOne)
 			mean := stat.Mean(users, nil) / idealUsers
 			change := distributionOf(users)
-			t.Logf("uneven zones %v, seed %d: load / mean: least %.3f, p99 %.3f, most %.3f; nodes changed by one server / ideal %.2f: mean %.3f, p99 %.3f, most %.3f",
+			t.Logf("uneven zones %v, seed %d: load / mean: min %.3f, p99 %.3f, max %.3f; nodes affected by one server / ideal %.2f: mean %.3f, p99 %.3f, max %.3f",
 				uneven, seed, load.min, load.p99, load.max, idealUsers, mean, change.p99*mean, change.max*mean)
 			require.InDelta(t, mean*idealUsers, meanSharers(sets), 1e-6)
 			require.Greater(t, load.min, 0.5)
 			require.LessOrEqual(t, load.p99, 1.25)
 			require.LessOrEqual(t, mean, 1.05)
 			require.LessOrEqual(t, change.p99*mean, 1.5)
-			// Floors are filled within twice the window, so that a server of a small zone can have twice
-			// the users of another.
+			// Zone minimums are filled within twice the window, so that a server of a small zone can have
+			// twice as many users as another.
 			maxChange := 1.5
 			if uneven {
 				maxChange *= zoneReachFactor
@@ -96,7 +95,8 @@
 	}
 }
 
-// TestChangeConcernsItsUsers removes servers one by one from the lists of 300 nodes and lists them again.
+// TestChangeAffectsExactlyTheUsers guards against a change that affects nodes that do not use the server. It
+// removes servers one by one from the lists of 300 nodes and lists them again.
 func TestChangeAffectsExactlyTheUsers(t *testing.T) {
 	servers := newServers(4, 10_000, unevenZoneWeights())
 	sets := group(t, 300, Config{}, servers)
@@ -119,7 +119,7 @@
 	}
 }
 
-// changedBy changes the index that the nodes share and returns those whose chosen servers change.
+// affectedBy changes the index that the nodes share and returns the nodes whose chosen servers change.
 func affectedBy(sets []*Set, e *entry, update func(*entry)) []int {
 	update(e)
 	var changed []int
@@ -132,9 +132,10 @@
 	return changed
 }
 
-// TestLoadWithCapacityThatDiffersTenfold has each node split its traffic by capacity, of servers whose
-// capacity is 1 to 10, evenly on a logarithmic scale. Capacity has no part in the choice. The bound on p99
-// over mean of load by capacity leaves a margin over the 1.235 measured for these seeds.
+// TestLoadWithTenfoldCapacityDifferences guards against uneven load when capacities differ, although the choice
+// ignores them. Each node splits its traffic by capacity; capacities are 1 to 10, evenly on a logarithmic
+// scale. The bound on p99 over mean of load by capacity leaves a margin over the 1.235 measured for these
+// seeds.
 func TestLoadWithTenfoldCapacityDifferences(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		sets := targetGroup(t, seed, false)
@@ -152,16 +153,16 @@
 		}
 		byCapacity := func(chosen []*entry, _ *entry) float64 { return 1 / totals[&chosen[0]] }
 		load := distributionOf(perServer(sets, byCapacity))
-		t.Logf("seed %d: load by capacity / mean: least %.3f, p99 %.3f, most %.3f", seed, load.min, load.p99, load.max)
+		t.Logf("seed %d: load by capacity / mean: min %.3f, p99 %.3f, max %.3f", seed, load.min, load.p99, load.max)
 		require.LessOrEqual(t, load.p99, 1.3)
 	}
 }
 
-// TestGroupSizeNeedNotBeKnown takes away a tenth of the nodes at the end. The others choose as before
-// since a set is not told the size of its group, and the load stays even.
+// TestLoadStaysEvenWithFewerNodes guards against uneven load when the last tenth of the nodes is removed. The
+// others choose as before, since a set does not know the size of its group.
 func TestLoadStaysEvenWithFewerNodes(t *testing.T) {
 	sets := targetGroup(t, 1, false)[:targetNodes*9/10]
 	load := distributionOf(perServer(sets, evenShare))
-	t.Logf("%d nodes: load / mean: least %.3f, p99 %.3f, most %.3f", len(sets), load.min, load.p99, load.max)
+	t.Logf("%d nodes: load / mean: min %.3f, p99 %.3f, max %.3f", len(sets), load.min, load.p99, load.max)
 	require.LessOrEqual(t, load.p99, 1.25)
 }
--- a/fleet/subset/property_test.go
+++ b/fleet/subset/property_test.go
@@ -12,13 +12,13 @@
 	"pgregory.net/rapid"
 )
 
-// naive recomputes the chosen servers from the full list after each message. It shares no code with Set.
+// referenceModel chooses servers from the full list after each message. It shares no code with Set.
 type referenceModel struct {
 	config   Config
 	hash     func(string) uint64
 	list     map[string]Server
 	chosen   []string // IDs in ring order
-	draining []string // IDs of draining servers that had been chosen, the longest-draining first
+	draining []string // IDs of draining servers that were chosen, longest-draining first
 }
 
 // ring returns the listed servers clockwise from the node's position.
@@ -38,7 +38,7 @@
 	return all
 }
 
-// recompute determines the chosen servers from the list.
+// recompute chooses servers from the list.
 func (m *referenceModel) recompute() {
 	var draining []string
 	for _, id := range append(slices.Clone(m.draining), m.chosen...) {
@@ -73,12 +73,12 @@
 	}
 }
 
-// distance returns how far a server is clockwise from the node's position.
+// distance returns the distance of a server clockwise from the node's position.
 func (m *referenceModel) distance(server Server) float64 {
 	return float64(m.hash(server.ID) - bits.Reverse64(uint64(m.config.Node)))
 }
 
-// floorLimit returns the distance up to which floors are filled, twice that of the window's end.
+// maxZoneDistance returns the distance within which zone minimums are filled: twice that of the window's end.
 func (m *referenceModel) maxZoneDistance(ring []Server) float64 {
 	taken := 0
 	for _, server := range ring {
@@ -101,7 +101,8 @@
 	return servers
 }
 
-// update changes the list by a delta. It reports whether both the delta and the list stay within the maximum of entries.
+// update applies a delta to the list, unless the delta or the list would exceed the maximum number of entries.
+// It reports whether it did.
 func (m *referenceModel) update(delta []Server) bool {
 	if len(delta) > m.config.MaxListed {
 		return false
@@ -123,7 +124,7 @@
 	return true
 }
 
-// drawMessage draws entries with distinct IDs from a small range, so that they meet again.
+// drawMessage draws entries with distinct IDs from a small range, so that later messages repeat them.
 func drawMessage(t *rapid.T, maxEntries int) []Server {
 	server := rapid.Custom(func(t *rapid.T) Server {
 		return Server{
@@ -137,7 +138,7 @@
 	return rapid.SliceOfNDistinct(server, 0, maxEntries, byID).Draw(t, "message")
 }
 
-// follow applies a Change to what a consumer knows of the chosen servers.
+// applyChange applies a Change to a consumer's copy of the chosen servers.
 func applyChange(known map[string]Server, change Change) {
 	for _, id := range change.Removed {
 		delete(known, id)
@@ -147,8 +148,8 @@
 	}
 }
 
-// send delivers a message, whole list or delta, to the set and the naive model. It requires an error, and
-// no change, exactly where the message exceeds the maximum size of a list.
+// send sends a message, a whole list or a delta, to the set and the reference model. It requires an error
+// exactly if the message exceeds the maximum size of a list.
 func send(t *rapid.T, set *Set, model *referenceModel, whole bool, message []Server) Change {
 	if !whole {
 		change, err := set.Apply(message)
@@ -175,23 +176,23 @@
 	return change
 }
 
-// checkMany checks a property 2,000 times with rapid's default of 100 checks: some faults need a rare
-// sequence of messages.
+// checkMany checks a property 2,000 times, with rapid's default of 100 checks for each call, because some
+// faults need a rare sequence of messages.
 func checkMany(t *testing.T, property func(*rapid.T)) {
 	for range 20 {
 		rapid.Check(t, property)
 	}
 }
 
-// TestChosenMatchesNaiveRecomputation sends random messages and compares the set after each with a
-// recomputation from the full list, and with what a consumer that follows the changes knows. Half of the
-// runs use a hash of eight values, so that most servers collide.
+// TestChosenMatchesReferenceModel guards against errors of incremental updates. It sends random messages and
+// compares the set after each with the reference model, and with the copy of a consumer that applies the
+// changes. Half of the runs use a hash with eight values, so that most servers collide.
 func TestChosenMatchesReferenceModel(t *testing.T) {
 	checkMany(t, func(t *rapid.T) {
 		config := Config{
 			Node:       rapid.IntRange(0, 9).Draw(t, "node"),
-			MaxServers: rapid.IntRange(1, 8).Draw(t, "most"),
-			MinPerZone: rapid.SampledFrom([]int{NoZoneMinimum, 1, 2, 3}).Draw(t, "zoneLeast"),
+			MaxServers: rapid.IntRange(1, 8).Draw(t, "maxServers"),
+			MinPerZone: rapid.SampledFrom([]int{NoZoneMinimum, 1, 2, 3}).Draw(t, "minPerZone"),
 			MaxListed:  30,
 		}
 		order := realOrdering
--- a/fleet/subset/server.go
+++ b/fleet/subset/server.go
@@ -10,8 +10,8 @@
 // State is the state of a server in the list.
 type State int
 
-// The states of a server. A server that is Available takes new requests, one that is Draining only
-// completes what it has, and one that is Removed is no longer listed.
+// The states of a server. A server that is Available accepts new requests, one that is Draining only
+// completes its present ones, and one that is Removed is no longer listed.
 const (
 	Available State = iota
 	Draining
@@ -27,14 +27,13 @@
 	Group    int
 	State    State
 	Capacity float64
-	BootMS   float64 // start of the process, in ms since 1970; 0 is not known
+	BootMS   float64 // start of the process, Unix time in ms; 0 means unknown
 }
 
-// FieldMost is the maximum length of each string of a Server, in bytes.
+// MaxFieldBytes is the maximum length of each string of a Server, in bytes.
 const MaxFieldBytes = 256
 
-// check reports the first field of the server that cannot be used, as an *EntryError for the given
-// entry number.
+// check returns an *EntryError with the given entry number for the first invalid field of the server.
 func (s *Server) check(number int) error {
 	fields := []struct{ name, value string }{
 		{"ID", s.ID}, {"endpoint", s.Endpoint}, {"zone", s.Zone}, {"model", s.Model},
@@ -48,7 +47,7 @@
 	case s.ID == "":
 		return newEntryError(number, s.ID, "ID", "it is empty")
 	case s.State < Available || s.State > Removed:
-		return newEntryError(number, s.ID, "state", "it is not known")
+		return newEntryError(number, s.ID, "state", "it is unknown")
 	case !finite(s.Capacity):
 		return newEntryError(number, s.ID, "capacity", "it is not a finite number")
 	case !finite(s.BootMS):
@@ -75,7 +74,8 @@
 	state    uint8
 }
 
-// newEntry copies the server, so that the buffer that its strings were cut from can be freed.
+// newEntry returns an entry with copies of the server's strings, so that the buffer of a decoded message can
+// be freed.
 func newEntry(position uint64, server Server) *entry {
 	var text strings.Builder
 	text.Grow(len(server.ID) + len(server.Endpoint))
--- a/fleet/subset/subset.go
+++ b/fleet/subset/subset.go
@@ -1,19 +1,20 @@
-// Package subset chooses the servers that an edge node uses among a large list of servers.
+// Package subset chooses the servers that an edge node uses from a long list of servers.
 //
-// Servers and nodes have positions on a ring of 2^64 points: a server by the hash of its ID, a node by the
-// bits of its number in reverse, which spreads any number of nodes evenly, so that the choice does not
-// depend on how many nodes there are. A node uses the first Most available servers clockwise from its
-// position, its window. A zone with fewer than ZoneLeast servers in the window adds its next ones up to
-// that floor, as far as they lie within twice the length of the window. The choice of available servers
-// depends on the list only, not on the order in which it came, so that a node which restarts makes the
-// same choice again.
+// Servers and nodes have positions on a ring of 2^64 points. The position of a server is the hash of its ID.
+// The position of a node is its number with the bits reversed, which spreads any number of nodes evenly
+// without knowing how many there are. A node uses the first MaxServers available servers clockwise from its
+// position; they are its window. If a zone has fewer than MinPerZone servers in the window, its next servers
+// are added up to that minimum, as far as they lie within twice the length of the window. The choice of
+// available servers depends only on the content of the list, not on its order, so that a restarted node
+// makes the same choice again. A list of at most MaxServers servers is used whole.
 //
 // A chosen server that begins to drain is replaced at once. It stays in the set, as Draining, until it is
-// removed from the list, available again, or one of more than Most such servers, of which the
-// longest-draining leave. A list of at most Most servers is used whole.
+// removed from the list or available again. At most MaxServers draining servers stay; beyond that those that
+// have been draining longest leave the set.
 //
-// A change of the list costs O(log N), and at a node whose chosen servers it concerns O(Most) more. The
-// package holds no lock, starts no goroutine and reads no clock.
+// A Set holds the list and the choice. Set.Apply applies a delta, and Set.NewList and Set.Replace replace the
+// whole list. A change of the list costs O(log N), and O(MaxServers) more if it affects the node's chosen
+// servers. The package holds no lock, starts no goroutine and reads no clock.
 package subset
 
 import (
@@ -28,26 +29,27 @@
 	DefaultMinPerZone = 2
 	DefaultMaxListed  = 131_072
 
-	// NoZoneFloor as ZoneLeast switches the zones' floor off.
+	// NoZoneMinimum as MinPerZone means that zones have no minimum.
 	NoZoneMinimum = -1
-	// ZonesMost is the maximum number of zones of a list that is longer than Most.
+	// MaxZones is the maximum number of zones of a list with more than MaxServers servers.
 	MaxZones = 64
 
+	// Maximum values of the fields of a Config.
 	maxNode           = 1 << 30
 	maxServersBound   = 4096
 	maxPerZoneMinimum = 64
 	maxListedBound    = 1 << 20
 )
 
-// Config is the configuration of a Set. A field that is 0 has its default; Node has none.
+// Config is the configuration of a Set. A value of 0 means the default, except for Node.
 type Config struct {
 	Node       int // number of the node in its group, from 0
-	MaxServers int // available servers of the window; a list that is no longer is used whole
-	MinPerZone int // servers of each zone, if it has as many within twice the length of the window
-	MaxListed  int // servers of the list, at most
+	MaxServers int // available servers in the window; a list of at most this length is used whole
+	MinPerZone int // minimum servers of each zone that has as many within twice the length of the window
+	MaxListed  int // maximum number of servers in the list
 }
 
-// withDefaults returns the configuration with defaults for what is 0.
+// withDefaults returns the configuration with the defaults of fields that are 0.
 func (c Config) withDefaults() Config {
 	if c.MaxServers == 0 {
 		c.MaxServers = DefaultMaxServers
@@ -78,14 +80,14 @@
 	return nil
 }
 
-// ChosenMost returns the maximum number of chosen servers: the window, the floors of ZonesMost zones, and
-// as many draining servers as the window holds.
+// MaxChosen returns the maximum number of chosen servers: the window, the minimums of MaxZones zones, and as
+// many draining servers as the window can hold.
 func (c Config) MaxChosen() int {
 	c = c.withDefaults()
 	return c.MaxServers + MaxZones*max(c.MinPerZone, 0) + c.MaxServers
 }
 
-// checkZones reports whether a list of a size has too many zones.
+// checkZones returns a *TooManyError if a list with a number of servers has too many zones.
 func (c Config) checkZones(listed, zones int) error {
 	if listed > c.MaxServers && zones > MaxZones {
 		return &TooManyError{What: "zones", Count: zones, Max: MaxZones}
@@ -103,11 +105,11 @@
 
 	chosen          []*entry // in ring order from start
 	chosenAvailable int
-	draining        []*entry          // those of the chosen ones that drain, the longest-draining first
-	windowEnd       *entry            // the last server of a full window; nil if it is not full
-	maxZoneDistance uint64            // distance from start within which floors are filled
-	zoneEnds        map[string]*entry // by zone: its server number ZoneLeast; none if it has fewer within floorLimit
-	visited         int               // entries visited by all choices so far
+	draining        []*entry          // chosen servers that drain, longest-draining first
+	windowEnd       *entry            // last server of a full window; nil if it is not full
+	maxZoneDistance uint64            // distance from start within which zone minimums are filled
+	zoneEnds        map[string]*entry // by zone, its last server that counts for the minimum; none if it has too few
+	visited         int               // entries visited by all choices so far, for tests
 }
 
 // New returns a set with an empty list, or a *ConfigError.
@@ -147,8 +149,8 @@
 // Available returns the number of listed servers that are available.
 func (s *Set) Available() int { return s.index.available.Len() }
 
-// Sharers returns how many of a group of nodes use one available server, in the mean. It is the whole
-// group if the list is used whole, and 0 if no server is available in a longer list.
+// Sharers returns the mean number of nodes that use one available server, for a group of a number of nodes.
+// It is the whole group if the list is used whole, and 0 if no server is available in a longer list.
 func (s *Set) Sharers(group int) float64 {
 	if s.Whole() {
 		return float64(group)
--- a/fleet/subset/zones_test.go
+++ b/fleet/subset/zones_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// capacityLeft returns the least part of the chosen servers that a node has left, over all nodes, when a
-// zone is lost and before the list says so.
+// minFractionLeft returns the minimum, over all nodes and zones, of the fraction of chosen servers that a node
+// has left when a zone fails and the list still holds its servers.
 func minFractionLeft(sets []*Set) float64 {
 	minLeft := 1.0
 	for _, set := range sets {
@@ -22,18 +22,19 @@
 	return minLeft
 }
 
-// TestZoneLossLeavesCapacity loses each of 17 zones of uneven size at each of 5,800 nodes. The largest
-// zone has 10.7% of the servers. The bound has a margin of 0.05 below the 0.800 measured for these seeds.
-// See TestZoneLossIsRefilled for what follows when the list reports the loss.
+// TestZoneLossLeavesMostServers guards against nodes that depend too much on one zone: each of 17 zones of
+// uneven size fails at each of 5,800 nodes. The largest zone has 10.7% of the servers. The bound has a margin
+// of 0.05 below the 0.800 measured for these seeds. TestZoneLossIsRefilled covers the update that follows.
 func TestZoneLossLeavesMostServers(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		left := minFractionLeft(targetGroup(t, seed, true))
-		t.Logf("seed %d: least part of its servers left to a node by the loss of one zone: %.3f", seed, left)
+		t.Logf("seed %d: minimum fraction of its servers that a node has left after the loss of one zone: %.3f", seed, left)
 		require.GreaterOrEqual(t, left, 0.75)
 	}
 }
 
-// TestZoneLossIsRefilled removes the largest zone from the list of some nodes in one delta.
+// TestZoneLossIsRefilled guards against too few chosen servers after the largest zone is removed in one delta,
+// and against another choice when it returns.
 func TestZoneLossIsRefilled(t *testing.T) {
 	servers := newServers(6, 20_000, unevenZoneWeights())
 	largest := servers[len(servers)-1].Zone
@@ -57,8 +58,9 @@
 	}
 }
 
-// TestZoneFloor has a zone of a hundredth of the servers: a node has two of it wherever two lie within
-// twice the length of its window, and no node has more of it than it would have without a floor or two.
+// TestZoneMinimum guards against a small zone, with a hundredth of the servers, of which a node has too few or
+// too many: a node has two wherever two lie within twice the length of its window, and otherwise no more than
+// it would have without a minimum.
 func TestZoneMinimum(t *testing.T) {
 	servers := newServers(7, 20_000, []float64{1, 33, 33, 33})
 	small := servers[0].Zone
@@ -92,12 +94,12 @@
 			short++
 		}
 	}
-	t.Logf("of 500 nodes %d had their floor filled, %d have fewer than two servers of the zone", filled, short)
+	t.Logf("of 500 nodes %d had servers added for the minimum, %d have fewer than two servers of the zone", filled, short)
 	require.Positive(t, filled)
 }
 
-// TestHalfDrainsAtOnce drains every second server in one delta. Each node has a full window of available
-// servers, keeps what it had chosen as draining, and stays within the stated maximum.
+// TestHalfDrainsAtOnce guards against a shortage of servers when every second one drains in one delta. Each
+// node has a full window of available servers, keeps its draining ones, and stays within MaxChosen.
 func TestHalfDrainsAtOnce(t *testing.T) {
 	servers := newServers(8, 4_000, unevenZoneWeights())
 	var half []Server
@@ -120,7 +122,7 @@
 	}
 }
 
-// shared returns the IDs that are among the servers.
+// intersection returns the IDs that are among those of the servers.
 func intersection(ids []string, servers []Server) []string {
 	among := make(map[string]bool)
 	for _, server := range servers {
@@ -135,8 +137,8 @@
 	return common
 }
 
-// TestDrainingServersAreBounded drains each chosen server again and again: those kept as draining never
-// exceed Most, and the longest-draining ones leave.
+// TestDrainingServersAreBounded guards against an unbounded number of draining servers when all available
+// chosen servers drain again and again: at most MaxServers stay, and those draining longest leave.
 func TestDrainingServersAreBounded(t *testing.T) {
 	servers := newServers(9, 2000, evenZoneWeights())
 	config := Config{MaxServers: 50}
