--- a/fleet/prefetch/calendar.go
+++ b/fleet/prefetch/calendar.go
@@ -101,6 +101,7 @@
 	return nil
 }
 
+// siteNames returns an iterator over the names of a calendar's sites.
 func siteNames(c Calendar) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for name := range c {
--- a/fleet/prefetch/choose.go
+++ b/fleet/prefetch/choose.go
@@ -10,7 +10,7 @@
 	// FetchMargin is the time before an outage by which all fetches have to be complete.
 	FetchMargin = 2 * time.Second
 
-	maxItems = 4096
+	maxItems = 4096 // items that one call of Choose considers
 )
 
 // Item is a piece of data that can be fetched before an outage.
@@ -108,7 +108,7 @@
 }
 
 const (
-	maxEdges          = 256
+	maxEdges          = 256  // edges with queued requests
 	maxQueuedRequests = 4096 // queued requests of one edge
 )
 
@@ -120,14 +120,14 @@
 	tokens         float64 // bytes that may be sent now; negative after a large answer
 	updatedAt      time.Duration
 	edges          map[int]*queue
-	lastServed     int // edge that was served last; -1 if none
-	servedTwice    bool
+	lastServed     int  // edge that was served last; -1 if none
+	servedTwice    bool // whether it was served at least twice in a row
 }
 
 // queue holds the requests of one edge that are not answered yet.
 type queue struct {
 	outageStart time.Duration // start of the edge's outage
-	sizes       []int
+	sizes       []int         // sizes of the answers, bytes
 }
 
 // NewSource returns a source that sends at most bytesPerSecond to all edges together.
@@ -190,6 +190,7 @@
 	return best, 0, true
 }
 
+// servedBefore reports whether edgeA, with queue a, is served before edgeB, with queue b.
 func servedBefore(a *queue, edgeA int, b *queue, edgeB int) bool {
 	return a.outageStart < b.outageStart || (a.outageStart == b.outageStart && edgeA < edgeB)
 }
--- a/fleet/prefetch/reservation.go
+++ b/fleet/prefetch/reservation.go
@@ -11,8 +11,11 @@
 	// and the edge then enforces quotas by its own meter readings.
 	MaxReservationTTL = maxWindowLength
 
-	maxReservedFraction = 0.5 // fraction of a token bucket's tokens, burst and rate that all edges together can reserve
-	maxReservations     = 64  // outstanding reservations of one tenant
+	// maxReservedFraction is the fraction of a token bucket's burst and rate that all edges together can
+	// reserve, and the fraction of its present tokens that one reservation can take.
+	maxReservedFraction = 0.5
+	// maxReservations is the maximum number of outstanding reservations of one tenant.
+	maxReservations = 64
 )
 
 // ID identifies a reservation: the index of the edge, the incarnation of its process, and a sequence
@@ -44,8 +47,8 @@
 // keeps the bucket itself: it deducts the tokens that Reserve and Advance return, and credits those that
 // Release returns. Owner and edges together admit at most the burst, the refill, and the reserved burst.
 //
-// An owner could also hold back the reserved burst. This was rejected: it admits 0.004 less beyond quotas,
-// but rejects 0.1 more requests that are within them.
+// An owner could also hold back the reserved burst. This was rejected: admission beyond quotas falls by only
+// 0.004, but rejection of requests within quotas rises by 0.1.
 type Account struct {
 	tenant      uint64
 	outstanding []outstandingReservation
@@ -102,8 +105,8 @@
 
 // maxDrift returns the time by which a reservation is kept longer at the owner than at the edge: the drift
 // of both clocks, which may run in opposite directions, and a margin.
-func maxDrift(span time.Duration) time.Duration {
-	return time.Duration(3 * maxClockDrift * float64(span))
+func maxDrift(ttl time.Duration) time.Duration {
+	return time.Duration(3 * maxClockDrift * float64(ttl))
 }
 
 // later reports whether reservation a of an edge was made after its reservation b. Sequence numbers may
@@ -178,8 +181,8 @@
 	tokens        float64 // tokens left, including those above the high-water mark
 	updatedAt     time.Duration
 	expiresAt     time.Duration // local time of the edge
-	spent         float64
-	highWaterMark float64 // tokens that count as spent after a restart, as stored on disk
+	spent         float64       // tokens spent so far
+	highWaterMark float64       // tokens that count as spent after a restart, as stored on disk
 }
 
 // Open returns the bucket of a reservation that was requested at the local time requestedAt and received
@@ -288,13 +291,13 @@
 
 // SizeReservation returns the share of a token bucket that an edge should reserve for an outage. Its rate is
 // the rate at which tokens are expected to be requested at the edge. Its burst is the same fraction of the
-// whole burst, plus a margin, and is full. So the reservation withholds from other nodes little more than
+// whole burst plus margin tokens, and it is full. So the reservation withholds from other nodes little more than
 // the edge is expected to use.
-func SizeReservation(expectedTokens, margin float64, whole Bucket, window time.Duration) Bucket {
-	if window <= 0 || !(expectedTokens > 0) || !(whole.Rate > 0) {
+func SizeReservation(expectedTokens, margin float64, whole Bucket, outage time.Duration) Bucket {
+	if outage <= 0 || !(expectedTokens > 0) || !(whole.Rate > 0) {
 		return Bucket{}
 	}
-	rate := math.Min(expectedTokens/window.Seconds(), maxReservedFraction*whole.Rate)
+	rate := math.Min(expectedTokens/outage.Seconds(), maxReservedFraction*whole.Rate)
 	burst := math.Min(maxReservedFraction*whole.Burst, rate/whole.Rate*whole.Burst+margin)
 	return Bucket{Tokens: burst, Burst: burst, Rate: rate}
 }
--- a/fleet/prefetch/uplink.go
+++ b/fleet/prefetch/uplink.go
@@ -30,11 +30,17 @@
 	// start. It includes clock skew.
 	MaxLateStart = 5 * time.Second
 
-	lossTimeout  = 1500 * time.Millisecond // time without a message from outside after which the link counts as down
-	restoreDelay = 500 * time.Millisecond  // time of uninterrupted messages after which the link counts as up again
-	settleDelay  = 3 * time.Second         // time after which a return is complete; has to exceed lossTimeout
-	returnSpread = time.Second             // period over which the edges of one outage return
-	stepInterval = 250 * time.Millisecond  // time between two steps
+	// lossTimeout is the time without a message from outside the site after which the link counts as down.
+	lossTimeout = 1500 * time.Millisecond
+	// restoreDelay is the time of uninterrupted messages after which the link counts as up again.
+	restoreDelay = 500 * time.Millisecond
+	// settleDelay is the time after which a return is complete. It exceeds lossTimeout, so that another loss of
+	// the link is noticed before.
+	settleDelay = 3 * time.Second
+	// returnSpread is the period over which the edges of one outage return.
+	returnSpread = time.Second
+	// stepInterval is the time between two calls of Step.
+	stepInterval = 250 * time.Millisecond
 )
 
 // Change is a change of state with its reason.
