--- a/fleet/subset/delta.go
+++ b/fleet/subset/delta.go
@@ -1,21 +1,21 @@
 package subset
 
-// step is one change of the list: an entry that goes, one that comes, or both.
+// step is one change of the list. A nil old means an addition, a nil new a removal.
 type step struct{ old, new *entry }
 
-// Apply takes in a delta: each entry is added, replaces the one with its ID, or is removed. The delta is
-// validated whole first, and on an error nothing changes. An entry that repeats one of the same delta is
-// ignored, one that contradicts it is an *EntryError, and the removal of an ID that is not listed changes
-// nothing. A *TooManyError reports a delta with more entries than a list may hold, or one after which the list would be
-// too large.
+// Apply applies a delta: each entry is added, replaces the one with its ID, or is removed. The whole delta is
+// validated first, and on an error nothing changes. An entry that repeats one of the same delta is ignored,
+// one that contradicts it is an *EntryError, and the removal of an ID that is not listed has no effect. The
+// error is a *TooManyError if the delta has more entries than a list can hold, or the list would become too
+// large.
 func (s *Set) Apply(servers []Server) (Change, error) {
 	steps, err := s.plan(servers)
 	if err != nil {
 		return Change{}, err
 	}
-	concerned := s.Whole()
+	affected := s.Whole()
 	for _, change := range steps {
-		concerned = concerned || s.concerns(change)
+		affected = affected || s.affects(change)
 	}
 	for _, change := range steps {
 		if change.old != nil {
@@ -25,7 +25,7 @@
 			s.index.insert(change.new)
 		}
 	}
-	if !concerned && !s.Whole() {
+	if !affected && !s.Whole() {
 		return Change{}, nil
 	}
 	return s.choose(), nil
@@ -33,8 +33,8 @@
 
 // plan validates a delta and returns its steps.
 func (s *Set) plan(servers []Server) ([]step, error) {
-	if len(servers) > s.config.ListMost {
-		return nil, &TooManyError{What: "entries", Have: len(servers), Most: s.config.ListMost}
+	if len(servers) > s.config.MaxListed {
+		return nil, &TooManyError{What: "entries", Count: len(servers), Max: s.config.MaxListed}
 	}
 	steps := make([]step, 0, len(servers))
 	earlier := make(map[string]Server, len(servers))
@@ -49,14 +49,14 @@
 			continue
 		}
 		earlier[server.ID] = server
-		if change, any := s.stepFor(server); any {
+		if change, changes := s.stepFor(server); changes {
 			steps = append(steps, change)
 		}
 	}
 	return steps, s.checkSize(steps)
 }
 
-// stepFor returns the step that an entry of a delta asks for, and whether it changes anything.
+// stepFor returns the step of an entry of a delta, and whether it changes the list.
 func (s *Set) stepFor(server Server) (step, bool) {
 	probe := s.index.probe(server.ID)
 	old := s.index.find(&probe)
@@ -69,10 +69,10 @@
 	return step{old: old, new: newEntry(probe.position, server)}, true
 }
 
-// checkSize reports whether the list would be too large after the steps.
+// checkSize returns a *TooManyError if the list would be too large after the steps.
 func (s *Set) checkSize(steps []step) error {
 	listed := s.Len()
-	byZone := make(map[string]int) // change of the number of listed servers
+	byZone := make(map[string]int) // change of the number of listed servers of each zone
 	for _, change := range steps {
 		if change.old != nil {
 			listed--
@@ -83,8 +83,8 @@
 			byZone[change.new.zone()]++
 		}
 	}
-	if listed > s.config.ListMost {
-		return &TooManyError{What: "servers", Have: listed, Most: s.config.ListMost}
+	if listed > s.config.MaxListed {
+		return &TooManyError{What: "servers", Count: listed, Max: s.config.MaxListed}
 	}
 	zones := len(s.index.zones)
 	for name, growth := range byZone {
--- a/fleet/subset/helpers_test.go
+++ b/fleet/subset/helpers_test.go
@@ -31,7 +31,7 @@
 	return set.Replace(list)
 }
 
-// apply takes in a delta that has to be valid.
+// apply applies a delta that has to be valid.
 func apply(t testing.TB, set *Set, servers ...Server) Change {
 	t.Helper()
 	change, err := set.Apply(servers)
@@ -39,7 +39,7 @@
 	return change
 }
 
-// inState returns the servers with their state replaced.
+// inState returns copies of the servers with another state.
 func inState(state State, servers ...Server) []Server {
 	changed := make([]Server, len(servers))
 	for i, server := range servers {
@@ -60,20 +60,20 @@
 	return ids
 }
 
-// fleet returns servers of equal capacity whose IDs depend on the seed, spread over zones by their
+// newServers returns servers of equal capacity whose IDs depend on the seed, distributed over zones by their
 // weights. IDs have 20 bytes and endpoints 16 to 18.
-func fleet(seed uint64, count int, zoneWeights []float64) []Server {
+func newServers(seed uint64, count int, zoneWeights []float64) []Server {
 	random := rand.New(rand.NewPCG(seed, 0))
 	total := 0.0
 	for _, weight := range zoneWeights {
 		total += weight
 	}
 	servers := make([]Server, count)
-	zone, left := 0, zoneWeights[0]/total*float64(count)
+	zone, zoneEnd := 0, zoneWeights[0]/total*float64(count)
 	for i := range servers {
-		for float64(i) >= left && zone+1 < len(zoneWeights) {
+		for float64(i) >= zoneEnd && zone+1 < len(zoneWeights) {
 			zone++
-			left += zoneWeights[zone] / total * float64(count)
+			zoneEnd += zoneWeights[zone] / total * float64(count)
 		}
 		servers[i] = Server{
 			ID:       fmt.Sprintf("srv-%016x", random.Uint64()),
@@ -88,8 +88,8 @@
 	return servers
 }
 
-// evenZones are the weights of 17 zones of the same size.
-func evenZones() []float64 {
+// evenZoneWeights returns the weights of 17 zones of the same size.
+func evenZoneWeights() []float64 {
 	weights := make([]float64, 17)
 	for i := range weights {
 		weights[i] = 1
@@ -97,8 +97,8 @@
 	return weights
 }
 
-// unevenZones are the weights of 17 zones of which the largest is ten times the smallest.
-func unevenZones() []float64 {
+// unevenZoneWeights returns the weights of 17 zones, the largest of which is ten times the smallest.
+func unevenZoneWeights() []float64 {
 	weights := make([]float64, 17)
 	for i := range weights {
 		weights[i] = 1 + 9*float64(i)/16
@@ -106,17 +106,17 @@
 	return weights
 }
 
-// targetGroup returns the sets of 5,800 nodes among 85,000 servers with uneven or even zones. It is built
-// once for each seed; tests must not change it.
+// targetGroup returns the sets of 5,800 nodes with 85,000 servers in uneven or even zones. It is built once
+// for each seed and kind of zones; tests must not change it.
 func targetGroup(t testing.TB, seed uint64, uneven bool) []*Set {
 	t.Helper()
 	key := targetKey{seed: seed, uneven: uneven}
 	if targetGroups[key] == nil {
-		weights := evenZones()
+		weights := evenZoneWeights()
 		if uneven {
-			weights = unevenZones()
+			weights = unevenZoneWeights()
 		}
-		targetGroups[key] = group(t, targetNodes, Config{}, fleet(seed, targetServers, weights))
+		targetGroups[key] = group(t, targetNodes, Config{}, newServers(seed, targetServers, weights))
 	}
 	return targetGroups[key]
 }
@@ -128,8 +128,8 @@
 
 var targetGroups = make(map[targetKey][]*Set)
 
-// group returns the sets of nodes 0 to size-1, which share one index so that thousands fit in memory.
-// Each node chooses by its own code.
+// group returns the sets of nodes 0 to size-1. They share one index so that thousands fit in memory, but each
+// makes its own choice.
 func group(t testing.TB, size int, config Config, servers []Server) []*Set {
 	t.Helper()
 	first := mustNew(t, config)
