--- a/internal/discovery/bulk.go
+++ b/internal/discovery/bulk.go
@@ -20,39 +20,39 @@
 // progress, and what is read ahead of its decoder is bounded. Empty lines between messages are heartbeats
 // and are not passed on.
 type bulkReader struct {
-	from     io.Reader
-	emit     func(event) bool
-	deadline *time.Timer // for the next ProgressBytes
-	within   *time.Timer // for the whole message
-	begun    bool        // a message is incomplete
-	ended    bool        // the connection has ended
-	got      int         // bytes since the last progress
-	passed   int64       // bytes passed on in all
-	most     int64       // that may be passed on until the decoder has used more of them
+	body          io.Reader
+	emit          func(event) bool
+	progressTimer *time.Timer // for the next ProgressBytes
+	transferTimer *time.Timer // for the whole message
+	inMessage     bool        // a message is incomplete
+	connEnded     bool        // the connection has ended
+	sinceProgress int         // bytes since the last progress
+	bytesRead     int64       // bytes passed on in all
+	readLimit     int64       // that may be passed on until the decoder has used more of them
 }
 
-func newBulkReader(from io.Reader, end context.CancelCauseFunc, emit func(event) bool) *bulkReader {
-	stalled := func() { end(errStalled) }
-	b := &bulkReader{from: from, emit: emit, deadline: time.AfterFunc(ProgressInterval, stalled), within: time.AfterFunc(TransferTimeout, stalled)}
-	b.stop()
+func newBulkReader(body io.Reader, cancel context.CancelCauseFunc, emit func(event) bool) *bulkReader {
+	stalled := func() { cancel(errStalled) }
+	b := &bulkReader{body: body, emit: emit, progressTimer: time.AfterFunc(ProgressInterval, stalled), transferTimer: time.AfterFunc(TransferTimeout, stalled)}
+	b.stopTimers()
 	return b
 }
 
-func (b *bulkReader) stop() {
-	b.deadline.Stop()
-	b.within.Stop()
+func (b *bulkReader) stopTimers() {
+	b.progressTimer.Stop()
+	b.transferTimer.Stop()
 }
 
 // Read passes bytes on.
-func (b *bulkReader) Read(to []byte) (int, error) {
-	if b.passed >= b.most {
-		return 0, &EntrySizeError{Most: maxEntryBytes}
+func (b *bulkReader) Read(p []byte) (int, error) {
+	if b.bytesRead >= b.readLimit {
+		return 0, &EntrySizeError{MaxBytes: maxEntryBytes}
 	}
-	to = to[:min(int64(len(to)), b.most-b.passed)]
+	p = p[:min(int64(len(p)), b.readLimit-b.bytesRead)]
 	for {
-		n, err := b.from.Read(to)
-		b.ended = err != nil
-		if !b.begun && len(bytes.TrimSpace(to[:n])) == 0 {
+		n, err := b.body.Read(p)
+		b.connEnded = err != nil
+		if !b.inMessage && len(bytes.TrimSpace(p[:n])) == 0 {
 			if n > 0 {
 				b.emit(event{})
 			}
@@ -61,35 +61,35 @@
 			}
 			continue
 		}
-		b.passed += int64(n)
-		b.progress(n)
+		b.bytesRead += int64(n)
+		b.countBytes(n)
 		return n, err
 	}
 }
 
 // progress counts bytes of a message, its first ones too.
-func (b *bulkReader) progress(n int) {
-	if !b.begun {
-		b.begun, b.got = true, n
-		b.deadline.Reset(ProgressInterval)
-		b.within.Reset(TransferTimeout)
+func (b *bulkReader) countBytes(n int) {
+	if !b.inMessage {
+		b.inMessage, b.sinceProgress = true, n
+		b.progressTimer.Reset(ProgressInterval)
+		b.transferTimer.Reset(TransferTimeout)
 		return
 	}
-	b.got += n
-	if b.got < MinProgressBytes {
+	b.sinceProgress += n
+	if b.sinceProgress < MinProgressBytes {
 		return
 	}
-	b.got = 0
-	b.deadline.Stop() // while the session is busy
+	b.sinceProgress = 0
+	b.progressTimer.Stop() // while the session is busy
 	b.emit(event{progress: true})
-	b.deadline.Reset(ProgressInterval)
+	b.progressTimer.Reset(ProgressInterval)
 }
 
 // completed takes the end of a message; rest is what was read after it.
-func (b *bulkReader) completed(rest []byte) {
-	b.stop()
-	b.begun = false
+func (b *bulkReader) messageCompleted(rest []byte) {
+	b.stopTimers()
+	b.inMessage = false
 	if len(bytes.TrimSpace(rest)) > 0 {
-		b.progress(len(rest))
+		b.countBytes(len(rest))
 	}
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -15,7 +15,7 @@
 
 const (
 	maxMessageBytes = 4 << 20                // bytes of one message
-	messageDeadline = 500 * time.Millisecond // from the first byte of a message to its last
+	messageTimeout  = 500 * time.Millisecond // from the first byte of a message to its last
 )
 
 // errStalled ends a call whose message was begun and not completed in time.
@@ -35,7 +35,7 @@
 
 // event is what a call reports: an update, progress within one, its end, or else a heartbeat.
 type event struct {
-	from     *call
+	call     *call
 	update   *Update
 	list     *subset.List // of a whole list, staged, where a subset is used
 	entries  int          // of the update, where a subset is used
@@ -45,26 +45,26 @@
 
 // follow makes a watch request and emits each update and heartbeat until the call ends. emit returns false
 // once nobody receives. end cancels ctx.
-func follow(ctx context.Context, client *http.Client, url string, end context.CancelCauseFunc, emit func(event) bool) error {
-	resp, err := open(ctx, client, url)
+func followWatch(ctx context.Context, client *http.Client, url string, cancel context.CancelCauseFunc, emit func(event) bool) error {
+	resp, err := openWatch(ctx, client, url)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	in := &messages{from: resp.Body, bytesLeft: maxMessageBytes, heartbeat: func() { emit(event{}) },
-		deadline: time.AfterFunc(messageDeadline, func() { end(errStalled) })}
-	in.deadline.Stop()
-	defer in.deadline.Stop()
-	for dec := json.NewDecoder(in); ; {
+	reader := &messageReader{body: resp.Body, bytesLeft: maxMessageBytes, heartbeat: func() { emit(event{}) },
+		timer: time.AfterFunc(messageTimeout, func() { cancel(errStalled) })}
+	reader.timer.Stop()
+	defer reader.timer.Stop()
+	for dec := json.NewDecoder(reader); ; {
 		var u Update
 		if err := dec.Decode(&u); err != nil {
-			return readError(ctx, in.ended, err)
+			return readError(ctx, reader.connEnded, err)
 		}
 		rest, err := io.ReadAll(dec.Buffered())
 		if err != nil {
 			return err
 		}
-		in.completed(rest)
+		reader.messageCompleted(rest)
 		if !emit(event{update: &u}) {
 			return context.Cause(ctx)
 		}
@@ -72,7 +72,7 @@
 }
 
 // open makes the request of a watch. An answer that is not 200 is an unusableError.
-func open(ctx context.Context, client *http.Client, url string) (*http.Response, error) {
+func openWatch(ctx context.Context, client *http.Client, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
@@ -89,11 +89,11 @@
 }
 
 // readError classifies an error of reading a message. ended reports that the connection has ended.
-func readError(ctx context.Context, ended bool, err error) error {
+func readError(ctx context.Context, connEnded bool, err error) error {
 	if cause := context.Cause(ctx); errors.Is(cause, errStalled) {
 		return unusableError{cause}
 	}
-	if !ended {
+	if !connEnded {
 		return unusableError{err}
 	}
 	return err
@@ -101,24 +101,24 @@
 
 // messages reads the body of a watch: JSON objects, on one line or indented, with empty lines between
 // them as heartbeats. It bounds the size and the duration of a message.
-type messages struct {
-	from      io.Reader
+type messageReader struct {
+	body      io.Reader
 	heartbeat func()
-	deadline  *time.Timer // runs while a message is incomplete
-	begun     bool        // a message is incomplete
-	ended     bool        // the connection has ended
+	timer     *time.Timer // runs while a message is incomplete
+	inMessage bool        // a message is incomplete
+	connEnded bool        // the connection has ended
 	bytesLeft int         // bytes that the message may still have
 }
 
 // Read passes bytes on. An empty line within a message is no heartbeat.
-func (m *messages) Read(b []byte) (int, error) {
-	n, err := m.from.Read(b)
-	m.ended = err != nil
+func (m *messageReader) Read(b []byte) (int, error) {
+	n, err := m.body.Read(b)
+	m.connEnded = err != nil
 	switch blank := len(bytes.TrimSpace(b[:n])) == 0; {
 	case n == 0:
-	case !blank && !m.begun:
-		m.begin(n)
-	case m.begun:
+	case !blank && !m.inMessage:
+		m.beginMessage(n)
+	case m.inMessage:
 		m.bytesLeft -= n
 		if m.bytesLeft < 0 {
 			return 0, fmt.Errorf("a message has over %d bytes", maxMessageBytes)
@@ -129,16 +129,16 @@
 	return n, err
 }
 
-func (m *messages) begin(n int) {
-	m.begun, m.bytesLeft = true, maxMessageBytes-n
-	m.deadline.Reset(messageDeadline)
+func (m *messageReader) beginMessage(n int) {
+	m.inMessage, m.bytesLeft = true, maxMessageBytes-n
+	m.timer.Reset(messageTimeout)
 }
 
 // completed takes the end of a message; rest is what was read after it.
-func (m *messages) completed(rest []byte) {
-	m.deadline.Stop()
-	m.begun = false
+func (m *messageReader) messageCompleted(rest []byte) {
+	m.timer.Stop()
+	m.inMessage = false
 	if len(bytes.TrimSpace(rest)) > 0 {
-		m.begin(len(rest))
+		m.beginMessage(len(rest))
 	}
 }
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -23,10 +23,10 @@
 func (e *ListError) Unwrap() error { return e.Err }
 
 // EntrySizeError reports an entry, or another part of a message, that is larger than it may be.
-type EntrySizeError struct{ Most int } // bytes
+type EntrySizeError struct{ MaxBytes int } // bytes
 
 func (e *EntrySizeError) Error() string {
-	return fmt.Sprintf("server list: the next entry has over %d bytes; shorten it at discovery", e.Most)
+	return fmt.Sprintf("server list: the next entry has over %d bytes; shorten it at discovery", e.MaxBytes)
 }
 
 // TruncatedError reports a connection that ended within a message.
@@ -40,14 +40,14 @@
 
 // StalledError reports a message that made too little progress or took too long.
 type StalledError struct {
-	Bytes    int           // that a message brings at least in Each until it is complete
+	MinBytes int           // that a message brings at least in Each until it is complete
 	Interval time.Duration // the watch progress deadline within a message
 	Timeout  time.Duration // for the whole message
 }
 
 func (e *StalledError) Error() string {
 	return fmt.Sprintf("server list: it brought less than %d bytes in %v or was not complete within %v; look at discovery's load and the link to it",
-		e.Bytes, e.Interval, e.Timeout)
+		e.MinBytes, e.Interval, e.Timeout)
 }
 
 // MalformedError reports a message that is not of the list's form.
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // A message of discovery has the recorded keys, and a target's states are read as recorded.
-func TestUpdateIsAsRecorded(t *testing.T) {
+func TestUpdateMatchesGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "update", func(u *Update) ([]byte, error) { return json.MarshalIndent(u, "", " ") }, func(raw []byte) (*Update, error) {
 		u := &Update{}
 		return u, json.Unmarshal(raw, u)
--- a/internal/discovery/progress_test.go
+++ b/internal/discovery/progress_test.go
@@ -16,13 +16,13 @@
 )
 
 // slowDiscovery sends a text in pieces of a size, with a pause after each, to each call.
-func slowDiscovery(t *testing.T, text string, piece int, pause time.Duration) (addr string, calls *atomic.Int64) {
+func slowDiscovery(t *testing.T, text string, pieceSize int, pause time.Duration) (addr string, calls *atomic.Int64) {
 	calls = &atomic.Int64{}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		for rest := text; len(rest) > 0; {
-			n := min(piece, len(rest))
+			n := min(pieceSize, len(rest))
 			if _, err := io.WriteString(w, rest[:n]); err != nil {
 				return
 			}
@@ -32,25 +32,25 @@
 			case <-time.After(pause):
 			case <-r.Context().Done():
 				return
-			case <-over:
+			case <-done:
 				return
 			}
 		}
 		select {
 		case <-r.Context().Done():
-		case <-over:
+		case <-done:
 		}
 	}))
-	t.Cleanup(func() { close(over); srv.Close() })
+	t.Cleanup(func() { close(done); srv.Close() })
 	return srv.Listener.Addr().String(), calls
 }
 
 // A long list that comes slowly, but with progress, is taken by one call: none is made beside it, though
 // it takes longer than an unanswered call may.
-func TestSlowListWithProgressIsOneCall(t *testing.T) {
+func TestSlowListWithProgressTakesOneCall(t *testing.T) {
 	t.Parallel()
 	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
-	text := list(t, Update{Rev: 7, All: true, Targets: servers(20_000)}, "")
+	text := encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(20_000)}, "")
 	pieces := 25
 	pause := 200 * time.Millisecond
 	piece := len(text)/pieces + 1
@@ -66,56 +66,56 @@
 
 // A message that trickles or stands still is cut within its progress deadline, and counted; the call after
 // it is made soon.
-func TestTrickleIsCut(t *testing.T) {
-	text := list(t, Update{Rev: 7, All: true, Targets: servers(5_000)}, "")
+func TestMessageWithoutProgressIsCancelled(t *testing.T) {
+	text := encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(5_000)}, "")
 	for name, pause := range map[string]time.Duration{"trickles": 50 * time.Millisecond, "stands still": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, calls := slowDiscovery(t, text, 1024, pause) // 20 kB a second at most
-			begun := time.Now()
+			startedAt := time.Now()
 			s := startSubset(t, addr, subset.Config{Most: 20, ListMost: 10_000}, Update{})
 			err := next(t, s.dropped)
-			took := time.Since(begun)
+			took := time.Since(startedAt)
 			require.True(t, is[*StalledError](err), "%v", err)
 			require.GreaterOrEqual(t, took, ProgressInterval)
 			require.Less(t, took, answerTimeout, "it was not cut by its own deadline")
 			require.Eventually(t, func() bool { return calls.Load() > 1 }, patience, time.Millisecond)
-			require.Empty(t, s.told)
+			require.Empty(t, s.updates)
 		})
 	}
 }
 
 // Heartbeats of hours before and between messages take nothing from what an entry may have.
-func TestHeartbeatsAreNoPartOfAMessage(t *testing.T) {
+func TestHeartbeatsDoNotCountTowardsEntrySize(t *testing.T) {
 	a := discoverytest.NewAgent(t)
-	s := startSubset(t, a.Addr(), small, Update{})
+	s := startSubset(t, a.Addr(), smallSubset, Update{})
 	for range 3 {
 		a.Tell <- strings.Repeat("\n", 2*maxEntryBytes)
 	}
-	a.Tell <- list(t, Update{Rev: 7, All: true, Targets: servers(30)}, "  ")
+	a.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(30)}, "  ")
 	s.next(t)
-	a.Tell <- strings.Repeat("\n", 2*maxEntryBytes) + list(t, Update{Rev: 8, All: true, Targets: servers(5)}, "")
+	a.Tell <- strings.Repeat("\n", 2*maxEntryBytes) + encodeUpdate(t, Update{Rev: 8, All: true, Targets: servers(5)}, "")
 	require.Equal(t, int64(8), s.next(t).Rev)
-	require.Equal(t, 5, len(s.shown))
+	require.Equal(t, 5, len(s.inUse))
 	require.Empty(t, s.dropped)
 }
 
 // Progress within an update is no update: a list in transfer defers a second call, but not the time at
 // which what was missed binds.
-func TestProgressDefersNoDeadline(t *testing.T) {
+func TestProgressWithinMessageDefersNoDeadline(t *testing.T) {
 	w := newWatcher("127.0.0.1:9", Update{}, 2, time.Second, 1, func(Update) {})
-	w.pace.progress(time.Now().Add(-4 * time.Second))
-	due, binds := w.pace.deadline, w.pace.receivedBy
+	w.pace.recordProgress(time.Now().Add(-4 * time.Second))
+	deadline, receivedBy := w.pace.deadline, w.pace.receivedBy
 	s := newSession(t.Context(), w, time.Hour)
 	older, newer := &call{cancel: func(error) {}}, &call{cancel: func(error) {}}
-	s.open, s.latest = []*call{older, newer}, newer
+	s.openCalls, s.latest = []*call{older, newer}, newer
 	w.unusable = true
-	s.handle(event{from: newer, progress: true})
-	require.Equal(t, []*call{newer}, s.open)
-	require.Equal(t, due, w.pace.deadline)
-	require.Equal(t, binds, w.pace.receivedBy)
+	s.handle(event{call: newer, progress: true})
+	require.Equal(t, []*call{newer}, s.openCalls)
+	require.Equal(t, deadline, w.pace.deadline)
+	require.Equal(t, receivedBy, w.pace.receivedBy)
 	require.True(t, w.unusable)
-	s.handle(event{from: newer})
-	require.True(t, w.pace.receivedBy.After(binds))
+	s.handle(event{call: newer})
+	require.True(t, w.pace.receivedBy.After(receivedBy))
 	require.False(t, w.unusable)
 }
--- a/internal/discovery/selection.go
+++ b/internal/discovery/selection.go
@@ -24,17 +24,17 @@
 	maxListed      int // entries of a message
 	counts         Counts
 
-	mu      sync.Mutex
-	set     *subset.Set
-	partial bool // the node shows a part of a list whose rest is not known: only a whole list can follow
+	mu           sync.Mutex
+	set          *subset.Set
+	cachedSubset bool // the node shows a part of a list whose rest is not known: only a whole list can follow
 }
 
-func newSelection(cfg subset.Config, group int) (*selection, error) {
+func newSelection(cfg subset.Config, fleetSize int) (*selection, error) {
 	set, err := subset.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &selection{config: cfg, fleetSize: group, set: set, maxKeptEntries: 2 * cmp.Or(cfg.Most, subset.DefaultMost),
+	return &selection{config: cfg, fleetSize: fleetSize, set: set, maxKeptEntries: 2 * cmp.Or(cfg.Most, subset.DefaultMost),
 		maxListed: cmp.Or(cfg.ListMost, subset.DefaultListMost)}, nil
 }
 
@@ -58,29 +58,29 @@
 func (s *selection) choose(u Update, list *subset.List) (Update, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.partial && !u.All {
+	if s.cachedSubset && !u.All {
 		return u, false, &PartialError{Rev: u.Rev}
 	}
-	unchanged := s.set.Whole() && !s.partial
+	unchanged := s.set.Whole() && !s.cachedSubset
 	change, err := s.apply(u, list)
 	if err != nil {
 		return u, false, err
 	}
-	s.count(change)
+	s.updateCounts(change)
 	if s.set.Whole() && unchanged && (u.Targets != nil || list == nil) {
 		return u, true, nil // as discovery sent it
 	}
-	needed := Update{Rev: u.Rev, All: s.partial || s.set.Whole(), NodesPerServer: s.sharers()}
-	s.partial = false
+	needed := Update{Rev: u.Rev, All: s.cachedSubset || s.set.Whole(), NodesPerServer: s.nodesPerServer()}
+	s.cachedSubset = false
 	if needed.All {
 		change = subset.Change{Updated: s.set.Chosen()}
 	}
-	needed.Targets = targets(change)
+	needed.Targets = changeTargets(change)
 	return needed, needed.All || len(needed.Targets) > 0, nil
 }
 
 // count updates the counts after a change.
-func (s *selection) count(change subset.Change) {
+func (s *selection) updateCounts(change subset.Change) {
 	s.counts.Listed.Store(int64(s.set.Len()))
 	if len(change.Updated)+len(change.Removed) > 0 {
 		s.counts.Chosen.Store(int64(len(s.set.Chosen())))
@@ -88,13 +88,13 @@
 }
 
 // targets is a change of the subset as discovery would send it.
-func targets(change subset.Change) []Target {
+func changeTargets(change subset.Change) []Target {
 	all := make([]Target, 0, len(change.Updated)+len(change.Removed))
 	for _, id := range change.Removed {
 		all = append(all, Target{UID: id, State: stateRemoved})
 	}
 	for i := range change.Updated {
-		all = append(all, target(&change.Updated[i]))
+		all = append(all, serverTarget(&change.Updated[i]))
 	}
 	return all
 }
@@ -111,7 +111,7 @@
 }
 
 // sharers is the mean number of nodes that use each chosen server; 0 is the whole group.
-func (s *selection) sharers() float64 {
+func (s *selection) nodesPerServer() float64 {
 	if s.set.Whole() {
 		return 0
 	}
@@ -120,26 +120,26 @@
 
 // adopt starts with a list that another process had, and returns what the node shows of it. Of a partial list only that is
 // known.
-func (s *selection) adopt(held Update) (Update, error) {
+func (s *selection) adopt(cached Update) (Update, error) {
 	set, err := subset.New(s.config)
 	if err != nil {
 		return Update{}, err
 	}
 	s.mu.Lock()
-	s.set, s.partial = set, held.NodesPerServer > 0
+	s.set, s.cachedSubset = set, cached.NodesPerServer > 0
 	s.mu.Unlock()
-	if s.partial || len(held.Targets) == 0 {
-		return held, nil
+	if s.cachedSubset || len(cached.Targets) == 0 {
+		return cached, nil
 	}
 	list := s.stage()
-	for i := range held.Targets {
-		if err := s.add(list, &held.Targets[i]); err != nil {
+	for i := range cached.Targets {
+		if err := s.add(list, &cached.Targets[i]); err != nil {
 			return Update{}, fmt.Errorf("the list held before: %w", err)
 		}
 	}
-	shown, _, err := s.choose(Update{Rev: held.Rev, All: true, Targets: held.Targets}, list)
-	shown.All = held.All
-	return shown, err
+	usable, _, err := s.choose(Update{Rev: cached.Rev, All: true, Targets: cached.Targets}, list)
+	usable.All = cached.All
+	return usable, err
 }
 
 func (t *Target) server() subset.Server {
@@ -154,7 +154,7 @@
 		Capacity: t.Capacity, BootMS: t.BootMS}
 }
 
-func target(s *subset.Server) Target {
+func serverTarget(s *subset.Server) Target {
 	state := stateDraining
 	if s.State == subset.Available {
 		state = stateUp
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -23,7 +23,7 @@
 // stream reads the messages of one watch entry by entry into a selection.
 type stream struct {
 	selection *selection
-	in        *bulkReader
+	reader    *bulkReader
 	dec       *json.Decoder
 	entries   int // of the message that is read
 }
@@ -32,29 +32,29 @@
 type staged struct {
 	update Update
 	list   *subset.List    // the entries of a whole list
-	has    map[string]bool // the fields that were read
+	seen   map[string]bool // the fields that were read
 }
 
 // follow makes a watch request, as the function follow does, and reads lists of any length.
-func (s *selection) follow(ctx context.Context, client *http.Client, url string, end context.CancelCauseFunc, emit func(event) bool) error {
-	resp, err := open(ctx, client, url)
+func (s *selection) follow(ctx context.Context, client *http.Client, url string, cancel context.CancelCauseFunc, emit func(event) bool) error {
+	resp, err := openWatch(ctx, client, url)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	in := newBulkReader(resp.Body, end, emit)
-	defer in.stop()
-	r := &stream{selection: s, in: in, dec: json.NewDecoder(in)}
+	reader := newBulkReader(resp.Body, cancel, emit)
+	defer reader.stopTimers()
+	r := &stream{selection: s, reader: reader, dec: json.NewDecoder(reader)}
 	for {
-		m, err := r.message()
+		m, err := r.readMessage()
 		if err != nil {
-			return r.failed(ctx, resp.Request.URL.Host, err)
+			return r.classifyError(ctx, resp.Request.URL.Host, err)
 		}
 		rest, err := io.ReadAll(r.dec.Buffered())
 		if err != nil {
 			return err
 		}
-		in.completed(rest)
+		reader.messageCompleted(rest)
 		if !emit(event{update: &m.update, list: m.list, entries: r.entries}) {
 			return context.Cause(ctx)
 		}
@@ -62,39 +62,39 @@
 }
 
 // failed classifies an error of reading a message. Between two messages the end of the connection is none.
-func (r *stream) failed(ctx context.Context, address string, err error) error {
+func (r *stream) classifyError(ctx context.Context, address string, err error) error {
 	dropped := func(err error) error { return &ListError{Address: address, Entries: r.entries, Err: err} }
 	switch {
 	case errors.Is(context.Cause(ctx), errStalled):
-		return unusableError{dropped(&StalledError{Bytes: MinProgressBytes, Interval: ProgressInterval, Timeout: TransferTimeout})}
-	case r.in.ended && r.in.begun:
+		return unusableError{dropped(&StalledError{MinBytes: MinProgressBytes, Interval: ProgressInterval, Timeout: TransferTimeout})}
+	case r.reader.connEnded && r.reader.inMessage:
 		return dropped(&TruncatedError{Err: err})
-	case r.in.ended || ctx.Err() != nil:
+	case r.reader.connEnded || ctx.Err() != nil:
 		return err
 	}
 	return unusableError{dropped(err)}
 }
 
 // message reads one message. The order of its fields is free.
-func (r *stream) message() (*staged, error) {
+func (r *stream) readMessage() (*staged, error) {
 	r.entries = 0
-	m := &staged{has: make(map[string]bool, len(fields))}
-	if err := r.open(); err != nil {
+	m := &staged{seen: make(map[string]bool, len(fields))}
+	if err := r.openObject(); err != nil {
 		return nil, err
 	}
 	for r.more() {
-		if err := r.field(m); err != nil {
+		if err := r.readField(m); err != nil {
 			return nil, err
 		}
 	}
-	if _, err := r.token(); err != nil {
+	if _, err := r.readToken(); err != nil {
 		return nil, err
 	}
-	return m, r.finish(m)
+	return m, r.stageTargets(m)
 }
 
 // finish stages the entries of a whole list that did not say so before them.
-func (r *stream) finish(m *staged) error {
+func (r *stream) stageTargets(m *staged) error {
 	if !m.update.All || m.list != nil || m.update.Targets == nil {
 		return nil
 	}
@@ -120,8 +120,8 @@
 var fields = []string{fieldRev, fieldAll, fieldTargets}
 
 // field reads the name of a field and its value. Unknown ones are passed over.
-func (r *stream) field(m *staged) error {
-	t, err := r.token()
+func (r *stream) readField(m *staged) error {
+	t, err := r.readToken()
 	if err != nil {
 		return err
 	}
@@ -130,22 +130,22 @@
 	if i < 0 {
 		return r.decode(new(json.RawMessage))
 	}
-	if m.has[fields[i]] {
+	if m.seen[fields[i]] {
 		return &MalformedError{fmt.Errorf("the field %s is there twice", fields[i])}
 	}
-	m.has[fields[i]] = true
+	m.seen[fields[i]] = true
 	switch fields[i] {
 	case fieldRev:
 		return r.decode(&m.update.Rev)
 	case fieldAll:
 		return r.decode(&m.update.All)
 	}
-	return r.targets(m)
+	return r.readTargets(m)
 }
 
 // targets reads the entries of a message; null is none.
-func (r *stream) targets(m *staged) error {
-	t, err := r.token()
+func (r *stream) readTargets(m *staged) error {
+	t, err := r.readToken()
 	if err != nil || t == nil {
 		return err
 	}
@@ -157,16 +157,16 @@
 		m.list = r.selection.stage()
 	}
 	for r.more() {
-		if err := r.entry(m); err != nil {
+		if err := r.readEntry(m); err != nil {
 			return err
 		}
 	}
-	_, err = r.token()
+	_, err = r.readToken()
 	return err
 }
 
 // entry reads one target.
-func (r *stream) entry(m *staged) error {
+func (r *stream) readEntry(m *staged) error {
 	var t Target
 	if err := r.decode(&t); err != nil {
 		return err
@@ -194,8 +194,8 @@
 }
 
 // open reads the beginning of an object.
-func (r *stream) open() error {
-	t, err := r.token()
+func (r *stream) openObject() error {
+	t, err := r.readToken()
 	if err == nil && t != json.Delim('{') {
 		err = &MalformedError{fmt.Errorf("%v is no object", t)}
 	}
@@ -203,29 +203,29 @@
 }
 
 // token, more and decode read on, each at most maxEntryBytes.
-func (r *stream) token() (json.Token, error) {
-	r.allow()
+func (r *stream) readToken() (json.Token, error) {
+	r.extendReadLimit()
 	t, err := r.dec.Token()
-	return t, r.malformed(err)
+	return t, r.wrapMalformed(err)
 }
 
 func (r *stream) more() bool {
-	r.allow()
+	r.extendReadLimit()
 	return r.dec.More()
 }
 
 func (r *stream) decode(v any) error {
-	r.allow()
-	return r.malformed(r.dec.Decode(v))
+	r.extendReadLimit()
+	return r.wrapMalformed(r.dec.Decode(v))
 }
 
-func (r *stream) allow() { r.in.most = r.dec.InputOffset() + maxEntryBytes }
+func (r *stream) extendReadLimit() { r.reader.readLimit = r.dec.InputOffset() + maxEntryBytes }
 
 // malformed tells errors of a message's form from those of reading it.
-func (r *stream) malformed(err error) error {
-	_, syntax := errors.AsType[*json.SyntaxError](err)
-	_, kind := errors.AsType[*json.UnmarshalTypeError](err)
-	if syntax || kind {
+func (r *stream) wrapMalformed(err error) error {
+	_, isSyntaxError := errors.AsType[*json.SyntaxError](err)
+	_, isTypeError := errors.AsType[*json.UnmarshalTypeError](err)
+	if isSyntaxError || isTypeError {
 		return &MalformedError{err}
 	}
 	return err
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -26,22 +26,22 @@
 // subsetWatch is a watcher that uses a subset, and what it has told.
 type subsetWatch struct {
 	*Watcher
-	told    chan Update
-	dropped chan *ListError
-	shown   map[string]Target // by what it has told
-	last    Update
+	updates    chan Update
+	dropped    chan *ListError
+	inUse      map[string]Target // by what it has told
+	lastUpdate Update
 }
 
 // startSubset starts a watcher of node 3 of 5,800 that begins with a list.
-func startSubset(t *testing.T, addr string, cfg subset.Config, held Update) *subsetWatch {
+func startSubset(t *testing.T, addr string, cfg subset.Config, cached Update) *subsetWatch {
 	t.Helper()
 	cfg.Node = 3
-	s := &subsetWatch{told: make(chan Update, 100), dropped: make(chan *ListError, 100), shown: map[string]Target{}}
+	s := &subsetWatch{updates: make(chan Update, 100), dropped: make(chan *ListError, 100), inUse: map[string]Target{}}
 	w, err := New(Config{Address: addr, FleetSize: 5800, DrainGrace: time.Second, Seed: 1, Subset: &cfg,
-		OnUpdate: func(u Update) { s.told <- u }, OnDegraded: func(bool) {}, OnDropped: func(err *ListError) { s.dropped <- err }})
+		OnUpdate: func(u Update) { s.updates <- u }, OnDegraded: func(bool) {}, OnDropped: func(err *ListError) { s.dropped <- err }})
 	require.NoError(t, err)
 	s.Watcher = w
-	s.show(w.Adopt(held, true), true)
+	s.applyUpdate(w.Adopt(cached, true), true)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
@@ -50,33 +50,33 @@
 }
 
 // show takes an update as the node does.
-func (s *subsetWatch) show(u Update, whole bool) {
-	if u.All || whole {
-		clear(s.shown)
+func (s *subsetWatch) applyUpdate(u Update, replace bool) {
+	if u.All || replace {
+		clear(s.inUse)
 	}
 	for _, t := range u.Targets {
 		if t.Status() == Removed {
-			delete(s.shown, t.UID)
+			delete(s.inUse, t.UID)
 		} else {
-			s.shown[t.UID] = t
+			s.inUse[t.UID] = t
 		}
 	}
-	s.last = u
+	s.lastUpdate = u
 }
 
 // next waits for the next update.
 func (s *subsetWatch) next(t *testing.T) Update {
 	t.Helper()
-	u := next(t, s.told)
-	s.show(u, false)
+	u := next(t, s.updates)
+	s.applyUpdate(u, false)
 	return u
 }
 
 // uids are the servers that the node uses, in order.
-func (s *subsetWatch) uids() []string { return slices.Sorted(maps.Keys(s.shown)) }
+func (s *subsetWatch) uids() []string { return slices.Sorted(maps.Keys(s.inUse)) }
 
 // chosen are the servers of a whole list that a node which begins with it uses, in order.
-func chosen(t *testing.T, cfg subset.Config, all []Target) (uids []string) {
+func chosenUIDs(t *testing.T, cfg subset.Config, all []Target) (uids []string) {
 	t.Helper()
 	cfg.Node = 3
 	set, err := subset.New(cfg)
@@ -104,7 +104,7 @@
 }
 
 // list gives a message as discovery sends it, compact or indented.
-func list(t *testing.T, u Update, indent string) string {
+func encodeUpdate(t *testing.T, u Update, indent string) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(u, "", indent)
 	if indent == "" {
@@ -115,51 +115,51 @@
 }
 
 // bounded has every told update hold the stated number of servers at most.
-func (s *subsetWatch) bounded(t *testing.T, cfg subset.Config) {
+func (s *subsetWatch) requireBounded(t *testing.T, cfg subset.Config) {
 	t.Helper()
-	require.LessOrEqual(t, len(s.shown), cfg.ChosenMost())
+	require.LessOrEqual(t, len(s.inUse), cfg.ChosenMost())
 }
 
-var small = subset.Config{Most: 20, ZoneLeast: subset.NoZoneFloor, ListMost: 100}
+var smallSubset = subset.Config{Most: 20, ZoneLeast: subset.NoZoneFloor, ListMost: 100}
 
 // A list of 85,000 entries, over 4 MB and indented, ends in a subset of some 200; a change that does not
 // concern the node is not told to it, and one that does is a few entries.
-func TestListAtTheTargetSizeEndsInASubset(t *testing.T) {
+func TestListOfTargetSizeYieldsSubset(t *testing.T) {
 	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
 	all := servers(85_000)
 	for _, indent := range []string{"", "  "} {
-		text := list(t, Update{Rev: 7, All: true, Targets: all}, indent)
+		text := encodeUpdate(t, Update{Rev: 7, All: true, Targets: all}, indent)
 		require.Greater(t, len(text), maxMessageBytes)
-		d := &body{}
-		addr := d.start(t)
+		server := &chunkServer{}
+		addr := server.start(t)
 		s := startSubset(t, addr, cfg, Update{})
-		d.send(text)
-		begun := time.Now()
+		server.send(text)
+		startedAt := time.Now()
 		u := s.next(t)
-		t.Logf("%d bytes, told after %v", len(text), time.Since(begun).Round(time.Millisecond))
+		t.Logf("%d bytes, told after %v", len(text), time.Since(startedAt).Round(time.Millisecond))
 		require.Equal(t, int64(7), u.Rev)
-		require.Equal(t, chosen(t, cfg, all), s.uids())
-		s.bounded(t, cfg)
-		require.GreaterOrEqual(t, len(s.shown), 200)
+		require.Equal(t, chosenUIDs(t, cfg, all), s.uids())
+		s.requireBounded(t, cfg)
+		require.GreaterOrEqual(t, len(s.inUse), 200)
 		require.InDelta(t, 13.6, u.NodesPerServer, 1.5)
 		require.Equal(t, int64(85_000), s.Counts().Listed.Load())
-		require.Equal(t, int64(len(s.shown)), s.Counts().Chosen.Load())
+		require.Equal(t, int64(len(s.inUse)), s.Counts().Chosen.Load())
 
-		var concerned, other Target
+		var inSubset, notInSubset Target
 		for _, x := range all {
-			if _, ok := s.shown[x.UID]; ok {
-				concerned = x
+			if _, ok := s.inUse[x.UID]; ok {
+				inSubset = x
 			} else {
-				other = x
+				notInSubset = x
 			}
 		}
-		other.State, concerned.State = "draining", "draining"
-		d.send(list(t, Update{Rev: 8, Targets: []Target{other}}, ""))
-		d.send(list(t, Update{Rev: 9, Targets: []Target{concerned}}, indent))
+		notInSubset.State, inSubset.State = "draining", "draining"
+		server.send(encodeUpdate(t, Update{Rev: 8, Targets: []Target{notInSubset}}, ""))
+		server.send(encodeUpdate(t, Update{Rev: 9, Targets: []Target{inSubset}}, indent))
 		u = s.next(t)
 		require.Equal(t, int64(9), u.Rev, "a change that does not concern the node was told")
 		require.LessOrEqual(t, len(u.Targets), 3)
-		require.Equal(t, Draining, statusOf(s.shown[concerned.UID]))
+		require.Equal(t, Draining, statusOf(s.inUse[inSubset.UID]))
 	}
 }
 
@@ -169,23 +169,23 @@
 // heap: the budget of a node is 128 MB, and an eighth of it is the set's.
 func TestHeapOfTheWholeList(t *testing.T) {
 	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
-	d := &body{}
-	addr := d.start(t)
+	server := &chunkServer{}
+	addr := server.start(t)
 	s := startSubset(t, addr, cfg, Update{})
-	for !d.asked() {
+	for !server.called() {
 		time.Sleep(time.Millisecond)
 	}
-	before := heap()
-	func() { d.send(list(t, Update{Rev: 7, All: true, Targets: servers(85_000)}, "")) }()
+	before := heapBytes()
+	func() { server.send(encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(85_000)}, "")) }()
 	s.next(t)
-	took := float64(heap()-before) / (1 << 20)
-	t.Logf("%.1f MB", took)
-	assert.Less(t, took, 16.0)
-	assert.Greater(t, took, 1.0, "the list is not held")
+	usedMB := float64(heapBytes()-before) / (1 << 20)
+	t.Logf("%.1f MB", usedMB)
+	assert.Less(t, usedMB, 16.0)
+	assert.Greater(t, usedMB, 1.0, "the list is not held")
 	runtime.KeepAlive(s)
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -195,7 +195,7 @@
 
 // Fields come in any order, also the entries before what they are, and unknown ones are passed over.
 func TestFieldsInAnyOrder(t *testing.T) {
-	entries := list(t, Update{Targets: servers(50)}, "")
+	entries := encodeUpdate(t, Update{Targets: servers(50)}, "")
 	entries = entries[strings.Index(entries, "["):strings.LastIndex(entries, "}")]
 	for _, text := range []string{
 		`{"rev":7,"all":true,"targets":` + entries + `}`,
@@ -204,11 +204,11 @@
 		`{"Rev":7,"TARGETS":` + entries + `,"x":null,"All":true}`,
 	} {
 		a := discoverytest.NewAgent(t)
-		s := startSubset(t, a.Addr(), small, Update{})
+		s := startSubset(t, a.Addr(), smallSubset, Update{})
 		a.Tell <- "\n\n" + text + "\n"
 		u := s.next(t)
 		require.Equal(t, int64(7), u.Rev)
-		require.Len(t, s.shown, 20)
+		require.Len(t, s.inUse, 20)
 		require.Equal(t, int64(50), s.Counts().Listed.Load())
 	}
 }
@@ -216,26 +216,26 @@
 // A message that can't be used is dropped whole with an error that says why; the list before stays, and
 // the next one is taken.
 func TestBadMessagesAreDroppedWhole(t *testing.T) {
-	whole := func(change func([]Target) []Target) string {
-		return strings.TrimSpace(list(t, Update{Rev: 8, All: true, Targets: change(servers(50))}, ""))
+	wholeList := func(change func([]Target) []Target) string {
+		return strings.TrimSpace(encodeUpdate(t, Update{Rev: 8, All: true, Targets: change(servers(50))}, ""))
 	}
-	other := func(all []Target) []Target {
-		twin := all[3]
-		twin.State = "draining"
-		return append(all, twin)
+	addContradiction := func(all []Target) []Target {
+		duplicate := all[3]
+		duplicate.State = "draining"
+		return append(all, duplicate)
 	}
 	for name, x := range map[string]struct {
-		text string
-		as   func(error) bool
+		message    string
+		isExpected func(error) bool
 	}{
-		"too many entries":    {whole(func(all []Target) []Target { return servers(101) }), is[*subset.TooManyError]},
-		"an entry too long":   {whole(func(all []Target) []Target { all[9].Model = strings.Repeat("m", maxEntryBytes); return all }), is[*EntrySizeError]},
-		"a field too long":    {whole(func(all []Target) []Target { all[9].Model = strings.Repeat("m", 300); return all }), is[*subset.EntryError]},
-		"contradictory":       {whole(other), is[*subset.EntryError]},
-		"contradictory delta": {strings.Replace(whole(other), `"all":true`, `"all":false`, 1), is[*subset.EntryError]},
-		"no uid":              {whole(func(all []Target) []Target { all[9].UID = ""; return all }), is[*MalformedError]},
-		"no endpoint":         {whole(func(all []Target) []Target { all[9].Endpoint = "x"; return all }), is[*MalformedError]},
-		"truncated":           {whole(func(all []Target) []Target { return all })[:3000], is[*TruncatedError]},
+		"too many entries":    {wholeList(func(all []Target) []Target { return servers(101) }), is[*subset.TooManyError]},
+		"an entry too long":   {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", maxEntryBytes); return all }), is[*EntrySizeError]},
+		"a field too long":    {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", 300); return all }), is[*subset.EntryError]},
+		"contradictory":       {wholeList(addContradiction), is[*subset.EntryError]},
+		"contradictory delta": {strings.Replace(wholeList(addContradiction), `"all":true`, `"all":false`, 1), is[*subset.EntryError]},
+		"no uid":              {wholeList(func(all []Target) []Target { all[9].UID = ""; return all }), is[*MalformedError]},
+		"no endpoint":         {wholeList(func(all []Target) []Target { all[9].Endpoint = "x"; return all }), is[*MalformedError]},
+		"truncated":           {wholeList(func(all []Target) []Target { return all })[:3000], is[*TruncatedError]},
 		"not JSON":            {`{"rev":8,"all":true,"targets":[{"uid":}]}`, is[*MalformedError]},
 		"no object":           {`[1]`, is[*MalformedError]},
 		"of other types":      {`{"rev":8,"all":"yes"}`, is[*MalformedError]},
@@ -248,24 +248,24 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			a := discoverytest.NewAgent(t)
-			s := startSubset(t, a.Addr(), small, Update{})
+			s := startSubset(t, a.Addr(), smallSubset, Update{})
 			next(t, a.Asked)
-			a.Tell <- list(t, Update{Rev: 7, All: true, Targets: servers(40)}, "")
+			a.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(40)}, "")
 			s.next(t)
-			require.Equal(t, chosen(t, small, servers(40)), s.uids())
-			a.Tell <- x.text
+			require.Equal(t, chosenUIDs(t, smallSubset, servers(40)), s.uids())
+			a.Tell <- x.message
 			a.Tell <- "" // the end of the connection
 			err := error(next(t, s.dropped))
-			require.True(t, x.as(err), "%v", err)
+			require.True(t, x.isExpected(err), "%v", err)
 			require.NotContains(t, err.Error(), "\n")
 			require.Empty(t, s.dropped)
 			require.Equal(t, int64(40), s.Counts().Listed.Load(), "the list before does not stay")
 			q := next(t, a.Asked)
 			require.Equal(t, name == "a version back", !strings.Contains(q, "from=7"), "asked %s", q)
 			all := servers(45)
-			a.Tell <- list(t, Update{Rev: 9, All: true, Targets: all}, " ")
+			a.Tell <- encodeUpdate(t, Update{Rev: 9, All: true, Targets: all}, " ")
 			s.next(t)
-			require.Equal(t, chosen(t, small, all), s.uids())
+			require.Equal(t, chosenUIDs(t, smallSubset, all), s.uids())
 			require.Equal(t, int64(45), s.Counts().Listed.Load())
 		})
 	}
@@ -277,15 +277,15 @@
 }
 
 // body is a discovery whose every call has what is sent, in one piece or slowly.
-type body struct {
-	mu    sync.Mutex
-	calls int
-	text  chan string
+type chunkServer struct {
+	mu     sync.Mutex
+	calls  int
+	chunks chan string
 }
 
-func (d *body) start(t *testing.T) (addr string) {
-	d.text = make(chan string, 10)
-	over := make(chan struct{})
+func (d *chunkServer) start(t *testing.T) (addr string) {
+	d.chunks = make(chan string, 10)
+	done := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
 		d.calls++
@@ -293,23 +293,23 @@
 		w.(http.Flusher).Flush()
 		for {
 			select {
-			case text := <-d.text:
+			case text := <-d.chunks:
 				_, _ = io.WriteString(w, text)
 				w.(http.Flusher).Flush()
 			case <-r.Context().Done():
 				return
-			case <-over:
+			case <-done:
 				return
 			}
 		}
 	}))
-	t.Cleanup(func() { close(over); srv.Close() })
+	t.Cleanup(func() { close(done); srv.Close() })
 	return srv.Listener.Addr().String()
 }
 
-func (d *body) send(text string) { d.text <- text }
+func (d *chunkServer) send(text string) { d.chunks <- text }
 
-func (d *body) asked() bool {
+func (d *chunkServer) called() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls > 0
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -36,7 +36,7 @@
 	client     *http.Client
 	url        string
 	rev        int64                                                                                        // of the cached list; noRev is none
-	read       func(context.Context, *http.Client, string, context.CancelCauseFunc, func(event) bool) error // a call's part
+	follow     func(context.Context, *http.Client, string, context.CancelCauseFunc, func(event) bool) error // a call's part
 	selection  *selection                                                                                   // nil is that whole lists are used
 	onUpdate   func(Update)
 	onDegraded func(on bool)
@@ -44,9 +44,9 @@
 	polled     bool
 	pace       pace
 
-	rejected    bool // the latest call ended without a usable update, and not by a time-out
-	unusable    bool // discovery has answered without a usable update since the last progress
-	degradedNow bool // what onDegraded was last called with
+	rejected bool // the latest call ended without a usable update, and not by a time-out
+	unusable bool // discovery has answered without a usable update since the last progress
+	degraded bool // what onDegraded was last called with
 
 	mu          sync.Mutex
 	address     string             // the address in force, or to move to
@@ -57,15 +57,15 @@
 const noRev = -1
 
 // watchStream sets the watch's random numbers apart from those of the decisions, which use the same seed.
-const watchStream = 0x7761746368
+const watchRNGStream = 0x7761746368
 
 // New makes a watcher; Run starts it. Its error is one of Config.Subset.
 func New(cfg Config) (*Watcher, error) {
-	rng := rand.New(rand.NewPCG(cfg.Seed, watchStream))
-	w := &Watcher{url: watchURL(cfg.Address), address: cfg.Address, rev: noRev, read: follow, onUpdate: cfg.OnUpdate,
+	rng := rand.New(rand.NewPCG(cfg.Seed, watchRNGStream))
+	w := &Watcher{url: watchURL(cfg.Address), address: cfg.Address, rev: noRev, follow: followWatch, onUpdate: cfg.OnUpdate,
 		onDegraded: cfg.OnDegraded, onDropped: cfg.OnDropped, polled: cfg.Polled, endSession: func() {},
-		pace: pace{fleetSize: cfg.FleetSize, grace: cfg.DrainGrace,
-			jitter: func(most time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(most) + 1)) }},
+		pace: pace{fleetSize: cfg.FleetSize, drainGrace: cfg.DrainGrace,
+			jitter: func(limit time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(limit) + 1)) }},
 		// There is no time-out but that on dialing: while discovery is down a call stays open, and
 		// is answered when it is back.
 		client: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: lateAnswerTimeout}).DialContext,
@@ -75,7 +75,7 @@
 		if w.selection, err = newSelection(*cfg.Subset, cfg.FleetSize); err != nil {
 			return nil, err
 		}
-		w.read = w.selection.follow
+		w.follow = w.selection.follow
 	}
 	return w, nil
 }
@@ -98,21 +98,21 @@
 // Adopt takes a cached list, of this node's configuration or of another process, and returns what the node can use of it.
 // Where it is current, of this discovery and complete, the watch requests changes since then, else the whole list. It must
 // not be called once Run has started.
-func (w *Watcher) Adopt(held Update, current bool) Update {
-	w.rev = held.Rev
-	if !current || held.NodesPerServer > 0 || (held.Rev == 0 && len(held.Targets) == 0) {
+func (w *Watcher) Adopt(cached Update, current bool) Update {
+	w.rev = cached.Rev
+	if !current || cached.NodesPerServer > 0 || (cached.Rev == 0 && len(cached.Targets) == 0) {
 		w.rev = noRev
 	}
 	if w.selection == nil {
-		return held
+		return cached
 	}
-	shown, err := w.selection.adopt(held)
+	usable, err := w.selection.adopt(cached)
 	if err != nil {
 		w.rev = noRev
 		slog.Warn("discovery: cached list not used", "error", err)
-		w.onDropped(&ListError{Address: w.Address(), Entries: len(held.Targets), Err: err})
+		w.onDropped(&ListError{Address: w.Address(), Entries: len(cached.Targets), Err: err})
 	}
-	return shown
+	return usable
 }
 
 func watchURL(addr string) string { return "http://" + addr + "/v1/servers?watch=1" }
@@ -133,7 +133,7 @@
 		// Revisions of one discovery can't be compared with those of another: the whole list is
 		// requested of the new one.
 		w.url, w.rev, w.nextAddress = watchURL(w.nextAddress), noRev, ""
-		w.pace.moved(time.Now())
+		w.pace.recordMove(time.Now())
 	}
 	ctx, w.endSession = context.WithCancel(ctx)
 	return ctx, w.endSession
@@ -141,16 +141,16 @@
 
 // Run watches until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
-	w.pace.progress(time.Now())
-	first := time.Duration(0)
+	w.pace.recordProgress(time.Now())
+	firstDelay := time.Duration(0)
 	// A process that has a list waits a random time, so that nodes started together do not all call at once.
 	if w.rev != noRev {
-		first = w.pace.firstDelay()
+		firstDelay = w.pace.firstDelay()
 	}
-	for ; ctx.Err() == nil; first = 0 {
-		stay, leave := w.startSession(ctx)
-		newSession(stay, w, first).run()
-		leave()
+	for ; ctx.Err() == nil; firstDelay = 0 {
+		sessionCtx, endSession := w.startSession(ctx)
+		newSession(sessionCtx, w, firstDelay).run()
+		endSession()
 	}
 }
 
@@ -158,11 +158,11 @@
 // received by receivedBy; but where lists are pushed, a discovery that stays silent has nothing to send, beyond what it may
 // have had when it last answered.
 func (w *Watcher) updateDegraded() {
-	on := (w.unusable || w.rejected || w.polled) && !time.Now().Before(w.pace.receivedBy)
-	if on != w.degradedNow {
-		w.degradedNow = on
-		slog.Warn("discovery: degraded, the cached list is stale", "on", on, "rev", w.rev, "rejected", w.rejected)
-		w.onDegraded(on)
+	degraded := (w.unusable || w.rejected || w.polled) && !time.Now().Before(w.pace.receivedBy)
+	if degraded != w.degraded {
+		w.degraded = degraded
+		slog.Warn("discovery: degraded, the cached list is stale", "on", degraded, "rev", w.rev, "rejected", w.rejected)
+		w.onDegraded(degraded)
 	}
 }
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -17,12 +17,12 @@
 // patience bounds every wait of the tests; nothing is expected to come near it.
 const patience = 30 * time.Second
 
-func newWatcher(addr string, known Update, group int, grace time.Duration, seed uint64, updated func(Update)) *Watcher {
-	w, err := New(Config{Address: addr, FleetSize: group, DrainGrace: grace, Seed: seed, OnUpdate: updated, OnDegraded: func(bool) {}})
+func newWatcher(addr string, cached Update, fleetSize int, drainGrace time.Duration, seed uint64, onUpdate func(Update)) *Watcher {
+	w, err := New(Config{Address: addr, FleetSize: fleetSize, DrainGrace: drainGrace, Seed: seed, OnUpdate: onUpdate, OnDegraded: func(bool) {}})
 	if err != nil {
 		panic(err)
 	}
-	w.Adopt(known, true)
+	w.Adopt(cached, true)
 	return w
 }
 
@@ -38,28 +38,28 @@
 }
 
 func startWatch(t *testing.T, a *discoverytest.Agent, rev int64) (<-chan Update, *Watcher) {
-	told := make(chan Update, 100)
-	w := newWatcher(a.Addr(), Update{Rev: rev}, 2, time.Second, 1, func(u Update) { told <- u })
+	updates := make(chan Update, 100)
+	w := newWatcher(a.Addr(), Update{Rev: rev}, 2, time.Second, 1, func(u Update) { updates <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); w.Run(ctx) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return told, w
+	return updates, w
 }
 
-const oneUp = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
+const oneTargetUpdate = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
 
 // After each way in which a watch can break, the next asks from the last whole version.
-func TestWatchComesBack(t *testing.T) {
-	for name, tc := range map[string]struct{ line, from string }{
+func TestWatchReconnectsFromLastCompleteRevision(t *testing.T) {
+	for name, tc := range map[string]struct{ sent, wantQuery string }{
 		"ended":              {"", "from=43"},
 		"cut off in a line":  {`{"rev":44,"all":fal`, "from=43"},
 		"not JSON":           {"<html>\n", "from=43"},
 		"a target of no uid": {`{"rev":44,"targets":[{"endpoint":"127.0.0.1:9","state":"up"}]}` + "\n", "from=43"},
 		"no endpoint":        {`{"rev":44,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
 		"no targets":         {`{"rev":44,"all":true}` + "\n", "from=43"},
-		"a time of no clock": {strings.Replace(strings.Replace(oneUp, "43", "44", 1), "1700000000000", "1e300", 1), "from=43"},
-		"a time below none":  {strings.Replace(strings.Replace(oneUp, "43", "44", 1), "1700000000000", "-5", 1), "from=43"},
+		"a time of no clock": {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "1e300", 1), "from=43"},
+		"a time below none":  {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "-5", 1), "from=43"},
 		"begun, not ended":   {`{"rev":` + "\n", "from=43"},
 		"counts anew":        {`{"rev":3,"targets":[]}` + "\n", ""},
 	} {
@@ -70,20 +70,20 @@
 				t.Errorf("asked %s", q)
 			}
 			a.Tell <- "\n" // a heartbeat
-			a.Tell <- oneUp
+			a.Tell <- oneTargetUpdate
 			if l := next(t, told); l.Rev != 43 || l.All || l.Targets[0].Group != 3 || l.Targets[0].BootMS != 1700000000000 {
 				t.Errorf("told %+v", l)
 			}
-			a.Tell <- tc.line
-			if tc.line != "" && name != "begun, not ended" {
+			a.Tell <- tc.sent
+			if tc.sent != "" && name != "begun, not ended" {
 				a.Tell <- ""
 			}
 			q := next(t, a.Asked)
-			if tc.from == "" && strings.Contains(q, "from") || !strings.Contains(q, tc.from) {
+			if tc.wantQuery == "" && strings.Contains(q, "from") || !strings.Contains(q, tc.wantQuery) {
 				t.Errorf("asked %s", q)
 			}
 			// Lists may come indented.
-			a.Tell <- "\n" + strings.NewReplacer("43", "45", "{", "{\n  ", ",", ",\n  ").Replace(oneUp)
+			a.Tell <- "\n" + strings.NewReplacer("43", "45", "{", "{\n  ", ",", ",\n  ").Replace(oneTargetUpdate)
 			if l := next(t, told); l.Rev != 45 {
 				t.Errorf("told %+v", l)
 			}
@@ -114,18 +114,18 @@
 
 // A node asks for what changed since its list, also where that has version 0; one without a list
 // asks for all of it.
-func TestWatchAsksForChanges(t *testing.T) {
-	for want, known := range map[string]Update{
+func TestWatchRequestsChangesSinceCachedList(t *testing.T) {
+	for wantQuery, cached := range map[string]Update{
 		"from=0":  {Targets: []Target{{UID: "s-1", Endpoint: "127.0.0.1:9", State: "up"}}},
 		"watch=1": {},
 	} {
 		a := discoverytest.NewAgent(t)
-		w := newWatcher(a.Addr(), known, 2, time.Second, 1, func(Update) {})
+		w := newWatcher(a.Addr(), cached, 2, time.Second, 1, func(Update) {})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
-		if q := next(t, a.Asked); !strings.HasSuffix(q, want) {
-			t.Errorf("asked %s, not %s", q, want)
+		if q := next(t, a.Asked); !strings.HasSuffix(q, wantQuery) {
+			t.Errorf("asked %s, not %s", q, wantQuery)
 		}
 		cancel()
 		<-done
@@ -134,33 +134,33 @@
 
 // The pauses of a watch come from the node's seed: those of many nodes differ, and one that is
 // started again with a seed does as before.
-func TestPausesOfWatchesComeFromTheSeed(t *testing.T) {
-	first := map[time.Duration]bool{}
+func TestDelaysAreDerivedFromSeed(t *testing.T) {
+	firstTenths := map[time.Duration]bool{}
 	for seed := range uint64(300) {
-		pauses := func() (d []time.Duration) {
+		jitters := func() (d []time.Duration) {
 			w := newWatcher("127.0.0.1:9", Update{Rev: 3}, 300, time.Second, seed, func(Update) {})
 			for range 5 {
 				d = append(d, w.pace.jitter(time.Second))
 			}
 			return d
 		}
-		a, b := pauses(), pauses()
+		a, b := jitters(), jitters()
 		if !slices.Equal(a, b) {
 			t.Fatalf("seed %d pauses for %v and for %v", seed, a, b)
 		}
-		first[a[0]/(100*time.Millisecond)] = true
+		firstTenths[a[0]/(100*time.Millisecond)] = true
 	}
-	if len(first) < 10 {
-		t.Errorf("300 nodes begin in %d of the ten parts of a second", len(first))
+	if len(firstTenths) < 10 {
+		t.Errorf("300 nodes begin in %d of the ten parts of a second", len(firstTenths))
 	}
 }
 
 // No pause is below zero, and none is drawn from a range that overflows, whatever the settings allow.
-func TestPausesOfAnySettingsArePositive(t *testing.T) {
+func TestDelaysAreNeverNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		group := rapid.IntRange(1, 1<<20).Draw(t, "group")
-		grace := time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "grace"))
-		w := newWatcher("127.0.0.1:9", Update{}, group, grace, rapid.Uint64().Draw(t, "seed"), func(Update) {})
+		fleetSize := rapid.IntRange(1, 1<<20).Draw(t, "group")
+		drainGrace := time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "grace"))
+		w := newWatcher("127.0.0.1:9", Update{}, fleetSize, drainGrace, rapid.Uint64().Draw(t, "seed"), func(Update) {})
 		now := time.Now()
 		p := &w.pace
 		for range 20 {
--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -76,9 +76,9 @@
 // TooManyMembersError is a member beyond maxMembers.
 type TooManyMembersError struct {
 	Member, Address string
-	Most            int
+	MaxMembers      int
 }
 
 func (e *TooManyMembersError) Error() string {
-	return fmt.Sprintf("peers: member %s at %s: refused, %d are the most; give fleets that share a network labels of their own", e.Member, e.Address, e.Most)
+	return fmt.Sprintf("peers: member %s at %s: refused, %d are the most; give fleets that share a network labels of their own", e.Member, e.Address, e.MaxMembers)
 }
--- a/internal/membership/errors_test.go
+++ b/internal/membership/errors_test.go
@@ -6,11 +6,11 @@
 	"sloestile/internal/oncall"
 )
 
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsStateARemedy(t *testing.T) {
 	oncall.Check(t,
 		&BindError{Address: "127.0.0.1:7946", Err: oncall.ErrCause},
 		&ConfigError{Key: "bind", Err: oncall.ErrCause},
-		&TooManyMembersError{Member: "n-1", Address: "127.0.0.1:7946", Most: 1024},
+		&TooManyMembersError{Member: "n-1", Address: "127.0.0.1:7946", MaxMembers: 1024},
 		&JoinError{Seeds: 3, Err: oncall.ErrCause},
 		&LeaveError{Name: "n-1", Err: oncall.ErrCause},
 		&MemberError{Index: 3},
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // What a member says of itself has the recorded bytes.
-func TestMetaIsAsRecorded(t *testing.T) {
+func TestMetadataMatchesGoldenFile(t *testing.T) {
 	golden.RoundTrip(t, "meta", func(m *meta) ([]byte, error) { return cbor.Marshal(*m) }, func(raw []byte) (*meta, error) {
 		m := &meta{}
 		return m, cbor.Unmarshal(raw, m)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -35,25 +35,25 @@
 // readMeta reads what a node publishes of itself. Metadata that can't be read is counted and left empty.
 func (p *Peers) readMeta(n *memberlist.Node) (m Member, leaving bool) {
 	m = Member{Name: n.Name, Address: n.Address()}
-	var said meta
-	if err := cbor.Unmarshal(n.Meta, &said); err != nil {
+	var published meta
+	if err := cbor.Unmarshal(n.Meta, &published); err != nil {
 		p.Counts.Corrupt.Add(1)
 		p.log.Warn("peers: metadata of a member is corrupt", "peer", n.Name, "error", err)
 		return m, false
 	}
-	m.Zone, m.Region, m.Program, m.MetaVersion, m.Incarnation = said.Zone, said.Region, said.Program, said.Version, said.Incarnation
-	m.Index, m.TakesKinds = said.Index, said.TakesKinds
-	return m, said.Leaving
+	m.Zone, m.Region, m.Program, m.MetaVersion, m.Incarnation = published.Zone, published.Region, published.Program, published.Version, published.Incarnation
+	m.Index, m.TakesKinds = published.Index, published.TakesKinds
+	return m, published.Leaving
 }
 
 // The library calls the methods that follow. None of them blocks.
 
 // NodeMeta returns what this node publishes of itself, or nothing where that is too long.
-func (p *Peers) NodeMeta(most int) []byte {
+func (p *Peers) NodeMeta(maxBytes int) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	raw, err := cbor.Marshal(p.meta)
-	if err != nil || len(raw) > most {
+	if err != nil || len(raw) > maxBytes {
 		return nil
 	}
 	return raw
@@ -94,19 +94,19 @@
 }
 
 // NotifyJoin adds a member. One that comes back under its old name replaces its dead predecessor.
-func (p *Peers) NotifyJoin(n *memberlist.Node) { p.put(n, "peers: joined", &p.Counts.Joins) }
+func (p *Peers) NotifyJoin(n *memberlist.Node) { p.putMember(n, "peers: joined", &p.Counts.Joins) }
 
 // NotifyUpdate takes changed metadata of a member.
-func (p *Peers) NotifyUpdate(n *memberlist.Node) { p.put(n, "peers: changed", nil) }
+func (p *Peers) NotifyUpdate(n *memberlist.Node) { p.putMember(n, "peers: changed", nil) }
 
 // put adds or replaces a member, or removes one that is leaving.
-func (p *Peers) put(n *memberlist.Node, what string, count *atomic.Int64) {
+func (p *Peers) putMember(n *memberlist.Node, message string, count *atomic.Int64) {
 	if n.Name == p.cfg.Name {
 		return
 	}
 	m, leaving := p.readMeta(n)
 	if leaving {
-		p.remove(n.Name, "left", &p.Counts.Leaves)
+		p.removeMember(n.Name, "left", &p.Counts.Leaves)
 		return
 	}
 	p.mu.Lock()
@@ -121,7 +121,7 @@
 	if count != nil {
 		count.Add(1)
 	}
-	p.log.Info(what, "peer", m.Name, "zone", m.Zone, "program", m.Program, "incarnation", m.Incarnation)
+	p.log.Info(message, "peer", m.Name, "zone", m.Zone, "program", m.Program, "incarnation", m.Incarnation)
 }
 
 // NotifyLeave removes a member that is dead. One that announced its leave has been removed before.
@@ -129,7 +129,7 @@
 	p.mu.Lock()
 	maps.DeleteFunc(p.reachable, func(_ int, o *memberlist.Node) bool { return o.Name == n.Name })
 	p.mu.Unlock()
-	p.remove(n.Name, "dead", &p.Counts.Deaths)
+	p.removeMember(n.Name, "dead", &p.Counts.Deaths)
 }
 
 // notifyChange calls OnChange.
@@ -140,7 +140,7 @@
 }
 
 // remove removes a live member.
-func (p *Peers) remove(name, how string, count *atomic.Int64) {
+func (p *Peers) removeMember(name, reason string, count *atomic.Int64) {
 	p.mu.Lock()
 	_, known := p.live[name]
 	if known {
@@ -152,7 +152,7 @@
 	if known {
 		p.notifyChange()
 		count.Add(1)
-		p.log.Info("peers: gone", "peer", name, "how", how)
+		p.log.Info("peers: gone", "peer", name, "how", reason)
 	}
 }
 
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -41,7 +41,7 @@
 	maxJoinBackoff     = 3 * time.Second
 	rejoinInterval     = 11 * time.Second // between two looks for seeds that are not live, after a partition
 	joinJitter         = 1. / 3           // fraction by which these vary, so that nodes don't join in step
-	nameReclaimTime    = 5 * time.Second  // after which a name may come back from another address
+	nameReclaimTimeout = 5 * time.Second  // after which a name may come back from another address
 	leaveTimeout       = time.Second      // for sending a graceful leave
 	streamTimeout      = 3 * time.Second  // of a peer's stream; peers with bad input get a close within 3 s
 )
@@ -76,15 +76,15 @@
 
 // Peers is this node's part in the membership, until Leave or Close.
 type Peers struct {
-	Counts Counts
-	cfg    Config
-	list   *memberlist.Memberlist
-	log    *slog.Logger
-	meta   meta
-	rng    *rand.Rand
-	life   context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	Counts  Counts
+	cfg     Config
+	list    *memberlist.Memberlist
+	log     *slog.Logger
+	meta    meta
+	rng     *rand.Rand
+	ctx     context.Context
+	cancel  context.CancelFunc
+	running sync.WaitGroup
 
 	mu        sync.Mutex
 	seeds     []string
@@ -95,42 +95,42 @@
 
 // Start takes part in the membership. It does not wait for others: a goroutine joins the seeds until Leave or Close. Its
 // error is a *ConfigError, *BindError or *StartError.
-func Start(cfg Config, l *slog.Logger) (*Peers, error) {
+func Start(cfg Config, logger *slog.Logger) (*Peers, error) {
 	host, port, err := net.SplitHostPort(cfg.Bind)
 	if err != nil {
 		return nil, &ConfigError{"bind", err}
 	}
-	number, err := strconv.Atoi(port)
+	portNumber, err := strconv.Atoi(port)
 	if err != nil {
 		return nil, &ConfigError{"bind", err}
 	}
-	p := &Peers{cfg: cfg, log: l, seeds: cfg.Seeds, live: make(map[string]Member), reachable: make(map[int]*memberlist.Node), rng: rand.New(rand.NewPCG(cfg.Seed, 0x70656572))}
-	state := MetaVersion
+	p := &Peers{cfg: cfg, log: logger, seeds: cfg.Seeds, live: make(map[string]Member), reachable: make(map[int]*memberlist.Node), rng: rand.New(rand.NewPCG(cfg.Seed, 0x70656572))}
+	metaVersion := MetaVersion
 	if cfg.OnState == nil {
-		state = metaVersionWithoutState
+		metaVersion = metaVersionWithoutState
 	}
-	p.meta = meta{cfg.Zone, cfg.Region, cfg.Program, state, uint64(time.Now().UnixMilli()), true, cfg.Index, cfg.OnMessage != nil}
+	p.meta = meta{cfg.Zone, cfg.Region, cfg.Program, metaVersion, uint64(time.Now().UnixMilli()), true, cfg.Index, cfg.OnMessage != nil}
 	if n := len(p.NodeMeta(memberlist.MetaMaxSize)); n == 0 {
 		return nil, &ConfigError{"zone, region and program", errors.New("their names are too long together")}
 	}
 	p.meta.Leaving = false
-	if err := p.startList(host, number); err != nil {
+	if err := p.startMemberlist(host, portNumber); err != nil {
 		return nil, err
 	}
-	p.done.Go(p.joinSeeds)
+	p.running.Go(p.joinSeeds)
 	return p, nil
 }
 
 // startList starts the library's part.
-func (p *Peers) startList(host string, port int) error {
-	std := log.New(&lines{p.log, &p.Counts}, "", 0)
+func (p *Peers) startMemberlist(host string, port int) error {
+	stdLog := log.New(&logWriter{p.log, &p.Counts}, "", 0)
 	// The library does not tell which error a failed bind was.
 	probe, err := net.Listen("tcp", p.cfg.Bind)
 	if err != nil {
 		return &BindError{p.cfg.Bind, err}
 	}
 	_ = probe.Close()
-	sockets, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: std})
+	netTransport, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: port, Logger: stdLog})
 	if err != nil {
 		return &BindError{p.cfg.Bind, err}
 	}
@@ -138,18 +138,18 @@
 	c.Name = p.cfg.Name
 	c.Label = p.cfg.Label
 	c.BindAddr = host
-	c.BindPort = sockets.GetAutoBindPort()
+	c.BindPort = netTransport.GetAutoBindPort()
 	c.AdvertiseAddr = host
 	c.AdvertisePort = c.BindPort
-	c.Transport = &transport{sockets, p.cfg.DialAddresses, &p.Counts}
+	c.Transport = &transport{netTransport, p.cfg.DialAddresses, &p.Counts}
 	c.EnableCompression = false // CPU is scarce, and messages are small
 	c.TCPTimeout = streamTimeout
-	c.DeadNodeReclaimTime = nameReclaimTime
-	c.Logger = std
+	c.DeadNodeReclaimTime = nameReclaimTimeout
+	c.Logger = stdLog
 	c.Delegate, c.Events, c.Conflict, c.Alive = p, p, p, p
-	p.life, p.cancel = context.WithCancel(context.Background())
+	p.ctx, p.cancel = context.WithCancel(context.Background())
 	if p.list, err = memberlist.Create(c); err != nil {
-		_ = sockets.Shutdown()
+		_ = netTransport.Shutdown()
 		return &StartError{p.cfg.Name, p.cfg.Bind, err}
 	}
 	return nil
@@ -231,15 +231,15 @@
 func (p *Peers) Close() error {
 	p.cancel()
 	err := p.list.Shutdown()
-	p.done.Wait()
+	p.running.Wait()
 	return err
 }
 
 // joinSeeds joins the seeds until another member is live, with exponential backoff, and then looks at intervals for seeds
 // that are not live, so that the parts of a partition join again.
 func (p *Peers) joinSeeds() {
-	alone := &backoff.ExponentialBackOff{InitialInterval: initialJoinBackoff, MaxInterval: maxJoinBackoff, Multiplier: 2, RandomizationFactor: joinJitter}
-	joined := &backoff.ExponentialBackOff{InitialInterval: rejoinInterval, MaxInterval: rejoinInterval, Multiplier: 1, RandomizationFactor: joinJitter}
+	aloneBackoff := &backoff.ExponentialBackOff{InitialInterval: initialJoinBackoff, MaxInterval: maxJoinBackoff, Multiplier: 2, RandomizationFactor: joinJitter}
+	joinedBackoff := &backoff.ExponentialBackOff{InitialInterval: rejoinInterval, MaxInterval: rejoinInterval, Multiplier: 1, RandomizationFactor: joinJitter}
 	for {
 		if seeds := p.seedsToJoin(); len(seeds) > 0 {
 			if _, err := p.list.Join(seeds); err != nil && p.Counts.Live.Load() == 0 {
@@ -249,14 +249,14 @@
 				p.log.Warn("peers: joining failed", "error", &JoinError{len(seeds), err})
 			}
 		}
-		pauses := alone
+		delays := aloneBackoff
 		if p.Counts.Live.Load() > 0 {
-			pauses = joined
-			alone.Reset()
+			delays = joinedBackoff
+			aloneBackoff.Reset()
 		}
 		select {
-		case <-time.After(pauses.NextBackOff()):
-		case <-p.life.Done():
+		case <-time.After(delays.NextBackOff()):
+		case <-p.ctx.Done():
 			return
 		}
 	}
@@ -268,18 +268,18 @@
 	own := p.Address()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	here := map[string]bool{own: true}
+	known := map[string]bool{own: true}
 	for _, m := range p.live {
-		here[m.Address] = true
+		known[m.Address] = true
 	}
-	var out []string
+	var absent []string
 	for _, s := range p.seeds {
-		if !here[s] {
-			out = append(out, s)
+		if !known[s] {
+			absent = append(absent, s)
 		}
 	}
-	if len(p.live) > 0 && len(out) > 1 {
-		return []string{out[p.rng.IntN(len(out))]}
+	if len(p.live) > 0 && len(absent) > 1 {
+		return []string{absent[p.rng.IntN(len(absent))]}
 	}
-	return out
+	return absent
 }
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -17,7 +17,7 @@
 
 const patience = 60 * time.Second
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func start(t *testing.T, cfg Config) *Peers {
 	t.Helper()
@@ -27,7 +27,7 @@
 	if cfg.Bind == "" {
 		cfg.Bind = "127.0.0.1:0"
 	}
-	p, err := Start(cfg, quiet)
+	p, err := Start(cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,18 +35,18 @@
 }
 
 // until waits for a state of the membership; the library's timers decide how long it takes.
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	require.Eventually(t, ok, patience, 20*time.Millisecond, "waited in vain for %s", what)
+	require.Eventually(t, reached, patience, 20*time.Millisecond, "waited in vain for %s", what)
 }
 
-func sees(p *Peers, n int) func() bool {
+func hasLive(p *Peers, n int) func() bool {
 	return func() bool { return p.Counts.Live.Load() == int64(n) }
 }
 
 // Nodes join by one seed; one that leaves is gone at once and by its own word, one that dies is
 // found dead, and one that comes back under its name supersedes its dead self.
-func TestMembersComeLeaveDieAndReturn(t *testing.T) {
+func TestJoinLeaveDeathAndRejoin(t *testing.T) {
 	t.Parallel()
 	var all []*Peers
 	for i := range 4 {
@@ -57,7 +57,7 @@
 		all = append(all, start(t, cfg))
 	}
 	for _, p := range all {
-		until(t, "all to see all", sees(p, 3))
+		waitFor(t, "all to see all", hasLive(p, 3))
 	}
 	members, epoch := all[1].Live()
 	if m := members[0]; m.Name != "n0" || m.Zone != "hall-a" || m.Region != "gulf" || m.MetaVersion != MetaVersion || m.Incarnation == 0 {
@@ -66,14 +66,14 @@
 	if err := errors.Join(all[3].AnnounceLeave(), all[3].Leave()); err != nil {
 		t.Error(err)
 	}
-	until(t, "a leave", func() bool { return all[0].Counts.Leaves.Load() == 1 && all[1].Counts.Leaves.Load() == 1 })
+	waitFor(t, "a leave", func() bool { return all[0].Counts.Leaves.Load() == 1 && all[1].Counts.Leaves.Load() == 1 })
 	address := all[2].Address()
 	_ = all[2].Close()
-	until(t, "a death", func() bool { return all[0].Counts.Deaths.Load() == 1 && all[1].Counts.Deaths.Load() == 1 })
-	back := start(t, Config{Name: "n2", Zone: "hall-b", Bind: address, Seeds: []string{all[0].Address()}})
-	defer func() { _ = back.Close() }()
+	waitFor(t, "a death", func() bool { return all[0].Counts.Deaths.Load() == 1 && all[1].Counts.Deaths.Load() == 1 })
+	rejoined := start(t, Config{Name: "n2", Zone: "hall-b", Bind: address, Seeds: []string{all[0].Address()}})
+	defer func() { _ = rejoined.Close() }()
 	for _, p := range all[:2] {
-		until(t, "the return", func() bool {
+		waitFor(t, "the return", func() bool {
 			m, _ := p.Live()
 			return len(m) == 2 && m[1].Name == "n2" && m[1].Zone == "hall-b"
 		})
@@ -86,7 +86,7 @@
 }
 
 // What is no word of the own fleet changes nothing: other labels, spoilt packets, silent streams.
-func TestStrangersAreNotHeard(t *testing.T) {
+func TestForeignTrafficIsIgnored(t *testing.T) {
 	t.Parallel()
 	a := start(t, Config{Name: "a"})
 	defer func() { _ = a.Close() }()
@@ -100,7 +100,7 @@
 	for _, text := range []string{"", "\x00", "\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n"} {
 		_, _ = c.Write([]byte(text))
 	}
-	until(t, "spoilt messages to be counted", func() bool { return a.Counts.Corrupt.Load() >= 2 })
+	waitFor(t, "spoilt messages to be counted", func() bool { return a.Counts.Corrupt.Load() >= 2 })
 	s, err := net.Dial("tcp", a.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -120,55 +120,55 @@
 // also long after.
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
-	ports := [2]string{free(t), free(t)}
-	path := [2]*faultlink.Path{faultlink.NewPath(0, 1, 0), faultlink.NewPath(1, 0, 0)}
+	addresses := [2]string{freeAddress(t), freeAddress(t)}
+	links := [2]*faultlink.Path{faultlink.NewPath(0, 1, 0), faultlink.NewPath(1, 0, 0)}
 	var all [2]*Peers
 	for i := range all {
-		f, err := path[i].Forward("127.0.0.1:0", ports[1-i], nil)
+		f, err := links[i].Forward("127.0.0.1:0", addresses[1-i], nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.Close()
-		all[i] = start(t, Config{Name: fmt.Sprintf("n%d", i), Bind: ports[i], Seeds: []string{ports[1-i]},
-			DialAddresses: map[string]string{ports[1-i]: f.Address()}, Seed: uint64(i), OnState: func([]byte) {}})
+		all[i] = start(t, Config{Name: fmt.Sprintf("n%d", i), Bind: addresses[i], Seeds: []string{addresses[1-i]},
+			DialAddresses: map[string]string{addresses[1-i]: f.Address()}, Seed: uint64(i), OnState: func([]byte) {}})
 		defer func() { _ = all[i].Close() }()
 	}
-	both := func(n int) func() bool { return func() bool { return sees(all[0], n)() && sees(all[1], n)() } }
-	until(t, "both to see each other", both(1))
-	for _, p := range path {
+	bothHave := func(n int) func() bool { return func() bool { return hasLive(all[0], n)() && hasLive(all[1], n)() } }
+	waitFor(t, "both to see each other", bothHave(1))
+	for _, p := range links {
 		p.Begin(faultlink.Trouble{Drop: true})
 	}
-	until(t, "both to be alone", both(0))
-	for _, p := range path {
+	waitFor(t, "both to be alone", bothHave(0))
+	for _, p := range links {
 		p.Clear()
 	}
-	until(t, "both to be together again", both(1))
+	waitFor(t, "both to be together again", bothHave(1))
 }
 
 // The library tells of members while it holds its own lock: nothing may ask the library for anything
 // under ours. Here a look for seeds waits for our lock, and behind it the word of a new member.
-func TestNoLockIsTakenAgainstTheLibrarys(t *testing.T) {
+func TestNoDeadlockWithMemberlistLock(t *testing.T) {
 	t.Parallel()
 	a := start(t, Config{Name: "n0", Seed: 1, OnState: func([]byte) {}})
 	a.mu.Lock()
-	looked := make(chan []string, 1)
-	go func() { looked <- a.seedsToJoin() }()
+	seeds := make(chan []string, 1)
+	go func() { seeds <- a.seedsToJoin() }()
 	time.Sleep(50 * time.Millisecond) // only for the order; any other one passes too
 	b := start(t, Config{Name: "n1", Seed: 2, Seeds: []string{a.Address()}, OnState: func([]byte) {}})
 	time.Sleep(500 * time.Millisecond)
 	a.mu.Unlock()
 	select {
-	case <-looked:
+	case <-seeds:
 	case <-time.After(patience / 6):
 		t.Fatal("the look for seeds and the library wait for each other")
 	}
-	until(t, "the new member", sees(a, 1))
+	waitFor(t, "the new member", hasLive(a, 1))
 	require.NoError(t, errors.Join(a.Close(), b.Close()))
 }
 
 // free gives an address that nobody listens at. It is this process's own, so that no other's
 // connection takes the port meanwhile.
-func free(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.250.%d.%d:0", pid>>8&0xff, pid&0xff))
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -14,13 +14,13 @@
 // transport reaches other members by their dial addresses, and counts what it sends.
 type transport struct {
 	*memberlist.NetTransport
-	via    map[string]string
-	counts *Counts
+	dialAddresses map[string]string
+	counts        *Counts
 }
 
 // to returns the address by which a member is reached.
-func (t *transport) to(a memberlist.Address) memberlist.Address {
-	if v, ok := t.via[a.Addr]; ok {
+func (t *transport) dialAddress(a memberlist.Address) memberlist.Address {
+	if v, ok := t.dialAddresses[a.Addr]; ok {
 		a.Addr = v
 	}
 	return a
@@ -30,25 +30,25 @@
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	t.counts.SentPackets.Add(1)
 	t.counts.SentBytes.Add(int64(len(b)))
-	return t.NetTransport.WriteToAddress(b, t.to(a))
+	return t.NetTransport.WriteToAddress(b, t.dialAddress(a))
 }
 
 // DialAddressTimeout opens a stream.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	t.counts.Streams.Add(1)
-	return t.NetTransport.DialAddressTimeout(t.to(a), timeout)
+	return t.NetTransport.DialAddressTimeout(t.dialAddress(a), timeout)
 }
 
 // lines passes the library's log on. Lines about packets that can't be read are counted.
-type lines struct {
-	to     *slog.Logger
+type logWriter struct {
+	logger *slog.Logger
 	counts *Counts
 }
 
-var _ io.Writer = (*lines)(nil)
+var _ io.Writer = (*logWriter)(nil)
 
 // Write takes one line of the log.
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logWriter) Write(b []byte) (int, error) {
 	level, text := slog.LevelDebug, strings.TrimSpace(string(b))
 	for prefix, x := range map[string]slog.Level{"[ERR] ": slog.LevelError, "[WARN] ": slog.LevelWarn, "[INFO] ": slog.LevelInfo} {
 		if rest, ok := strings.CutPrefix(text, prefix); ok {
@@ -60,6 +60,6 @@
 		l.counts.Corrupt.Add(1)
 		level = slog.LevelDebug
 	}
-	l.to.Log(context.Background(), level, text)
+	l.logger.Log(context.Background(), level, text)
 	return len(b), nil
 }
