--- a/internal/discovery/bulk.go
+++ b/internal/discovery/bulk.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// The budget of a message that is read entry by entry: 32 KiB a second at least, for ten minutes at most. It
-// is that low because many nodes may share discovery's bandwidth: a deadline that they can't keep together
-// would end every transfer before its last byte, again and again.
+// Progress requirements for a message that is read entry by entry: at least 32 KiB/s, for at most ten minutes. The
+// rate is this low because many nodes may share discovery's bandwidth: with a deadline that they can't all meet,
+// every transfer would be cancelled before its last byte, again and again.
 const (
-	MinProgressBytes = 16 << 10               // that a message brings at least in each ProgressEach, until it is complete
-	ProgressInterval = 500 * time.Millisecond // the progress deadline within a message
-	TransferTimeout  = 10 * time.Minute       // from the first byte of a message to its last
+	MinProgressBytes = 16 << 10               // bytes required within each ProgressInterval of an incomplete message
+	ProgressInterval = 500 * time.Millisecond // progress deadline within a message
+	TransferTimeout  = 10 * time.Minute       // maximum time from the first byte of a message to its last
 )
 
-// bulkReader reads the body of a watch, as messages does, for lists of any length: a message has to make
-// progress, and what is read ahead of its decoder is bounded. Empty lines between messages are heartbeats
-// and are not passed on.
+// bulkReader reads the response body of a watch, like messageReader, but for lists of any length. Instead of the size
+// of a message it bounds the time without progress and the bytes read ahead of the decoder. Empty lines between
+// messages are heartbeats; it reports them and does not return them to the decoder.
 type bulkReader struct {
 	body          io.Reader
 	emit          func(event) bool
-	progressTimer *time.Timer // for the next ProgressBytes
-	transferTimer *time.Timer // for the whole message
-	inMessage     bool        // a message is incomplete
+	progressTimer *time.Timer // runs until the next MinProgressBytes have arrived
+	transferTimer *time.Timer // runs until the message is complete
+	inMessage     bool        // a message has begun and is incomplete
 	connEnded     bool        // the connection has ended
-	sinceProgress int         // bytes since the last progress
-	bytesRead     int64       // bytes passed on in all
-	readLimit     int64       // that may be passed on until the decoder has used more of them
+	sinceProgress int         // bytes of the message since the progress timer was last reset
+	bytesRead     int64       // bytes returned to the decoder since the start of the watch
+	readLimit     int64       // maximum of bytesRead; the decoder raises it as it consumes input
 }
 
+// newBulkReader returns a reader of body. It calls cancel with errStalled when a message misses a deadline, and emit
+// for each heartbeat and each progress within a message.
 func newBulkReader(body io.Reader, cancel context.CancelCauseFunc, emit func(event) bool) *bulkReader {
 	stalled := func() { cancel(errStalled) }
 	b := &bulkReader{body: body, emit: emit, progressTimer: time.AfterFunc(ProgressInterval, stalled), transferTimer: time.AfterFunc(TransferTimeout, stalled)}
@@ -43,7 +45,7 @@
 	b.transferTimer.Stop()
 }
 
-// Read passes bytes on.
+// Read reads from the body and skips heartbeats. It returns an *EntrySizeError at the read limit.
 func (b *bulkReader) Read(p []byte) (int, error) {
 	if b.bytesRead >= b.readLimit {
 		return 0, &EntrySizeError{MaxBytes: maxEntryBytes}
@@ -67,7 +69,8 @@
 	}
 }
 
-// progress counts bytes of a message, its first ones too.
+// countBytes counts n bytes of a message, including its first ones, and resets the progress timer when enough of them
+// have arrived.
 func (b *bulkReader) countBytes(n int) {
 	if !b.inMessage {
 		b.inMessage, b.sinceProgress = true, n
@@ -80,12 +83,12 @@
 		return
 	}
 	b.sinceProgress = 0
-	b.progressTimer.Stop() // while the session is busy
+	b.progressTimer.Stop() // the time in which the session handles the event does not count
 	b.emit(event{progress: true})
 	b.progressTimer.Reset(ProgressInterval)
 }
 
-// completed takes the end of a message; rest is what was read after it.
+// messageCompleted records the end of a message. rest holds the bytes that were read after it.
 func (b *bulkReader) messageCompleted(rest []byte) {
 	b.stopTimers()
 	b.inMessage = false
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	maxMessageBytes = 4 << 20                // bytes of one message
-	messageTimeout  = 500 * time.Millisecond // from the first byte of a message to its last
+	maxMessageBytes = 4 << 20                // size of one message
+	messageTimeout  = 500 * time.Millisecond // maximum time from the first byte of a message to its last
 )
 
-// errStalled ends a call whose message was begun and not completed in time.
-var errStalled = errors.New("a message was begun and not ended")
+// errStalled is the cause with which a call is cancelled whose message was not completed in time.
+var errStalled = errors.New("a message was not completed in time")
 
-// unusableError is an answer without a usable update: discovery is reachable and may have newer data.
+// unusableError reports a response without a usable update: discovery is reachable and may have newer data.
 type unusableError struct{ error }
 
 func (e unusableError) Unwrap() error { return e.error }
 
-// call is one watch request that is open.
+// call is one open watch request.
 type call struct {
 	startedAt time.Time
-	received  bool // it has brought an update or a heartbeat
+	received  bool // an update or a heartbeat has arrived
 	cancel    context.CancelCauseFunc
 }
 
-// event is what a call reports: an update, progress within one, its end, or else a heartbeat.
+// event is a report of a call: an update, progress within an update, or the end of the call. One with none of these
+// is a heartbeat.
 type event struct {
 	call     *call
 	update   *Update
-	list     *subset.List // of a whole list, staged, where a subset is used
-	entries  int          // of the update, where a subset is used
+	list     *subset.List // staged entries of a complete list, if a subset is used; else nil
+	entries  int          // number of entries in the update, if a subset is used
 	progress bool
-	err      error // the end of the call
+	err      error // reason for the end of the call; nil while it is open
 }
 
-// follow makes a watch request and emits each update and heartbeat until the call ends. emit returns false
-// once nobody receives. end cancels ctx.
+// followWatch makes a watch request and emits each update and heartbeat until the call ends. emit returns false once
+// the call has been cancelled. cancel cancels ctx.
 func followWatch(ctx context.Context, client *http.Client, url string, cancel context.CancelCauseFunc, emit func(event) bool) error {
 	resp, err := openWatch(ctx, client, url)
 	if err != nil {
@@ -71,7 +72,7 @@
 	}
 }
 
-// open makes the request of a watch. An answer that is not 200 is an unusableError.
+// openWatch makes a watch request. It returns an unusableError for any response status but 200.
 func openWatch(ctx context.Context, client *http.Client, url string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -88,7 +89,8 @@
 	return resp, nil
 }
 
-// readError classifies an error of reading a message. ended reports that the connection has ended.
+// readError classifies an error from reading a message. It returns an unusableError if the message stalled or if the
+// error occurred while the connection was still open, as connEnded reports.
 func readError(ctx context.Context, connEnded bool, err error) error {
 	if cause := context.Cause(ctx); errors.Is(cause, errStalled) {
 		return unusableError{cause}
@@ -99,18 +101,19 @@
 	return err
 }
 
-// messages reads the body of a watch: JSON objects, on one line or indented, with empty lines between
-// them as heartbeats. It bounds the size and the duration of a message.
+// messageReader reads the response body of a watch: JSON objects, on one line or indented, with empty lines between
+// them as heartbeats. It bounds the size of a message and the time that it takes.
 type messageReader struct {
 	body      io.Reader
 	heartbeat func()
 	timer     *time.Timer // runs while a message is incomplete
-	inMessage bool        // a message is incomplete
+	inMessage bool        // a message has begun and is incomplete
 	connEnded bool        // the connection has ended
-	bytesLeft int         // bytes that the message may still have
+	bytesLeft int         // bytes that the message may still take
 }
 
-// Read passes bytes on. An empty line within a message is no heartbeat.
+// Read reads from the body and calls heartbeat for empty lines between messages. An empty line within a message is
+// not a heartbeat.
 func (m *messageReader) Read(b []byte) (int, error) {
 	n, err := m.body.Read(b)
 	m.connEnded = err != nil
@@ -121,7 +124,7 @@
 	case m.inMessage:
 		m.bytesLeft -= n
 		if m.bytesLeft < 0 {
-			return 0, fmt.Errorf("a message has over %d bytes", maxMessageBytes)
+			return 0, fmt.Errorf("a message exceeds %d bytes", maxMessageBytes)
 		}
 	default:
 		m.heartbeat()
@@ -129,12 +132,13 @@
 	return n, err
 }
 
+// beginMessage records the first n bytes of a message and starts its timer.
 func (m *messageReader) beginMessage(n int) {
 	m.inMessage, m.bytesLeft = true, maxMessageBytes-n
 	m.timer.Reset(messageTimeout)
 }
 
-// completed takes the end of a message; rest is what was read after it.
+// messageCompleted records the end of a message. rest holds the bytes that were read after it.
 func (m *messageReader) messageCompleted(rest []byte) {
 	m.timer.Stop()
 	m.inMessage = false
--- a/internal/discovery/discoverytest/agent.go
+++ b/internal/discovery/discoverytest/agent.go
@@ -1,4 +1,4 @@
-// Package discoverytest has a discovery service for tests.
+// Package discoverytest provides a discovery service for tests.
 package discoverytest
 
 import (
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// Agent is a discovery that sends what a test has it send.
+// Agent is a discovery service that sends what the test writes to Tell.
 type Agent struct {
 	*httptest.Server
-	Asked chan string // the query of each watch
-	Tell  chan string // parts of a body; "" ends the watch
+	Asked chan string // request URI of each watch
+	Tell  chan string // parts of the response body to send; "" ends the watch
 	quit  chan struct{}
 }
 
-// NewAgent starts an agent, which ends with the test.
+// NewAgent starts an agent that is closed at the end of the test.
 func NewAgent(t *testing.T) *Agent {
 	a := &Agent{Asked: make(chan string, 100), Tell: make(chan string, 100), quit: make(chan struct{})}
 	a.Server = httptest.NewServer(http.HandlerFunc(a.serve))
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,7 +8,7 @@
 	"sloestile/internal/golden"
 )
 
-// A message of discovery has the recorded keys, and a target's states are read as recorded.
+// The JSON keys of a discovery message and the status for each state of a target match the golden files.
 func TestUpdateMatchesGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "update", func(u *Update) ([]byte, error) { return json.MarshalIndent(u, "", " ") }, func(raw []byte) (*Update, error) {
 		u := &Update{}
--- a/internal/discovery/progress_test.go
+++ b/internal/discovery/progress_test.go
@@ -15,7 +15,8 @@
 	"sloestile/internal/discovery/discoverytest"
 )
 
-// slowDiscovery sends a text in pieces of a size, with a pause after each, to each call.
+// slowDiscovery starts a discovery that answers each call with text, sent in pieces of pieceSize bytes with a pause
+// after each. calls counts the calls.
 func slowDiscovery(t *testing.T, text string, pieceSize int, pause time.Duration) (addr string, calls *atomic.Int64) {
 	calls = &atomic.Int64{}
 	done := make(chan struct{})
@@ -45,18 +46,18 @@
 	return srv.Listener.Addr().String(), calls
 }
 
-// A long list that comes slowly, but with progress, is taken by one call: none is made beside it, though
-// it takes longer than an unanswered call may.
+// A long list that arrives slowly but with progress is received by one call. No parallel call is made, although the
+// transfer takes longer than a call may stay unanswered.
 func TestSlowListWithProgressTakesOneCall(t *testing.T) {
 	t.Parallel()
 	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
 	text := encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(20_000)}, "")
 	pieces := 25
 	pause := 200 * time.Millisecond
-	piece := len(text)/pieces + 1
-	require.Greater(t, piece, MinProgressBytes)
+	pieceSize := len(text)/pieces + 1
+	require.Greater(t, pieceSize, MinProgressBytes)
 	require.Greater(t, time.Duration(pieces)*pause, stallTimeout+callSpread)
-	addr, calls := slowDiscovery(t, text, piece, pause)
+	addr, calls := slowDiscovery(t, text, pieceSize, pause)
 	s := startSubset(t, addr, cfg, Update{})
 	s.next(t)
 	require.Equal(t, int64(1), calls.Load())
@@ -64,28 +65,28 @@
 	require.Equal(t, int64(20_000), s.Counts().Listed.Load())
 }
 
-// A message that trickles or stands still is cut within its progress deadline, and counted; the call after
-// it is made soon.
+// A message whose bytes arrive too slowly or stop is cancelled at its progress deadline and reported as dropped. The
+// next call follows soon.
 func TestMessageWithoutProgressIsCancelled(t *testing.T) {
 	text := encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(5_000)}, "")
-	for name, pause := range map[string]time.Duration{"trickles": 50 * time.Millisecond, "stands still": time.Hour} {
+	for name, pause := range map[string]time.Duration{"too slow": 50 * time.Millisecond, "stopped": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, calls := slowDiscovery(t, text, 1024, pause) // 20 kB a second at most
+			addr, calls := slowDiscovery(t, text, 1024, pause) // at most 20 kB/s
 			startedAt := time.Now()
 			s := startSubset(t, addr, subset.Config{Most: 20, ListMost: 10_000}, Update{})
 			err := next(t, s.dropped)
 			took := time.Since(startedAt)
 			require.True(t, is[*StalledError](err), "%v", err)
 			require.GreaterOrEqual(t, took, ProgressInterval)
-			require.Less(t, took, answerTimeout, "it was not cut by its own deadline")
+			require.Less(t, took, answerTimeout, "the message was not cancelled by its progress deadline")
 			require.Eventually(t, func() bool { return calls.Load() > 1 }, patience, time.Millisecond)
 			require.Empty(t, s.updates)
 		})
 	}
 }
 
-// Heartbeats of hours before and between messages take nothing from what an entry may have.
+// The heartbeats of hours before and between messages do not count towards the maximum size of an entry.
 func TestHeartbeatsDoNotCountTowardsEntrySize(t *testing.T) {
 	a := discoverytest.NewAgent(t)
 	s := startSubset(t, a.Addr(), smallSubset, Update{})
@@ -100,8 +101,8 @@
 	require.Empty(t, s.dropped)
 }
 
-// Progress within an update is no update: a list in transfer defers a second call, but not the time at
-// which what was missed binds.
+// Progress within an update is not an update: a list in transfer defers a parallel call, but not the progress deadline
+// or the time at which missed updates count as received.
 func TestProgressWithinMessageDefersNoDeadline(t *testing.T) {
 	w := newWatcher("127.0.0.1:9", Update{}, 2, time.Second, 1, func(Update) {})
 	w.pace.recordProgress(time.Now().Add(-4 * time.Second))
--- a/internal/discovery/selection.go
+++ b/internal/discovery/selection.go
@@ -9,24 +9,24 @@
 	"sloestile/fleet/subset"
 )
 
-// Counts are the figures of the subset in use. They may be read at any time.
+// Counts are the sizes of the list and of the subset in use. They may be read at any time.
 type Counts struct {
-	Listed atomic.Int64 // servers in the whole list
-	Chosen atomic.Int64 // of them, those in the subset
+	Listed atomic.Int64 // number of servers in the whole list
+	Chosen atomic.Int64 // number of those servers in the subset
 }
 
-// selection holds the whole list and chooses the node's subset of it. Calls stage lists while the session
-// applies updates, so that the set is locked.
+// selection holds the whole list and chooses the node's subset of it. The set is locked because calls stage lists while
+// the session applies updates.
 type selection struct {
 	config         subset.Config
 	fleetSize      int
-	maxKeptEntries int // entries of a whole list that are kept as they came, in case the whole of it is used
-	maxListed      int // entries of a message
+	maxKeptEntries int // maximum entries of a whole list that are also kept unchanged, in case the whole list is used
+	maxListed      int // maximum entries of a message
 	counts         Counts
 
 	mu           sync.Mutex
 	set          *subset.Set
-	cachedSubset bool // the node shows a part of a list whose rest is not known: only a whole list can follow
+	cachedSubset bool // the node uses a cached subset without the rest of its list, so the next update must be a whole list
 }
 
 func newSelection(cfg subset.Config, fleetSize int) (*selection, error) {
@@ -38,23 +38,22 @@
 		maxListed: cmp.Or(cfg.ListMost, subset.DefaultListMost)}, nil
 }
 
-// stage begins a whole list. It changes nothing until choose takes it.
+// stage begins a whole list. The list changes nothing until it is passed to choose.
 func (s *selection) stage() *subset.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set.NewList()
 }
 
-// add takes an entry of a whole list.
+// add adds an entry to a staged list.
 func (s *selection) add(list *subset.List, t *Target) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return list.Add(t.server())
 }
 
-// choose takes an update, with the list that was staged of it where it is a whole one. It returns the
-// update that the node needs, and false where the node's servers don't change. After an error nothing has
-// changed.
+// choose applies an update. For a whole list, list holds its staged entries. It returns the update that the node needs,
+// and false if the node's servers don't change. After an error nothing has changed.
 func (s *selection) choose(u Update, list *subset.List) (Update, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +78,7 @@
 	return needed, needed.All || len(needed.Targets) > 0, nil
 }
 
-// count updates the counts after a change.
+// updateCounts updates the counts after a change.
 func (s *selection) updateCounts(change subset.Change) {
 	s.counts.Listed.Store(int64(s.set.Len()))
 	if len(change.Updated)+len(change.Removed) > 0 {
@@ -87,7 +86,7 @@
 	}
 }
 
-// targets is a change of the subset as discovery would send it.
+// changeTargets returns a change of the subset as the targets that discovery would send for it.
 func changeTargets(change subset.Change) []Target {
 	all := make([]Target, 0, len(change.Updated)+len(change.Removed))
 	for _, id := range change.Removed {
@@ -110,7 +109,7 @@
 	return s.set.Apply(servers)
 }
 
-// sharers is the mean number of nodes that use each chosen server; 0 is the whole group.
+// nodesPerServer returns the mean number of nodes that use each chosen server. 0 means all nodes of the fleet.
 func (s *selection) nodesPerServer() float64 {
 	if s.set.Whole() {
 		return 0
@@ -118,8 +117,8 @@
 	return s.set.Sharers(s.fleetSize)
 }
 
-// adopt starts with a list that another process had, and returns what the node shows of it. Of a partial list only that is
-// known.
+// adopt starts from a cached list and returns the part of it that the node uses. If the cached list is itself a subset,
+// the node uses all of it and the rest of the whole list is unknown.
 func (s *selection) adopt(cached Update) (Update, error) {
 	set, err := subset.New(s.config)
 	if err != nil {
@@ -134,7 +133,7 @@
 	list := s.stage()
 	for i := range cached.Targets {
 		if err := s.add(list, &cached.Targets[i]); err != nil {
-			return Update{}, fmt.Errorf("the list held before: %w", err)
+			return Update{}, fmt.Errorf("cached list: %w", err)
 		}
 	}
 	usable, _, err := s.choose(Update{Rev: cached.Rev, All: true, Targets: cached.Targets}, list)
@@ -142,6 +141,7 @@
 	return usable, err
 }
 
+// server converts a target to an entry of package subset.
 func (t *Target) server() subset.Server {
 	state := subset.Draining
 	switch t.Status() {
@@ -154,6 +154,7 @@
 		Capacity: t.Capacity, BootMS: t.BootMS}
 }
 
+// serverTarget converts an entry of package subset to a target.
 func serverTarget(s *subset.Server) Target {
 	state := stateDraining
 	if s.State == subset.Available {
--- a/internal/discovery/selection_test.go
+++ b/internal/discovery/selection_test.go
@@ -26,7 +26,8 @@
 	)
 }
 
-// By changes one at a time a node comes to the same subset as by the whole list, and is told only of its own.
+// Applying single changes yields the same subset as the whole list does, if the node receives only the changes of its
+// subset.
 func TestChangesYieldSameSubsetAsWholeList(t *testing.T) {
 	s, err := newSelection(subset.Config{Node: 3, Most: 20, ZoneLeast: 2, ListMost: 1000}, 5800)
 	require.NoError(t, err)
@@ -72,25 +73,25 @@
 	}
 }
 
-// A list as long as the subset or shorter is used whole, and told as it came; one that grows over it is
-// told as a change, and so is the way back.
+// A list no longer than the subset is used whole and passed on unchanged. Growth beyond the subset's size and the way
+// back are passed on as deltas.
 func TestShortListIsPassedOnUnchanged(t *testing.T) {
 	a := discoverytest.NewAgent(t)
 	s := startSubset(t, a.Addr(), smallSubset, Update{})
 	all := servers(25)
 	initial := all[:19]
-	initial[4].State, initial[5].State = "paused", "removed" // a state that this program does not know
+	initial[4].State, initial[5].State = "paused", "removed" // "paused" is a state that this program does not know
 	a.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: initial}, "")
 	require.Equal(t, Update{Rev: 7, All: true, Targets: initial}, s.next(t))
 	a.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: all[20:22]}, "")
 	require.Equal(t, Update{Rev: 8, Targets: all[20:22]}, s.next(t))
 	a.Tell <- encodeUpdate(t, Update{Rev: 9, Targets: []Target{}}, "")
 	require.Equal(t, Update{Rev: 9, Targets: []Target{}}, s.next(t))
-	a.Tell <- encodeUpdate(t, Update{Rev: 10, Targets: all[22:]}, "") // 23 of 20
+	a.Tell <- encodeUpdate(t, Update{Rev: 10, Targets: all[22:]}, "") // 23 servers for a subset of 20
 	u := s.next(t)
 	require.False(t, u.All)
 	require.Positive(t, u.NodesPerServer)
-	require.Len(t, s.inUse, 21, "20 and the one that drains")
+	require.Len(t, s.inUse, 21, "the subset must be 20 servers and the draining one")
 	removed := slices.Clone(all[10:20])
 	for i := range removed {
 		removed[i].State = "removed"
@@ -103,8 +104,8 @@
 	require.Equal(t, Update{Rev: 12, Targets: removed[:1]}, s.next(t))
 }
 
-// A process that begins with a subset shows it, asks for the whole list, and comes to the same subset; one
-// that begins with a complete list asks for changes.
+// A process that starts with a cached subset uses it, requests the whole list, and chooses the same subset. One that
+// starts with a cached complete list requests changes.
 func TestStartsWithCachedList(t *testing.T) {
 	cfg := subset.Config{Most: 20, ZoneLeast: subset.NoZoneFloor, ListMost: 100}
 	a := discoverytest.NewAgent(t)
@@ -118,14 +119,14 @@
 
 	b := discoverytest.NewAgent(t)
 	after := startSubset(t, b.Addr(), cfg, cached)
-	require.Equal(t, before.uids(), after.uids(), "what was held is not shown")
+	require.Equal(t, before.uids(), after.uids(), "the cached subset is not in use")
 	require.Equal(t, cached.NodesPerServer, after.lastUpdate.NodesPerServer)
 	require.NotContains(t, next(t, b.Asked), "from=")
-	b.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "") // changes of a list that it does not have
+	b.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "") // a delta to a list that the process does not have
 	require.True(t, is[*PartialError](next(t, after.dropped)))
 	require.NotContains(t, next(t, b.Asked), "from=")
 	b.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(60)}, "")
-	require.True(t, after.next(t).All, "a server that has gone meanwhile would stay")
+	require.True(t, after.next(t).All, "a delta would keep a server that has been removed in the meantime")
 	require.Equal(t, before.uids(), after.uids())
 
 	c := discoverytest.NewAgent(t)
@@ -135,12 +136,12 @@
 	d := discoverytest.NewAgent(t)
 	long := startSubset(t, d.Addr(), cfg, Update{Rev: 7, All: true, Targets: servers(60)})
 	require.Contains(t, next(t, d.Asked), "from=7")
-	require.Equal(t, before.uids(), long.uids(), "a list that was held whole is shown whole")
+	require.Equal(t, before.uids(), long.uids(), "the servers in use are not the subset of the cached list")
 	d.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "")
 	require.Eventually(t, func() bool { return long.Counts().Listed.Load() == 61 }, patience, time.Millisecond)
 }
 
-// A long list that can't be used is not read again at once, one that was cut off is.
+// A long unusable list is requested again only after a delay. A truncated or stalled one adds no delay.
 func TestDelayAfterUnusableMessage(t *testing.T) {
 	dropped := func(err error) error { return unusableError{&ListError{Entries: 100_000, Err: err}} }
 	require.Equal(t, 10*time.Second, unusableDelay(dropped(&MalformedError{})))
@@ -149,7 +150,7 @@
 	require.Zero(t, unusableDelay(errStalled))
 }
 
-// A process without a subset that begins with one asks for the whole list, and shows what it has.
+// A process that uses whole lists but starts with a cached subset uses it and requests the whole list.
 func TestWholeListIsRequestedAfterCachedSubset(t *testing.T) {
 	w := newWatcher("127.0.0.1:9", Update{}, 2, time.Second, 1, func(Update) {})
 	cached := Update{Rev: 7, Targets: servers(3), NodesPerServer: 13.6}
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// callsMost is how many calls are open at once: a stalled watch and two beside it.
+// maxOpenCalls is the maximum number of calls open at once: a stalled watch and two in parallel with it.
 const maxOpenCalls = 3
 
-// session watches at one address. A stalled call stays open while others are made beside it: the first
-// of them that brings something is the watch from then on.
+// session watches at one address. A stalled call stays open while others are made in parallel: the first of them that
+// receives something becomes the only watch.
 type session struct {
 	*Watcher
 	ctx           context.Context
@@ -23,10 +23,11 @@
 	events        chan event
 	openCalls     []*call // oldest first
 	latest        *call
-	callTimer     *time.Timer // when the next call is made
-	degradedTimer *time.Timer // when what was missed counts as received
+	callTimer     *time.Timer // fires when the next call is due
+	degradedTimer *time.Timer // fires when missed updates count as received
 }
 
+// newSession returns a session that makes its first call after firstDelay.
 func newSession(ctx context.Context, w *Watcher, firstDelay time.Duration) *session {
 	w.rejected = false
 	return &session{Watcher: w, ctx: ctx, events: make(chan event), callTimer: time.NewTimer(firstDelay),
@@ -53,14 +54,14 @@
 	}
 }
 
-// cancelCalls ends calls.
+// cancelCalls cancels calls.
 func (s *session) cancelCalls(calls ...*call) {
 	for _, c := range calls {
 		c.cancel(context.Canceled)
 	}
 }
 
-// openCall makes a call beside those that are stalled, or the first one.
+// openCall makes the first call, or another one in parallel with those that are stalled.
 func (s *session) openCall() {
 	if len(s.openCalls) > 0 {
 		slog.Warn("discovery: watch stalled, opening another", "rev", s.rev, "open", len(s.openCalls))
@@ -82,7 +83,7 @@
 func (s *session) handle(e event) {
 	i := slices.Index(s.openCalls, e.call)
 	if i < 0 {
-		return // it was dropped
+		return // the call has been cancelled
 	}
 	if e.err == nil && e.update != nil {
 		if err := s.apply(*e.update, e.list); err != nil {
@@ -99,8 +100,8 @@
 	}
 }
 
-// keepOnly makes a call the only watch and cancels the others. Progress within an update says nothing yet of what was
-// missed.
+// keepOnly makes a call the only watch and cancels the others. It does not reset the progress deadline, since progress
+// within an update does not yet show which updates were missed.
 func (s *session) keepOnly(kept *call) {
 	for _, c := range s.openCalls {
 		if c != kept {
@@ -111,7 +112,7 @@
 	s.callTimer.Reset(s.pace.stallDelay())
 }
 
-// progress takes an update or a heartbeat of a call, which is the only watch from now on.
+// recordProgress records an update or a heartbeat of a call, which becomes the only watch.
 func (s *session) recordProgress(c *call) {
 	c.received = true
 	s.pace.recordProgress(time.Now())
@@ -121,7 +122,7 @@
 	s.updateDegraded()
 }
 
-// ended takes the end of the call open[i], or ends it where its update can't be used.
+// callEnded records the end of the call openCalls[i]. It cancels the call if its update can't be used.
 func (s *session) callEnded(i int, e event) {
 	slog.Warn("discovery: watch ended", "rev", s.rev, "received", e.call.received, "error", e.err)
 	s.cancelCalls(e.call)
@@ -139,12 +140,12 @@
 	}
 }
 
-// entryPause is what a message that can't be used adds to the pause for each entry that was read of it. To
-// read one costs some 10 us, and the same message is likely to come again.
+// delayPerEntry is added to the delay after an unusable message for each entry that was read of it. Reading an entry
+// costs some 10 us, and discovery is likely to send the same message again.
 const delayPerEntry = 100 * time.Microsecond
 
-// uselessPause bounds the part of the time that is spent on messages that can't be used. One that was cut
-// off may be whole the next time, and adds none.
+// unusableDelay returns the delay added after an unusable message, which bounds the share of time spent on such
+// messages. It is 0 for a truncated or stalled message, which may be complete the next time.
 func unusableDelay(err error) time.Duration {
 	dropped, ok := errors.AsType[*ListError](err)
 	if _, truncated := errors.AsType[*TruncatedError](err); !ok || truncated {
@@ -156,21 +157,21 @@
 	return time.Duration(dropped.Entries) * delayPerEntry
 }
 
-// pause returns how long after the end of the newest call another one is made. A call whose connection did not open in
-// time has waited long enough, and cost discovery nothing.
+// nextCallDelay returns the delay from the end of the newest call to the next one. A call that timed out while it was
+// connecting has waited long enough and cost discovery nothing.
 func (s *session) nextCallDelay(c *call, timedOut bool) time.Duration {
 	now := time.Now()
 	if timedOut {
 		return s.pace.reconnectDelay()
 	}
-	// A discovery that answers and ends each time is called as rarely as one that is overloaded.
+	// If discovery ends each watch soon after its answer, it is called as rarely as if it were overloaded.
 	if c.received && now.Sub(c.startedAt) >= minCallInterval {
 		return s.pace.reconnectDelay()
 	}
 	return s.pace.retryDelay(now)
 }
 
-// call requests the changes since the cached list.
+// startCall requests the changes since the cached list, or the whole list if there is none.
 func (s *session) startCall() *call {
 	url := s.url
 	if s.rev != noRev {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -14,10 +14,10 @@
 	"sloestile/fleet/subset"
 )
 
-// Bounds of a message that is read entry by entry.
+// Limits of a message that is read entry by entry.
 const (
-	maxEntryBytes = 4 << 10 // bytes of an entry, with what is before it
-	yieldInterval = 64      // entries after which the processor is offered to others
+	maxEntryBytes = 4 << 10 // maximum size of an entry, with the bytes between it and the one before
+	yieldInterval = 64      // number of entries after which the goroutine yields the processor
 )
 
 // stream reads the messages of one watch entry by entry into a selection.
@@ -25,17 +25,17 @@
 	selection *selection
 	reader    *bulkReader
 	dec       *json.Decoder
-	entries   int // of the message that is read
+	entries   int // number of entries read of the current message
 }
 
-// staged is a message that was read. Of a whole list that is long, update has no targets.
+// staged is a message that was read. If it is a long whole list, update has no targets.
 type staged struct {
 	update Update
-	list   *subset.List    // the entries of a whole list
-	seen   map[string]bool // the fields that were read
+	list   *subset.List    // entries of a whole list; nil for a delta
+	seen   map[string]bool // names of the fields that were read
 }
 
-// follow makes a watch request, as the function follow does, and reads lists of any length.
+// follow makes a watch request, like followWatch, and reads lists of any length.
 func (s *selection) follow(ctx context.Context, client *http.Client, url string, cancel context.CancelCauseFunc, emit func(event) bool) error {
 	resp, err := openWatch(ctx, client, url)
 	if err != nil {
@@ -61,7 +61,8 @@
 	}
 }
 
-// failed classifies an error of reading a message. Between two messages the end of the connection is none.
+// classifyError classifies an error from reading a message. It returns the end of the connection between two messages
+// as it is, and wraps any other error in a *ListError.
 func (r *stream) classifyError(ctx context.Context, address string, err error) error {
 	dropped := func(err error) error { return &ListError{Address: address, Entries: r.entries, Err: err} }
 	switch {
@@ -75,7 +76,7 @@
 	return unusableError{dropped(err)}
 }
 
-// message reads one message. The order of its fields is free.
+// readMessage reads one message. Its fields may be in any order.
 func (r *stream) readMessage() (*staged, error) {
 	r.entries = 0
 	m := &staged{seen: make(map[string]bool, len(fields))}
@@ -93,7 +94,7 @@
 	return m, r.stageTargets(m)
 }
 
-// finish stages the entries of a whole list that did not say so before them.
+// stageTargets stages the entries of a whole list whose field "all" came after them.
 func (r *stream) stageTargets(m *staged) error {
 	if !m.update.All || m.list != nil || m.update.Targets == nil {
 		return nil
@@ -119,7 +120,7 @@
 
 var fields = []string{fieldRev, fieldAll, fieldTargets}
 
-// field reads the name of a field and its value. Unknown ones are passed over.
+// readField reads the name of a field and its value. It skips unknown fields.
 func (r *stream) readField(m *staged) error {
 	t, err := r.readToken()
 	if err != nil {
@@ -131,7 +132,7 @@
 		return r.decode(new(json.RawMessage))
 	}
 	if m.seen[fields[i]] {
-		return &MalformedError{fmt.Errorf("the field %s is there twice", fields[i])}
+		return &MalformedError{fmt.Errorf("duplicate field %s", fields[i])}
 	}
 	m.seen[fields[i]] = true
 	switch fields[i] {
@@ -143,14 +144,14 @@
 	return r.readTargets(m)
 }
 
-// targets reads the entries of a message; null is none.
+// readTargets reads the entries of a message. null is the same as no field.
 func (r *stream) readTargets(m *staged) error {
 	t, err := r.readToken()
 	if err != nil || t == nil {
 		return err
 	}
 	if t != json.Delim('[') {
-		return &MalformedError{fmt.Errorf("targets: %v is no array", t)}
+		return &MalformedError{fmt.Errorf("targets: %v is not an array", t)}
 	}
 	m.update.Targets = []Target{}
 	if m.update.All {
@@ -165,7 +166,7 @@
 	return err
 }
 
-// entry reads one target.
+// readEntry reads one target.
 func (r *stream) readEntry(m *staged) error {
 	var t Target
 	if err := r.decode(&t); err != nil {
@@ -179,7 +180,7 @@
 		return &subset.TooManyError{What: "entries", Have: r.entries, Most: r.selection.maxListed}
 	}
 	if r.entries%yieldInterval == 0 {
-		runtime.Gosched() // a long list would hold up requests on a machine of few cores
+		runtime.Gosched() // a long list would delay requests on a machine with few cores
 	}
 	if m.list == nil {
 		m.update.Targets = append(m.update.Targets, t)
@@ -193,35 +194,38 @@
 	return r.selection.add(m.list, &t)
 }
 
-// open reads the beginning of an object.
+// openObject reads the beginning of an object.
 func (r *stream) openObject() error {
 	t, err := r.readToken()
 	if err == nil && t != json.Delim('{') {
-		err = &MalformedError{fmt.Errorf("%v is no object", t)}
+		err = &MalformedError{fmt.Errorf("%v is not an object", t)}
 	}
 	return err
 }
 
-// token, more and decode read on, each at most maxEntryBytes.
+// readToken reads the next JSON token. Like more and decode it reads at most maxEntryBytes.
 func (r *stream) readToken() (json.Token, error) {
 	r.extendReadLimit()
 	t, err := r.dec.Token()
 	return t, r.wrapMalformed(err)
 }
 
+// more reports whether the current array or object has another element.
 func (r *stream) more() bool {
 	r.extendReadLimit()
 	return r.dec.More()
 }
 
+// decode reads the next JSON value into v.
 func (r *stream) decode(v any) error {
 	r.extendReadLimit()
 	return r.wrapMalformed(r.dec.Decode(v))
 }
 
+// extendReadLimit allows maxEntryBytes beyond the input that the decoder has consumed.
 func (r *stream) extendReadLimit() { r.reader.readLimit = r.dec.InputOffset() + maxEntryBytes }
 
-// malformed tells errors of a message's form from those of reading it.
+// wrapMalformed wraps an error of JSON syntax or type in a *MalformedError and returns any other error as it is.
 func (r *stream) wrapMalformed(err error) error {
 	_, isSyntaxError := errors.AsType[*json.SyntaxError](err)
 	_, isTypeError := errors.AsType[*json.UnmarshalTypeError](err)
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -23,16 +23,16 @@
 	"sloestile/internal/discovery/discoverytest"
 )
 
-// subsetWatch is a watcher that uses a subset, and what it has told.
+// subsetWatch is a watcher that uses a subset, with the updates that it has passed on.
 type subsetWatch struct {
 	*Watcher
 	updates    chan Update
 	dropped    chan *ListError
-	inUse      map[string]Target // by what it has told
+	inUse      map[string]Target // servers in use after the applied updates, by UID
 	lastUpdate Update
 }
 
-// startSubset starts a watcher of node 3 of 5,800 that begins with a list.
+// startSubset starts a watcher for node 3 of 5,800 that starts with a cached list.
 func startSubset(t *testing.T, addr string, cfg subset.Config, cached Update) *subsetWatch {
 	t.Helper()
 	cfg.Node = 3
@@ -49,7 +49,7 @@
 	return s
 }
 
-// show takes an update as the node does.
+// applyUpdate applies an update as the node does. replace drops the servers in use before.
 func (s *subsetWatch) applyUpdate(u Update, replace bool) {
 	if u.All || replace {
 		clear(s.inUse)
@@ -64,7 +64,7 @@
 	s.lastUpdate = u
 }
 
-// next waits for the next update.
+// next waits for the next update and applies it.
 func (s *subsetWatch) next(t *testing.T) Update {
 	t.Helper()
 	u := next(t, s.updates)
@@ -72,10 +72,10 @@
 	return u
 }
 
-// uids are the servers that the node uses, in order.
+// uids returns the sorted UIDs of the servers in use.
 func (s *subsetWatch) uids() []string { return slices.Sorted(maps.Keys(s.inUse)) }
 
-// chosen are the servers of a whole list that a node which begins with it uses, in order.
+// chosenUIDs returns the sorted UIDs of the servers that node 3 chooses from a whole list.
 func chosenUIDs(t *testing.T, cfg subset.Config, all []Target) (uids []string) {
 	t.Helper()
 	cfg.Node = 3
@@ -93,7 +93,7 @@
 	return uids
 }
 
-// servers gives n entries of a list, in some zones.
+// servers returns n targets in 17 zones.
 func servers(n int) []Target {
 	all := make([]Target, n)
 	for i := range all {
@@ -103,7 +103,7 @@
 	return all
 }
 
-// list gives a message as discovery sends it, compact or indented.
+// encodeUpdate returns a message as discovery sends it: compact, or indented if indent is not empty.
 func encodeUpdate(t *testing.T, u Update, indent string) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(u, "", indent)
@@ -114,7 +114,7 @@
 	return string(raw) + "\n"
 }
 
-// bounded has every told update hold the stated number of servers at most.
+// requireBounded requires that the number of servers in use is within the bound of cfg.
 func (s *subsetWatch) requireBounded(t *testing.T, cfg subset.Config) {
 	t.Helper()
 	require.LessOrEqual(t, len(s.inUse), cfg.ChosenMost())
@@ -122,8 +122,8 @@
 
 var smallSubset = subset.Config{Most: 20, ZoneLeast: subset.NoZoneFloor, ListMost: 100}
 
-// A list of 85,000 entries, over 4 MB and indented, ends in a subset of some 200; a change that does not
-// concern the node is not told to it, and one that does is a few entries.
+// A list of 85,000 entries and over 4 MB, compact or indented, yields a subset of some 200. A change outside the subset
+// is not passed on, and one within it is passed on as a few entries.
 func TestListOfTargetSizeYieldsSubset(t *testing.T) {
 	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
 	all := servers(85_000)
@@ -136,7 +136,7 @@
 		server.send(text)
 		startedAt := time.Now()
 		u := s.next(t)
-		t.Logf("%d bytes, told after %v", len(text), time.Since(startedAt).Round(time.Millisecond))
+		t.Logf("list of %d bytes passed on after %v", len(text), time.Since(startedAt).Round(time.Millisecond))
 		require.Equal(t, int64(7), u.Rev)
 		require.Equal(t, chosenUIDs(t, cfg, all), s.uids())
 		s.requireBounded(t, cfg)
@@ -157,7 +157,7 @@
 		server.send(encodeUpdate(t, Update{Rev: 8, Targets: []Target{notInSubset}}, ""))
 		server.send(encodeUpdate(t, Update{Rev: 9, Targets: []Target{inSubset}}, indent))
 		u = s.next(t)
-		require.Equal(t, int64(9), u.Rev, "a change that does not concern the node was told")
+		require.Equal(t, int64(9), u.Rev, "a change outside the subset was passed on")
 		require.LessOrEqual(t, len(u.Targets), 3)
 		require.Equal(t, Draining, statusOf(s.inUse[inSubset.UID]))
 	}
@@ -165,8 +165,8 @@
 
 func statusOf(t Target) Status { return t.Status() }
 
-// The server set of the target's size, with what the watcher holds beside it, takes under 16 MB of the
-// heap: the budget of a node is 128 MB, and an eighth of it is the set's.
+// A server set of 85,000 entries, with the watcher's other data, uses less than 16 MB of the heap. The memory budget
+// of a node is 128 MB, of which an eighth is for the server set.
 func TestHeapOfTheWholeList(t *testing.T) {
 	cfg := subset.Config{Most: 200, ZoneLeast: 2, ListMost: 131072}
 	server := &chunkServer{}
@@ -179,9 +179,9 @@
 	func() { server.send(encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(85_000)}, "")) }()
 	s.next(t)
 	usedMB := float64(heapBytes()-before) / (1 << 20)
-	t.Logf("%.1f MB", usedMB)
+	t.Logf("%.1f MB of heap", usedMB)
 	assert.Less(t, usedMB, 16.0)
-	assert.Greater(t, usedMB, 1.0, "the list is not held")
+	assert.Greater(t, usedMB, 1.0, "the list is not in memory")
 	runtime.KeepAlive(s)
 }
 
@@ -193,7 +193,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// Fields come in any order, also the entries before what they are, and unknown ones are passed over.
+// The fields of a message may be in any order, even "targets" before "all", and unknown fields are skipped.
 func TestFieldsInAnyOrder(t *testing.T) {
 	entries := encodeUpdate(t, Update{Targets: servers(50)}, "")
 	entries = entries[strings.Index(entries, "["):strings.LastIndex(entries, "}")]
@@ -213,8 +213,8 @@
 	}
 }
 
-// A message that can't be used is dropped whole with an error that says why; the list before stays, and
-// the next one is taken.
+// An unusable message is dropped whole and reported with an error of the expected type. The previous list stays in use,
+// and the next one is applied.
 func TestBadMessagesAreDroppedWhole(t *testing.T) {
 	wholeList := func(change func([]Target) []Target) string {
 		return strings.TrimSpace(encodeUpdate(t, Update{Rev: 8, All: true, Targets: change(servers(50))}, ""))
@@ -228,22 +228,22 @@
 		message    string
 		isExpected func(error) bool
 	}{
-		"too many entries":    {wholeList(func(all []Target) []Target { return servers(101) }), is[*subset.TooManyError]},
-		"an entry too long":   {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", maxEntryBytes); return all }), is[*EntrySizeError]},
-		"a field too long":    {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", 300); return all }), is[*subset.EntryError]},
-		"contradictory":       {wholeList(addContradiction), is[*subset.EntryError]},
-		"contradictory delta": {strings.Replace(wholeList(addContradiction), `"all":true`, `"all":false`, 1), is[*subset.EntryError]},
-		"no uid":              {wholeList(func(all []Target) []Target { all[9].UID = ""; return all }), is[*MalformedError]},
-		"no endpoint":         {wholeList(func(all []Target) []Target { all[9].Endpoint = "x"; return all }), is[*MalformedError]},
-		"truncated":           {wholeList(func(all []Target) []Target { return all })[:3000], is[*TruncatedError]},
-		"not JSON":            {`{"rev":8,"all":true,"targets":[{"uid":}]}`, is[*MalformedError]},
-		"no object":           {`[1]`, is[*MalformedError]},
-		"of other types":      {`{"rev":8,"all":"yes"}`, is[*MalformedError]},
-		"a field twice":       {`{"rev":8,"rev":9}`, is[*MalformedError]},
-		"no targets":          {`{"rev":8,"all":true}`, is[error]},
-		"no array":            {`{"rev":8,"all":true,"targets":7}`, is[*MalformedError]},
-		"a version back":      {`{"rev":3,"targets":[]}`, is[*VersionError]},
-		"never ending":        {`{"rev":8,"x":"` + strings.Repeat("y", 3*maxEntryBytes), is[*EntrySizeError]},
+		"too many entries":     {wholeList(func(all []Target) []Target { return servers(101) }), is[*subset.TooManyError]},
+		"entry too long":       {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", maxEntryBytes); return all }), is[*EntrySizeError]},
+		"field too long":       {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", 300); return all }), is[*subset.EntryError]},
+		"contradictory list":   {wholeList(addContradiction), is[*subset.EntryError]},
+		"contradictory delta":  {strings.Replace(wholeList(addContradiction), `"all":true`, `"all":false`, 1), is[*subset.EntryError]},
+		"no uid":               {wholeList(func(all []Target) []Target { all[9].UID = ""; return all }), is[*MalformedError]},
+		"no endpoint":          {wholeList(func(all []Target) []Target { all[9].Endpoint = "x"; return all }), is[*MalformedError]},
+		"truncated":            {wholeList(func(all []Target) []Target { return all })[:3000], is[*TruncatedError]},
+		"not JSON":             {`{"rev":8,"all":true,"targets":[{"uid":}]}`, is[*MalformedError]},
+		"not an object":        {`[1]`, is[*MalformedError]},
+		"wrong type":           {`{"rev":8,"all":"yes"}`, is[*MalformedError]},
+		"duplicate field":      {`{"rev":8,"rev":9}`, is[*MalformedError]},
+		"no targets":           {`{"rev":8,"all":true}`, is[error]},
+		"targets not an array": {`{"rev":8,"all":true,"targets":7}`, is[*MalformedError]},
+		"older version":        {`{"rev":3,"targets":[]}`, is[*VersionError]},
+		"unbounded field":      {`{"rev":8,"x":"` + strings.Repeat("y", 3*maxEntryBytes), is[*EntrySizeError]},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -254,14 +254,14 @@
 			s.next(t)
 			require.Equal(t, chosenUIDs(t, smallSubset, servers(40)), s.uids())
 			a.Tell <- x.message
-			a.Tell <- "" // the end of the connection
+			a.Tell <- "" // closes the connection
 			err := error(next(t, s.dropped))
 			require.True(t, x.isExpected(err), "%v", err)
 			require.NotContains(t, err.Error(), "\n")
 			require.Empty(t, s.dropped)
-			require.Equal(t, int64(40), s.Counts().Listed.Load(), "the list before does not stay")
+			require.Equal(t, int64(40), s.Counts().Listed.Load(), "the previous list is no longer in use")
 			q := next(t, a.Asked)
-			require.Equal(t, name == "a version back", !strings.Contains(q, "from=7"), "asked %s", q)
+			require.Equal(t, name == "older version", !strings.Contains(q, "from=7"), "requested %s", q)
 			all := servers(45)
 			a.Tell <- encodeUpdate(t, Update{Rev: 9, All: true, Targets: all}, " ")
 			s.next(t)
@@ -276,24 +276,24 @@
 	return ok
 }
 
-// body is a discovery whose every call has what is sent, in one piece or slowly.
+// chunkServer is a discovery that sends chunks of a response body to its callers.
 type chunkServer struct {
 	mu     sync.Mutex
 	calls  int
 	chunks chan string
 }
 
-func (d *chunkServer) start(t *testing.T) (addr string) {
-	d.chunks = make(chan string, 10)
+func (c *chunkServer) start(t *testing.T) (addr string) {
+	c.chunks = make(chan string, 10)
 	done := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.mu.Lock()
-		d.calls++
-		d.mu.Unlock()
+		c.mu.Lock()
+		c.calls++
+		c.mu.Unlock()
 		w.(http.Flusher).Flush()
 		for {
 			select {
-			case text := <-d.chunks:
+			case text := <-c.chunks:
 				_, _ = io.WriteString(w, text)
 				w.(http.Flusher).Flush()
 			case <-r.Context().Done():
@@ -307,10 +307,10 @@
 	return srv.Listener.Addr().String()
 }
 
-func (d *chunkServer) send(text string) { d.chunks <- text }
+func (c *chunkServer) send(text string) { c.chunks <- text }
 
-func (d *chunkServer) called() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.calls > 0
+func (c *chunkServer) called() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.calls > 0
 }
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -5,21 +5,23 @@
 	"net"
 )
 
-// maxBootMS is the latest accepted server start in ms of Unix time (the year 2255); later ones overflow time.Duration.
+// maxBootMS is the latest accepted start of a server in ms of Unix time (the year 2255). Later ones overflow
+// time.Duration.
 const maxBootMS = 9e12
 
-// Update is one message of discovery: the whole server list or the changes of one version.
+// Update is one message of discovery: a complete update with the whole server list, or a delta with the changes of one
+// version.
 type Update struct {
 	Rev     int64    `json:"rev"`     // version of the list after this message
 	All     bool     `json:"all"`     // Targets is the whole list
-	Targets []Target `json:"targets"` // nil if the message has none
+	Targets []Target `json:"targets"` // nil if the message has no such field
 
-	// NodesPerServer is how many nodes use each target, in the mean, where Targets are a subset of what discovery
-	// lists; 0 is all nodes.
+	// NodesPerServer is the mean number of nodes that use each target if Targets are a subset of discovery's list. 0
+	// means all nodes.
 	NodesPerServer float64 `json:"-"`
 }
 
-// Target is one server as discovery lists it.
+// Target is one server in discovery's list.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"` // host:port
@@ -28,27 +30,28 @@
 	Group    int     `json:"pod_group"`
 	State    string  `json:"state"` // see Status
 	Capacity float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"` // start of the server's process in ms of Unix time; 0 is not known
+	BootMS   float64 `json:"boot_ms"` // start of the server's process in ms of Unix time; 0 if unknown
 }
 
-// Status is what a server may be used for.
+// Status states whether a server is listed and may get new requests.
 type Status int
 
 // The statuses of a server.
 const (
-	Available Status = iota // takes new requests
-	Draining                // listed, but takes no new requests
-	Removed                 // not listed any more
+	Available Status = iota // may get new requests
+	Draining                // listed, but must not get new requests
+	Removed                 // no longer listed
 )
 
-// The states that discovery sends; there may be others.
+// The known states that discovery sends. Later versions may send others.
 const (
 	stateUp       = "up"
 	stateDraining = "draining"
 	stateRemoved  = "removed"
 )
 
-// Status reads the state of a target. An unknown state counts as Draining, as no new request may go there.
+// Status returns the status for a target's state. An unknown state counts as Draining, so that no new request is sent
+// to the server.
 func (t *Target) Status() Status {
 	switch t.State {
 	case stateUp:
@@ -59,7 +62,7 @@
 	return Draining
 }
 
-// Check returns the first reason for which an update can't be used.
+// Check returns an error for the first target that makes an update unusable.
 func (u *Update) Check() error {
 	for i := range u.Targets {
 		if err := u.Targets[i].check(); err != nil {
@@ -77,7 +80,7 @@
 		return fmt.Errorf("target %s: %w", t.UID, err)
 	}
 	if t.BootMS < 0 || t.BootMS > maxBootMS {
-		return fmt.Errorf("target %s: boot_ms: %g is no time", t.UID, t.BootMS)
+		return fmt.Errorf("target %s: boot_ms: %g is not a valid time", t.UID, t.BootMS)
 	}
 	return nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,6 +1,7 @@
-// Package discovery follows the server list of a discovery service by long-lived HTTP watches, and hands
-// each update on. A watch that stalls or breaks is replaced within a bounded time; see "One clock for the
-// list" in docs/design.md.
+// Package discovery follows the server list of a discovery service by long-lived HTTP watches and passes each update to
+// its user. A Watcher replaces a watch that stalls or breaks within a bounded time; see "One clock for the list" in
+// docs/design.md. With Config.Subset it chooses the node's subset of a long list and passes on changes to that subset
+// only.
 package discovery
 
 import (
@@ -17,57 +18,59 @@
 	"sloestile/fleet/subset"
 )
 
-// Config is what a watcher is made with.
+// Config configures a Watcher.
 type Config struct {
 	Address    string         // host:port of discovery
-	FleetSize  int            // nodes that share discovery
-	DrainGrace time.Duration  // for which sends to a server that is told to drain are allowed
-	Seed       uint64         // of the random parts of delays
-	Subset     *subset.Config // the part of a long list that the node uses; nil is the whole of any list
-	Polled     bool           // lists are polled, not pushed: an unanswered call counts as received too
-
-	OnUpdate   func(Update)     // called for each usable update, in order, by Run's goroutine
-	OnDegraded func(on bool)    // called when the cached list becomes stale or is current again
-	OnDropped  func(*ListError) // called for each message that was dropped whole; with Subset only
+	FleetSize  int            // number of nodes that share discovery
+	DrainGrace time.Duration  // time for which requests may still be sent to a draining server
+	Seed       uint64         // seed of the random parts of delays
+	Subset     *subset.Config // subset of a long list that the node uses; nil means the whole list
+	Polled     bool           // lists are polled, not pushed: missed updates count as received even without an answer
+
+	OnUpdate   func(Update)     // called for each usable update, in order, by Run's goroutine; must not be nil
+	OnDegraded func(on bool)    // called when the cached list becomes stale or is current again; must not be nil
+	OnDropped  func(*ListError) // called for each dropped message; must not be nil if Subset is set, else unused
 }
 
 // Watcher keeps a watch on the server list across failures of its connections.
 type Watcher struct {
-	client     *http.Client
-	url        string
-	rev        int64                                                                                        // of the cached list; noRev is none
-	follow     func(context.Context, *http.Client, string, context.CancelCauseFunc, func(event) bool) error // a call's part
-	selection  *selection                                                                                   // nil is that whole lists are used
+	client *http.Client
+	url    string
+	rev    int64 // version of the cached list; noRev if there is none
+	// follow makes one watch request, as followWatch does.
+	follow     func(context.Context, *http.Client, string, context.CancelCauseFunc, func(event) bool) error
+	selection  *selection // nil if whole lists are used
 	onUpdate   func(Update)
 	onDegraded func(on bool)
 	onDropped  func(*ListError)
 	polled     bool
 	pace       pace
 
-	rejected bool // the latest call ended without a usable update, and not by a time-out
+	rejected bool // the latest call ended, and not by a timeout
 	unusable bool // discovery has answered without a usable update since the last progress
-	degraded bool // what onDegraded was last called with
+	degraded bool // value last passed to onDegraded
 
 	mu          sync.Mutex
-	address     string             // the address in force, or to move to
-	nextAddress string             // the address to move to; "" is none
-	endSession  context.CancelFunc // ends the session at the present address
+	address     string             // current address, or the one to move to
+	nextAddress string             // address to move to; "" if there is none
+	endSession  context.CancelFunc // ends the session at the current address
 }
 
+// noRev stands for the version of a list that is not cached or not usable as a base for changes.
 const noRev = -1
 
-// watchStream sets the watch's random numbers apart from those of the decisions, which use the same seed.
+// watchRNGStream separates the watch's random numbers from those of dispatch decisions, which use the same seed.
 const watchRNGStream = 0x7761746368
 
-// New makes a watcher; Run starts it. Its error is one of Config.Subset.
+// New returns a watcher; Run starts it. It returns an error only for an invalid Config.Subset.
 func New(cfg Config) (*Watcher, error) {
 	rng := rand.New(rand.NewPCG(cfg.Seed, watchRNGStream))
 	w := &Watcher{url: watchURL(cfg.Address), address: cfg.Address, rev: noRev, follow: followWatch, onUpdate: cfg.OnUpdate,
 		onDegraded: cfg.OnDegraded, onDropped: cfg.OnDropped, polled: cfg.Polled, endSession: func() {},
 		pace: pace{fleetSize: cfg.FleetSize, drainGrace: cfg.DrainGrace,
 			jitter: func(limit time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(limit) + 1)) }},
-		// There is no time-out but that on dialing: while discovery is down a call stays open, and
-		// is answered when it is back.
+		// There is no timeout but that on dialing: while discovery is down, a call stays open, and discovery answers it
+		// when it is back.
 		client: &http.Client{Transport: &http.Transport{DialContext: (&net.Dialer{Timeout: lateAnswerTimeout}).DialContext,
 			DisableKeepAlives: true, DisableCompression: true}}}
 	if cfg.Subset != nil {
@@ -80,7 +83,7 @@
 	return w, nil
 }
 
-// Counts are the figures of the subset that is used; nil is that whole lists are used.
+// Counts returns the counts of the list and its subset, or nil if whole lists are used.
 func (w *Watcher) Counts() *Counts {
 	if w.selection == nil {
 		return nil
@@ -88,16 +91,16 @@
 	return &w.selection.counts
 }
 
-// Address returns the address from which the list comes now.
+// Address returns the host:port of the discovery in use.
 func (w *Watcher) Address() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.address
 }
 
-// Adopt takes a cached list, of this node's configuration or of another process, and returns what the node can use of it.
-// Where it is current, of this discovery and complete, the watch requests changes since then, else the whole list. It must
-// not be called once Run has started.
+// Adopt accepts a cached list from this node's configuration or from another process, and returns the part of it that
+// the node uses. current is true if the list is current and came from this discovery. If it is also complete, the
+// watch requests the changes since then, else the whole list. Adopt must not be called once Run has started.
 func (w *Watcher) Adopt(cached Update, current bool) Update {
 	w.rev = cached.Rev
 	if !current || cached.NodesPerServer > 0 || (cached.Rev == 0 && len(cached.Targets) == 0) {
@@ -117,7 +120,7 @@
 
 func watchURL(addr string) string { return "http://" + addr + "/v1/servers?watch=1" }
 
-// Move continues the watch at another address, at once.
+// Move ends the watch and continues it at another address at once.
 func (w *Watcher) Move(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -125,13 +128,12 @@
 	w.endSession()
 }
 
-// startSession returns the context of a session at the address in force.
+// startSession returns the context of a session at the current address and the function that ends it.
 func (w *Watcher) startSession(ctx context.Context) (context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.nextAddress != "" {
-		// Revisions of one discovery can't be compared with those of another: the whole list is
-		// requested of the new one.
+		// Versions of one discovery can't be compared with those of another: the new one is asked for its whole list.
 		w.url, w.rev, w.nextAddress = watchURL(w.nextAddress), noRev, ""
 		w.pace.recordMove(time.Now())
 	}
@@ -143,7 +145,7 @@
 func (w *Watcher) Run(ctx context.Context) {
 	w.pace.recordProgress(time.Now())
 	firstDelay := time.Duration(0)
-	// A process that has a list waits a random time, so that nodes started together do not all call at once.
+	// A process with a cached list waits a random time, so that nodes started together do not all call at once.
 	if w.rev != noRev {
 		firstDelay = w.pace.firstDelay()
 	}
@@ -154,9 +156,9 @@
 	}
 }
 
-// updateDegraded notifies the user when the cached list has become stale or is current again. What was missed counts as
-// received by receivedBy; but where lists are pushed, a discovery that stays silent has nothing to send, beyond what it may
-// have had when it last answered.
+// updateDegraded calls onDegraded when the cached list has become stale or is current again. Updates that were missed
+// count as received at pace.receivedBy. But if lists are pushed, a discovery that stays silent counts as having
+// nothing to send, except for what it may have had when it last answered without a usable update.
 func (w *Watcher) updateDegraded() {
 	degraded := (w.unusable || w.rejected || w.polled) && !time.Now().Before(w.pace.receivedBy)
 	if degraded != w.degraded {
@@ -166,7 +168,7 @@
 	}
 }
 
-// listError is the error of an update that can't be used.
+// listError returns the error for an unusable update: a *ListError if a subset is used, else err.
 func (w *Watcher) listError(e event, err error) error {
 	if w.selection == nil {
 		return err
@@ -174,23 +176,25 @@
 	return &ListError{Address: w.Address(), Entries: e.entries, Err: err}
 }
 
+// notifyDropped calls onDropped if err is a *ListError.
 func (w *Watcher) notifyDropped(err error) {
 	if dropped, ok := errors.AsType[*ListError](err); ok {
 		w.onDropped(dropped)
 	}
 }
 
-// apply passes an update on. After one that can't be used, a new watch requests changes from the last complete revision.
+// apply checks an update and passes it to onUpdate. After an unusable one, a new watch requests the changes since the
+// last version that was applied, or the whole list.
 func (w *Watcher) apply(u Update, list *subset.List) error {
 	if err := u.Check(); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
 	if u.All && u.Targets == nil && list == nil {
-		// A whole list without its targets is damaged; taking it would leave no server to send to.
-		return fmt.Errorf("discovery: rev %d: a whole list names no targets", u.Rev)
+		// A whole list without the field "targets" is damaged; applying it would leave no server to send to.
+		return fmt.Errorf("discovery: rev %d: a whole list without targets", u.Rev)
 	}
 	if !u.All && u.Rev < w.rev {
-		// Discovery has begun to count anew: its changes don't fit the cached list.
+		// Discovery has restarted its version numbers: its changes don't apply to the cached list.
 		err := &VersionError{Have: w.rev, Got: u.Rev}
 		w.rev = noRev
 		return err
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,7 +14,7 @@
 	"sloestile/internal/discovery/discoverytest"
 )
 
-// patience bounds every wait of the tests; nothing is expected to come near it.
+// patience is the maximum time that a test waits for an event. Tests are expected to need far less.
 const patience = 30 * time.Second
 
 func newWatcher(addr string, cached Update, fleetSize int, drainGrace time.Duration, seed uint64, onUpdate func(Update)) *Watcher {
@@ -32,7 +32,7 @@
 	case v := <-c:
 		return v
 	case <-time.After(patience):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for a value from the channel")
 		panic("unreachable")
 	}
 }
@@ -49,71 +49,72 @@
 
 const oneTargetUpdate = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
 
-// After each way in which a watch can break, the next asks from the last whole version.
+// However a watch breaks, the next one requests the changes since the last complete version, or the whole list if
+// discovery has restarted its version numbers.
 func TestWatchReconnectsFromLastCompleteRevision(t *testing.T) {
 	for name, tc := range map[string]struct{ sent, wantQuery string }{
 		"ended":              {"", "from=43"},
-		"cut off in a line":  {`{"rev":44,"all":fal`, "from=43"},
+		"truncated":          {`{"rev":44,"all":fal`, "from=43"},
 		"not JSON":           {"<html>\n", "from=43"},
-		"a target of no uid": {`{"rev":44,"targets":[{"endpoint":"127.0.0.1:9","state":"up"}]}` + "\n", "from=43"},
+		"no uid":             {`{"rev":44,"targets":[{"endpoint":"127.0.0.1:9","state":"up"}]}` + "\n", "from=43"},
 		"no endpoint":        {`{"rev":44,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
 		"no targets":         {`{"rev":44,"all":true}` + "\n", "from=43"},
-		"a time of no clock": {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "1e300", 1), "from=43"},
-		"a time below none":  {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "-5", 1), "from=43"},
-		"begun, not ended":   {`{"rev":` + "\n", "from=43"},
-		"counts anew":        {`{"rev":3,"targets":[]}` + "\n", ""},
+		"time too large":     {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "1e300", 1), "from=43"},
+		"negative time":      {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "-5", 1), "from=43"},
+		"incomplete":         {`{"rev":` + "\n", "from=43"},
+		"versions restarted": {`{"rev":3,"targets":[]}` + "\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := discoverytest.NewAgent(t)
-			told, _ := startWatch(t, a, 41)
+			updates, _ := startWatch(t, a, 41)
 			if q := next(t, a.Asked); !strings.Contains(q, "watch=1&from=41") {
-				t.Errorf("asked %s", q)
+				t.Errorf("unexpected request %s", q)
 			}
 			a.Tell <- "\n" // a heartbeat
 			a.Tell <- oneTargetUpdate
-			if l := next(t, told); l.Rev != 43 || l.All || l.Targets[0].Group != 3 || l.Targets[0].BootMS != 1700000000000 {
-				t.Errorf("told %+v", l)
+			if u := next(t, updates); u.Rev != 43 || u.All || u.Targets[0].Group != 3 || u.Targets[0].BootMS != 1700000000000 {
+				t.Errorf("unexpected update %+v", u)
 			}
 			a.Tell <- tc.sent
-			if tc.sent != "" && name != "begun, not ended" {
+			if tc.sent != "" && name != "incomplete" {
 				a.Tell <- ""
 			}
 			q := next(t, a.Asked)
 			if tc.wantQuery == "" && strings.Contains(q, "from") || !strings.Contains(q, tc.wantQuery) {
-				t.Errorf("asked %s", q)
+				t.Errorf("unexpected request %s", q)
 			}
-			// Lists may come indented.
+			// Lists may be indented.
 			a.Tell <- "\n" + strings.NewReplacer("43", "45", "{", "{\n  ", ",", ",\n  ").Replace(oneTargetUpdate)
-			if l := next(t, told); l.Rev != 45 {
-				t.Errorf("told %+v", l)
+			if u := next(t, updates); u.Rev != 45 {
+				t.Errorf("unexpected update %+v", u)
 			}
 		})
 	}
 }
 
-// After a move the new discovery is asked for its whole list at once, whatever versions
-// the old one had come to, also where the old one is gone and a pause is on.
+// After a move the watch requests the whole list from the new discovery at once, whatever version the old one had, even
+// if the old one is unreachable and a delay is pending.
 func TestWatchMoves(t *testing.T) {
 	old, other := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
-	told, w := startWatch(t, old, 41)
+	updates, w := startWatch(t, old, 41)
 	next(t, old.Asked)
 	w.Move(other.Addr())
 	if q := next(t, other.Asked); strings.Contains(q, "from") {
-		t.Errorf("asked %s", q)
+		t.Errorf("unexpected request %s", q)
 	}
 	other.Tell <- `{"rev":2,"all":true,"targets":[]}` + "\n"
-	if l := next(t, told); l.Rev != 2 || !l.All {
-		t.Errorf("told %+v", l)
+	if u := next(t, updates); u.Rev != 2 || !u.All {
+		t.Errorf("unexpected update %+v", u)
 	}
-	w.Move("127.0.0.1:1") // nobody listens there
+	w.Move("127.0.0.1:1") // nothing listens there
 	w.Move(old.Addr())
 	if q := next(t, old.Asked); strings.Contains(q, "from") {
-		t.Errorf("asked %s", q)
+		t.Errorf("unexpected request %s", q)
 	}
 }
 
-// A node asks for what changed since its list, also where that has version 0; one without a list
-// asks for all of it.
+// A node with a cached list requests the changes since its version, also if that is 0. A node without one requests the
+// whole list.
 func TestWatchRequestsChangesSinceCachedList(t *testing.T) {
 	for wantQuery, cached := range map[string]Update{
 		"from=0":  {Targets: []Target{{UID: "s-1", Endpoint: "127.0.0.1:9", State: "up"}}},
@@ -125,15 +126,15 @@
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
 		if q := next(t, a.Asked); !strings.HasSuffix(q, wantQuery) {
-			t.Errorf("asked %s, not %s", q, wantQuery)
+			t.Errorf("requested %s, want suffix %s", q, wantQuery)
 		}
 		cancel()
 		<-done
 	}
 }
 
-// The pauses of a watch come from the node's seed: those of many nodes differ, and one that is
-// started again with a seed does as before.
+// The random delays of a watch are derived from the node's seed: the delays of many nodes differ, and a restart with
+// the same seed repeats them.
 func TestDelaysAreDerivedFromSeed(t *testing.T) {
 	firstTenths := map[time.Duration]bool{}
 	for seed := range uint64(300) {
@@ -146,20 +147,21 @@
 		}
 		a, b := jitters(), jitters()
 		if !slices.Equal(a, b) {
-			t.Fatalf("seed %d pauses for %v and for %v", seed, a, b)
+			t.Fatalf("seed %d yields delays %v and then %v", seed, a, b)
 		}
 		firstTenths[a[0]/(100*time.Millisecond)] = true
 	}
 	if len(firstTenths) < 10 {
-		t.Errorf("300 nodes begin in %d of the ten parts of a second", len(firstTenths))
+		t.Errorf("the first delays of 300 nodes are in only %d of 10 tenths of a second", len(firstTenths))
 	}
 }
 
-// No pause is below zero, and none is drawn from a range that overflows, whatever the settings allow.
+// No delay is negative or drawn from a range that overflows, for any fleet size and drain grace that the settings
+// allow.
 func TestDelaysAreNeverNegative(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		fleetSize := rapid.IntRange(1, 1<<20).Draw(t, "group")
-		drainGrace := time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "grace"))
+		fleetSize := rapid.IntRange(1, 1<<20).Draw(t, "fleetSize")
+		drainGrace := time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "drainGrace"))
 		w := newWatcher("127.0.0.1:9", Update{}, fleetSize, drainGrace, rapid.Uint64().Draw(t, "seed"), func(Update) {})
 		now := time.Now()
 		p := &w.pace
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -8,7 +8,7 @@
 	"sloestile/internal/golden"
 )
 
-// What a member says of itself has the recorded bytes.
+// The encoding of a member's metadata has not changed: members of other versions read it.
 func TestMetadataMatchesGoldenFile(t *testing.T) {
 	golden.RoundTrip(t, "meta", func(m *meta) ([]byte, error) { return cbor.Marshal(*m) }, func(raw []byte) (*meta, error) {
 		m := &meta{}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -8,19 +8,19 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Member is a node as others see it.
+// Member is a node as another member sees it.
 type Member struct {
 	Name, Address string
-	Index         int // in the group
+	Index         int // index of the node in the fleet
 	Zone, Region  string
-	Program       string
-	MetaVersion   int    // of the state that it sends
-	TakesKinds    bool   // it takes messages by kind
-	Incarnation   uint64 // of its process: ms of Unix time at its start
+	Program       string // version of the program
+	MetaVersion   int    // version of the state messages that it supports; see MetaVersion
+	TakesKinds    bool   // it accepts messages whose first byte is their kind, below KindLimit
+	Incarnation   uint64 // incarnation of its process: its start in ms of Unix time
 }
 
-// meta is what a member publishes of itself, at most 512 bytes, as CBOR by the numbers in its tags. Unknown fields are
-// skipped.
+// meta is the metadata that a member publishes, encoded as CBOR with the integer keys in the tags, in at most 512
+// bytes. Unknown fields are skipped.
 type meta struct {
 	Zone        string `cbor:"1,keyasint,omitempty"`
 	Region      string `cbor:"2,keyasint,omitempty"`
@@ -32,7 +32,7 @@
 	TakesKinds  bool   `cbor:"8,keyasint,omitempty"`
 }
 
-// readMeta reads what a node publishes of itself. Metadata that can't be read is counted and left empty.
+// readMeta decodes the metadata of a node. Corrupt metadata is counted, and leaves the metadata of the member empty.
 func (p *Peers) readMeta(n *memberlist.Node) (m Member, leaving bool) {
 	m = Member{Name: n.Name, Address: n.Address()}
 	var published meta
@@ -46,9 +46,9 @@
 	return m, published.Leaving
 }
 
-// The library calls the methods that follow. None of them blocks.
+// Package memberlist calls the exported methods below. None of them blocks.
 
-// NodeMeta returns what this node publishes of itself, or nothing where that is too long.
+// NodeMeta returns the encoded metadata of this node, or nil if it exceeds maxBytes.
 func (p *Peers) NodeMeta(maxBytes int) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	return raw
 }
 
-// NotifyMsg takes a message of another member and does not keep raw.
+// NotifyMsg passes a message of another member to OnMessage or OnState. It does not keep raw.
 func (p *Peers) NotifyMsg(raw []byte) {
 	switch {
 	case len(raw) > 0 && raw[0] < KindLimit:
@@ -71,16 +71,16 @@
 	}
 }
 
-// GetBroadcasts adds nothing to gossip.
+// GetBroadcasts returns nil: nothing is added to gossip.
 func (p *Peers) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState adds nothing to an exchange of member lists.
+// LocalState returns nil: nothing is added to an exchange of member lists.
 func (p *Peers) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState takes nothing from such an exchange.
+// MergeRemoteState ignores what other members add to such an exchange.
 func (p *Peers) MergeRemoteState([]byte, bool) {}
 
-// NotifyAlive rejects members beyond maxMembers.
+// NotifyAlive rejects a new member with a *TooManyMembersError when maxMembers are live.
 func (p *Peers) NotifyAlive(n *memberlist.Node) error {
 	p.mu.Lock()
 	_, known := p.live[n.Name]
@@ -93,13 +93,16 @@
 	return nil
 }
 
-// NotifyJoin adds a member. One that comes back under its old name replaces its dead predecessor.
-func (p *Peers) NotifyJoin(n *memberlist.Node) { p.putMember(n, "peers: joined", &p.Counts.Joins) }
+// NotifyJoin adds a member. A node that rejoins under its old name replaces its dead predecessor.
+func (p *Peers) NotifyJoin(n *memberlist.Node) {
+	p.putMember(n, "peers: member joined", &p.Counts.Joins)
+}
 
-// NotifyUpdate takes changed metadata of a member.
-func (p *Peers) NotifyUpdate(n *memberlist.Node) { p.putMember(n, "peers: changed", nil) }
+// NotifyUpdate applies changed metadata of a member.
+func (p *Peers) NotifyUpdate(n *memberlist.Node) { p.putMember(n, "peers: member changed", nil) }
 
-// put adds or replaces a member, or removes one that is leaving.
+// putMember adds or replaces a member, or removes one that is leaving. It logs message and increments count; a nil
+// count is skipped.
 func (p *Peers) putMember(n *memberlist.Node, message string, count *atomic.Int64) {
 	if n.Name == p.cfg.Name {
 		return
@@ -124,7 +127,8 @@
 	p.log.Info(message, "peer", m.Name, "zone", m.Zone, "program", m.Program, "incarnation", m.Incarnation)
 }
 
-// NotifyLeave removes a member that is dead. One that announced its leave has been removed before.
+// NotifyLeave removes a dead member. A member that announced its leave is no longer live by then, so its end does not
+// count as a death.
 func (p *Peers) NotifyLeave(n *memberlist.Node) {
 	p.mu.Lock()
 	maps.DeleteFunc(p.reachable, func(_ int, o *memberlist.Node) bool { return o.Name == n.Name })
@@ -132,14 +136,14 @@
 	p.removeMember(n.Name, "dead", &p.Counts.Deaths)
 }
 
-// notifyChange calls OnChange.
+// notifyChange calls OnChange unless it is nil.
 func (p *Peers) notifyChange() {
 	if p.cfg.OnChange != nil {
 		p.cfg.OnChange()
 	}
 }
 
-// remove removes a live member.
+// removeMember removes a member if it is live, and then logs reason and increments count.
 func (p *Peers) removeMember(name, reason string, count *atomic.Int64) {
 	p.mu.Lock()
 	_, known := p.live[name]
@@ -152,11 +156,11 @@
 	if known {
 		p.notifyChange()
 		count.Add(1)
-		p.log.Info("peers: gone", "peer", name, "how", reason)
+		p.log.Info("peers: member removed", "peer", name, "how", reason)
 	}
 }
 
-// NotifyConflict takes a name that two nodes use; the first stays.
+// NotifyConflict counts and logs a name that two nodes use. The first node keeps it.
 func (p *Peers) NotifyConflict(existing, other *memberlist.Node) {
 	p.Counts.Conflicts.Add(1)
 	p.log.Error("peers: name conflict", "peer", existing.Name, "first", existing.Address(), "other", other.Address())
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -1,6 +1,6 @@
-// Package membership is the membership of a fleet's edge nodes and the transport of messages between them, by SWIM with
-// Lifeguard (hashicorp/memberlist). It keeps the list of live members and notifies its user of changes and messages; it
-// decides nothing.
+// Package membership keeps the list of a fleet's live edge nodes and sends messages between them. It uses SWIM with
+// Lifeguard (hashicorp/memberlist). Start joins the fleet and returns Peers, which notifies its user of changes and
+// messages through the callbacks in Config.
 package membership
 
 import (
@@ -22,59 +22,59 @@
 )
 
 const (
-	// MetaVersion is the version of the state that members send each other. Members of version 1 take none; a later
-	// version may send more, which is skipped.
+	// MetaVersion is the version of the state messages that members send each other. Members of version 1 accept none.
+	// Later versions may add fields, which are skipped.
 	MetaVersion = 2
 
-	metaVersionWithoutState = 1 // of a member that takes messages by kind only
+	metaVersionWithoutState = 1 // version of a member that accepts no state messages
 
-	// KindLimit is above the first bytes that name a kind of message. State messages have none: they begin with the
-	// first byte of a CBOR map.
+	// KindLimit is an exclusive upper bound of the first bytes that denote a kind of message. State messages have no
+	// such byte: they begin with the first byte of a CBOR map.
 	KindLimit = 0x20
 )
 
 const (
-	maxMembers = 1024 // beyond it new members are rejected
+	maxMembers = 1024 // maximum number of other live members; new ones beyond it are rejected
 
-	// The library's timings are for one site and are used as they are, but for these.
-	initialJoinBackoff = 375 * time.Millisecond // between two tries to join while alone; it doubles
+	// memberlist's default timings for a LAN apply, except for these.
+	initialJoinBackoff = 375 * time.Millisecond // first backoff between attempts to join while no other member is live
 	maxJoinBackoff     = 3 * time.Second
-	rejoinInterval     = 11 * time.Second // between two looks for seeds that are not live, after a partition
-	joinJitter         = 1. / 3           // fraction by which these vary, so that nodes don't join in step
-	nameReclaimTimeout = 5 * time.Second  // after which a name may come back from another address
-	leaveTimeout       = time.Second      // for sending a graceful leave
-	streamTimeout      = 3 * time.Second  // of a peer's stream; peers with bad input get a close within 3 s
+	rejoinInterval     = 11 * time.Second // interval of attempts to join seeds that are not live, after a partition
+	joinJitter         = 1. / 3           // fraction by which these vary, so that nodes don't join at the same time
+	nameReclaimTimeout = 5 * time.Second  // time after a death until its name may be used from another address
+	leaveTimeout       = time.Second      // timeout of sending a graceful leave
+	streamTimeout      = 3 * time.Second  // timeout of a peer's stream; bad input must lead to a close within 3 s
 )
 
-// Config is how a node takes part.
+// Config configures a node's membership.
 type Config struct {
-	Label         string // of the fleet; members with another label are ignored
-	Name          string // of the node, the same after a restart
-	Index         int    // of the node in the fleet
+	Label         string // label of the fleet; traffic with another label is ignored
+	Name          string // name of the node, the same after a restart
+	Index         int    // index of the node in the fleet
 	Zone, Region  string
 	Program       string            // version of the program
-	Bind          string            // host:port for TCP and UDP, which others get as this node's address
-	Seeds         []string          // host:port of nodes by which the fleet is joined
-	DialAddresses map[string]string // from a member's address to the one that reaches it, where they differ
-	Seed          uint64            // of the random choice of seeds
+	Bind          string            // host:port to listen at with TCP and UDP, also advertised as this node's address
+	Seeds         []string          // host:port of nodes through which the fleet is joined
+	DialAddresses map[string]string // dial address for each member's address where the two differ
+	Seed          uint64            // seed of the random choice among Seeds
 
-	// OnState gets the state messages of other nodes, OnMessage those whose first byte is below KindLimit. Both must not
-	// block or keep raw; nil takes none.
+	// OnState receives the state messages of other nodes, OnMessage those messages whose first byte is below KindLimit.
+	// Both must not block or keep raw. nil ignores the messages.
 	OnState   func(raw []byte)
 	OnMessage func(raw []byte)
-	// OnChange is called after Live has changed. It must not block; nil is no call.
+	// OnChange is called after the result of Live has changed. It must not block. nil disables the call.
 	OnChange func()
 }
 
-// Counts are counters for the operators' metrics. They may be read at any time.
+// Counts are counters for metrics. They may be read at any time.
 type Counts struct {
-	Live                            atomic.Int64 // other members that are live
+	Live                            atomic.Int64 // number of other live members
 	Joins, Deaths, Leaves           atomic.Int64
 	Rejected, Conflicts, Corrupt    atomic.Int64
 	SentBytes, SentPackets, Streams atomic.Int64
 }
 
-// Peers is this node's part in the membership, until Leave or Close.
+// Peers is this node's membership of the fleet, until Leave or Close.
 type Peers struct {
 	Counts  Counts
 	cfg     Config
@@ -89,12 +89,12 @@
 	mu        sync.Mutex
 	seeds     []string
 	live      map[string]Member
-	epoch     uint64                   // grows with each change of live
-	reachable map[int]*memberlist.Node // that can be sent to, by index: live, or leaving
+	epoch     uint64                   // increases with each change of live
+	reachable map[int]*memberlist.Node // members that messages can be sent to, by index: live or leaving
 }
 
-// Start takes part in the membership. It does not wait for others: a goroutine joins the seeds until Leave or Close. Its
-// error is a *ConfigError, *BindError or *StartError.
+// Start starts the membership of this node. It does not wait for other members: a goroutine joins the seeds until
+// Leave or Close. Its error is a *ConfigError, *BindError or *StartError.
 func Start(cfg Config, logger *slog.Logger) (*Peers, error) {
 	host, port, err := net.SplitHostPort(cfg.Bind)
 	if err != nil {
@@ -110,8 +110,9 @@
 		metaVersion = metaVersionWithoutState
 	}
 	p.meta = meta{cfg.Zone, cfg.Region, cfg.Program, metaVersion, uint64(time.Now().UnixMilli()), true, cfg.Index, cfg.OnMessage != nil}
+	// The size is checked with Leaving set, which is the longest encoding.
 	if n := len(p.NodeMeta(memberlist.MetaMaxSize)); n == 0 {
-		return nil, &ConfigError{"zone, region and program", errors.New("their names are too long together")}
+		return nil, &ConfigError{"zone, region and program", errors.New("their total length is too large")}
 	}
 	p.meta.Leaving = false
 	if err := p.startMemberlist(host, portNumber); err != nil {
@@ -121,10 +122,10 @@
 	return p, nil
 }
 
-// startList starts the library's part.
+// startMemberlist opens the sockets and starts memberlist.
 func (p *Peers) startMemberlist(host string, port int) error {
 	stdLog := log.New(&logWriter{p.log, &p.Counts}, "", 0)
-	// The library does not tell which error a failed bind was.
+	// memberlist does not return the cause of a failed bind.
 	probe, err := net.Listen("tcp", p.cfg.Bind)
 	if err != nil {
 		return &BindError{p.cfg.Bind, err}
@@ -142,7 +143,7 @@
 	c.AdvertiseAddr = host
 	c.AdvertisePort = c.BindPort
 	c.Transport = &transport{netTransport, p.cfg.DialAddresses, &p.Counts}
-	c.EnableCompression = false // CPU is scarce, and messages are small
+	c.EnableCompression = false // CPU time is scarce, and messages are small
 	c.TCPTimeout = streamTimeout
 	c.DeadNodeReclaimTime = nameReclaimTimeout
 	c.Logger = stdLog
@@ -155,10 +156,10 @@
 	return nil
 }
 
-// Address returns the address that others have of this node.
+// Address returns the advertised address of this node.
 func (p *Peers) Address() string { return p.list.LocalNode().Address() }
 
-// Live returns the live members without this one, sorted by name, and an epoch that grows with each change.
+// Live returns the other live members, sorted by name, and an epoch that increases with each change.
 func (p *Peers) Live() (members []Member, epoch uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -169,11 +170,11 @@
 	return members, p.epoch
 }
 
-// Incarnation returns the incarnation of this process, as others see it.
+// Incarnation returns the incarnation that this process publishes: its start in ms of Unix time.
 func (p *Peers) Incarnation() uint64 { return p.meta.Incarnation }
 
-// Send sends a message to the member with an index, once: it may be lost. Where there is none the error is a
-// *MemberError.
+// Send sends a message once, without delivery guarantee, to the member with an index. It returns a *MemberError if
+// there is no such member.
 func (p *Peers) Send(index int, raw []byte) error {
 	p.mu.Lock()
 	to := p.reachable[index]
@@ -184,8 +185,9 @@
 	return p.list.SendBestEffort(to, raw)
 }
 
-// Introduce exchanges the lists of members with the member that has an index: one that has restarted may not know this
-// node yet, while this node goes on seeing it. It waits for the exchange.
+// Introduce exchanges member lists with the member that has an index, and waits for the exchange. It is for a member
+// that has restarted and may not know this node yet, although this node still sees it as live. It returns a
+// *MemberError if there is no such member, and a *JoinError if the exchange fails.
 func (p *Peers) Introduce(index int) error {
 	p.mu.Lock()
 	to := p.reachable[index]
@@ -199,15 +201,15 @@
 	return nil
 }
 
-// SetSeeds replaces the addresses by which the fleet is joined.
+// SetSeeds replaces the addresses of the nodes through which the fleet is joined.
 func (p *Peers) SetSeeds(seeds []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.seeds = seeds
 }
 
-// AnnounceLeave tells the others that this node leaves, so that they do not rely on it any more. It still receives and
-// sends until Leave or Close.
+// AnnounceLeave notifies the other members that this node is leaving, so that they no longer rely on it. It still
+// receives and sends messages until Leave or Close.
 func (p *Peers) AnnounceLeave() error {
 	p.mu.Lock()
 	p.meta.Leaving = true
@@ -215,6 +217,7 @@
 	return p.leaveError(p.list.UpdateNode(leaveTimeout))
 }
 
+// leaveError wraps an error in a *LeaveError. It returns nil for nil.
 func (p *Peers) leaveError(err error) error {
 	if err == nil {
 		return nil
@@ -222,12 +225,13 @@
 	return &LeaveError{p.cfg.Name, err}
 }
 
-// Leave leaves the membership, after AnnounceLeave. By itself the library's leave would look like a death to others.
+// Leave ends the membership and must follow AnnounceLeave: other members can't tell memberlist's own leave from a
+// death.
 func (p *Peers) Leave() error {
 	return p.leaveError(errors.Join(p.list.Leave(leaveTimeout), p.Close()))
 }
 
-// Close ends without telling the others, as a crash does.
+// Close ends the membership without notifying other members, as a crash does.
 func (p *Peers) Close() error {
 	p.cancel()
 	err := p.list.Shutdown()
@@ -235,15 +239,15 @@
 	return err
 }
 
-// joinSeeds joins the seeds until another member is live, with exponential backoff, and then looks at intervals for seeds
-// that are not live, so that the parts of a partition join again.
+// joinSeeds joins the seeds with exponential backoff until another member is live. After that it tries at intervals to
+// join seeds that are not live, so that the sides of a partition rejoin when it heals.
 func (p *Peers) joinSeeds() {
 	aloneBackoff := &backoff.ExponentialBackOff{InitialInterval: initialJoinBackoff, MaxInterval: maxJoinBackoff, Multiplier: 2, RandomizationFactor: joinJitter}
 	joinedBackoff := &backoff.ExponentialBackOff{InitialInterval: rejoinInterval, MaxInterval: rejoinInterval, Multiplier: 1, RandomizationFactor: joinJitter}
 	for {
 		if seeds := p.seedsToJoin(); len(seeds) > 0 {
 			if _, err := p.list.Join(seeds); err != nil && p.Counts.Live.Load() == 0 {
-				if first := errors.Unwrap(err); first != nil { // of a list with a line for each
+				if first := errors.Unwrap(err); first != nil { // err lists the error of each seed, one per line
 					err = first
 				}
 				p.log.Warn("peers: joining failed", "error", &JoinError{len(seeds), err})
@@ -262,9 +266,9 @@
 	}
 }
 
-// seedsToJoin returns the seeds to join: all while alone, else one of those that are not live.
+// seedsToJoin returns the seeds to join: all while no other member is live, else one of those that are not live.
 func (p *Peers) seedsToJoin() []string {
-	// The library notifies under its own lock, so it must not be called under this one.
+	// memberlist calls NotifyJoin and the like while holding its own lock, so it must not be called while p.mu is held.
 	own := p.Address()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -15,10 +15,12 @@
 	"sloestile/internal/testbed/faultlink"
 )
 
+// patience is the maximum time that a test waits for a condition.
 const patience = 60 * time.Second
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
+// start starts a member with defaults for an empty label and bind address.
 func start(t *testing.T, cfg Config) *Peers {
 	t.Helper()
 	if cfg.Label == "" {
@@ -34,18 +36,19 @@
 	return p
 }
 
-// until waits for a state of the membership; the library's timers decide how long it takes.
+// waitFor waits until the membership has reached a state. memberlist's timers determine how long that takes.
 func waitFor(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	require.Eventually(t, reached, patience, 20*time.Millisecond, "waited in vain for %s", what)
+	require.Eventually(t, reached, patience, 20*time.Millisecond, "timed out waiting for %s", what)
 }
 
+// hasLive returns a condition: p sees n other live members.
 func hasLive(p *Peers, n int) func() bool {
 	return func() bool { return p.Counts.Live.Load() == int64(n) }
 }
 
-// Nodes join by one seed; one that leaves is gone at once and by its own word, one that dies is
-// found dead, and one that comes back under its name supersedes its dead self.
+// Nodes join through one seed. A node that announces its leave counts as left, not as dead; one that crashes is
+// detected as dead; and one that rejoins under its old name replaces its dead predecessor.
 func TestJoinLeaveDeathAndRejoin(t *testing.T) {
 	t.Parallel()
 	var all []*Peers
@@ -57,7 +60,7 @@
 		all = append(all, start(t, cfg))
 	}
 	for _, p := range all {
-		waitFor(t, "all to see all", hasLive(p, 3))
+		waitFor(t, "each node to see the three others", hasLive(p, 3))
 	}
 	members, epoch := all[1].Live()
 	if m := members[0]; m.Name != "n0" || m.Zone != "hall-a" || m.Region != "gulf" || m.MetaVersion != MetaVersion || m.Incarnation == 0 {
@@ -66,32 +69,32 @@
 	if err := errors.Join(all[3].AnnounceLeave(), all[3].Leave()); err != nil {
 		t.Error(err)
 	}
-	waitFor(t, "a leave", func() bool { return all[0].Counts.Leaves.Load() == 1 && all[1].Counts.Leaves.Load() == 1 })
+	waitFor(t, "a counted leave", func() bool { return all[0].Counts.Leaves.Load() == 1 && all[1].Counts.Leaves.Load() == 1 })
 	address := all[2].Address()
 	_ = all[2].Close()
-	waitFor(t, "a death", func() bool { return all[0].Counts.Deaths.Load() == 1 && all[1].Counts.Deaths.Load() == 1 })
+	waitFor(t, "a counted death", func() bool { return all[0].Counts.Deaths.Load() == 1 && all[1].Counts.Deaths.Load() == 1 })
 	rejoined := start(t, Config{Name: "n2", Zone: "hall-b", Bind: address, Seeds: []string{all[0].Address()}})
 	defer func() { _ = rejoined.Close() }()
 	for _, p := range all[:2] {
-		waitFor(t, "the return", func() bool {
+		waitFor(t, "n2 to rejoin", func() bool {
 			m, _ := p.Live()
 			return len(m) == 2 && m[1].Name == "n2" && m[1].Zone == "hall-b"
 		})
 	}
 	if _, now := all[1].Live(); now <= epoch {
-		t.Errorf("epoch %d after %d", now, epoch)
+		t.Errorf("epoch is %d, not above the earlier %d", now, epoch)
 	}
 	_ = all[0].Close()
 	_ = all[1].Close()
 }
 
-// What is no word of the own fleet changes nothing: other labels, spoilt packets, silent streams.
+// Traffic that is not of the own fleet does not change the membership: another label, corrupt packets, silent streams.
 func TestForeignTrafficIsIgnored(t *testing.T) {
 	t.Parallel()
 	a := start(t, Config{Name: "a"})
 	defer func() { _ = a.Close() }()
-	stranger := start(t, Config{Name: "b", Label: "another", Seeds: []string{a.Address()}})
-	defer func() { _ = stranger.Close() }()
+	foreign := start(t, Config{Name: "b", Label: "another", Seeds: []string{a.Address()}})
+	defer func() { _ = foreign.Close() }()
 	c, err := net.Dial("udp", a.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -100,7 +103,7 @@
 	for _, text := range []string{"", "\x00", "\xff\xff\xff", "GET / HTTP/1.1\r\n\r\n"} {
 		_, _ = c.Write([]byte(text))
 	}
-	waitFor(t, "spoilt messages to be counted", func() bool { return a.Counts.Corrupt.Load() >= 2 })
+	waitFor(t, "corrupt packets to be counted", func() bool { return a.Counts.Corrupt.Load() >= 2 })
 	s, err := net.Dial("tcp", a.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -109,15 +112,15 @@
 	from := time.Now()
 	_ = s.SetReadDeadline(from.Add(patience))
 	if _, err := s.Read(make([]byte, 1)); err == nil || time.Since(from) > streamTimeout+time.Second {
-		t.Errorf("a silent stream is ended after %v: %v", time.Since(from), err)
+		t.Errorf("a silent stream was closed after %v: %v", time.Since(from), err)
 	}
 	if n := a.Counts.Live.Load(); n != 0 {
-		t.Errorf("%d strangers are members", n)
+		t.Errorf("%d members of other fleets are live", n)
 	}
 }
 
-// Two sides of a cut link take each other for dead and find each other again when it is whole,
-// also long after.
+// Two nodes on a link that drops all packets declare each other dead, and rejoin when the link is restored, even after
+// they have long been dead to each other.
 func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
 	addresses := [2]string{freeAddress(t), freeAddress(t)}
@@ -138,36 +141,36 @@
 	for _, p := range links {
 		p.Begin(faultlink.Trouble{Drop: true})
 	}
-	waitFor(t, "both to be alone", bothHave(0))
+	waitFor(t, "both to see no other member", bothHave(0))
 	for _, p := range links {
 		p.Clear()
 	}
-	waitFor(t, "both to be together again", bothHave(1))
+	waitFor(t, "both to see each other again", bothHave(1))
 }
 
-// The library tells of members while it holds its own lock: nothing may ask the library for anything
-// under ours. Here a look for seeds waits for our lock, and behind it the word of a new member.
+// memberlist calls NotifyJoin and the like while it holds its own lock, so a call of memberlist while p.mu is held
+// could deadlock. Here seedsToJoin waits for p.mu, and then so does the notification of a new member.
 func TestNoDeadlockWithMemberlistLock(t *testing.T) {
 	t.Parallel()
 	a := start(t, Config{Name: "n0", Seed: 1, OnState: func([]byte) {}})
 	a.mu.Lock()
 	seeds := make(chan []string, 1)
 	go func() { seeds <- a.seedsToJoin() }()
-	time.Sleep(50 * time.Millisecond) // only for the order; any other one passes too
+	time.Sleep(50 * time.Millisecond) // makes the intended order likely; the test passes with any other one too
 	b := start(t, Config{Name: "n1", Seed: 2, Seeds: []string{a.Address()}, OnState: func([]byte) {}})
 	time.Sleep(500 * time.Millisecond)
 	a.mu.Unlock()
 	select {
 	case <-seeds:
 	case <-time.After(patience / 6):
-		t.Fatal("the look for seeds and the library wait for each other")
+		t.Fatal("seedsToJoin and memberlist are deadlocked")
 	}
 	waitFor(t, "the new member", hasLive(a, 1))
 	require.NoError(t, errors.Join(a.Close(), b.Close()))
 }
 
-// free gives an address that nobody listens at. It is this process's own, so that no other's
-// connection takes the port meanwhile.
+// freeAddress returns an address on which nothing listens. Its IP address is derived from the process ID, so that no
+// connection of another process takes the port in the meantime.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	pid := os.Getpid()
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -11,14 +11,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport reaches other members by their dial addresses, and counts what it sends.
+// transport dials other members at their dial addresses and counts packets, bytes and streams.
 type transport struct {
 	*memberlist.NetTransport
 	dialAddresses map[string]string
 	counts        *Counts
 }
 
-// to returns the address by which a member is reached.
+// dialAddress returns the address at which a member is dialed.
 func (t *transport) dialAddress(a memberlist.Address) memberlist.Address {
 	if v, ok := t.dialAddresses[a.Addr]; ok {
 		a.Addr = v
@@ -39,7 +39,7 @@
 	return t.NetTransport.DialAddressTimeout(t.dialAddress(a), timeout)
 }
 
-// lines passes the library's log on. Lines about packets that can't be read are counted.
+// logWriter passes memberlist's log lines to a logger. It counts lines about packets that can't be decoded.
 type logWriter struct {
 	logger *slog.Logger
 	counts *Counts
@@ -47,7 +47,7 @@
 
 var _ io.Writer = (*logWriter)(nil)
 
-// Write takes one line of the log.
+// Write logs one line of memberlist's log.
 func (l *logWriter) Write(b []byte) (int, error) {
 	level, text := slog.LevelDebug, strings.TrimSpace(string(b))
 	for prefix, x := range map[string]slog.Level{"[ERR] ": slog.LevelError, "[WARN] ": slog.LevelWarn, "[INFO] ": slog.LevelInfo} {
@@ -55,7 +55,7 @@
 			level, text = x, rest
 		}
 	}
-	// Packets of other fleets or programs may come often: they are counted, and logged for debugging only.
+	// Packets of other fleets or programs may be frequent: they are counted, and logged at debug level only.
 	if level >= slog.LevelWarn && (strings.Contains(text, "label") || strings.Contains(text, "ecode") || strings.Contains(text, "not supported") || strings.Contains(text, "CRC")) {
 		l.counts.Corrupt.Add(1)
 		level = slog.LevelDebug
