--- a/internal/discovery/bulk.go
+++ b/internal/discovery/bulk.go
@@ -7,52 +7,54 @@
 	"time"
 )
 
-// The budget of a message that is read entry by entry: 32 KiB a second at least, for ten minutes at most. It
-// is that low because many nodes may share discovery's bandwidth: a deadline that they can't keep together
-// would end every transfer before its last byte, again and again.
+// Progress requirements for a message that is read entry by entry: at least 32 KiB/s, for at most ten minutes. The
+// rate is this low because many nodes may share discovery's bandwidth: with a deadline that they can't all meet,
+// every transfer would be cancelled before its last byte, again and again.
 const (
-	MinProgressBytes = 16 << 10               // that a message brings at least in each ProgressEach, until it is complete
-	ProgressInterval = 500 * time.Millisecond // the progress deadline within a message
-	TransferTimeout  = 10 * time.Minute       // from the first byte of a message to its last
+	MinProgressBytes = 16 << 10               // bytes required within each ProgressInterval of an incomplete message
+	ProgressInterval = 500 * time.Millisecond // progress deadline within a message
+	TransferTimeout  = 10 * time.Minute       // maximum time from the first byte of a message to its last
 )
 
-// bulkReader reads the body of a watch, as messages does, for lists of any length: a message has to make
-// progress, and what is read ahead of its decoder is bounded. Empty lines between messages are heartbeats
-// and are not passed on.
+// bulkReader reads the response body of a watch, like messageReader, but for lists of any length. Instead of the size
+// of a message it bounds the time without progress and the bytes read ahead of the decoder. Empty lines between
+// messages are heartbeats; it reports them and does not return them to the decoder.
 type bulkReader struct {
-	from     io.Reader
-	emit     func(event) bool
-	deadline *time.Timer // for the next ProgressBytes
-	within   *time.Timer // for the whole message
-	begun    bool        // a message is incomplete
-	ended    bool        // the connection has ended
-	got      int         // bytes since the last progress
-	passed   int64       // bytes passed on in all
-	most     int64       // that may be passed on until the decoder has used more of them
+	body          io.Reader
+	emit          func(event) bool
+	progressTimer *time.Timer // runs until the next MinProgressBytes have arrived
+	transferTimer *time.Timer // runs until the message is complete
+	inMessage     bool        // a message has begun and is incomplete
+	connEnded     bool        // the connection has ended
+	sinceProgress int         // bytes of the message since the progress timer was last reset
+	bytesRead     int64       // bytes returned to the decoder since the start of the watch
+	readLimit     int64       // maximum of bytesRead; the decoder raises it as it consumes input
 }
 
-func newBulkReader(from io.Reader, end context.CancelCauseFunc, emit func(event) bool) *bulkReader {
-	stalled := func() { end(errStalled) }
-	b := &bulkReader{from: from, emit: emit, deadline: time.AfterFunc(ProgressInterval, stalled), within: time.AfterFunc(TransferTimeout, stalled)}
-	b.stop()
+// newBulkReader returns a reader of body. It calls cancel with errStalled when a message misses a deadline, and emit
+// for each heartbeat and each progress within a message.
+func newBulkReader(body io.Reader, cancel context.CancelCauseFunc, emit func(event) bool) *bulkReader {
+	stalled := func() { cancel(errStalled) }
+	b := &bulkReader{body: body, emit: emit, progressTimer: time.AfterFunc(ProgressInterval, stalled), transferTimer: time.AfterFunc(TransferTimeout, stalled)}
+	b.stopTimers()
 	return b
 }
 
-func (b *bulkReader) stop() {
-	b.deadline.Stop()
-	b.within.Stop()
+func (b *bulkReader) stopTimers() {
+	b.progressTimer.Stop()
+	b.transferTimer.Stop()
 }
 
-// Read passes bytes on.
-func (b *bulkReader) Read(to []byte) (int, error) {
-	if b.passed >= b.most {
-		return 0, &EntrySizeError{Most: maxEntryBytes}
+// Read reads from the body and skips heartbeats. It returns an *EntrySizeError at the read limit.
+func (b *bulkReader) Read(p []byte) (int, error) {
+	if b.bytesRead >= b.readLimit {
+		return 0, &EntrySizeError{MaxBytes: maxEntryBytes}
 	}
-	to = to[:min(int64(len(to)), b.most-b.passed)]
+	p = p[:min(int64(len(p)), b.readLimit-b.bytesRead)]
 	for {
-		n, err := b.from.Read(to)
-		b.ended = err != nil
-		if !b.begun && len(bytes.TrimSpace(to[:n])) == 0 {
+		n, err := b.body.Read(p)
+		b.connEnded = err != nil
+		if !b.inMessage && len(bytes.TrimSpace(p[:n])) == 0 {
 			if n > 0 {
 				b.emit(event{})
 			}
@@ -61,35 +63,36 @@
 			}
 			continue
 		}
-		b.passed += int64(n)
-		b.progress(n)
+		b.bytesRead += int64(n)
+		b.countBytes(n)
 		return n, err
 	}
 }
 
-// progress counts bytes of a message, its first ones too.
-func (b *bulkReader) progress(n int) {
-	if !b.begun {
-		b.begun, b.got = true, n
-		b.deadline.Reset(ProgressInterval)
-		b.within.Reset(TransferTimeout)
+// countBytes counts n bytes of a message, including its first ones, and resets the progress timer when enough of them
+// have arrived.
+func (b *bulkReader) countBytes(n int) {
+	if !b.inMessage {
+		b.inMessage, b.sinceProgress = true, n
+		b.progressTimer.Reset(ProgressInterval)
+		b.transferTimer.Reset(TransferTimeout)
 		return
 	}
-	b.got += n
-	if b.got < MinProgressBytes {
+	b.sinceProgress += n
+	if b.sinceProgress < MinProgressBytes {
 		return
 	}
-	b.got = 0
-	b.deadline.Stop() // while the session is busy
+	b.sinceProgress = 0
+	b.progressTimer.Stop() // the time in which the session handles the event does not count
 	b.emit(event{progress: true})
-	b.deadline.Reset(ProgressInterval)
+	b.progressTimer.Reset(ProgressInterval)
 }
 
-// completed takes the end of a message; rest is what was read after it.
-func (b *bulkReader) completed(rest []byte) {
-	b.stop()
-	b.begun = false
+// messageCompleted records the end of a message. rest holds the bytes that were read after it.
+func (b *bulkReader) messageCompleted(rest []byte) {
+	b.stopTimers()
+	b.inMessage = false
 	if len(bytes.TrimSpace(rest)) > 0 {
-		b.progress(len(rest))
+		b.countBytes(len(rest))
 	}
 }
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,8 +8,8 @@
 	"sloestile/internal/golden"
 )
 
-// A message of discovery has the recorded keys, and a target's states are read as recorded.
-func TestUpdateIsAsRecorded(t *testing.T) {
+// The JSON keys of a discovery message and the status for each state of a target match the golden files.
+func TestUpdateMatchesGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "update", func(u *Update) ([]byte, error) { return json.MarshalIndent(u, "", " ") }, func(raw []byte) (*Update, error) {
 		u := &Update{}
 		return u, json.Unmarshal(raw, u)
--- a/internal/discovery/selection.go
+++ b/internal/discovery/selection.go
@@ -9,92 +9,91 @@
 	"sloestile/fleet/subset"
 )
 
-// Counts are the figures of the subset in use. They may be read at any time.
+// Counts are the sizes of the list and of the subset in use. They may be read at any time.
 type Counts struct {
-	Listed atomic.Int64 // servers in the whole list
-	Chosen atomic.Int64 // of them, those in the subset
+	Listed atomic.Int64 // number of servers in the whole list
+	Chosen atomic.Int64 // number of those servers in the subset
 }
 
-// selection holds the whole list and chooses the node's subset of it. Calls stage lists while the session
-// applies updates, so that the set is locked.
+// selection holds the whole list and chooses the node's subset of it. The set is locked because calls stage lists while
+// the session applies updates.
 type selection struct {
 	config         subset.Config
 	fleetSize      int
-	maxKeptEntries int // entries of a whole list that are kept as they came, in case the whole of it is used
-	maxListed      int // entries of a message
+	maxKeptEntries int // maximum entries of a whole list that are also kept unchanged, in case the whole list is used
+	maxListed      int // maximum entries of a message
 	counts         Counts
 
-	mu      sync.Mutex
-	set     *subset.Set
-	partial bool // the node shows a part of a list whose rest is not known: only a whole list can follow
+	mu           sync.Mutex
+	set          *subset.Set
+	cachedSubset bool // the node uses a cached subset without the rest of its list, so the next update must be a whole list
 }
 
-func newSelection(cfg subset.Config, group int) (*selection, error) {
+func newSelection(cfg subset.Config, fleetSize int) (*selection, error) {
 	set, err := subset.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &selection{config: cfg, fleetSize: group, set: set, maxKeptEntries: 2 * cmp.Or(cfg.MaxServers, subset.DefaultMaxServers),
+	return &selection{config: cfg, fleetSize: fleetSize, set: set, maxKeptEntries: 2 * cmp.Or(cfg.MaxServers, subset.DefaultMaxServers),
 		maxListed: cmp.Or(cfg.MaxListed, subset.DefaultMaxListed)}, nil
 }
 
-// stage begins a whole list. It changes nothing until choose takes it.
+// stage begins a whole list. The list changes nothing until it is passed to choose.
 func (s *selection) stage() *subset.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set.NewList()
 }
 
-// add takes an entry of a whole list.
+// add adds an entry to a staged list.
 func (s *selection) add(list *subset.List, t *Target) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return list.Add(t.server())
 }
 
-// choose takes an update, with the list that was staged of it where it is a whole one. It returns the
-// update that the node needs, and false where the node's servers don't change. After an error nothing has
-// changed.
+// choose applies an update. For a whole list, list holds its staged entries. It returns the update that the node needs,
+// and false if the node's servers don't change. After an error nothing has changed.
 func (s *selection) choose(u Update, list *subset.List) (Update, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.partial && !u.All {
+	if s.cachedSubset && !u.All {
 		return u, false, &PartialError{Rev: u.Rev}
 	}
-	unchanged := s.set.Whole() && !s.partial
+	unchanged := s.set.Whole() && !s.cachedSubset
 	change, err := s.apply(u, list)
 	if err != nil {
 		return u, false, err
 	}
-	s.count(change)
+	s.updateCounts(change)
 	if s.set.Whole() && unchanged && (u.Targets != nil || list == nil) {
 		return u, true, nil // as discovery sent it
 	}
-	needed := Update{Rev: u.Rev, All: s.partial || s.set.Whole(), NodesPerServer: s.sharers()}
-	s.partial = false
+	needed := Update{Rev: u.Rev, All: s.cachedSubset || s.set.Whole(), NodesPerServer: s.nodesPerServer()}
+	s.cachedSubset = false
 	if needed.All {
 		change = subset.Change{Updated: s.set.Chosen()}
 	}
-	needed.Targets = targets(change)
+	needed.Targets = changeTargets(change)
 	return needed, needed.All || len(needed.Targets) > 0, nil
 }
 
-// count updates the counts after a change.
-func (s *selection) count(change subset.Change) {
+// updateCounts updates the counts after a change.
+func (s *selection) updateCounts(change subset.Change) {
 	s.counts.Listed.Store(int64(s.set.Len()))
 	if len(change.Updated)+len(change.Removed) > 0 {
 		s.counts.Chosen.Store(int64(len(s.set.Chosen())))
 	}
 }
 
-// targets is a change of the subset as discovery would send it.
-func targets(change subset.Change) []Target {
+// changeTargets returns a change of the subset as the targets that discovery would send for it.
+func changeTargets(change subset.Change) []Target {
 	all := make([]Target, 0, len(change.Updated)+len(change.Removed))
 	for _, id := range change.Removed {
 		all = append(all, Target{UID: id, State: stateRemoved})
 	}
 	for i := range change.Updated {
-		all = append(all, target(&change.Updated[i]))
+		all = append(all, serverTarget(&change.Updated[i]))
 	}
 	return all
 }
@@ -110,38 +109,39 @@
 	return s.set.Apply(servers)
 }
 
-// sharers is the mean number of nodes that use each chosen server; 0 is the whole group.
-func (s *selection) sharers() float64 {
+// nodesPerServer returns the mean number of nodes that use each chosen server. 0 means all nodes of the fleet.
+func (s *selection) nodesPerServer() float64 {
 	if s.set.Whole() {
 		return 0
 	}
 	return s.set.Sharers(s.fleetSize)
 }
 
-// adopt starts with a list that another process had, and returns what the node shows of it. Of a partial list only that is
-// known.
-func (s *selection) adopt(held Update) (Update, error) {
+// adopt starts from a cached list and returns the part of it that the node uses. If the cached list is itself a subset,
+// the node uses all of it and the rest of the whole list is unknown.
+func (s *selection) adopt(cached Update) (Update, error) {
 	set, err := subset.New(s.config)
 	if err != nil {
 		return Update{}, err
 	}
 	s.mu.Lock()
-	s.set, s.partial = set, held.NodesPerServer > 0
+	s.set, s.cachedSubset = set, cached.NodesPerServer > 0
 	s.mu.Unlock()
-	if s.partial || len(held.Targets) == 0 {
-		return held, nil
+	if s.cachedSubset || len(cached.Targets) == 0 {
+		return cached, nil
 	}
 	list := s.stage()
-	for i := range held.Targets {
-		if err := s.add(list, &held.Targets[i]); err != nil {
-			return Update{}, fmt.Errorf("the list held before: %w", err)
+	for i := range cached.Targets {
+		if err := s.add(list, &cached.Targets[i]); err != nil {
+			return Update{}, fmt.Errorf("cached list: %w", err)
 		}
 	}
-	shown, _, err := s.choose(Update{Rev: held.Rev, All: true, Targets: held.Targets}, list)
-	shown.All = held.All
-	return shown, err
+	usable, _, err := s.choose(Update{Rev: cached.Rev, All: true, Targets: cached.Targets}, list)
+	usable.All = cached.All
+	return usable, err
 }
 
+// server converts a target to an entry of package subset.
 func (t *Target) server() subset.Server {
 	state := subset.Draining
 	switch t.Status() {
@@ -154,7 +154,8 @@
 		Capacity: t.Capacity, BootMS: t.BootMS}
 }
 
-func target(s *subset.Server) Target {
+// serverTarget converts an entry of package subset to a target.
+func serverTarget(s *subset.Server) Target {
 	state := stateDraining
 	if s.State == subset.Available {
 		state = stateUp
