--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -47,16 +47,16 @@
 	x.attempts = append(x.attempts, t)
 	pool := l.pools[a.Server]
 	overLimit := l.maxAttempts > 0 && len(x.attempts) > l.maxAttempts
-	if pool == nil || x.done || ctx.Err() != nil || x.bodySpent() || overLimit {
+	if pool == nil || x.done || ctx.Err() != nil || x.bodyConsumed() || overLimit {
 		t.stop()
 		l.pendingEvents = append(l.pendingEvents, control.AttemptEnded{ID: a.ID, Attempt: t.number, Server: a.Server,
-			Outcome: control.NeverSent, Done: x.done, BodyConsumed: x.bodySpent()})
+			Outcome: control.NeverSent, Done: x.done, BodyConsumed: x.bodyConsumed()})
 		return
 	}
 	x.inFlight++
 	l.countSend(x, t)
 	t.sentAt = time.Now()
-	sending := l.newAttempt(x, t, l.at(a.NotAfter))
+	sending := l.newAttempt(x, t, l.wallTime(a.NotAfter))
 	t.start = &sending.start
 	go func() { // ends with ctx at the latest
 		o := l.upstream.attempt(ctx, pool, sending)
@@ -69,7 +69,7 @@
 // newExchangeAttempt returns a further attempt of a request with its context, which ends with the client's time or with
 // the timeout that the decision module gave, whichever is first.
 func (l *loop) newExchangeAttempt(x *exchange, a control.Send) (context.Context, *exchangeAttempt) {
-	ctx, cancel := context.WithCancelCause(l.life)
+	ctx, cancel := context.WithCancelCause(l.attemptCtx)
 	t := &exchangeAttempt{number: len(x.attempts), server: a.Server, cancel: cancel}
 	hasDeadline := !x.deadline.IsZero()
 	if !hasDeadline && a.Timeout <= 0 {
@@ -99,15 +99,15 @@
 		l.limitSharing.consume(&x.req, x.req.Tokens, false)
 	}
 	if l.persistence != nil {
-		l.persistence.granted(&x.req)
+		l.persistence.recordGrant(&x.req)
 	}
 }
 
 // newAttempt returns what the upstream side needs of an attempt.
 func (l *loop) newAttempt(x *exchange, t *exchangeAttempt, startBy time.Time) *attempt {
 	written := func() {
-		l.stats.calls.Add(1)
-		if x.rest != nil {
+		l.stats.attempts.Add(1)
+		if x.streamedBody != nil {
 			l.post(func() { l.handle(control.BodySent{ID: x.req.ID, Attempt: t.number}) })
 		}
 	}
@@ -127,7 +127,7 @@
 			return nil
 		}
 	}
-	return &attempt{req: x.message(), first: x.body, rest: x.rest, startBy: startBy, onWritten: written, onStreamStart: streamStarted}
+	return &attempt{req: x.newAttemptRequest(), first: x.body, rest: x.streamedBody, startBy: startBy, onWritten: written, onStreamStart: streamStarted}
 }
 
 // responseStarted makes a good answer that streams the final one. It returns the writer for the answer's rest, or nil
@@ -157,7 +157,7 @@
 	x.inFlight--
 	x.lastOutcome = o.reason
 	r := control.AttemptEnded{ID: x.req.ID, Attempt: t.number, Server: t.server, Outcome: o.reason, Latency: time.Since(t.sentAt),
-		BodyConsumed: x.bodySpent()}
+		BodyConsumed: x.bodyConsumed()}
 	if o.header != nil && !o.streamed {
 		r.MeterReading = o.meterReading()
 		r.Tokens = o.tokens(l.maxTokens)
--- a/internal/node/clientconns_test.go
+++ b/internal/node/clientconns_test.go
@@ -16,9 +16,9 @@
 
 // Near the limit on descriptors an idle client connection goes for a new one.
 func TestClientsUnderTheLimit(t *testing.T) {
-	r := newRig(t)
-	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
-	r.wait("ready", r.node.front.ready.Load)
+	r := newTestNode(t)
+	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
+	r.waitUntil("ready", r.node.front.ready.Load)
 	r.node.upstream.sockets.limit.Store(3) // one client, a server, and the place for the next
 	for range 3 {
 		c, err := net.Dial("tcp", r.node.Addr())
@@ -26,7 +26,7 @@
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		_, _ = io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%v, %v", resp, err)
@@ -35,23 +35,23 @@
 }
 
 // dial opens a raw connection to the node.
-func (r *rig) dial() net.Conn {
+func (r *testNode) dial() net.Conn {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.node.Addr())
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
 // Whoever connects is soon answered or closed, whatever part of a request came.
 func TestSlowClients(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for name, text := range map[string]string{
 		"silent":      "",
 		"half a head": "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\n" + headerID + ": raw",
@@ -71,7 +71,7 @@
 			}
 		})
 	}
-	if n := a.count(); n > 0 {
+	if n := a.requestCount(); n > 0 {
 		t.Errorf("sent on: %q", a.requests())
 	}
 }
@@ -79,31 +79,31 @@
 // A request may be held for longer than a client has to send it, and a hang-up is still seen.
 func TestHeldPastReadLimit(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newTestNode(t)
 	asked := make(chan struct{})
 	finish := make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-finish; served(w, q) })
-	r.list(a.target("s-1", 0))
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-finish; serveOK(w, q) })
+	r.updateList(a.target("s-1", 0))
 	answered := make(chan int, 1)
-	post := r.call(http.MethodPost, "/visit-update", "id-1")
+	post := r.newRequest(http.MethodPost, "/visit-update", "id-1")
 	post.Body, post.ContentLength = io.NopCloser(strings.NewReader("swap")), 4
 	go func() {
 		resp, _ := r.do(post)
 		answered <- resp.StatusCode
 	}()
-	next(t, asked)
+	receive(t, asked)
 	leaves := r.dial()
 	_, _ = io.WriteString(leaves, "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n")
-	next(t, asked)
+	receive(t, asked)
 	time.Sleep(bodyIdleTimeout + bodyIdleTimeout/4) // the limit has to pass
-	r.wait("both held", func() bool {
+	r.waitUntil("both held", func() bool {
 		x, y := r.node.loop.exchanges["id-1"], r.node.loop.exchanges["raw"]
 		return x != nil && !x.done && y != nil && !y.done
 	})
 	_ = leaves.Close()
-	r.wait("the hang-up", func() bool { return r.node.loop.exchanges["raw"].done })
+	r.waitUntil("the hang-up", func() bool { return r.node.loop.exchanges["raw"].done })
 	close(finish)
-	if s := next(t, answered); s != 200 {
+	if s := receive(t, answered); s != 200 {
 		t.Errorf("%d", s)
 	}
 }
@@ -111,12 +111,12 @@
 // Where all places are taken by clients that say nothing, one that asks is still served, and
 // the connections to app servers stay.
 func TestSilentClientsMakeRoom(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	r.node.upstream.sockets.limit.Store(serverPlacesAhead + 20)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
-	r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
-	before := pooled(r.node.upstream)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
+	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
+	before := idleConns(r.node.upstream)
 	for range 60 {
 		r.dial()
 	}
@@ -127,16 +127,16 @@
 			t.Errorf("answered %v", got)
 		}
 	}
-	if after := pooled(r.node.upstream); len(before) != 1 || !slices.Equal(before, after) {
+	if after := idleConns(r.node.upstream); len(before) != 1 || !slices.Equal(before, after) {
 		t.Error("the app server's connection was given up for silent clients")
 	}
 }
 
 // A connection is kept for a client's proper requests only.
 func TestOnlyProperRequestsKeepTheirConnection(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
+	r.updateList(a.target("s-1", 0))
 	for _, k := range []struct {
 		path   string
 		status int
@@ -147,7 +147,7 @@
 		{"/roster-read-old", http.StatusNotFound, true},
 		{"/visit-update", http.StatusMethodNotAllowed, true},
 	} {
-		if resp, _ := r.do(r.call(http.MethodGet, k.path, "id"+strings.ReplaceAll(k.path, "/", "-"))); resp.StatusCode != k.status || resp.Close != k.closes {
+		if resp, _ := r.do(r.newRequest(http.MethodGet, k.path, "id"+strings.ReplaceAll(k.path, "/", "-"))); resp.StatusCode != k.status || resp.Close != k.closes {
 			t.Errorf("%s: status %d, closes %v; want %d, %v", k.path, resp.StatusCode, resp.Close, k.status, k.closes)
 		}
 	}
@@ -156,12 +156,12 @@
 // Idle clients that fill all they may leave the node able to call discovery, to answer its console,
 // to reach servers, and to take a further client, for which one that idles goes.
 func TestIdleClientsFillAllPlaces(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	const most = 30
 	r.node.upstream.sockets.limit.Store(most)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
-	next(t, r.agent.Asked)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
+	receive(t, r.discovery.Asked)
 	var last net.Conn
 	for id := range 3 * most {
 		last = r.dial()
@@ -175,11 +175,11 @@
 	if r.node.front.evicted.Load() == 0 {
 		t.Error("the places were not filled")
 	}
-	r.figure("node_backend_calls_total", 3*most)
-	b := newApp(t, served)
-	r.list(b.target("s-2", 1)) // on the watch that is open
-	r.agent.Tell <- ""         // ends it
-	next(t, r.agent.Asked)
+	r.waitForMetric("node_backend_calls_total", 3*most)
+	b := newTestServer(t, serveOK)
+	r.updateList(b.target("s-2", 1)) // on the watch that is open
+	r.discovery.Tell <- ""           // ends it
+	receive(t, r.discovery.Asked)
 	// A kept connection is served while all places are taken, also where that needs a new one to a
 	// server.
 	r.node.upstream.closeIdleWhere(func(*conn) bool { return true })
--- a/internal/node/clientends_test.go
+++ b/internal/node/clientends_test.go
@@ -18,14 +18,14 @@
 
 // resting gives a client whose first request was answered, and the node's end of its connection,
 // which seems to have rested for long.
-func (r *rig) resting() (net.Conn, *bufio.Reader, *clientConn) {
+func (r *testNode) resting() (net.Conn, *bufio.Reader, *clientConn) {
 	r.t.Helper()
 	c := r.dial()
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, rawGet)
 	r.answered(in, "raw", false)
-	k, f := r.conn(c), r.node.front
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	k, f := r.nodeConn(c), r.node.front
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		f.mu.Lock()
 		_, idle := f.idle[k]
 		if idle {
@@ -40,7 +40,7 @@
 	return nil, nil, nil
 }
 
-func (r *rig) answered(in *bufio.Reader, id string, closes bool) {
+func (r *testNode) answered(in *bufio.Reader, id string, closes bool) {
 	r.t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -52,10 +52,10 @@
 }
 
 // begins sends the first part of a second request and waits until net/http has it.
-func (r *rig) begins(c net.Conn, k *clientConn, part string) {
+func (r *testNode) begins(c net.Conn, k *clientConn, part string) {
 	r.t.Helper()
 	_, _ = io.WriteString(c, part)
-	r.wait("the part", func() bool {
+	r.waitUntil("the part", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.requestBegun && len(k.head) == len(part)
@@ -66,13 +66,13 @@
 
 // A request of which a part was read is answered, whoever would close its connection just then.
 func TestRestingConnectionClosedAsARequestComes(t *testing.T) {
-	for name, closes := range map[string]func(*rig){
-		"by a drain":              func(r *rig) { r.node.front.closeIdle() },
-		"for another one's place": func(r *rig) { r.node.front.evict() },
+	for name, closes := range map[string]func(*testNode){
+		"by a drain":              func(r *testNode) { r.node.front.closeIdle() },
+		"for another one's place": func(r *testNode) { r.node.front.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.list(newApp(t, served).target("s-1", 0))
+			r := newTestNode(t)
+			r.updateList(newTestServer(t, serveOK).target("s-1", 0))
 			c, in, k := r.resting()
 			r.begins(c, k, second[:60])
 			closes(r)
@@ -85,9 +85,9 @@
 // A request that comes after its connection has been shut is not sent on, and its client reads
 // the end of the connection, not a reset: it may come again.
 func TestRequestBehindTheEnd(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	c, in, _ := r.resting()
 	r.node.front.closeIdle()
 	if _, err := io.WriteString(c, second); err != nil {
@@ -97,20 +97,20 @@
 		t.Error(err)
 	}
 	_ = c.Close()
-	for end := time.Now().Add(patience); r.node.front.conns.Load() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.node.front.conns.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection is not closed")
 		}
 	}
-	if n := a.count(); n != 1 {
+	if n := a.requestCount(); n != 1 {
 		t.Errorf("sent on: %q", a.requests())
 	}
 }
 
 // A place that is wanted is free at once, also where the client keeps its end open.
 func TestEvictedAtOnce(t *testing.T) {
-	r := newRig(t)
-	r.list(newApp(t, served).target("s-1", 0))
+	r := newTestNode(t)
+	r.updateList(newTestServer(t, serveOK).target("s-1", 0))
 	_, in, _ := r.resting()
 	open := r.node.upstream.sockets.open.Load()
 	if !r.node.front.evict() || r.node.upstream.sockets.open.Load() != open-1 {
@@ -124,7 +124,7 @@
 // An answer that closes its connection is read whole, and then the connection's end, by a client
 // that had sent more than the node read: a close over unread bytes would be a reset.
 func TestAnswerBeforeUnreadBytes(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	more := strings.Repeat("x", maxHeldBytes)
 	for name, text := range map[string]string{
 		"no request":        "\x00\x01 noise\r\n\r\n" + more,
@@ -153,8 +153,8 @@
 // listens and closes what rests, is served, and its answer ends the connection.
 func TestRequestEndsInTheDrain(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	r.list(newApp(t, served).target("s-1", 0))
+	r := newTestNode(t)
+	r.updateList(newTestServer(t, serveOK).target("s-1", 0))
 	c, in, k := r.resting()
 	idle, idleIn, _ := r.resting()
 	r.begins(c, k, second[:60])
@@ -173,7 +173,7 @@
 	_, _ = io.WriteString(c, second[60:])
 	r.answered(in, "second", true)
 	_ = c.Close()
-	if err := next(t, r.ended); err != nil {
+	if err := receive(t, r.ended); err != nil {
 		t.Error(err)
 	}
 	r.ended <- nil
@@ -186,19 +186,19 @@
 // A body that is stopped in the instant of its last byte, as an answer to it is there, ends net/http's
 // look for a hang-up: its client has not left, and is answered.
 func TestBodyStoppedAtItsLastByte(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	q := r.call(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
+	q := r.newRequest(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
 	w := httptest.NewRecorder()
 	x := &exchange{req: control.Request{ID: "id-1", Class: "visit-update", Plan: q.Header.Get(headerPlan), Tenant: "1", Tokens: 1, TenantNodes: 1, Write: true},
-		forward: q, timeLeft: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1), stats: r.node.stats}
+		upstreamReq: q, timeLeft: testTimeout, deadline: time.Now().Add(testTimeout), answer: make(chan answer, 1), stats: r.node.stats}
 	begun, end := make(chan struct{}), make(chan struct{})
-	x.rest = newClientBody(readerFunc(func([]byte) (int, error) { close(begun); <-end; return 0, io.EOF }), http.NewResponseController(w))
-	x.rest.onEnd = x.markReceived
+	x.streamedBody = newClientBody(readerFunc(func([]byte) (int, error) { close(begun); <-end; return 0, io.EOF }), http.NewResponseController(w))
+	x.streamedBody.onEnd = x.markReceived
 	read := make(chan error)
-	go func() { _, err := x.rest.Read(make([]byte, 1)); read <- err }()
+	go func() { _, err := x.streamedBody.Read(make([]byte, 1)); read <- err }()
 	<-begun
-	x.rest.stop()
+	x.streamedBody.stop()
 	close(end)
 	require.ErrorIs(t, <-read, io.EOF)
 	cancel()
@@ -208,7 +208,7 @@
 		a, _ := r.node.front.awaitAnswer(w, q, x)
 		answered <- a.status
 	}()
-	r.wait("held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
-	r.node.loop.post(func() { r.node.loop.act(control.Fail{ID: "id-1"}) })
-	require.Equal(t, http.StatusBadGateway, next(t, answered))
+	r.waitUntil("held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
+	r.node.loop.post(func() { r.node.loop.execute(control.Fail{ID: "id-1"}) })
+	require.Equal(t, http.StatusBadGateway, receive(t, answered))
 }
--- a/internal/node/clientfloods_test.go
+++ b/internal/node/clientfloods_test.go
@@ -20,12 +20,12 @@
 // holds what it has: they take no more places than there are, nothing of them stays once they have gone,
 // and the next client is served.
 func TestBurstsOfLeaves(t *testing.T) {
-	r := newRigWith(t, func(c *config.Config) { c.MaxSockets = 256 })
+	r := newTestNodeWith(t, func(c *config.Config) { c.MaxSockets = 256 })
 	held := make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { <-held; served(w, q) })
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) { <-held; serveOK(w, q) })
 	release := sync.OnceFunc(func() { close(held) })
 	t.Cleanup(release)
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	f := r.node.front
 	for burst := range 3 {
 		var conns []net.Conn
@@ -34,7 +34,7 @@
 			conns = append(conns, c)
 			_, _ = io.WriteString(c, strings.Replace(rawGet, "raw", fmt.Sprintf("id-%d-%d", burst, i), 1)+strings.Repeat("x", maxHeadBytes/2))
 		}
-		r.wait("all are held", func() bool {
+		r.waitUntil("all are held", func() bool {
 			held := 0
 			for _, x := range r.node.loop.exchanges {
 				if !x.done {
@@ -50,7 +50,7 @@
 			}
 			_ = c.Close()
 		}
-		r.wait("nobody is left", func() bool {
+		r.waitUntil("nobody is left", func() bool {
 			for _, x := range r.node.loop.exchanges {
 				if !x.done {
 					return false
@@ -61,13 +61,13 @@
 		assert.Less(t, time.Since(left), 5*time.Second, "held until their time of 7 s was over")
 		assert.LessOrEqual(t, f.sockets.open.Load(), f.sockets.limit.Load())
 	}
-	assert.Less(t, a.count(), 60, "attempts for clients that had gone")
+	assert.Less(t, a.requestCount(), 60, "attempts for clients that had gone")
 	release()
-	r.wait("all is forgotten", func() bool { return len(r.node.loop.exchanges) == 0 })
+	r.waitUntil("all is forgotten", func() bool { return len(r.node.loop.exchanges) == 0 })
 	f.mu.Lock()
 	assert.Empty(t, f.idle)
 	assert.Empty(t, f.fresh)
 	f.mu.Unlock()
-	resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "next"))
+	resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "next"))
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 }
--- a/internal/node/clientleaves_test.go
+++ b/internal/node/clientleaves_test.go
@@ -21,19 +21,19 @@
 // A client that only ends its sending has gone, by the protocol. Its connection is closed: an
 // answer that no app server made for it would be one that it could read.
 func TestHalfClosedClientIsAnsweredNothing(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	asked, finish := make(chan struct{}), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-finish; served(w, q) })
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-finish; serveOK(w, q) })
 	defer close(finish)
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	_, _ = io.WriteString(c, rawGet)
-	next(t, asked)
+	receive(t, asked)
 	_ = c.(*net.TCPConn).CloseWrite()
 	if got := statuses(t, c); len(got) > 0 {
 		t.Errorf("answered %v", got)
 	}
-	r.wait("the hang-up", func() bool { x := r.node.loop.exchanges["raw"]; return x == nil || x.done })
+	r.waitUntil("the hang-up", func() bool { x := r.node.loop.exchanges["raw"]; return x == nil || x.done })
 }
 
 // A client that leaves is noticed behind whatever it sent after its request: no attempt begins
@@ -54,36 +54,36 @@
 			vanishes bool // by a reset
 		}{{"at once", true, false}, {"later", false, false}, {"with a reset", false, true}} {
 			t.Run(name+" "+k.name, func(t *testing.T) {
-				r := newRig(t)
+				r := newTestNode(t)
 				asked, fail := make(chan struct{}, 2), make(chan struct{})
-				a := newApp(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-fail; reset(w, q) })
+				a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-fail; resetConn(w, q) })
 				release := sync.OnceFunc(func() { close(fail) })
 				t.Cleanup(release)
-				r.list(a.target("s-1", 0))
+				r.updateList(a.target("s-1", 0))
 				c := r.dial()
 				// It may be let go for that before its attempt has begun, which then never does.
 				unasked := k.at && len(behind) > maxHeadBytes
 				if k.at {
 					_, _ = io.WriteString(c, rawGet+behind)
 					if !unasked {
-						next(t, asked)
+						receive(t, asked)
 					}
 				} else {
 					_, _ = io.WriteString(c, rawGet)
-					next(t, asked)
+					receive(t, asked)
 					_, _ = io.WriteString(c, behind)
 				}
 				if k.vanishes {
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 				_ = c.Close()
-				r.wait("the hang-up", func() bool {
+				r.waitUntil("the hang-up", func() bool {
 					x := r.node.loop.exchanges["raw"]
 					return r.node.front.clientsLeft.Load() == 1 && (x == nil || x.done)
 				})
 				release()
-				r.wait("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
-				if n := a.count(); n > 1 || n < 1 && !unasked {
+				r.waitUntil("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
+				if n := a.requestCount(); n > 1 || n < 1 && !unasked {
 					t.Errorf("sent on: %q", a.requests())
 				}
 			})
@@ -94,27 +94,27 @@
 // What a client sends behind a request that is held reaches the next one whole, whatever its
 // length, and a second request is served as the first was.
 func TestBytesBehindAHeldRequest(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	asked, finish := make(chan string, 1), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		asked <- q.Header.Get(headerID)
 		<-finish
-		served(w, q)
+		serveOK(w, q)
 	})
 	t.Cleanup(func() { close(finish) })
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, rawGet)
-	next(t, asked)
+	receive(t, asked)
 	body := noise(3 * maxHeadBytes)
 	second := strings.Replace(postHead, "raw", "second", 1) + "Transfer-Encoding: chunked\r\n\r\n"
-	k, sent := r.conn(c), 0
+	k, sent := r.nodeConn(c), 0
 	// Each piece is read ahead before the next is sent.
 	for _, piece := range []string{second[:1], second[1:40], second[40:]} {
 		_, _ = io.WriteString(c, piece)
 		sent += len(piece)
-		r.wait("the piece", func() bool {
+		r.waitUntil("the piece", func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			return len(k.pipelined) == sent
@@ -133,7 +133,7 @@
 	}
 	answer("raw")
 	fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(body), body)
-	if id := next(t, asked); id != "second" {
+	if id := receive(t, asked); id != "second" {
 		t.Errorf("%q", id)
 	}
 	finish <- struct{}{}
@@ -174,17 +174,17 @@
 		text := noise(3 * maxHeadBytes)
 		go func() { _, _ = client.Write(text) }()
 		if !answered {
-			require.ErrorIs(t, next(t, watched), errTooMuchPipelined)
+			require.ErrorIs(t, receive(t, watched), errTooMuchPipelined)
 			continue
 		}
 		require.Eventually(t, func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			return len(k.pipelined) > maxHeadBytes
-		}, patience, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 		_ = k.SetReadDeadline(deadlinePassed)
-		require.ErrorIs(t, next(t, watched), os.ErrDeadlineExceeded)
-		_ = k.SetReadDeadline(time.Now().Add(patience))
+		require.ErrorIs(t, receive(t, watched), os.ErrDeadlineExceeded)
+		_ = k.SetReadDeadline(time.Now().Add(testTimeout))
 		got := make([]byte, len(text))
 		_, err = io.ReadFull(k, got)
 		require.NoError(t, err)
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -67,15 +67,15 @@
 	if err := f.readWeight(&e, r.Header.Get(headerWeight)); err != nil {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: %v", headerWeight, err)
 	}
-	x := &exchange{req: e, forward: forwardedRequest(r), timeLeft: left - answerMargin, length: r.ContentLength,
+	x := &exchange{req: e, upstreamReq: forwardedRequest(r), timeLeft: left - answerMargin, bodyLength: r.ContentLength,
 		answer: make(chan answer, 1), stats: f.stats}
 	if r.ContentLength != 0 {
 		if wrong := f.readBody(x, r, deadlines); wrong != nil {
 			return nil, wrong
 		}
 	}
-	if x.rest == nil {
-		x.length = int64(len(x.body))
+	if x.streamedBody == nil {
+		x.bodyLength = int64(len(x.body))
 		x.deadline = time.Now().Add(x.timeLeft)
 	}
 	return x, nil
@@ -127,7 +127,7 @@
 		x.bodyReservation.shrinkTo(0)
 		return newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
 	}
-	x.rest, x.req.StreamedBody = rest, true
+	x.streamedBody, x.req.StreamedBody = rest, true
 	rest.onEnd = func() {
 		x.markReceived()
 		at := time.Now()
--- a/internal/node/clientrequests_test.go
+++ b/internal/node/clientrequests_test.go
@@ -13,9 +13,9 @@
 
 // What a client got wrong is told as such, and nothing is sent on.
 func TestBadInput(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for name, tc := range map[string]struct {
 		change func(*http.Request)
 		want   int
@@ -52,25 +52,25 @@
 		"odd first":         {func(q *http.Request) { q.Header.Set(headerWeight, "first=-1") }, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := r.call(http.MethodPost, "/visit-update", "bad")
+			q := r.newRequest(http.MethodPost, "/visit-update", "bad")
 			tc.change(q)
 			if resp, body := r.do(q); resp.StatusCode != tc.want {
 				t.Errorf("%s %q", resp.Status, body)
 			}
 		})
 	}
-	if resp, _ := r.do(r.call(http.MethodPost, "/roster-read", "bad")); resp.StatusCode != 405 {
+	if resp, _ := r.do(r.newRequest(http.MethodPost, "/roster-read", "bad")); resp.StatusCode != 405 {
 		t.Errorf("a POST to a safe class: %s", resp.Status)
 	}
-	withBody := r.call(http.MethodGet, "/roster-read", "bad")
+	withBody := r.newRequest(http.MethodGet, "/roster-read", "bad")
 	withBody.Body, withBody.ContentLength = io.NopCloser(strings.NewReader("x")), 1
 	if resp, _ := r.do(withBody); resp.StatusCode != 400 {
 		t.Errorf("a GET with a body: %s", resp.Status)
 	}
-	if n := a.count(); n > 0 {
+	if n := a.requestCount(); n > 0 {
 		t.Errorf("%d bad requests were sent on", n)
 	}
-	if resp, _ := r.do(r.call(http.MethodPost, "/visit-update", "good")); resp.StatusCode != 200 {
+	if resp, _ := r.do(r.newRequest(http.MethodPost, "/visit-update", "good")); resp.StatusCode != 200 {
 		t.Errorf("a good one after them: %s", resp.Status)
 	}
 }
@@ -97,9 +97,9 @@
 // Nothing that hides in a body or behind one that can't be told reaches an app server: the
 // client is answered once and its connection closed.
 func TestNothingHidden(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	const post = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n" + goodHead
 	hidden := strings.ReplaceAll(strings.Replace(post, "POST /visit-update", "GET /roster-read", 1), "raw", "hidden") + "\r\n"
 	for name, tc := range map[string]struct {
@@ -124,7 +124,7 @@
 			}
 		})
 	}
-	if n := a.count(); n > 0 {
+	if n := a.requestCount(); n > 0 {
 		t.Errorf("sent on: %q", a.requests())
 	}
 }
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -59,35 +59,35 @@
 
 // newConsensusMember makes the node's part, which does nothing before run.
 func newConsensusMember(cfg config.Config, l *loop) (*consensusMember, error) {
-	f := cfg.Fleet.Consensus
-	c := &consensusMember{config: f, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
-	fs := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
-	lc := learner.Config{NodeIndex: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
-		Settings: c.settings, Terms: rules.DefaultLeaseParams, Dir: f.Dir, Disk: fs, Send: c.send, Introduce: c.introduce, OnVersionChange: c.actingChanged}
+	consensusConfig := cfg.Fleet.Consensus
+	c := &consensusMember{config: consensusConfig, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
+	fileSystem := cmp.Or[disk.FS](cfg.Disk, disk.Local{})
+	learnerConfig := learner.Config{NodeIndex: cfg.Settings.NodeIndex, FleetSize: cfg.Settings.FleetSize, Name: cfg.Name, Zone: cfg.Settings.Zone,
+		Settings: c.settings, Terms: rules.DefaultLeaseParams, Dir: consensusConfig.Dir, Disk: fileSystem, Send: c.send, Introduce: c.introduce, OnVersionChange: c.effectiveVersionChanged}
 	var voters []agreement.Peer
-	for _, v := range f.Voters {
-		lc.Voters = append(lc.Voters, v.Name)
+	for _, v := range consensusConfig.Voters {
+		learnerConfig.Voters = append(learnerConfig.Voters, v.Name)
 		voters = append(voters, agreement.Peer{Name: v.Name, Address: v.Address})
 	}
-	if i := slices.Index(lc.Voters, cfg.Name); i >= 0 {
+	if i := slices.Index(learnerConfig.Voters, cfg.Name); i >= 0 {
 		c.self = voters[i]
 		c.registry = learner.NewRegistry(func(w rules.VersionState) { c.learner.Observe(w) })
 		var err error
-		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Voters: voters, Dir: f.Dir, Disk: fs,
+		c.voter, err = agreement.New(agreement.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Voters: voters, Dir: consensusConfig.Dir, Disk: fileSystem,
 			DialAddresses: cfg.Fleet.Peers.DialAddresses, StateMachines: map[byte]agreement.StateMachine{learner.StateMachineKind: c.registry},
 			CallHandlers: map[byte]func(string, []byte) []byte{orderCallKind: c.handleCall},
 			OnLeading:    func(term uint64) { c.learner.SetLeading(term != 0) }, OnLeaderChange: func() { c.learner.LeaderChanged() }})
 		if err != nil {
 			return nil, err
 		}
-		lc.Consensus, lc.Registry = c.voter, c.registry
+		learnerConfig.Consensus, learnerConfig.Registry = c.voter, c.registry
 	} else {
 		var err error
 		if c.transport, err = transport.Open(transport.Config{Label: cfg.Fleet.Peers.Label, Name: cfg.Name, Via: cfg.Fleet.Peers.DialAddresses}); err != nil {
 			return nil, err
 		}
 	}
-	c.learner = learner.New(lc)
+	c.learner = learner.New(learnerConfig)
 	c.registerMetrics()
 	return c, nil
 }
@@ -96,39 +96,39 @@
 // the node's own.
 func ruleSettings(cfg config.Config) rules.Settings {
 	s := &cfg.Settings
-	out := rules.Settings{Zones: []string{s.Zone}, MaxAttempts: s.MaxAttempts, MaxInFlight: s.MaxInFlight}
+	rulesSettings := rules.Settings{Zones: []string{s.Zone}, MaxAttempts: s.MaxAttempts, MaxInFlight: s.MaxInFlight}
 	for _, zones := range cfg.Fleet.Regions {
-		out.Zones = append(out.Zones, zones...)
+		rulesSettings.Zones = append(rulesSettings.Zones, zones...)
 	}
-	slices.Sort(out.Zones)
-	out.Zones = slices.Compact(out.Zones)
+	slices.Sort(rulesSettings.Zones)
+	rulesSettings.Zones = slices.Compact(rulesSettings.Zones)
 	for _, p := range s.Plans {
-		out.Plans = append(out.Plans, p.Name)
+		rulesSettings.Plans = append(rulesSettings.Plans, p.Name)
 	}
 	for _, k := range s.Classes {
-		out.Classes = append(out.Classes, k.Name)
+		rulesSettings.Classes = append(rulesSettings.Classes, k.Name)
 	}
-	return out
+	return rulesSettings
 }
 
 // run takes part until ctx ends. It does not wait for a disk that does not answer.
 func (c *consensusMember) run(ctx context.Context) {
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() { // ends with learner and voter, or with the process
-		defer close(ended)
-		learnt := make(chan struct{})
-		go func() { c.learner.Run(ctx); close(learnt) }()
+		defer close(stopped)
+		learnerStopped := make(chan struct{})
+		go func() { c.learner.Run(ctx); close(learnerStopped) }()
 		if c.voter != nil {
 			c.voter.Run(ctx)
 		}
-		<-learnt
+		<-learnerStopped
 		if c.transport != nil {
 			_ = c.transport.Close()
 		}
 	}()
 	<-ctx.Done()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-time.After(consensusStopTimeout):
 		slog.Warn("consensus: not stopped in time, a disk or a voter does not answer")
 	}
@@ -146,14 +146,14 @@
 	if p == nil {
 		return
 	}
-	var out []learner.Member
+	var members []learner.Member
 	live, _ := p.Live()
 	for _, m := range live {
 		if m.TakesKinds {
-			out = append(out, learner.Member{Index: m.Index, Name: m.Name, Zone: m.Zone})
+			members = append(members, learner.Member{Index: m.Index, Name: m.Name, Zone: m.Zone})
 		}
 	}
-	c.learner.SetMembers(out)
+	c.learner.SetMembers(members)
 }
 
 // send sends a message of the learner to the node with an index.
@@ -173,45 +173,47 @@
 }
 
 // actingChanged has the loop apply the acting version, also while no request begins.
-func (c *consensusMember) actingChanged() { c.loop.post(func() { c.applyActing() }) }
+func (c *consensusMember) effectiveVersionChanged() {
+	c.loop.post(func() { c.applyEffectiveVersion() })
+}
 
 // applyActing returns the version that a request goes by which begins now, and passes it to the decision module where it
 // has changed. It runs on the event loop.
-func (c *consensusMember) applyActing() uint64 {
-	a := c.learner.EffectiveVersion()
-	if a.Number != c.appliedVersion {
-		c.appliedVersion = a.Number
-		e := control.Rules{Version: a.Number}
-		if r := a.Rules; r != nil {
-			e.PriceFactor, e.QuotaFactor, e.TenantQuotaFactor, e.MaxAttempts = r.PriceFactor, r.QuotaFactor, r.TenantQuotaFactor, r.MaxAttempts
-			e.MaxInFlight, e.ClosedZones, e.CrossZoneCost = r.MaxInFlight, r.ClosedZones, r.CrossZoneCost
+func (c *consensusMember) applyEffectiveVersion() uint64 {
+	effective := c.learner.EffectiveVersion()
+	if effective.Number != c.appliedVersion {
+		c.appliedVersion = effective.Number
+		event := control.Rules{Version: effective.Number}
+		if ruleSet := effective.Rules; ruleSet != nil {
+			event.PriceFactor, event.QuotaFactor, event.TenantQuotaFactor, event.MaxAttempts = ruleSet.PriceFactor, ruleSet.QuotaFactor, ruleSet.TenantQuotaFactor, ruleSet.MaxAttempts
+			event.MaxInFlight, event.ClosedZones, event.CrossZoneCost = ruleSet.MaxInFlight, ruleSet.ClosedZones, ruleSet.CrossZoneCost
 		}
-		c.loop.handle(e)
+		c.loop.handle(event)
 	}
-	return a.Number
+	return effective.Number
 }
 
 // setVersionHeader adds the rule version to what goes to servers, where the fleet file names a header.
 func (c *consensusMember) setVersionHeader(x *exchange) {
 	if c.config.VersionHeader != "" {
-		x.forward.Header.Set(c.config.VersionHeader, strconv.FormatUint(x.version, 10))
+		x.upstreamReq.Header.Set(c.config.VersionHeader, strconv.FormatUint(x.version, 10))
 	}
 }
 
 // registerMetrics registers the metrics of the consensus group and the learner.
 func (c *consensusMember) registerMetrics() {
-	figures := c.loop.metricsRegistry()
-	gauge := func(name, help string, of func() float64) {
-		figures.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, of))
+	registry := c.loop.metricsRegistry()
+	gauge := func(name, help string, value func() float64) {
+		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
-	n := &c.learner.Counts
+	counts := &c.learner.Counts
 	for name, of := range map[string]*atomic.Int64{
-		"node_rules_sent_total": &n.MessagesSent, "node_rules_unsent_total": &n.SendErrors, "node_rules_spoilt_total": &n.MessagesCorrupt,
-		"node_rules_dropped_total": &n.MessagesDropped, "node_rules_fetched_total": &n.TextsFetched, "node_rules_fetched_bytes_total": &n.TextBytesFetched,
-		"node_rules_served_total": &n.PartsSent, "node_rules_refused_total": &n.VersionsUnusable, "node_rules_marks_total": &n.VersionsPersisted,
-		"node_rules_activations_total": &n.Activations, "node_rules_gaps_total": &n.Fallbacks,
+		"node_rules_sent_total": &counts.MessagesSent, "node_rules_unsent_total": &counts.SendErrors, "node_rules_spoilt_total": &counts.MessagesCorrupt,
+		"node_rules_dropped_total": &counts.MessagesDropped, "node_rules_fetched_total": &counts.TextsFetched, "node_rules_fetched_bytes_total": &counts.TextBytesFetched,
+		"node_rules_served_total": &counts.PartsSent, "node_rules_refused_total": &counts.VersionsUnusable, "node_rules_marks_total": &counts.VersionsPersisted,
+		"node_rules_activations_total": &counts.Activations, "node_rules_gaps_total": &counts.Fallbacks,
 	} {
-		figures.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
+		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
 			func() float64 { return float64(of.Load()) }))
 	}
 	gauge("node_rules_version", "Version that requests go by; 0 is the settings alone.", func() float64 { return float64(c.learner.EffectiveVersion().Number) })
@@ -230,14 +232,14 @@
 	}
 	gauge("node_council_term", "Term of the agreement.", status(func(s agreement.Status) float64 { return float64(s.Term) }))
 	gauge("node_council_commit", "Records agreed.", status(func(s agreement.Status) float64 { return float64(s.CommitIndex) }))
-	gauge("node_council_leading", "1 where this voter leads.", status(func(s agreement.Status) float64 { return one(s.Leader == c.name) }))
-	gauge("node_council_leader_known", "1 where it knows who leads.", status(func(s agreement.Status) float64 { return one(s.Leader != "") }))
-	gauge("node_council_voting", "1 where it votes.", status(func(s agreement.Status) float64 { return one(s.Phase == agreement.PhaseVoting) }))
+	gauge("node_council_leading", "1 where this voter leads.", status(func(s agreement.Status) float64 { return boolValue(s.Leader == c.name) }))
+	gauge("node_council_leader_known", "1 where it knows who leads.", status(func(s agreement.Status) float64 { return boolValue(s.Leader != "") }))
+	gauge("node_council_voting", "1 where it votes.", status(func(s agreement.Status) float64 { return boolValue(s.Phase == agreement.PhaseVoting) }))
 	gauge("node_council_renewed", "Times that it began with another identity in this process.", status(func(s agreement.Status) float64 { return float64(s.IdentityRenewals) }))
 	gauge("node_council_strangers", "Streams closed for want of a head of this fleet.", status(func(s agreement.Status) float64 { return float64(s.RejectedStreams) }))
 }
 
-func one(yes bool) float64 {
+func boolValue(yes bool) float64 {
 	if yes {
 		return 1
 	}
--- a/internal/node/consensuscalls.go
+++ b/internal/node/consensuscalls.go
@@ -46,12 +46,12 @@
 }
 
 // routes adds the operators' calls to the consensus group.
-func (c *consensusMember) routes(calls map[string]map[string]http.HandlerFunc) {
+func (c *consensusMember) addRoutes(calls map[string]map[string]http.HandlerFunc) {
 	for name, read := range map[string]func(r *http.Request, o *order) error{
 		"publish":  c.readPublish,
 		"activate": readActivate,
 		"back":     readRollback,
-		"cancel":   func(r *http.Request, o *order) error { return number(r, "cancel", "number", &o.Number) },
+		"cancel":   func(r *http.Request, o *order) error { return readNumber(r, "cancel", "number", &o.Number) },
 	} {
 		calls["/council/"+name] = map[string]http.HandlerFunc{http.MethodPost: c.orderHandler(name, read)}
 	}
@@ -101,7 +101,7 @@
 
 // readActivate reads the version to activate, when and how.
 func readActivate(r *http.Request, o *order) error {
-	if err := number(r, "activate", "number", &o.Number); err != nil {
+	if err := readNumber(r, "activate", "number", &o.Number); err != nil {
 		return err
 	}
 	if at := r.FormValue("at"); at != "" {
@@ -111,19 +111,19 @@
 		}
 		o.At = uint64(max(0, t.UnixMilli()))
 	}
-	return kind(r, "activate", o)
+	return readKind(r, "activate", o)
 }
 
 // readRollback reads the version to roll back to, and how.
 func readRollback(r *http.Request, o *order) error {
-	if err := number(r, "back", "to", &o.Number); err != nil {
+	if err := readNumber(r, "back", "to", &o.Number); err != nil {
 		return err
 	}
-	return kind(r, "back", o)
+	return readKind(r, "back", o)
 }
 
 // number reads a version's number from a call.
-func number(r *http.Request, call, key string, to *uint64) error {
+func readNumber(r *http.Request, call, key string, to *uint64) error {
 	n, err := strconv.ParseUint(r.FormValue(key), 10, 62)
 	if err != nil || n == 0 {
 		return &ConsensusCallError{call, key, r.FormValue(key), "a version's number"}
@@ -133,7 +133,7 @@
 }
 
 // kind reads the kind of an activation from a call.
-func kind(r *http.Request, call string, o *order) error {
+func readKind(r *http.Request, call string, o *order) error {
 	for _, k := range []rules.ActivationKind{rules.Overlap, rules.Exclusive} {
 		if r.FormValue("kind") == k.String() {
 			o.Kind = uint8(k)
@@ -185,36 +185,36 @@
 
 // findLeader returns the voter that leads by its own verified account: this node, or one that other voters name.
 func (c *consensusMember) findLeader(ctx context.Context) (leader agreement.Peer, err error) {
-	var last error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
-	tried, next := map[string]bool{}, c.name
+	var lastErr error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
+	asked, nextName := map[string]bool{}, c.name
 	for range len(c.config.Voters) + 1 {
-		var at *config.Voter
+		var candidate *config.Voter
 		for i, v := range c.config.Voters {
-			if !tried[v.Name] && (v.Name == next || at == nil) {
-				at = &c.config.Voters[i]
+			if !asked[v.Name] && (v.Name == nextName || candidate == nil) {
+				candidate = &c.config.Voters[i]
 			}
 		}
-		if at == nil {
+		if candidate == nil {
 			break
 		}
-		tried[at.Name] = true
-		var a *reply
-		p := agreement.Peer{Name: at.Name, Address: at.Address}
-		if at.Name == c.name {
-			a = c.execute(order{Op: "leader"})
-		} else if a, err = c.callVoter(ctx, p, order{Op: "leader"}); err != nil {
-			last = err
+		asked[candidate.Name] = true
+		var answer *reply
+		voter := agreement.Peer{Name: candidate.Name, Address: candidate.Address}
+		if candidate.Name == c.name {
+			answer = c.execute(order{Op: "leader"})
+		} else if answer, err = c.callVoter(ctx, voter, order{Op: "leader"}); err != nil {
+			lastErr = err
 			continue
 		}
-		if a.Status == http.StatusOK {
-			return p, nil
+		if answer.Status == http.StatusOK {
+			return voter, nil
 		}
-		next, last = a.Leader, errors.New(strings.TrimSpace(string(a.Body)))
+		nextName, lastErr = answer.Leader, errors.New(strings.TrimSpace(string(answer.Body)))
 	}
-	if e, ok := errors.AsType[*agreement.NoMajorityError](last); ok {
+	if e, ok := errors.AsType[*agreement.NoMajorityError](lastErr); ok {
 		return leader, e
 	}
-	return leader, &agreement.NoMajorityError{Reason: oneline.Of(last)}
+	return leader, &agreement.NoMajorityError{Reason: oneline.Of(lastErr)}
 }
 
 // callVoter has a voter execute an order.
@@ -267,11 +267,11 @@
 		}
 		return &reply{Status: http.StatusOK, Body: raw}
 	}
-	done, err := c.propose(o)
+	outcome, err := c.propose(o)
 	if err != nil {
 		return errorReply(err)
 	}
-	body, err := json.Marshal(map[string]any{"number": done.Result.Number, "call": o.Op})
+	body, err := json.Marshal(map[string]any{"number": outcome.Result.Number, "call": o.Op})
 	if err != nil {
 		return errorReply(err)
 	}
@@ -288,15 +288,15 @@
 	if err != nil {
 		return learner.Outcome{}, err
 	}
-	done, err := c.voter.Propose(learner.StateMachineKind, raw, orderTimeout)
+	result, err := c.voter.Propose(learner.StateMachineKind, raw, orderTimeout)
 	if err != nil {
 		return learner.Outcome{}, err
 	}
-	out, ok := done.(learner.Outcome)
+	outcome, ok := result.(learner.Outcome)
 	if !ok {
-		return out, fmt.Errorf("council: the registry answered %T", done)
+		return outcome, fmt.Errorf("council: the registry answered %T", result)
 	}
-	return out, out.Err
+	return outcome, outcome.Err
 }
 
 // command returns the registry's command for an order. A rule set is checked by the leader's settings too.
@@ -341,22 +341,22 @@
 // orderStatus returns the HTTP status of the answer to an order that failed.
 func orderStatus(err error) int {
 	var (
-		stale, order, phase = new(rules.StaleVersionError), new(rules.OrderError), new(rules.PhaseError)
-		none                = new(rules.NoVersionError)
-		large               = new(rules.TooLargeError)
-		down, elsewhere     = new(agreement.NoMajorityError), new(agreement.NotLeaderError)
-		unknown             = new(agreement.OutcomeUnknownError)
+		staleVersion, orderErr, phaseErr = new(rules.StaleVersionError), new(rules.OrderError), new(rules.PhaseError)
+		noVersion                        = new(rules.NoVersionError)
+		tooLarge                         = new(rules.TooLargeError)
+		noMajority, notLeader            = new(agreement.NoMajorityError), new(agreement.NotLeaderError)
+		outcomeUnknown                   = new(agreement.OutcomeUnknownError)
 	)
 	switch {
-	case errors.As(err, &stale), errors.As(err, &order), errors.As(err, &phase):
+	case errors.As(err, &staleVersion), errors.As(err, &orderErr), errors.As(err, &phaseErr):
 		return http.StatusConflict
-	case errors.As(err, &none):
+	case errors.As(err, &noVersion):
 		return http.StatusNotFound
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge
-	case errors.As(err, &down), errors.As(err, &elsewhere):
+	case errors.As(err, &noMajority), errors.As(err, &notLeader):
 		return http.StatusServiceUnavailable
-	case errors.As(err, &unknown):
+	case errors.As(err, &outcomeUnknown):
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadRequest
--- a/internal/node/consensusstatus.go
+++ b/internal/node/consensusstatus.go
@@ -79,59 +79,59 @@
 
 // leaderStatus returns what this voter knows as the leader.
 func (c *consensusMember) leaderStatus() leaderStatus {
-	s := c.voter.Status()
-	w, newest, all := c.registry.View()
-	out := leaderStatus{Leader: c.name, Term: s.Term, Revision: w.Revision, Newest: newest, Active: w.Active.Number, Prepared: w.Prepared.Number, Voters: s.Voters}
-	if w.Prepared.Number != 0 {
-		out.PreparedKind = w.Kind.String()
+	voter := c.voter.Status()
+	state, newest, versions := c.registry.View()
+	status := leaderStatus{Leader: c.name, Term: voter.Term, Revision: state.Revision, Newest: newest, Active: state.Active.Number, Prepared: state.Prepared.Number, Voters: voter.Voters}
+	if state.Prepared.Number != 0 {
+		status.PreparedKind = state.Kind.String()
 	}
-	for _, v := range all[max(0, len(all)-maxVersionsShown):] {
-		x := versionStatus{Number: v.Number, Digest: v.Digest.String(), Parent: v.Parent, RestoredFrom: v.RestoredFrom, Author: v.Author, LastAuthor: v.LastAuthor, Status: v.Status.String(), Bytes: len(v.Text)}
+	for _, v := range versions[max(0, len(versions)-maxVersionsShown):] {
+		shown := versionStatus{Number: v.Number, Digest: v.Digest.String(), Parent: v.Parent, RestoredFrom: v.RestoredFrom, Author: v.Author, LastAuthor: v.LastAuthor, Status: v.Status.String(), Bytes: len(v.Text)}
 		if v.Kind != 0 {
-			x.Kind = v.Kind.String()
+			shown.Kind = v.Kind.String()
 		}
 		if v.ActivateAt != 0 {
-			x.ActivateAt = time.UnixMilli(int64(v.ActivateAt)).UTC().Format(time.RFC3339)
+			shown.ActivateAt = time.UnixMilli(int64(v.ActivateAt)).UTC().Format(time.RFC3339)
 		}
-		out.Versions = append(out.Versions, x)
+		status.Versions = append(status.Versions, shown)
 	}
 	fleet := c.learner.FleetStatus()
-	out.Unusable = fleet.Unusable
-	for _, b := range fleet.Versions {
-		x := versionNodes{Version: b.Number, Nodes: b.Nodes}
-		if b.Number == 0 {
-			x.Reason = b.Reason.String()
+	status.Unusable = fleet.Unusable
+	for _, count := range fleet.Versions {
+		nodes := versionNodes{Version: count.Number, Nodes: count.Nodes}
+		if count.Number == 0 {
+			nodes.Reason = count.Reason.String()
 		}
-		out.Nodes = append(out.Nodes, x)
+		status.Nodes = append(status.Nodes, nodes)
 	}
-	for _, t := range fleet.Failures {
-		out.Failures = append(out.Failures, versionFailure{t.Node, t.Reason})
+	for _, failure := range fleet.Failures {
+		status.Failures = append(status.Failures, versionFailure{failure.Node, failure.Reason})
 	}
-	return out
+	return status
 }
 
 // statusJSON returns what this node and the leader know.
 func (c *consensusMember) statusJSON(ctx context.Context) []byte {
-	a := c.learner.EffectiveVersion()
-	out := nodeStatus{Node: c.name, Version: a.Number, Known: c.learner.State().Active.Number}
-	if a.Number != 0 {
-		out.LeaseMS = (a.Until - learner.Clock()).Milliseconds()
+	effective := c.learner.EffectiveVersion()
+	status := nodeStatus{Node: c.name, Version: effective.Number, Known: c.learner.State().Active.Number}
+	if effective.Number != 0 {
+		status.LeaseMS = (effective.Until - learner.Clock()).Milliseconds()
 	} else {
-		out.Reason = a.Reason.String()
+		status.Reason = effective.Reason.String()
 	}
 	if err := c.learner.UnusableReason(); err != nil {
-		out.UnusableReason = err.Error()
+		status.UnusableReason = err.Error()
 	}
 	if c.voter != nil {
-		s := c.voter.Status()
-		out.Voter = &voterStatus{Phase: s.Phase, Identity: s.Identity, Leader: s.Leader, Term: s.Term, Commit: s.CommitIndex, Applied: s.AppliedIndex, IdentityRenewals: s.IdentityRenewals, LastError: s.LastError}
+		voter := c.voter.Status()
+		status.Voter = &voterStatus{Phase: voter.Phase, Identity: voter.Identity, Leader: voter.Leader, Term: voter.Term, Commit: voter.CommitIndex, Applied: voter.AppliedIndex, IdentityRenewals: voter.IdentityRenewals, LastError: voter.LastError}
 	}
-	if r, err := c.sendToLeader(ctx, order{Op: "status"}); err != nil {
-		out.LeaderError = err.Error()
-	} else if r.Status == http.StatusOK {
-		out.Leader = r.Body
+	if leaderReply, err := c.sendToLeader(ctx, order{Op: "status"}); err != nil {
+		status.LeaderError = err.Error()
+	} else if leaderReply.Status == http.StatusOK {
+		status.Leader = leaderReply.Body
 	}
-	raw, err := json.MarshalIndent(out, "", " ")
+	raw, err := json.MarshalIndent(status, "", " ")
 	if err != nil {
 		return nil
 	}
--- a/internal/node/console.go
+++ b/internal/node/console.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	maxConsoleConns     = 16              // open at once
-	consoleHeadTimeout  = time.Second     // of a call's head
-	consoleCallTimeout  = 2 * time.Second // of a call, and of the writing of its answer
-	maxConsoleHeadBytes = 4 << 10
+	maxConsoleConns       = 16              // open at once
+	consoleHeaderTimeout  = time.Second     // of a call's head
+	consoleCallTimeout    = 2 * time.Second // of a call, and of the writing of its answer
+	maxConsoleHeaderBytes = 4 << 10
 )
 
 // console answers the operators' calls. It has a server and connections of its own and reads atomics only, so that it
@@ -36,8 +36,8 @@
 		return nil, &ListenError{"operators", addr, err}
 	}
 	c := &console{listener: &boundedListener{Listener: tcp, open: make(map[*boundedConn]time.Time)}}
-	c.srv = &http.Server{Handler: consoleRoutes(n), ReadHeaderTimeout: consoleHeadTimeout, ReadTimeout: consoleCallTimeout,
-		WriteTimeout: consoleCallTimeout, MaxHeaderBytes: maxConsoleHeadBytes}
+	c.srv = &http.Server{Handler: newConsoleHandler(n), ReadHeaderTimeout: consoleHeaderTimeout, ReadTimeout: consoleCallTimeout,
+		WriteTimeout: consoleCallTimeout, MaxHeaderBytes: maxConsoleHeaderBytes}
 	c.srv.SetKeepAlivesEnabled(false) // one call a connection
 	return c, nil
 }
@@ -51,7 +51,7 @@
 }
 
 // consoleRoutes returns the handler of the operators' calls. Another path is answered with 404, another method with 405.
-func consoleRoutes(n *Node) http.Handler {
+func newConsoleHandler(n *Node) http.Handler {
 	calls := map[string]map[string]http.HandlerFunc{
 		"/ready":   {http.MethodGet: n.handleReady},
 		"/metrics": {http.MethodGet: n.handleMetrics},
@@ -59,10 +59,10 @@
 		"/undrain": {http.MethodPost: n.handleUndrain},
 	}
 	if c := n.loop.consensus; c != nil {
-		c.routes(calls)
+		c.addRoutes(calls)
 	}
 	if z := n.loop.zones; z != nil {
-		calls["/zones"] = map[string]http.HandlerFunc{http.MethodGet: z.handleShow, http.MethodPost: z.handleOrder}
+		calls["/zones"] = map[string]http.HandlerFunc{http.MethodGet: z.handleGet, http.MethodPost: z.handleOrder}
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		methods := calls[r.URL.Path]
@@ -80,7 +80,7 @@
 
 // handleReady answers whether the node takes requests.
 func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if !n.front.ready.Load() || n.drainer.leaving() {
+	if !n.front.ready.Load() || n.drainer.draining() {
 		http.Error(w, "no", http.StatusServiceUnavailable)
 		return
 	}
@@ -92,7 +92,7 @@
 	var text bytes.Buffer
 	n.stats.write(&text)
 	if p := n.peers.Load(); p != nil {
-		writePeers(&text, &p.Counts)
+		writePeerMetrics(&text, &p.Counts)
 	}
 	if n.loop.metrics != nil {
 		writeRegistry(&text, n.loop.metrics)
@@ -103,13 +103,13 @@
 
 // handleDrain starts a drain.
 func (n *Node) handleDrain(w http.ResponseWriter, _ *http.Request) {
-	n.drainer.begin(consoleDrainServe, consoleDrainIdle)
+	n.drainer.begin(consoleDrainCloseDelay, consoleDrainIdleDelay)
 	fmt.Fprintln(w, "draining")
 }
 
 // handleUndrain cancels a drain, unless the process ends.
 func (n *Node) handleUndrain(w http.ResponseWriter, _ *http.Request) {
-	if !n.drainer.callOff() {
+	if !n.drainer.undrain() {
 		writeError(w, &EndingError{n.name})
 		return
 	}
--- a/internal/node/console_test.go
+++ b/internal/node/console_test.go
@@ -16,12 +16,12 @@
 )
 
 // door is the address of the rig's console.
-func (r *rig) door() string { return r.node.console.listener.Addr().String() }
+func (r *testNode) consoleAddr() string { return r.node.console.listener.Addr().String() }
 
 // command makes one call at the console.
-func (r *rig) command(method, path string) (status int, body string, closes bool) {
+func (r *testNode) callConsole(method, path string) (status int, body string, closes bool) {
 	r.t.Helper()
-	req, err := http.NewRequest(method, "http://"+r.door()+path, nil)
+	req, err := http.NewRequest(method, "http://"+r.consoleAddr()+path, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -30,9 +30,9 @@
 }
 
 // figures reads all that the console tells.
-func (r *rig) figures() map[string]float64 {
+func (r *testNode) readMetrics() map[string]float64 {
 	r.t.Helper()
-	_, text, _ := r.command(http.MethodGet, "/metrics")
+	_, text, _ := r.callConsole(http.MethodGet, "/metrics")
 	got := make(map[string]float64)
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(line, "#") {
@@ -49,18 +49,18 @@
 }
 
 // figure waits until a figure is as wanted.
-func (r *rig) figure(name string, want float64) {
+func (r *testNode) waitForMetric(name string, want float64) {
 	r.t.Helper()
 	var got map[string]float64
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if got = r.figures(); got[name] == want {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		if got = r.readMetrics(); got[name] == want {
 			return
 		}
 	}
 	r.t.Errorf("%s is %g, not %g", name, got[name], want)
 }
 
-func (r *rig) health() int {
+func (r *testNode) healthzStatus() int {
 	r.t.Helper()
 	req, _ := http.NewRequest(http.MethodGet, "http://"+r.node.Addr()+"/healthz", nil)
 	resp, _ := r.do(req)
@@ -68,13 +68,13 @@
 }
 
 func TestConsoleCalls(t *testing.T) {
-	r := newRig(t)
-	if s, _, closes := r.command(http.MethodGet, "/ready"); s != http.StatusServiceUnavailable || !closes {
+	r := newTestNode(t)
+	if s, _, closes := r.callConsole(http.MethodGet, "/ready"); s != http.StatusServiceUnavailable || !closes {
 		t.Errorf("/ready with no app server known: %d, closes %v", s, closes)
 	}
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
-	r.wait("ready", r.node.front.ready.Load)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
+	r.waitUntil("ready", r.node.front.ready.Load)
 	for _, k := range []struct {
 		method, path string
 		status       int
@@ -85,32 +85,32 @@
 		{http.MethodPost, "/undrain", 200}, {http.MethodPost, "/drain", 200}, {http.MethodPost, "/drain", 200},
 		{http.MethodGet, "/ready", 503}, {http.MethodPost, "/undrain", 200}, {http.MethodGet, "/ready", 200},
 	} {
-		if s, body, closes := r.command(k.method, k.path); s != k.status || !closes {
+		if s, body, closes := r.callConsole(k.method, k.path); s != k.status || !closes {
 			t.Errorf("%s %s: %d %q, closes %v", k.method, k.path, s, body, closes)
 		}
 	}
 }
 
 // Callers that finish no call keep nobody out and are cut.
-func TestConsoleUnderSilentCallers(t *testing.T) {
+func TestUnfinishedCallsDoNotBlockTheConsole(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
-	r.wait("ready", r.node.front.ready.Load)
+	r := newTestNode(t)
+	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
+	r.waitUntil("ready", r.node.front.ready.Load)
 	var callers []net.Conn
 	for i := range 3 * maxConsoleConns {
-		c, err := net.Dial("tcp", r.door())
+		c, err := net.Dial("tcp", r.consoleAddr())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer func() { _ = c.Close() }()
-		_ = c.SetDeadline(time.Now().Add(patience))
+		_ = c.SetDeadline(time.Now().Add(testTimeout))
 		if i%2 == 0 {
 			_, _ = io.WriteString(c, "GET /ready HTTP/1.1\r\nHo")
 		}
 		callers = append(callers, c)
 	}
-	if s, _, _ := r.command(http.MethodGet, "/ready"); s != 200 {
+	if s, _, _ := r.callConsole(http.MethodGet, "/ready"); s != 200 {
 		t.Errorf("a proper call: %d", s)
 	}
 	for _, c := range callers {
@@ -121,32 +121,32 @@
 }
 
 // The console never waits for the loop.
-func TestConsoleWhileTheLoopIsBusy(t *testing.T) {
-	r := newRig(t)
-	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
-	r.wait("ready", r.node.front.ready.Load)
+func TestConsoleAnswersWhileTheLoopIsBusy(t *testing.T) {
+	r := newTestNode(t)
+	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
+	r.waitUntil("ready", r.node.front.ready.Load)
 	busy, over := make(chan struct{}), make(chan struct{})
 	defer close(over)
 	r.node.loop.post(func() { close(busy); <-over })
-	next(t, busy)
-	if s, _, _ := r.command(http.MethodGet, "/ready"); s != 200 {
+	receive(t, busy)
+	if s, _, _ := r.callConsole(http.MethodGet, "/ready"); s != 200 {
 		t.Errorf("/ready: %d", s)
 	}
-	if got := r.figures()["node_hosts_listed"]; got != 1 {
+	if got := r.readMetrics()["node_hosts_listed"]; got != 1 {
 		t.Errorf("%g hosts listed", got)
 	}
-	if s, _, _ := r.command(http.MethodPost, "/drain"); s != 200 {
+	if s, _, _ := r.callConsole(http.MethodPost, "/drain"); s != 200 {
 		t.Errorf("/drain: %d", s)
 	}
-	if s := r.health(); s == 200 {
+	if s := r.healthzStatus(); s == 200 {
 		t.Error("a draining node says yes")
 	}
 }
 
-func TestFigures(t *testing.T) {
-	r := newRig(t)
+func TestMetricsCountRequests(t *testing.T) {
+	r := newTestNode(t)
 	held, finish := make(chan struct{}), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		switch {
 		case strings.Contains(q.URL.Path, "fail"):
 			w.WriteHeader(http.StatusInternalServerError)
@@ -159,72 +159,72 @@
 	for _, n := range []string{"node_success_total", "node_busy_total", "node_failure_total"} {
 		zeros = append(zeros, n+`{tier="roster-read"}`, n+`{tier="visit-update"}`)
 	}
-	got := r.figures()
+	got := r.readMetrics()
 	for _, n := range zeros {
 		if v, ok := got[n]; !ok || v != 0 {
 			t.Errorf("%s is %g (there: %v) at the start", n, v, ok)
 		}
 	}
 	gone := a.target("s-2", 0)
-	r.list(a.target("s-1", 0), gone)
-	r.figure("node_hosts_listed", 2)
+	r.updateList(a.target("s-1", 0), gone)
+	r.waitForMetric("node_hosts_listed", 2)
 	gone.State = "removed"
-	r.list(gone)
-	r.figure("node_hosts_listed", 1)
+	r.updateList(gone)
+	r.waitForMetric("node_hosts_listed", 1)
 	for i := range 3 {
-		r.do(r.call(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
+		r.do(r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
 	}
-	r.figure(`node_success_total{tier="roster-read"}`, 3)
-	r.figure("node_backend_calls_total", 3)
+	r.waitForMetric(`node_success_total{tier="roster-read"}`, 3)
+	r.waitForMetric("node_backend_calls_total", 3)
 	refused := 0.0
 	for i := range 60 {
-		q := r.call(http.MethodGet, "/roster-read", "basic-"+strconv.Itoa(i))
+		q := r.newRequest(http.MethodGet, "/roster-read", "basic-"+strconv.Itoa(i))
 		q.Header.Set(headerPlan, "basic")
 		if resp, _ := r.do(q); resp.StatusCode == http.StatusServiceUnavailable {
 			refused++
 		}
 	}
-	r.figure(`node_busy_total{tier="roster-read"}`, refused)
-	r.figure(`node_success_total{tier="roster-read"}`, 3+60-refused)
+	r.waitForMetric(`node_busy_total{tier="roster-read"}`, refused)
+	r.waitForMetric(`node_success_total{tier="roster-read"}`, 3+60-refused)
 	answered := make(chan struct{})
-	go func() { defer close(answered); r.do(r.call(http.MethodPost, "/visit-update/hold", "hold")) }()
-	next(t, held)
-	r.figure("node_inflight", 1)
+	go func() { defer close(answered); r.do(r.newRequest(http.MethodPost, "/visit-update/hold", "hold")) }()
+	receive(t, held)
+	r.waitForMetric("node_inflight", 1)
 	close(finish)
 	<-answered
-	r.figure("node_inflight", 0)
-	r.figure(`node_success_total{tier="visit-update"}`, 1)
-	resp, _ := r.do(r.call(http.MethodPost, "/visit-update/fail", "fail"))
+	r.waitForMetric("node_inflight", 0)
+	r.waitForMetric(`node_success_total{tier="visit-update"}`, 1)
+	resp, _ := r.do(r.newRequest(http.MethodPost, "/visit-update/fail", "fail"))
 	name := `node_failure_total{tier="visit-update"}`
 	if resp.StatusCode == http.StatusServiceUnavailable {
 		name = `node_busy_total{tier="visit-update"}`
 	}
-	r.figure(name, 1)
-	r.figure("node_backend_calls_total", float64(a.count()))
+	r.waitForMetric(name, 1)
+	r.waitForMetric("node_backend_calls_total", float64(a.requestCount()))
 }
 
 // A server that refuses connections is told as avoided, by the module's word.
-func TestFigureOfAvoidedServers(t *testing.T) {
-	r := newRig(t)
-	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", Zone: "z1", State: "up"})
-	r.figure("node_hosts_down", 0)
-	r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
-	r.figure("node_hosts_down", 1)
+func TestMetricOfAvoidedServers(t *testing.T) {
+	r := newTestNode(t)
+	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", Zone: "z1", State: "up"})
+	r.waitForMetric("node_hosts_down", 0)
+	r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
+	r.waitForMetric("node_hosts_down", 1)
 }
 
 // A drain says no, lets clients go on answers, then closes what idles, answers what was taken
 // and can be called off.
 func TestConsoleDrain(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newTestNode(t)
 	held, finish := make(chan struct{}), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		if strings.Contains(q.URL.Path, "hold") {
 			close(held)
 			<-finish
 		}
 	})
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	get := strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n", "raw", "%id", 1)
 	ask := func(c net.Conn, id string) *http.Response {
 		t.Helper()
@@ -243,13 +243,13 @@
 	ask(kept, "b")
 	answered := make(chan *http.Response, 1)
 	go func() {
-		resp, _ := r.do(r.call(http.MethodGet, "/roster-read/hold", "held"))
+		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read/hold", "held"))
 		answered <- resp
 	}()
-	next(t, held)
+	receive(t, held)
 	begun := time.Now()
-	r.command(http.MethodPost, "/drain")
-	if s := r.health(); s == 200 {
+	r.callConsole(http.MethodPost, "/drain")
+	if s := r.healthzStatus(); s == 200 {
 		t.Error("still yes")
 	}
 	// New connections are served while the front catches up.
@@ -257,7 +257,7 @@
 		t.Error(resp.Status)
 	}
 	for resp := ask(kept, "d"); !resp.Close; resp = ask(kept, "d"+strconv.Itoa(int(time.Since(begun)))) {
-		if time.Since(begun) > patience {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("answers do not let their connections go")
 		}
 	}
@@ -268,11 +268,11 @@
 		t.Errorf("connections were let go after %v", took)
 	}
 	close(finish)
-	if resp := next(t, answered); resp.StatusCode != 200 || !resp.Close {
+	if resp := receive(t, answered); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("what was taken: %s, closes %v", resp.Status, resp.Close)
 	}
-	r.command(http.MethodPost, "/undrain")
-	if s := r.health(); s != 200 {
+	r.callConsole(http.MethodPost, "/undrain")
+	if s := r.healthzStatus(); s != 200 {
 		t.Errorf("after the drain: %d", s)
 	}
 	back := r.dial()
@@ -281,9 +281,9 @@
 		t.Errorf("after the drain: %s, closes %v", resp.Status, resp.Close)
 	}
 	// SIGTERM in a drain ends the process, and there is no way back then.
-	r.command(http.MethodPost, "/drain")
+	r.callConsole(http.MethodPost, "/drain")
 	r.stop()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		r.node.drainer.mu.Lock()
 		ends := r.node.drainer.final
 		r.node.drainer.mu.Unlock()
@@ -294,10 +294,10 @@
 			t.Fatal("the drain's end is not the process's")
 		}
 	}
-	if r.node.drainer.callOff() {
+	if r.node.drainer.undrain() {
 		t.Error("a process that ends was called back")
 	}
-	if err := next(t, r.ended); err != nil {
+	if err := receive(t, r.ended); err != nil {
 		t.Error(err)
 	}
 	r.ended <- nil
@@ -305,9 +305,9 @@
 
 var metricLine = regexp.MustCompile(`^[a-z_]+(\{tier="[^"]+"\})? [0-9]+$`)
 
-func TestFiguresAreReadable(t *testing.T) {
-	r := newRig(t)
-	_, text, _ := r.command(http.MethodGet, "/metrics")
+func TestMetricsFormat(t *testing.T) {
+	r := newTestNode(t)
+	_, text, _ := r.callConsole(http.MethodGet, "/metrics")
 	for line := range strings.Lines(text) {
 		if line = strings.TrimSuffix(line, "\n"); !strings.HasPrefix(line, "# ") && !metricLine.MatchString(line) {
 			t.Errorf("%q", line)
--- a/internal/node/degradeddiscovery.go
+++ b/internal/node/degradeddiscovery.go
@@ -25,21 +25,21 @@
 	loop        *loop
 	healthCheck func(endpoint string) bool // nil where servers may not be checked
 	grace       time.Duration
-	group       int
-	self        int
+	fleetSize   int
+	nodeIndex   int
 
-	active        bool
-	round         int
-	healthy       map[string]bool // passed the last health check, by UID
-	shownDraining map[string]bool // shown to the decision module as draining, by UID
+	active           bool
+	round            int
+	healthy          map[string]bool // passed the last health check, by UID
+	reportedDraining map[string]bool // shown to the decision module as draining, by UID
 }
 
 func newDegradedDiscovery(s control.Settings, l *loop) *degradedDiscovery {
-	d := &degradedDiscovery{loop: l, grace: s.DrainGrace, group: s.FleetSize, self: s.NodeIndex}
+	d := &degradedDiscovery{loop: l, grace: s.DrainGrace, fleetSize: s.FleetSize, nodeIndex: s.NodeIndex}
 	if s.HealthChecks && d.grace > 0 { // without a grace no answer comes in time
-		within := d.grace / 2
-		client := &http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true,
-			DialContext: (&net.Dialer{Timeout: within}).DialContext}}
+		timeout := d.grace / 2
+		client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true,
+			DialContext: (&net.Dialer{Timeout: timeout}).DialContext}}
 		d.healthCheck = func(endpoint string) bool {
 			resp, err := client.Get("http://" + endpoint + "/healthz")
 			if err != nil {
@@ -60,7 +60,7 @@
 		d.checkHealth(d.round)
 		return
 	}
-	d.showHealthyOnly()
+	d.drainUnhealthy()
 }
 
 // checkHealth checks the health of servers, and again after healthCheckInterval.
@@ -68,23 +68,23 @@
 	if !d.active || round != d.round {
 		return
 	}
-	heard := map[string]bool{}
+	passed := map[string]bool{}
 	for _, t := range d.serversToCheck() {
 		go func() {
 			ok := d.healthCheck(t.Endpoint)
-			d.loop.post(func() { heard[t.UID] = ok })
+			d.loop.post(func() { passed[t.UID] = ok })
 		}()
 	}
-	d.after(d.grace/2+d.grace/8, round, func() { d.healthy = heard; d.showHealthyOnly() })
-	d.after(healthCheckInterval, round, func() { d.checkHealth(round) })
+	d.runAfter(d.grace/2+d.grace/8, round, func() { d.healthy = passed; d.drainUnhealthy() })
+	d.runAfter(healthCheckInterval, round, func() { d.checkHealth(round) })
 }
 
 // after runs a function on the loop after a while, unless the round is over.
-func (d *degradedDiscovery) after(wait time.Duration, round int, do func()) {
-	time.AfterFunc(wait, func() {
+func (d *degradedDiscovery) runAfter(delay time.Duration, round int, run func()) {
+	time.AfterFunc(delay, func() {
 		d.loop.post(func() {
 			if d.active && round == d.round {
-				do()
+				run()
 			}
 		})
 	})
@@ -101,34 +101,34 @@
 	}
 	rank := func(t discovery.Target) uint64 {
 		h := fnv.New64a()
-		h.Write([]byte{byte(d.self), byte(d.self >> 8)})
+		h.Write([]byte{byte(d.nodeIndex), byte(d.nodeIndex >> 8)})
 		h.Write([]byte(t.UID))
 		return h.Sum64()
 	}
 	slices.SortFunc(all, func(a, b discovery.Target) int { return cmp.Compare(rank(a), rank(b)) })
-	return all[:min(len(all), max(minCheckedServers, nodesPerCheckedServer*len(all)/max(1, d.group)))]
+	return all[:min(len(all), max(minCheckedServers, nodesPerCheckedServer*len(all)/max(1, d.fleetSize)))]
 }
 
 // showHealthyOnly shows servers to the decision module as draining that have not passed a health check, and as listed
 // those that have again.
-func (d *degradedDiscovery) showHealthyOnly() {
-	var news discovery.Update
-	demoted := map[string]bool{}
+func (d *degradedDiscovery) drainUnhealthy() {
+	var update discovery.Update
+	draining := map[string]bool{}
 	for uid, t := range d.loop.endpoints {
 		if t.Status() != discovery.Available {
 			continue
 		}
-		demoted[uid] = d.active && !d.healthy[uid]
-		if demoted[uid] {
+		draining[uid] = d.active && !d.healthy[uid]
+		if draining[uid] {
 			t.State = "draining"
 		}
-		if demoted[uid] != d.shownDraining[uid] {
-			news.Targets = append(news.Targets, t)
+		if draining[uid] != d.reportedDraining[uid] {
+			update.Targets = append(update.Targets, t)
 		}
 	}
-	d.shownDraining = demoted
-	slices.SortFunc(news.Targets, func(a, b discovery.Target) int { return cmp.Compare(a.UID, b.UID) })
-	if len(news.Targets) > 0 {
-		d.loop.applyEndpoints(control.Delta, news)
+	d.reportedDraining = draining
+	slices.SortFunc(update.Targets, func(a, b discovery.Target) int { return cmp.Compare(a.UID, b.UID) })
+	if len(update.Targets) > 0 {
+		d.loop.applyEndpoints(control.Delta, update)
 	}
 }
--- a/internal/node/degradeddiscovery_test.go
+++ b/internal/node/degradeddiscovery_test.go
@@ -14,17 +14,19 @@
 
 // Where discovery answers and tells nothing, requests go only to servers that say for themselves that
 // they serve, and to none where these may not be asked; when it speaks again, to all that it lists.
-func TestDegradedDiscoveryLeavesOnlyServersThatVouch(t *testing.T) {
-	for probes, want := range map[bool]int{true: 1, false: 0} {
-		r := newRigWith(t, func(c *config.Config) { c.Settings.HealthChecks, c.Settings.DrainGrace = probes, 400*time.Millisecond })
-		sound := newApp(t, served)
-		drains := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+func TestDegradedDiscoveryUsesOnlyHealthyServers(t *testing.T) {
+	for healthChecks, want := range map[bool]int{true: 1, false: 0} {
+		r := newTestNodeWith(t, func(c *config.Config) {
+			c.Settings.HealthChecks, c.Settings.DrainGrace = healthChecks, 400*time.Millisecond
+		})
+		healthy := newTestServer(t, serveOK)
+		draining := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 			if q.URL.Path == "/healthz" {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		})
-		r.list(sound.target("s-1", 0), drains.target("s-2", 1))
-		up := func() int {
+		r.updateList(healthy.target("s-1", 0), draining.target("s-2", 1))
+		pooledServers := func() int {
 			n := 0
 			for _, s := range r.node.loop.serverIDs {
 				if r.node.loop.pools[s] != nil {
@@ -33,26 +35,26 @@
 			}
 			return n
 		}
-		r.wait("both are listed", func() bool { return up() == 2 })
+		r.waitUntil("both are listed", func() bool { return pooledServers() == 2 })
 		r.node.loop.post(func() { r.node.degraded.setActive(true) })
-		r.wait("who vouches", func() bool { return up() == want })
-		resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
-		require.Equal(t, probes, resp.StatusCode == http.StatusOK)
-		require.Equal(t, "up", r.node.loopTarget("s-2").State, "what is listed is not forgotten")
+		r.waitUntil("who vouches", func() bool { return pooledServers() == want })
+		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
+		require.Equal(t, healthChecks, resp.StatusCode == http.StatusOK)
+		require.Equal(t, "up", r.node.listedTarget("s-2").State, "what is listed is not forgotten")
 		r.node.loop.post(func() { r.node.degraded.setActive(false) })
-		r.wait("all are back", func() bool { return up() == 2 })
+		r.waitUntil("all are back", func() bool { return pooledServers() == 2 })
 	}
 }
 
 // loopTarget gives an entry of the list, on the loop's goroutine.
-func (n *Node) loopTarget(uid string) discovery.Target {
+func (n *Node) listedTarget(uid string) discovery.Target {
 	c := make(chan discovery.Target, 1)
 	n.loop.post(func() { c <- n.loop.endpoints[uid] })
 	return <-c
 }
 
 // Where the settings tell no grace no word comes in time, and a call for one would have no end.
-func TestNobodyIsAskedWithoutAGrace(t *testing.T) {
+func TestNoHealthChecksWithoutDrainGrace(t *testing.T) {
 	require.Nil(t, newDegradedDiscovery(control.Settings{HealthChecks: true}, nil).healthCheck)
 	require.NotNil(t, newDegradedDiscovery(control.Settings{HealthChecks: true, DrainGrace: time.Second}, nil).healthCheck)
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -19,16 +19,16 @@
 }
 
 // follow makes the watch of the endpoint list and has the loop take its updates.
-func (n *Node) follow(cfg config.Config) error {
+func (n *Node) watchEndpoints(cfg config.Config) error {
 	n.degraded = newDegradedDiscovery(cfg.Settings, n.loop)
-	n.onUpdate = n.listUpdated
+	n.onUpdate = n.handleUpdate
 	watch := discovery.Config{Address: cfg.Discovery, FleetSize: cfg.Settings.FleetSize, DrainGrace: cfg.Settings.DrainGrace,
 		Seed: cfg.Seed, Polled: cfg.Settings.PollDiscovery, Subset: cfg.Fleet.SubsetOf(cfg.Settings.NodeIndex),
 		OnUpdate:   func(u discovery.Update) { n.onUpdate(u) },
 		OnDegraded: func(on bool) { n.loop.post(func() { n.degraded.setActive(on) }) }}
 	var dropped prometheus.Counter
 	if watch.Subset != nil {
-		dropped = newSubsetDropped()
+		dropped = newSubsetDroppedCounter()
 		watch.OnDropped = func(*discovery.ListError) { dropped.Inc() }
 	}
 	w, err := discovery.New(watch)
@@ -37,19 +37,19 @@
 	}
 	n.discovery, n.knownServers = w, w.Adopt(cfg.KnownServers, true)
 	if watch.Subset != nil {
-		registerSubset(n.loop.metricsRegistry(), w.Counts(), dropped)
+		registerSubsetMetrics(n.loop.metricsRegistry(), w.Counts(), dropped)
 	}
 	return nil
 }
 
 // listUpdated passes an update of discovery to the loop.
-func (n *Node) listUpdated(u discovery.Update) {
+func (n *Node) handleUpdate(u discovery.Update) {
 	kind := control.Delta
 	if u.All {
 		kind = control.Complete
 	}
 	n.loop.post(func() {
 		n.listUnconfirmed.Store(false)
-		n.applyList(kind, u)
+		n.applyUpdate(kind, u)
 	})
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -14,19 +14,19 @@
 const (
 	// Clients poll /healthz every 0.1 s and open connections for 0.2 s more. Requests on open connections have to end by
 	// 2 s, and no connection may be idle from 4 s on.
-	consoleDrainServe = 800 * time.Millisecond // a drain by the console: then answers close their connections
-	consoleDrainIdle  = 700 * time.Millisecond // after that: then idle connections are closed
-	idlePollInterval  = 50 * time.Millisecond  // between two closings of idle connections
+	consoleDrainCloseDelay = 800 * time.Millisecond // a drain by the console: then answers close their connections
+	consoleDrainIdleDelay  = 700 * time.Millisecond // after that: then idle connections are closed
+	idlePollInterval       = 50 * time.Millisecond  // between two closings of idle connections
 )
 
 // Times of a drain. The platform gives a node 0.7 s more than the longest deadline of its classes.
 const (
 	maxDrainDeadline  = 3 * time.Second         // longest class deadline that a drain waits for
 	drainMargin       = 300 * time.Millisecond  // after it: what is open then is answered with 502
-	drainLetGo        = 1200 * time.Millisecond // before the end of the drain: answers close their connections
-	drainCloseDelay   = 200 * time.Millisecond  // from then until idle connections are closed and no new ones accepted
-	drainListenTime   = 400 * time.Millisecond  // for which new connections may come, by the protocol
-	drainWriteTime    = 300 * time.Millisecond  // for the last answers
+	drainClosePeriod  = 1200 * time.Millisecond // before the end of the drain: answers close their connections
+	drainIdleDelay    = 200 * time.Millisecond  // from then until idle connections are closed and no new ones accepted
+	drainListenPeriod = 400 * time.Millisecond  // for which new connections may come, by the protocol
+	drainWriteTimeout = 300 * time.Millisecond  // for the last answers
 	drainPollInterval = 20 * time.Millisecond   // between two looks for an early end
 )
 
@@ -43,38 +43,38 @@
 
 // begin starts a drain that enters stage 1 after serve and stage 2 after a further idle. A drain that runs goes on as it
 // was.
-func (d *drainer) begin(serve, idle time.Duration) {
+func (d *drainer) begin(closeDelay, idleDelay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cancel != nil {
 		return
 	}
 	slog.Info("draining")
-	d.start(serve, idle)
+	d.startLocked(closeDelay, idleDelay)
 }
 
 // start starts the stages of a drain. The lock is held.
-func (d *drainer) start(serve, idle time.Duration) {
-	quit := make(chan struct{})
-	d.cancel, d.stage = quit, 0
+func (d *drainer) startLocked(closeDelay, idleDelay time.Duration) {
+	cancelled := make(chan struct{})
+	d.cancel, d.stage = cancelled, 0
 	d.front.draining.Store(true)
-	go d.runStages(quit, serve, idle)
+	go d.runStages(cancelled, closeDelay, idleDelay)
 }
 
 // beginFinal starts the drain with which the process ends. One that an operator started goes on at its pace. A quiet one
 // leaves /healthz as it is, as another process answers at the same address.
-func (d *drainer) beginFinal(serve, idle time.Duration, quiet bool) {
+func (d *drainer) beginFinal(closeDelay, idleDelay time.Duration, quiet bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.final = true
 	if d.cancel == nil {
-		d.start(serve, idle)
+		d.startLocked(closeDelay, idleDelay)
 		d.front.draining.Store(!quiet)
 	}
 }
 
 // callOff cancels a drain. It returns false where the process ends.
-func (d *drainer) callOff() bool {
+func (d *drainer) undrain() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.final {
@@ -91,17 +91,17 @@
 }
 
 // leaving reports whether a drain runs or the process ends.
-func (d *drainer) leaving() bool {
+func (d *drainer) draining() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.final || d.cancel != nil
 }
 
 // enterStage enters a stage unless the drain was cancelled.
-func (d *drainer) enterStage(quit chan struct{}, stage int) bool {
+func (d *drainer) enterStage(cancelled chan struct{}, stage int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cancel != quit {
+	if d.cancel != cancelled {
 		return false
 	}
 	d.stage = stage
@@ -110,16 +110,16 @@
 }
 
 // runStages takes a drain through its stages until it is cancelled.
-func (d *drainer) runStages(quit chan struct{}, serve, idle time.Duration) {
+func (d *drainer) runStages(cancelled chan struct{}, closeDelay, idleDelay time.Duration) {
 	wait := func(t time.Duration) bool {
 		select {
-		case <-quit:
+		case <-cancelled:
 			return false
 		case <-time.After(t):
 			return true
 		}
 	}
-	if !wait(serve) || !d.enterStage(quit, 1) || !wait(idle) || !d.enterStage(quit, 2) {
+	if !wait(closeDelay) || !d.enterStage(cancelled, 1) || !wait(idleDelay) || !d.enterStage(cancelled, 2) {
 		return
 	}
 	for ok := true; ok; ok = wait(idlePollInterval) {
@@ -139,7 +139,7 @@
 }
 
 // maxDrainOf returns how long a drain lasts at most.
-func maxDrainOf(classes []control.Class) time.Duration {
+func computeDrainTimeout(classes []control.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range classes {
 		longest = max(longest, k.Deadline)
@@ -153,25 +153,25 @@
 // all new connections: this one accepts none and lets go at once.
 func (n *Node) drain(stopLoop context.CancelFunc) error {
 	begun := time.Now()
-	serve := max(n.maxDrain-drainLetGo, 0)
+	closeDelay := max(n.drainTimeout-drainClosePeriod, 0)
 	slog.Info("draining", "shared", n.inherited)
 	if n.inherited {
 		n.stopListening()
 		if err := n.listener.Close(); err != nil {
 			slog.Warn("closing the listener for clients failed", "error", err)
 		}
-		n.drainer.beginFinal(0, serve, true)
+		n.drainer.beginFinal(0, closeDelay, true)
 	} else {
-		n.drainer.beginFinal(serve, drainCloseDelay, false)
+		n.drainer.beginFinal(closeDelay, drainIdleDelay, false)
 	}
-	if !n.awaitDrainEnd(max(serve+drainCloseDelay, min(n.maxDrain, drainListenTime))) {
-		n.finish(drainWriteTime)
+	if !n.awaitDrainEnd(max(closeDelay+drainIdleDelay, min(n.drainTimeout, drainListenPeriod))) {
+		n.finish(drainWriteTimeout)
 		return n.loop.failure
 	}
-	n.finish(n.maxDrain - time.Since(begun))
+	n.finish(n.drainTimeout - time.Since(begun))
 	stopLoop() // answers what is still open with 502
 	<-n.loop.ended
-	n.finish(drainWriteTime)
+	n.finish(drainWriteTimeout)
 	slog.Info("drained", "took", time.Since(begun).Round(time.Millisecond))
 	return n.loop.failure
 }
--- a/internal/node/earlyanswers_test.go
+++ b/internal/node/earlyanswers_test.go
@@ -44,13 +44,13 @@
 					taken <- c
 				}
 			}()
-			r := newRig(t)
-			r.list(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
+			r := newTestNode(t)
+			r.updateList(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
 			c := r.dial()
 			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", postHead, mega, noise(mega/2))
-			far := next(t, taken)
+			far := receive(t, taken)
 			defer func() { _ = far.Close() }()
-			_ = far.SetDeadline(time.Now().Add(patience))
+			_ = far.SetDeadline(time.Now().Add(testTimeout))
 			q, err := http.ReadRequest(bufio.NewReader(far))
 			require.NoError(t, err)
 			_, err = io.CopyN(io.Discard, q.Body, mega/4)
@@ -63,7 +63,7 @@
 			n, err := io.Copy(io.Discard, q.Body)
 			assert.Error(t, err, "%d more bytes: the request became whole", n)
 			assert.Empty(t, taken, "sent again")
-			r.figure("node_backend_calls_total", 0)
+			r.waitForMetric("node_backend_calls_total", 0)
 		})
 	}
 }
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -13,13 +13,13 @@
 
 // ListenError is a socket on which the node can't accept connections.
 type ListenError struct {
-	For   string // clients or operators
-	Where string // an address, or an inherited descriptor
-	Err   error
+	Callers string // clients or operators
+	Address string // an address, or an inherited descriptor
+	Err     error
 }
 
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("listening for %s: %s: %s; end what has the address, or name another one and start again", e.For, e.Where, oneline.Of(e.Err))
+	return fmt.Sprintf("listening for %s: %s: %s; end what has the address, or name another one and start again", e.Callers, e.Address, oneline.Of(e.Err))
 }
 
 func (e *ListenError) Unwrap() error { return e.Err }
@@ -44,7 +44,7 @@
 }
 
 // callError is an operator's call that is rejected.
-type callError interface {
+type statusError interface {
 	error
 	Status() int // of HTTP
 }
@@ -52,7 +52,7 @@
 // writeError answers an operator's call with an error.
 func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if e, ok := errors.AsType[callError](err); ok {
+	if e, ok := errors.AsType[statusError](err); ok {
 		status = e.Status()
 	}
 	slog.Info("console: call rejected", "status", status, "error", err)
@@ -105,12 +105,12 @@
 
 // BusyError is a call that the event loop has not handled in time.
 type BusyError struct {
-	Call   string
-	Within time.Duration
+	Call    string
+	Timeout time.Duration
 }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("console: %s: not taken within %v, it may still be; look what holds, then call again", e.Call, e.Within)
+	return fmt.Sprintf("console: %s: not taken within %v, it may still be; look what holds, then call again", e.Call, e.Timeout)
 }
 
 // Status returns the HTTP status of the answer.
--- a/internal/node/errors_test.go
+++ b/internal/node/errors_test.go
@@ -9,11 +9,11 @@
 
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
-		&BusyError{Call: "zones", Within: time.Second},
+		&BusyError{Call: "zones", Timeout: time.Second},
 		&CallError{Method: "PUT", Path: "/drain", Allowed: []string{"POST"}},
 		&ConsensusCallError{Call: "activate", Key: "kind", Have: "soon", Want: "overlap or exclusive"},
 		&EndingError{Node: "n-1"},
-		&ListenError{For: "clients", Where: "127.0.0.1:80", Err: oncall.ErrCause},
+		&ListenError{Callers: "clients", Address: "127.0.0.1:80", Err: oncall.ErrCause},
 		&ModuleError{Panic: oncall.ErrCause},
 		&ServeError{Address: "127.0.0.1:80", Err: oncall.ErrCause},
 		&ZoneError{Zone: "hall-x", Known: []string{"hall-a"}},
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -19,10 +19,10 @@
 // exchange is one request of a client on its way to its final answer.
 type exchange struct {
 	req             control.Request // its TimeLeft is set when the decision module gets it
-	forward         *http.Request   // as it goes to servers, without its body
+	upstreamReq     *http.Request   // as it goes to servers, without its body
 	body            []byte          // the whole body, or what came before rest
-	rest            *clientBody     // of a long body, which is streamed; else nil
-	length          int64           // of the body in bytes; below 0 is not known
+	streamedBody    *clientBody     // of a long body, which is streamed; else nil
+	bodyLength      int64           // of the body in bytes; below 0 is not known
 	timeLeft        time.Duration   // of the client, from the last byte of the request
 	bodyReservation *reservation    // for the body
 	answer          chan answer     // gets the one final answer
@@ -54,15 +54,15 @@
 }
 
 // bodyBroken returns a channel that is closed when the body can't be read to its end.
-func (x *exchange) bodyBroken() <-chan struct{} {
-	if x.rest == nil {
+func (x *exchange) bodyFailed() <-chan struct{} {
+	if x.streamedBody == nil {
 		return nil
 	}
-	return x.rest.broken
+	return x.streamedBody.broken
 }
 
 // bodySpent reports whether a part of the body was streamed and so can't be sent again.
-func (x *exchange) bodySpent() bool { return x.rest != nil && x.rest.spent.Load() }
+func (x *exchange) bodyConsumed() bool { return x.streamedBody != nil && x.streamedBody.spent.Load() }
 
 // finish gives the request its final answer and keeps attempts from starting that have not been written yet.
 func (x *exchange) finish(a answer) {
@@ -76,25 +76,25 @@
 }
 
 // message returns the request as an attempt sends it now.
-func (x *exchange) message() *http.Request {
-	m := *x.forward
-	m.Header = maps.Clone(m.Header)
-	left := x.timeLeft
+func (x *exchange) newAttemptRequest() *http.Request {
+	req := *x.upstreamReq
+	req.Header = maps.Clone(req.Header)
+	timeLeft := x.timeLeft
 	if !x.deadline.IsZero() {
-		left = time.Until(x.deadline)
+		timeLeft = time.Until(x.deadline)
 	}
-	m.Header.Set(headerTimeLeft, strconv.FormatInt(max(left.Milliseconds(), 1), 10)+"m")
-	m.ContentLength = x.length
-	m.Body = http.NoBody
+	req.Header.Set(headerTimeLeft, strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10)+"m")
+	req.ContentLength = x.bodyLength
+	req.Body = http.NoBody
 	switch {
-	case x.rest != nil:
-		if x.length < 0 {
-			m.TransferEncoding = []string{"chunked"}
+	case x.streamedBody != nil:
+		if x.bodyLength < 0 {
+			req.TransferEncoding = []string{"chunked"}
 		}
 	case len(x.body) > 0:
-		m.Body = io.NopCloser(bytes.NewReader(x.body))
+		req.Body = io.NopCloser(bytes.NewReader(x.body))
 	}
-	return &m
+	return &req
 }
 
 // answer is the final answer to a request. One that streams has its first bytes in body.
@@ -116,7 +116,7 @@
 }
 
 // drop releases what an answer holds.
-func (a answer) drop() {
+func (a answer) discard() {
 	a.close(errClientLeft)
 	a.reservation.shrinkTo(0)
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -86,7 +86,7 @@
 		return
 	}
 	defer x.bodyReservation.shrinkTo(0)
-	if x.rest == nil {
+	if x.streamedBody == nil {
 		// net/http goes on reading while a request is open, to notice a hang-up; the deadline of the body must not end
 		// that.
 		_ = limit.SetReadDeadline(time.Time{})
@@ -94,7 +94,7 @@
 	} else {
 		// An answer may come before the whole body: net/http must not wait for its rest.
 		_ = limit.EnableFullDuplex()
-		defer x.rest.discard(r)
+		defer x.streamedBody.discard(r)
 	}
 	defer x.markEnded()
 	a, whole := f.awaitAnswer(w, r, x)
@@ -102,10 +102,10 @@
 		return
 	}
 	if !whole {
-		f.stats.answered(x.req.Class, http.StatusBadGateway)
+		f.stats.countAnswer(x.req.Class, http.StatusBadGateway)
 		panic(http.ErrAbortHandler) // so that the client can tell
 	}
-	f.stats.answered(x.req.Class, a.status)
+	f.stats.countAnswer(x.req.Class, a.status)
 }
 
 // answerHealth answers /healthz. Here and for bad requests the connection is closed, so that callers can't hold
@@ -122,7 +122,7 @@
 // awaitAnswer has a request decided, and writes its final answer. It returns nil where the client has left or has been
 // told of its mistake. whole reports whether the answer was written to its end.
 func (f *front) awaitAnswer(w http.ResponseWriter, r *http.Request, x *exchange) (a *answer, whole bool) {
-	f.loop.post(func() { f.loop.begin(x) })
+	f.loop.post(func() { f.loop.beginExchange(x) })
 	got, wrong := f.nextAnswer(r, x)
 	if wrong != nil {
 		f.rejectBadRequest(w, wrong)
@@ -131,12 +131,12 @@
 	if !x.received.Load() {
 		w.Header().Set("Connection", "close") // its body was not read to the end
 	}
-	defer got.drop()
+	defer got.discard()
 	if got.stream != nil && x.received.Load() {
 		defer context.AfterFunc(r.Context(), func() { got.stream.CloseWithError(errClientLeft) })()
 	}
 	err := f.write(w, got)
-	if x.rest != nil {
+	if x.streamedBody != nil {
 		_ = http.NewResponseController(w).Flush()
 	}
 	if errors.Is(err, errClientLeft) {
@@ -156,21 +156,21 @@
 			// net/http ends the context with any read that fails. A failed read of the body reports itself, or was
 			// stopped because the answer is there. A stop at the moment of the body's last byte ends net/http's look
 			// for a hang-up instead.
-			if x.rest != nil && (!x.received.Load() || x.rest.isStopped()) {
+			if x.streamedBody != nil && (!x.received.Load() || x.streamedBody.isStopped()) {
 				gone = nil
 				continue
 			}
 			f.clientsLeft.Add(1)
-			f.loop.post(func() { f.loop.hangup(x) })
-			f.finalAnswer(x).drop()
+			f.loop.post(func() { f.loop.clientGone(x) })
+			f.finalAnswer(x).discard()
 			// Otherwise net/http would answer by itself, and a client that only ended its sending could take that
 			// for a server's answer.
 			panic(http.ErrAbortHandler)
-		case <-x.bodyBroken():
-			f.loop.post(func() { f.loop.hangup(x) })
+		case <-x.bodyFailed():
+			f.loop.post(func() { f.loop.clientGone(x) })
 			got = f.finalAnswer(x)
 			if got.status == 0 {
-				return got, x.rest.badRequest()
+				return got, x.streamedBody.badRequest()
 			}
 		case <-f.loop.ended:
 			got = f.finalAnswer(x)
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -21,16 +21,16 @@
 func encodeJSON[T any](v *T) ([]byte, error) { return json.MarshalIndent(v, "", " ") }
 
 // What one process hands to the next, or keeps for it, has the recorded bytes.
-func TestHandoverIsAsRecorded(t *testing.T) {
+func TestHandoverStateMatchesGoldenFile(t *testing.T) {
 	b := &handoverState{}
 	golden.Fill(b)
 	b.Module = json.RawMessage(`{"a":1}`)
 	golden.RoundTripOf(t, "handover", b, encodeJSON[handoverState], decodeJSON[handoverState])
-	require.Equal(t, "handover.sock learnt", handoverName+" "+snapshotPart)
+	require.Equal(t, "handover.sock learnt", handoverSocket+" "+snapshotPart)
 }
 
 // The orders that go to the leader, its replies and what the console shows of them have the recorded bytes.
-func TestRuleCallsAreAsRecorded(t *testing.T) {
+func TestConsensusCallsMatchGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "order", func(o *order) ([]byte, error) { return cbor.Marshal(*o) }, func(raw []byte) (*order, error) {
 		o := &order{}
 		return o, cbor.Unmarshal(raw, o)
@@ -48,13 +48,13 @@
 }
 
 // The figures that are there without a fleet file, and those of the membership, are written as recorded.
-func TestFiguresAreAsRecorded(t *testing.T) {
+func TestMetricsMatchGoldenFile(t *testing.T) {
 	s := newStats([]control.Class{{Name: "b"}, {Name: "a"}})
-	s.answered("a", 200)
-	s.answered("a", 503)
-	s.answered("b", 500)
+	s.countAnswer("a", 200)
+	s.countAnswer("a", 503)
+	s.countAnswer("b", 500)
 	var out strings.Builder
 	s.write(&out)
-	writePeers(&out, &membership.Counts{})
+	writePeerMetrics(&out, &membership.Counts{})
 	golden.CheckText(t, "figures", out.String())
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -23,12 +23,12 @@
 // share. Nothing depends on it: a process that finds no other, or gets what it can't use, starts without that state.
 
 const (
-	handoverName       = "handover.sock"
+	handoverSocket     = "handover.sock"
 	handoverTimeout    = 1500 * time.Millisecond // of the whole exchange
 	maxHandoverBytes   = 8 << 20                 // bytes of a message
 	handoverVersion    = 1                       // of handoverState; the decision module's state has its own
 	listConfirmTimeout = 3 * time.Second         // after which a list that was handed over is used without confirmation
-	maxSideBySide      = 12 * time.Second        // for which two processes run side by side
+	maxOverlap         = 12 * time.Second        // for which two processes run side by side
 )
 
 // handoverState is what goes to the next process, as JSON by its field names and tags: the decision module's state, the
@@ -44,107 +44,107 @@
 }
 
 // writeMessage sends a message with its length and checksum, so that a part of one is never used.
-func writeMessage(w io.Writer, m []byte) error {
-	head := binary.BigEndian.AppendUint32(nil, uint32(len(m)))
-	head = binary.BigEndian.AppendUint32(head, crc32.ChecksumIEEE(m))
-	_, err := w.Write(append(head, m...))
+func writeMessage(w io.Writer, message []byte) error {
+	header := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
+	header = binary.BigEndian.AppendUint32(header, crc32.ChecksumIEEE(message))
+	_, err := w.Write(append(header, message...))
 	return err
 }
 
 // readMessage reads what writeMessage sent.
 func readMessage(r io.Reader) ([]byte, error) {
-	var head [8]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var header [8]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:4])
-	if n > maxHandoverBytes {
-		return nil, fmt.Errorf("a message of %d bytes", n)
+	size := binary.BigEndian.Uint32(header[:4])
+	if size > maxHandoverBytes {
+		return nil, fmt.Errorf("a message of %d bytes", size)
 	}
-	m := make([]byte, n)
-	if _, err := io.ReadFull(r, m); err != nil {
+	message := make([]byte, size)
+	if _, err := io.ReadFull(r, message); err != nil {
 		return nil, err
 	}
-	if crc32.ChecksumIEEE(m) != binary.BigEndian.Uint32(head[4:]) {
+	if crc32.ChecksumIEEE(message) != binary.BigEndian.Uint32(header[4:]) {
 		return nil, errors.New("a corrupt message")
 	}
-	return m, nil
+	return message, nil
 }
 
 // takeOver takes the state of the process that runs beside this one, if one does. It returns the connection to that
 // process, which stays open for as long as both run, or nil.
-func (n *Node) takeOver(dir string) net.Conn {
-	c, err := net.DialTimeout("unix", filepath.Join(dir, handoverName), handoverTimeout)
+func (n *Node) receiveHandover(dir string) net.Conn {
+	conn, err := net.DialTimeout("unix", filepath.Join(dir, handoverSocket), handoverTimeout)
 	if err != nil {
 		return nil // none, or one that has gone
 	}
-	_ = c.SetDeadline(time.Now().Add(handoverTimeout))
-	from, size, err := n.readHandover(c)
+	_ = conn.SetDeadline(time.Now().Add(handoverTimeout))
+	state, size, err := n.readHandover(conn)
 	if err != nil {
 		slog.Warn("handover: starting without the state of the previous process", "error", err)
-		_ = c.Close()
+		_ = conn.Close()
 		// The other process still uses its descriptors for a while.
 		n.upstream.sockets.share(true)
-		time.AfterFunc(maxSideBySide, func() { n.upstream.sockets.share(false) })
+		time.AfterFunc(maxOverlap, func() { n.upstream.sockets.share(false) })
 		return nil
 	}
-	_ = c.SetDeadline(time.Time{})
-	n.takeList(from, true)
+	_ = conn.SetDeadline(time.Time{})
+	n.adoptList(state, true)
 	n.upstream.sockets.share(true)
-	slog.Info("handover: state taken over", "bytes", size, "endpoints", len(from.List.Targets))
-	return c
+	slog.Info("handover: state taken over", "bytes", size, "endpoints", len(state.List.Targets))
+	return conn
 }
 
 // readHandover reads the state that another process hands over and has the decision module adopt its part.
-func (n *Node) readHandover(c net.Conn) (from handoverState, size int, err error) {
-	m, err := readMessage(c)
+func (n *Node) readHandover(conn net.Conn) (state handoverState, size int, err error) {
+	message, err := readMessage(conn)
 	if err != nil {
-		return from, 0, err
+		return state, 0, err
 	}
-	if err := json.Unmarshal(m, &from); err != nil {
-		return from, 0, err
+	if err := json.Unmarshal(message, &state); err != nil {
+		return state, 0, err
 	}
-	if from.Version != handoverVersion {
-		return from, 0, fmt.Errorf("version %d, not %d", from.Version, handoverVersion)
+	if state.Version != handoverVersion {
+		return state, 0, fmt.Errorf("version %d, not %d", state.Version, handoverVersion)
 	}
-	if err := from.List.Check(); err != nil {
-		return from, 0, err
+	if err := state.List.Check(); err != nil {
+		return state, 0, err
 	}
-	return from, len(m), n.loop.controller.RestoreHandover(n.loop.now(), from.Module)
+	return state, len(message), n.loop.controller.RestoreHandover(n.loop.now(), state.Module)
 }
 
 // takeList adopts another process's endpoint list and server IDs. current reports whether that process held the list
 // until now, so that its revision counts.
-func (n *Node) takeList(from handoverState, current bool) {
-	for uid, id := range from.IDs {
+func (n *Node) adoptList(state handoverState, current bool) {
+	for uid, id := range state.IDs {
 		n.loop.serverIDs[uid] = id
 		n.loop.lastServerID = max(n.loop.lastServerID, id)
 	}
-	n.loop.lastServerID = max(n.loop.lastServerID, from.LastID)
-	if len(from.List.Targets) > 0 {
-		from.List.NodesPerServer = from.NodesPerServer
-		n.knownServers = n.discovery.Adopt(from.List, current && from.Discovery == n.discoveryAddress)
+	n.loop.lastServerID = max(n.loop.lastServerID, state.LastID)
+	if len(state.List.Targets) > 0 {
+		state.List.NodesPerServer = state.NodesPerServer
+		n.knownServers = n.discovery.Adopt(state.List, current && state.Discovery == n.discoveryAddress)
 	}
 }
 
 // awaitPredecessor waits for the end of the process that this one replaces, and takes the remainder of its state.
-func (n *Node) awaitPredecessor(ctx context.Context, c net.Conn) {
-	defer context.AfterFunc(ctx, func() { _ = c.Close() })()
-	defer func() { _ = c.Close() }()
-	rest, err := readMessage(c)
+func (n *Node) awaitPredecessor(ctx context.Context, conn net.Conn) {
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
+	defer func() { _ = conn.Close() }()
+	remainder, err := readMessage(conn)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
 		slog.Warn("handover: receiving the remainder of the previous process failed", "error", err)
-		rest = nil
+		remainder = nil
 	}
-	n.loop.post(func() { n.endSharing(rest) })
+	n.loop.post(func() { n.endSharing(remainder) })
 }
 
 // endSharing has the node go on without the other process, with the remainder of its state; nil is none.
-func (n *Node) endSharing(rest []byte) {
-	if err := n.loop.controller.EndSharing(n.loop.now(), rest); err != nil {
+func (n *Node) endSharing(remainder []byte) {
+	if err := n.loop.controller.EndSharing(n.loop.now(), remainder); err != nil {
 		slog.Warn("handover: using the remainder of the previous process failed", "error", err)
 	}
 	n.upstream.sockets.share(false)
@@ -154,70 +154,70 @@
 // ended, the remainder.
 func (n *Node) serveHandover(ctx context.Context, dir string) {
 	// The rename replaces the old listener at once, so that the name is never without one.
-	own := filepath.Join(dir, handoverName+"."+strconv.Itoa(os.Getpid()))
-	l, err := net.Listen("unix", own)
+	ownPath := filepath.Join(dir, handoverSocket+"."+strconv.Itoa(os.Getpid()))
+	listener, err := net.Listen("unix", ownPath)
 	if err == nil {
-		l.(*net.UnixListener).SetUnlinkOnClose(false)
-		if err = os.Rename(own, filepath.Join(dir, handoverName)); err != nil {
-			_ = l.Close()
+		listener.(*net.UnixListener).SetUnlinkOnClose(false)
+		if err = os.Rename(ownPath, filepath.Join(dir, handoverSocket)); err != nil {
+			_ = listener.Close()
 		}
 	}
 	if err != nil {
 		slog.Warn("handover: listening for a successor failed", "error", err)
 		return
 	}
-	defer context.AfterFunc(ctx, func() { _ = l.Close() })()
+	defer context.AfterFunc(ctx, func() { _ = listener.Close() })()
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		n.handOver(c)
+		n.serveSuccessor(conn)
 	}
 }
 
 // handOver serves one process that takes over, until either ends.
-func (n *Node) handOver(c net.Conn) {
-	defer func() { _ = c.Close() }()
-	got := make(chan []byte, 1)
+func (n *Node) serveSuccessor(conn net.Conn) {
+	defer func() { _ = conn.Close() }()
+	encoded := make(chan []byte, 1)
 	if !n.loop.post(func() {
-		m, err := n.loop.handoverMessage(n.discovery.Address())
+		state, err := n.loop.handoverMessage(n.discovery.Address())
 		if err != nil {
 			slog.Warn("handover: encoding the state failed", "error", err)
 		}
 		n.upstream.sockets.share(true)
-		got <- m
+		encoded <- state
 	}) {
 		return
 	}
-	var m []byte
+	var message []byte
 	select {
-	case m = <-got:
+	case message = <-encoded:
 	case <-n.loop.ended:
 		return
 	}
-	_ = c.SetWriteDeadline(time.Now().Add(handoverTimeout))
-	if m == nil || writeMessage(c, m) != nil {
+	_ = conn.SetWriteDeadline(time.Now().Add(handoverTimeout))
+	if message == nil || writeMessage(conn, message) != nil {
 		n.loop.post(func() { n.endSharing(nil) })
 		return
 	}
-	slog.Info("handover: state handed over", "bytes", len(m))
-	gone := make(chan struct{})
+	slog.Info("handover: state handed over", "bytes", len(message))
+	successorGone := make(chan struct{})
 	go func() {
-		defer close(gone)
-		_, _ = io.Copy(io.Discard, c)
+		defer close(successorGone)
+		_, _ = io.Copy(io.Discard, conn)
 	}()
 	select {
-	case <-gone:
+	case <-successorGone:
 		slog.Warn("handover: the successor has ended")
 		n.loop.post(func() { n.endSharing(nil) })
 	case <-n.loop.ended: // the remainder is used by the other process only
-		if m, err := n.loop.controller.RemainingTokens(n.loop.now()); err == nil && n.loop.failure == nil {
-			_ = c.SetWriteDeadline(time.Now().Add(handoverTimeout))
-			_ = writeMessage(c, m)
+		if remainder, err := n.loop.controller.RemainingTokens(n.loop.now()); err == nil && n.loop.failure == nil {
+			_ = conn.SetWriteDeadline(time.Now().Add(handoverTimeout))
+			_ = writeMessage(conn, remainder)
 		}
-		_ = c.Close()
-		<-gone
+		_ = conn.Close()
+		<-successorGone
 	}
 }
 
@@ -232,28 +232,28 @@
 
 // handoverState returns the state of the loop with that of the decision module.
 func (l *loop) handoverState(address string, module []byte) handoverState {
-	b := handoverState{Version: handoverVersion, Discovery: address, LastID: l.lastServerID, IDs: l.serverIDs,
+	state := handoverState{Version: handoverVersion, Discovery: address, LastID: l.lastServerID, IDs: l.serverIDs,
 		List: discovery.Update{Rev: l.listRevision, All: true}, NodesPerServer: l.nodesPerServer, Module: module}
 	if l.nodesPerServer > 0 {
-		b.Discovery = "" // the list is a subset: the next process, also of an older version, must fetch the whole
+		state.Discovery = "" // the list is a subset: the next process, also of an older version, must fetch the whole
 	}
 	for _, t := range l.endpoints {
-		b.List.Targets = append(b.List.Targets, t)
+		state.List.Targets = append(state.List.Targets, t)
 	}
-	return b
+	return state
 }
 
 // rememberEndpoints keeps the endpoint list for a process that takes over.
-func (l *loop) rememberEndpoints(kind control.UpdateKind, news discovery.Update) {
+func (l *loop) recordEndpoints(kind control.UpdateKind, update discovery.Update) {
 	if kind != control.Delta {
 		clear(l.endpoints)
 	}
-	for _, t := range news.Targets {
+	for _, t := range update.Targets {
 		if t.Status() == discovery.Removed {
 			delete(l.endpoints, t.UID)
 		} else {
 			l.endpoints[t.UID] = t
 		}
 	}
-	l.listRevision, l.nodesPerServer = news.Rev, news.NodesPerServer
+	l.listRevision, l.nodesPerServer = update.Rev, update.NodesPerServer
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -13,93 +13,93 @@
 )
 
 // beside gives the configuration of processes that share a socket and a folder.
-func beside(t *testing.T) func(*config.Config) {
+func sharedSocketConfig(t *testing.T) func(*config.Config) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	socket, err := tcp.(*net.TCPListener).File()
+	socketFile, err := tcp.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = tcp.Close()
-	t.Cleanup(func() { _ = socket.Close() })
+	t.Cleanup(func() { _ = socketFile.Close() })
 	dir := t.TempDir()
 	started := false
 	return func(c *config.Config) {
 		if started { // a successor finds nobody to take over from before the first process listens
-			awaitFile(t, filepath.Join(dir, handoverName))
+			waitForFile(t, filepath.Join(dir, handoverSocket))
 		}
 		started = true
 		c.HandoverDir = dir
 		// Each process has a descriptor of its own.
-		if c.SocketFD, err = syscall.Dup(int(socket.Fd())); err != nil {
+		if c.SocketFD, err = syscall.Dup(int(socketFile.Fd())); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
 // awaitFile waits until a file exists.
-func awaitFile(t *testing.T, path string) {
+func waitForFile(t *testing.T, path string) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if _, err := os.Stat(path); err == nil {
 			return
 		}
 	}
-	t.Fatalf("%s does not exist after %v", path, patience)
+	t.Fatalf("%s does not exist after %v", path, testTimeout)
 }
 
 // A process that takes over says yes when it has been told its list, keeps the ids of what it
 // took over, and both keep to half of the descriptors while the other runs.
-func TestTakenOver(t *testing.T) {
-	config := beside(t)
-	old := newRigWith(t, config)
-	a := newApp(t, served)
-	gone, b := a.target("s-gone", 0), a.target("s-1", 0)
-	old.list(gone)
-	gone.State = "removed"
-	old.list(gone, b)
-	old.wait("ready", old.node.front.ready.Load)
-	most := old.node.upstream.sockets.limit.Load()
+func TestHandoverBetweenProcesses(t *testing.T) {
+	configure := sharedSocketConfig(t)
+	predecessor := newTestNodeWith(t, configure)
+	a := newTestServer(t, serveOK)
+	removed, b := a.target("s-gone", 0), a.target("s-1", 0)
+	predecessor.updateList(removed)
+	removed.State = "removed"
+	predecessor.updateList(removed, b)
+	predecessor.waitUntil("ready", predecessor.node.front.ready.Load)
+	maxSockets := predecessor.node.upstream.sockets.limit.Load()
 
-	fresh := newRigWith(t, config)
-	fresh.wait("the old one's ids", func() bool { return fresh.node.loop.serverIDs["s-1"] == 2 && fresh.node.loop.lastServerID == 2 })
-	if q := next(t, fresh.agent.Asked); q != "/v1/servers?watch=1" { // its discovery is not the old one's
+	successor := newTestNodeWith(t, configure)
+	successor.waitUntil("the old one's ids", func() bool { return successor.node.loop.serverIDs["s-1"] == 2 && successor.node.loop.lastServerID == 2 })
+	if q := receive(t, successor.discovery.Asked); q != "/v1/servers?watch=1" { // its discovery is not the old one's
 		t.Errorf("asked %s", q)
 	}
-	if s, _, _ := fresh.command(http.MethodGet, "/ready"); s == 200 {
+	if s, _, _ := successor.callConsole(http.MethodGet, "/ready"); s == 200 {
 		t.Error("yes before it was told its list")
 	}
-	for _, r := range []*rig{old, fresh} {
-		if now := r.node.upstream.sockets.limit.Load(); now != most/2-int64(ownDescriptors+maxConsoleConns)/2 {
-			t.Errorf("%d descriptors of %d", now, most)
+	for _, r := range []*testNode{predecessor, successor} {
+		if now := r.node.upstream.sockets.limit.Load(); now != maxSockets/2-int64(ownDescriptors+maxConsoleConns)/2 {
+			t.Errorf("%d descriptors of %d", now, maxSockets)
 		}
 	}
-	fresh.list(b)
-	fresh.wait("ready", fresh.node.front.ready.Load)
+	successor.updateList(b)
+	successor.waitUntil("ready", successor.node.front.ready.Load)
 
-	old.stop()
-	if err := next(t, old.ended); err != nil {
+	predecessor.stop()
+	if err := receive(t, predecessor.ended); err != nil {
 		t.Error(err)
 	}
-	old.ended <- nil
-	fresh.wait("alone", func() bool { return fresh.node.upstream.sockets.limit.Load() == most })
-	if resp, _ := fresh.do(fresh.call(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
+	predecessor.ended <- nil
+	successor.waitUntil("alone", func() bool { return successor.node.upstream.sockets.limit.Load() == maxSockets })
+	if resp, _ := successor.do(successor.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
 }
 
 // Where discovery is silent, the list that was handed over has to do.
-func TestTakenOverInSilence(t *testing.T) {
+func TestHandedOverListIsUsedWhileDiscoveryIsSilent(t *testing.T) {
 	t.Parallel()
-	config := beside(t)
-	old := newRigWith(t, config)
-	old.list(newApp(t, served).target("s-1", 0))
-	fresh := newRigWith(t, config)
+	configure := sharedSocketConfig(t)
+	predecessor := newTestNodeWith(t, configure)
+	predecessor.updateList(newTestServer(t, serveOK).target("s-1", 0))
+	successor := newTestNodeWith(t, configure)
 	begun := time.Now()
-	for s := 0; s != 200; s, _, _ = fresh.command(http.MethodGet, "/ready") {
-		if time.Since(begun) > patience {
+	for s := 0; s != 200; s, _, _ = successor.callConsole(http.MethodGet, "/ready") {
+		if time.Since(begun) > testTimeout {
 			t.Fatal("never ready")
 		}
 	}
@@ -109,20 +109,20 @@
 }
 
 // A process whose successor goes has all places again.
-func TestSuccessorGone(t *testing.T) {
-	config := beside(t)
-	old := newRigWith(t, config)
-	old.list(newApp(t, served).target("s-1", 0))
-	most := old.node.upstream.sockets.limit.Load()
-	fresh := newRigWith(t, config)
-	fresh.wait("the old one's list", func() bool { return len(fresh.node.loop.serverIDs) == 1 })
-	fresh.stop()
-	if err := next(t, fresh.ended); err != nil {
+func TestSuccessorEndsDuringHandover(t *testing.T) {
+	configure := sharedSocketConfig(t)
+	predecessor := newTestNodeWith(t, configure)
+	predecessor.updateList(newTestServer(t, serveOK).target("s-1", 0))
+	maxSockets := predecessor.node.upstream.sockets.limit.Load()
+	successor := newTestNodeWith(t, configure)
+	successor.waitUntil("the old one's list", func() bool { return len(successor.node.loop.serverIDs) == 1 })
+	successor.stop()
+	if err := receive(t, successor.ended); err != nil {
 		t.Error(err)
 	}
-	fresh.ended <- nil
-	old.wait("alone", func() bool { return old.node.upstream.sockets.limit.Load() == most })
-	if !old.node.front.ready.Load() {
+	successor.ended <- nil
+	predecessor.waitUntil("alone", func() bool { return predecessor.node.upstream.sockets.limit.Load() == maxSockets })
+	if !predecessor.node.front.ready.Load() {
 		t.Error("the old one is not ready any more")
 	}
 }
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	maxOutgoing       = 256  // messages that wait to be sent; one beyond is dropped, and its uses are sent again
-	maxQueued         = 128  // messages that wait for the loop; one beyond is dropped
-	defaultMaxTenants = 1024 // where there is no memory limit
+	maxOutgoingMessages = 256  // messages that wait to be sent; one beyond is dropped, and its uses are sent again
+	maxQueuedMessages   = 128  // messages that wait for the loop; one beyond is dropped
+	defaultMaxTenants   = 1024 // where there is no memory limit
 )
 
 // limitSharing is the node's part in token buckets and outlier reports that all nodes share. It is owned by the event
@@ -34,19 +34,19 @@
 	peers       atomic.Pointer[membership.Peers] // nil until the membership has begun
 	outgoing    chan ratelimit.Outgoing
 	sender      sync.WaitGroup
-	timer       *time.Timer
-	timerAt     time.Duration // when the timer rings; zero is not
+	flushTimer  *time.Timer
+	flushAt     time.Duration // when the timer rings; zero is not
 
-	membersChanged atomic.Bool  // news of members is on its way to the loop
-	queued         atomic.Int64 // messages on their way to the loop
-	counts         atomic.Pointer[ratelimit.Counts]
-	age            prometheus.Histogram
-	corrupt, droppedIn, droppedOut,
-	knownBuckets, unknownBuckets prometheus.Counter
+	membersUpdateQueued atomic.Bool  // news of members is on its way to the loop
+	queuedMessages      atomic.Int64 // messages on their way to the loop
+	counts              atomic.Pointer[ratelimit.Counts]
+	bucketAge           prometheus.Histogram
+	corruptMessages, droppedMessages, unsentMessages,
+	knownBucketRequests, unknownBucketRequests prometheus.Counter
 }
 
-func newLimitSharing(set *control.Settings, on config.Peers, l *loop) *limitSharing {
-	s := &limitSharing{loop: l, settings: set, peersConfig: on, serverByID: make(map[uint32]ratelimit.Server), idByServer: make(map[ratelimit.Server]uint32), outgoing: make(chan ratelimit.Outgoing, maxOutgoing)}
+func newLimitSharing(settings *control.Settings, peers config.Peers, l *loop) *limitSharing {
+	s := &limitSharing{loop: l, settings: settings, peersConfig: peers, serverByID: make(map[uint32]ratelimit.Server), idByServer: make(map[ratelimit.Server]uint32), outgoing: make(chan ratelimit.Outgoing, maxOutgoingMessages)}
 	s.counts.Store(&ratelimit.Counts{})
 	s.registerMetrics()
 	return s
@@ -55,20 +55,20 @@
 // registerMetrics registers the metrics of shared limits and outlier reports.
 func (s *limitSharing) registerMetrics() {
 	registry := s.loop.metricsRegistry()
-	s.age = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "node_share_age_seconds",
+	s.bucketAge = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "node_share_age_seconds",
 		Help: "Age of what was told of a store when a request was decided by it.", Buckets: []float64{.01, .05, .1, .2, .3, .5, .7, .9, 1}})
 	counter := func(name, help string) prometheus.Counter {
 		c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
 		registry.MustRegister(c)
 		return c
 	}
-	registry.MustRegister(s.age)
-	s.corrupt = counter("node_share_spoilt_total", "Messages of others that could not be used.")
-	s.droppedIn = counter("node_share_dropped_total", "Messages of others dropped, as the loop had no room.")
-	s.droppedOut = counter("node_share_unsent_total", "Messages that could not be sent.")
-	s.knownBuckets = counter("node_share_known_total", "Requests whose store was known.")
-	s.unknownBuckets = counter("node_share_unknown_total", "Requests whose store was not known: decided as by one alone.")
-	for name, of := range map[string]func(*ratelimit.Counts) int64{
+	registry.MustRegister(s.bucketAge)
+	s.corruptMessages = counter("node_share_spoilt_total", "Messages of others that could not be used.")
+	s.droppedMessages = counter("node_share_dropped_total", "Messages of others dropped, as the loop had no room.")
+	s.unsentMessages = counter("node_share_unsent_total", "Messages that could not be sent.")
+	s.knownBucketRequests = counter("node_share_known_total", "Requests whose store was known.")
+	s.unknownBucketRequests = counter("node_share_unknown_total", "Requests whose store was not known: decided as by one alone.")
+	for name, value := range map[string]func(*ratelimit.Counts) int64{
 		"node_share_sent_total":     func(c *ratelimit.Counts) int64 { return c.Sent },
 		"node_share_heard_total":    func(c *ratelimit.Counts) int64 { return c.Received },
 		"node_share_late_total":     func(c *ratelimit.Counts) int64 { return c.Expired },
@@ -83,7 +83,7 @@
 		"node_share_taken_total":    func(c *ratelimit.Counts) int64 { return c.TransferredIn },
 	} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
-			func() float64 { return float64(of(s.counts.Load())) }))
+			func() float64 { return float64(value(s.counts.Load())) }))
 	}
 	registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "node_share_stores", Help: "Customers' stores kept here for all nodes."},
 		func() float64 { return float64(s.counts.Load().Buckets) }))
@@ -92,20 +92,20 @@
 }
 
 // start takes part in the sharing once the membership has started.
-func (s *limitSharing) start(p *membership.Peers) {
+func (s *limitSharing) start(peers *membership.Peers) {
 	quotas := make(map[uint32]ratelimit.Quota)
 	for _, plan := range s.settings.Plans {
 		quotas[planKey(plan.Name)] = ratelimit.Quota{Rate: plan.Rate, Burst: plan.Burst}
 	}
-	customers := s.settings.MaxTenants
-	if customers <= 0 {
-		customers = defaultMaxTenants
+	maxTenants := s.settings.MaxTenants
+	if maxTenants <= 0 {
+		maxTenants = defaultMaxTenants
 	}
-	s.peers.Store(p)
+	s.peers.Store(peers)
 	s.sender.Go(s.sendMessages)
 	s.loop.post(func() { // runs when the loop has started
-		s.limiter = ratelimit.NewLimiter(ratelimit.Config{Node: s.settings.NodeIndex, FleetSize: s.settings.FleetSize, Incarnation: p.Incarnation(),
-			Quotas: quotas, MaxTenants: customers}, s.loop.now())
+		s.limiter = ratelimit.NewLimiter(ratelimit.Config{Node: s.settings.NodeIndex, FleetSize: s.settings.FleetSize, Incarnation: peers.Incarnation(),
+			Quotas: quotas, MaxTenants: maxTenants}, s.loop.now())
 		s.updateMembers()
 	})
 }
@@ -123,22 +123,22 @@
 	if s.limiter == nil || !s.peersConfig.SharedLimits {
 		return nil
 	}
-	k, ok := s.limiter.Level(s.loop.now(), tenantKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes})
+	bucket, ok := s.limiter.Level(s.loop.now(), tenantKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes})
 	if !ok {
-		s.unknownBuckets.Inc()
+		s.unknownBucketRequests.Inc()
 		return nil
 	}
-	s.knownBuckets.Inc()
-	s.age.Observe(k.Age.Seconds())
-	return &control.SharedBucket{Tokens: k.Tokens, LowerBound: k.IsLowerBound, Age: k.Age}
+	s.knownBucketRequests.Inc()
+	s.bucketAge.Observe(bucket.Age.Seconds())
+	return &control.SharedBucket{Tokens: bucket.Tokens, LowerBound: bucket.IsLowerBound, Age: bucket.Age}
 }
 
 // consume reports tokens of a request that was sent; see ratelimit.Limiter.Consume.
-func (s *limitSharing) consume(r *control.Request, units float64, correction bool) {
+func (s *limitSharing) consume(r *control.Request, tokens float64, correction bool) {
 	if s.limiter == nil || !s.peersConfig.SharedLimits {
 		return
 	}
-	s.limiter.Consume(s.loop.now(), tenantKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes}, units, correction)
+	s.limiter.Consume(s.loop.now(), tenantKey(r), planKey(r.Plan), ratelimit.NodeRange{First: r.FirstNode, Count: r.TenantNodes}, tokens, correction)
 	s.scheduleFlush()
 }
 
@@ -149,8 +149,8 @@
 		delete(s.serverByID, id)
 	}
 	if t != nil {
-		v := ratelimit.Server{Key: xxhash.Sum64String(t.UID), StartedAt: uint64(max(0, t.BootMS))}
-		s.serverByID[id], s.idByServer[v] = v, id
+		server := ratelimit.Server{Key: xxhash.Sum64String(t.UID), StartedAt: uint64(max(0, t.BootMS))}
+		s.serverByID[id], s.idByServer[server] = server, id
 	}
 }
 
@@ -165,28 +165,28 @@
 // applyOutlierReports tells the decision module of servers that enough nodes report as slow. It must not be called while
 // the loop carries out the module's actions.
 func (s *limitSharing) applyOutlierReports() {
-	for _, v := range s.limiter.Outliers(s.loop.now(), len(s.idByServer)) {
-		if id, ok := s.idByServer[v.Server]; ok {
-			slog.Info("outlier reports: nodes report a server as slow", "server", id, "reporters", v.Reporters)
-			s.loop.handle(control.OutlierReport{Server: id, Reporters: v.Reporters, Until: v.ReportedAt + ratelimit.OutlierReportLifetime})
+	for _, outlier := range s.limiter.Outliers(s.loop.now(), len(s.idByServer)) {
+		if id, ok := s.idByServer[outlier.Server]; ok {
+			slog.Info("outlier reports: nodes report a server as slow", "server", id, "reporters", outlier.Reporters)
+			s.loop.handle(control.OutlierReport{Server: id, Reporters: outlier.Reporters, Until: outlier.ReportedAt + ratelimit.OutlierReportLifetime})
 		}
 	}
 }
 
 // updateMembers takes the live members.
 func (s *limitSharing) updateMembers() {
-	s.membersChanged.Store(false)
+	s.membersUpdateQueued.Store(false)
 	if s.limiter == nil {
 		return
 	}
-	var nodes []ratelimit.Peer
+	var peers []ratelimit.Peer
 	live, _ := s.peers.Load().Live()
 	for _, m := range live {
 		if m.MetaVersion >= membership.MetaVersion {
-			nodes = append(nodes, ratelimit.Peer{Index: m.Index, Incarnation: m.Incarnation})
+			peers = append(peers, ratelimit.Peer{Index: m.Index, Incarnation: m.Incarnation})
 		}
 	}
-	s.limiter.SetLivePeers(s.loop.now(), nodes)
+	s.limiter.SetLivePeers(s.loop.now(), peers)
 	s.scheduleFlush()
 }
 
@@ -200,12 +200,12 @@
 
 // flush sends the messages that are due.
 func (s *limitSharing) flush() {
-	s.timerAt = 0
+	s.flushAt = 0
 	for _, o := range s.limiter.Flush(s.loop.now()) {
 		select {
 		case s.outgoing <- o:
 		default:
-			s.droppedOut.Inc()
+			s.unsentMessages.Inc()
 		}
 	}
 	s.applyOutlierReports()
@@ -217,17 +217,17 @@
 // scheduleFlush has flush called when a message is due.
 func (s *limitSharing) scheduleFlush() {
 	when, ok := s.limiter.NextFlush()
-	if !ok || (s.timerAt != 0 && s.timerAt <= when) {
+	if !ok || (s.flushAt != 0 && s.flushAt <= when) {
 		return
 	}
-	s.timerAt = when
+	s.flushAt = when
 	wait := max(0, when-s.loop.now())
-	if s.timer != nil {
-		s.timer.Stop()
+	if s.flushTimer != nil {
+		s.flushTimer.Stop()
 	}
-	s.timer = time.AfterFunc(wait, func() {
+	s.flushTimer = time.AfterFunc(wait, func() {
 		s.loop.post(func() {
-			if s.timerAt == when {
+			if s.flushAt == when {
 				s.flush()
 			}
 		})
@@ -236,22 +236,22 @@
 
 // receive takes a message of another node and does not keep raw.
 func (s *limitSharing) receive(raw []byte) {
-	m, err := ratelimit.Decode(raw, s.settings.FleetSize)
+	message, err := ratelimit.Decode(raw, s.settings.FleetSize)
 	if err != nil {
-		s.corrupt.Inc()
+		s.corruptMessages.Inc()
 		slog.Debug("shared limits: message dropped", "bytes", len(raw), "error", err)
 		return
 	}
-	if s.queued.Add(1) > maxQueued {
-		s.queued.Add(-1)
-		s.droppedIn.Inc()
+	if s.queuedMessages.Add(1) > maxQueuedMessages {
+		s.queuedMessages.Add(-1)
+		s.droppedMessages.Inc()
 		return
 	}
 	s.loop.post(func() {
-		s.queued.Add(-1)
+		s.queuedMessages.Add(-1)
 		if s.limiter != nil {
 			now := s.loop.now()
-			s.limiter.Receive(now, m)
+			s.limiter.Receive(now, message)
 			if when, ok := s.limiter.NextFlush(); ok && when <= now { // as most answers to others are
 				s.flush()
 				return
@@ -264,7 +264,7 @@
 
 // membershipChanged has the loop take the live members, once for many changes.
 func (s *limitSharing) membershipChanged() {
-	if s.peers.Load() != nil && !s.membersChanged.Swap(true) {
+	if s.peers.Load() != nil && !s.membersUpdateQueued.Swap(true) {
 		s.loop.post(s.updateMembers)
 	}
 }
@@ -277,14 +277,14 @@
 			err = s.peers.Load().Send(o.To, raw)
 		}
 		if err != nil {
-			s.droppedOut.Inc()
+			s.unsentMessages.Inc()
 			slog.Debug("shared limits: sending a message failed", "to", o.To, "error", err)
 		}
 	}
 }
 
 // waitForSender ends the sending once the loop has ended, and waits for it.
-func (s *limitSharing) waitForSender() {
+func (s *limitSharing) stopSender() {
 	<-s.loop.ended
 	close(s.outgoing)
 	s.sender.Wait()
--- a/internal/node/limitsharing_test.go
+++ b/internal/node/limitsharing_test.go
@@ -16,9 +16,9 @@
 )
 
 // pair starts two nodes that know each other, and share limits or don't.
-func pair(t *testing.T, limits bool) [2]*rig {
+func newNodePair(t *testing.T, sharedLimits bool) [2]*testNode {
 	var ports [2]int
-	host := ownHost()
+	host := uniqueHost()
 	for i := range ports {
 		l, err := net.Listen("tcp", host+":0")
 		if err != nil {
@@ -27,61 +27,61 @@
 		ports[i] = l.Addr().(*net.TCPAddr).Port
 		_ = l.Close()
 	}
-	var rigs [2]*rig
-	for i := range rigs {
-		rigs[i] = newRigWith(t, func(c *config.Config) {
+	var nodes [2]*testNode
+	for i := range nodes {
+		nodes[i] = newTestNodeWith(t, func(c *config.Config) {
 			c.Name, c.Settings.NodeIndex, c.Settings.PeerMessages = fmt.Sprint("n", i), i, true
 			c.Listen = host + ":0"
-			c.Fleet = &config.Fleet{Peers: &config.Peers{Label: t.Name(), Port: ports[i], Seeds: []string{fmt.Sprint(host, ":", ports[1-i])}, SharedLimits: limits}}
+			c.Fleet = &config.Fleet{Peers: &config.Peers{Label: t.Name(), Port: ports[i], Seeds: []string{fmt.Sprint(host, ":", ports[1-i])}, SharedLimits: sharedLimits}}
 		})
 	}
-	for _, r := range rigs {
-		r.wait("the other node", func() bool { return r.node.peers.Load().Counts.Live.Load() == 1 })
+	for _, r := range nodes {
+		r.waitUntil("the other node", func() bool { return r.node.peers.Load().Counts.Live.Load() == 1 })
 	}
-	return rigs
+	return nodes
 }
 
 // askBasic sends a request of a small quota, of a customer that so many nodes share.
-func askBasic(r *rig, id string, units, spread int) int {
-	req := r.call(http.MethodGet, "/roster-read", id)
+func requestBasicPlan(r *testNode, id string, tokens, nodes int) int {
+	req := r.newRequest(http.MethodGet, "/roster-read", id)
 	req.Header.Set(headerPlan, "basic")
-	req.Header.Set(headerWeight, fmt.Sprintf("units=%d,spread=%d,first=0", units, spread))
+	req.Header.Set(headerWeight, fmt.Sprintf("units=%d,spread=%d,first=0", tokens, nodes))
 	resp, _ := r.do(req)
 	return resp.StatusCode
 }
 
 // What one node has sent on the other does not grant again; where limits are not shared it does.
-func TestNodesShareALimit(t *testing.T) {
-	for _, limits := range []bool{true, false} {
-		t.Run(fmt.Sprint(limits), func(t *testing.T) {
+func TestNodesShareLimits(t *testing.T) {
+	for _, sharedLimits := range []bool{true, false} {
+		t.Run(fmt.Sprint(sharedLimits), func(t *testing.T) {
 			t.Parallel()
-			app := newApp(t, served)
-			rigs := pair(t, limits)
+			server := newTestServer(t, serveOK)
+			nodes := newNodePair(t, sharedLimits)
 			q := &control.Request{Plan: "basic", Tenant: "00000000b4d65521", TenantNodes: 2}
-			for _, r := range rigs {
-				r.list(app.target("a", 1))
-				if limits {
-					askBasic(r, "first", 1, 2) // so that the store has an owner that tells of it
-					r.wait("any word", func() bool { return r.node.loop.limitSharing.bucketOf(q) != nil })
+			for _, r := range nodes {
+				r.updateList(server.target("a", 1))
+				if sharedLimits {
+					requestBasicPlan(r, "first", 1, 2) // so that the store has an owner that tells of it
+					r.waitUntil("any word", func() bool { return r.node.loop.limitSharing.bucketOf(q) != nil })
 				}
 			}
-			for i := 0; askBasic(rigs[0], fmt.Sprint("a", i), 1, 2) == http.StatusOK; i++ {
+			for i := 0; requestBasicPlan(nodes[0], fmt.Sprint("a", i), 1, 2) == http.StatusOK; i++ {
 				if i > 20 {
 					t.Fatal("the store is never empty")
 				}
 			}
-			b := rigs[1]
-			if !limits {
-				if got := askBasic(b, "b", 4, 2); got != http.StatusOK {
+			b := nodes[1]
+			if !sharedLimits {
+				if got := requestBasicPlan(b, "b", 4, 2); got != http.StatusOK {
 					t.Errorf("a node that knows nothing answers %d", got)
 				}
 				return
 			}
-			b.wait("word of the store", func() bool {
+			b.waitUntil("word of the store", func() bool {
 				s := b.node.loop.limitSharing.bucketOf(q)
 				return s != nil && !s.LowerBound && s.Tokens < 3
 			})
-			if got := askBasic(b, "b", 4, 2); got != http.StatusServiceUnavailable {
+			if got := requestBasicPlan(b, "b", 4, 2); got != http.StatusServiceUnavailable {
 				t.Errorf("a node that is told of an empty store answers %d", got)
 			}
 			var text strings.Builder
@@ -94,15 +94,15 @@
 }
 
 // Without a fleet file a node has no part of this, and tells the module nothing.
-func TestOffIsNothing(t *testing.T) {
-	r := newRig(t)
+func TestPeersAreOffWithoutFleetFile(t *testing.T) {
+	r := newTestNode(t)
 	if n := r.node; n.startPeers != nil || n.peers.Load() != nil || n.loop.limitSharing != nil {
 		t.Error("a node without a fleet file talks")
 	}
 }
 
 // What the loop does more for a request where limits are shared, and the store known.
-func BenchmarkSharing(b *testing.B) {
+func BenchmarkLimitSharing(b *testing.B) {
 	q := &control.Request{Plan: "basic", Tenant: "x", TenantNodes: 3, Tokens: 1}
 	s := newLimitSharing(&control.Settings{FleetSize: 3}, config.Peers{SharedLimits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
 	s.limiter = ratelimit.NewLimiter(ratelimit.Config{Node: 0, FleetSize: 3, Incarnation: 1, MaxTenants: 1000,
@@ -117,9 +117,9 @@
 }
 
 // A process that starts while the one before it still has the address begins to talk when that ends.
-func TestTalkBeginsWhenTheAddressIsFree(t *testing.T) {
+func TestPeersStartWhenTheAddressIsFree(t *testing.T) {
 	t.Parallel()
-	before, err := net.Listen("tcp", "127.0.0.1:0")
+	holder, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -128,16 +128,16 @@
 		t.Fatal(err)
 	}
 	cfg.Settings.PeerMessages = true
-	cfg.Fleet = &config.Fleet{Peers: &config.Peers{Label: "x", Port: before.Addr().(*net.TCPAddr).Port}}
-	join, err := startPeersFunc(cfg, &loop{})
+	cfg.Fleet = &config.Fleet{Peers: &config.Peers{Label: "x", Port: holder.Addr().(*net.TCPAddr).Port}}
+	startPeers, err := startPeersFunc(cfg, &loop{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &Node{startPeers: join}
+	n := &Node{startPeers: startPeers}
 	if _, err := n.startPeers(); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Fatalf("while the address is taken: %v", err)
 	}
-	_ = before.Close()
+	_ = holder.Close()
 	p := n.joinPeers(t.Context())
 	if p == nil || n.peers.Load() != p {
 		t.Fatal("it does not begin")
--- a/internal/node/longanswers_test.go
+++ b/internal/node/longanswers_test.go
@@ -28,9 +28,9 @@
 }
 
 // stream is an app server that answers over its raw connection, once the request's body is read.
-func stream(t *testing.T, answer func(c net.Conn)) *app {
-	a := &app{}
-	a.Server = newApp(t, func(w http.ResponseWriter, _ *http.Request) {
+func stream(t *testing.T, answer func(c net.Conn)) *testServer {
+	a := &testServer{}
+	a.Server = newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		c := hijack(w)
 		defer func() { _ = c.Close() }()
 		answer(c)
@@ -73,14 +73,14 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.list(stream(t, answer).target("s-1", 0))
-			resp, got := r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
+			r := newTestNode(t)
+			r.updateList(stream(t, answer).target("s-1", 0))
+			resp, got := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 			if resp.StatusCode != 200 || sha256.Sum256([]byte(got)) != sha256.Sum256(body) {
 				t.Errorf("%s, %d bytes of %d", resp.Status, len(got), len(body))
 			}
-			r.figure(`node_success_total{tier="roster-read"}`, 1)
-			r.figure("node_inflight", 0)
+			r.waitForMetric(`node_success_total{tier="roster-read"}`, 1)
+			r.waitForMetric("node_inflight", 0)
 		})
 	}
 }
@@ -88,9 +88,9 @@
 // What comes slowly is passed on as it comes, and a silence of seconds does not end it.
 func TestSlowAnswer(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newTestNode(t)
 	came := make(chan struct{})
-	r.list(stream(t, func(c net.Conn) {
+	r.updateList(stream(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst")
 		<-came
 		time.Sleep(answerIdleTimeout + answerIdleTimeout/4) // has to pass
@@ -119,22 +119,22 @@
 		"in chunks":   "Transfer-Encoding: chunked\r\n\r\n100000\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
+			r := newTestNode(t)
 			a := stream(t, func(c net.Conn) { _, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, noise(mega/2)) })
-			b := newApp(t, served)
-			r.list(a.target("s-1", 0))
-			resp, err := http.DefaultTransport.RoundTrip(r.call(http.MethodGet, "/roster-read", "id-1"))
+			b := newTestServer(t, serveOK)
+			r.updateList(a.target("s-1", 0))
+			resp, err := http.DefaultTransport.RoundTrip(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = resp.Body.Close() }()
-			r.list(b.target("s-2", 0))
+			r.updateList(b.target("s-2", 0))
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil || n == 0 {
 				t.Errorf("%d bytes and %v", n, err)
 			}
-			r.figure(`node_failure_total{tier="roster-read"}`, 1)
-			if got := r.figures()[`node_success_total{tier="roster-read"}`]; got != 0 || b.count() != 0 {
-				t.Errorf("%g successes, %d sent again", got, b.count())
+			r.waitForMetric(`node_failure_total{tier="roster-read"}`, 1)
+			if got := r.readMetrics()[`node_success_total{tier="roster-read"}`]; got != 0 || b.requestCount() != 0 {
+				t.Errorf("%g successes, %d sent again", got, b.requestCount())
 			}
 		})
 	}
@@ -143,10 +143,10 @@
 // The node holds little of a long answer whose client takes its time.
 func TestLongAnswersAreHeldBack(t *testing.T) {
 	const each, n = 16 * mega, 12
-	r := newRig(t)
+	r := newTestNode(t)
 	var written atomic.Int64
 	piece := noise(64 << 10)
-	r.list(stream(t, func(c net.Conn) {
+	r.updateList(stream(t, func(c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
 		for range each / len(piece) {
 			k, err := c.Write(piece)
@@ -161,7 +161,7 @@
 	runtime.ReadMemStats(&before)
 	var bodies []io.ReadCloser
 	for i := range n {
-		resp, err := http.DefaultTransport.RoundTrip(r.call(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
+		resp, err := http.DefaultTransport.RoundTrip(r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/longbodies_test.go
+++ b/internal/node/longbodies_test.go
@@ -40,12 +40,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+			r := newTestNode(t)
+			a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 				got, _ := io.ReadAll(q.Body)
 				fmt.Fprintf(w, "%x", sha256.Sum256(got))
 			})
-			r.list(a.target("s-1", 0))
+			r.updateList(a.target("s-1", 0))
 			c := r.dial()
 			in := bufio.NewReader(c)
 			for id := range 2 {
@@ -59,9 +59,9 @@
 					t.Errorf("%s %q closes %v", resp.Status, got, resp.Close)
 				}
 			}
-			r.figure(`node_success_total{tier="visit-update"}`, 2)
-			r.figure("node_backend_calls_total", 2)
-			r.figure("node_inflight", 0)
+			r.waitForMetric(`node_success_total{tier="visit-update"}`, 2)
+			r.waitForMetric("node_backend_calls_total", 2)
+			r.waitForMetric("node_inflight", 0)
 		})
 	}
 }
@@ -81,32 +81,32 @@
 
 // A short body in chunks is held whole, so it goes on with its length and may go again.
 func TestShortBodyInChunks(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	first := true
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		if first {
 			first = false
-			reset(w, q)
+			resetConn(w, q)
 			return
 		}
 		fmt.Fprint(w, "length ", q.ContentLength)
 	})
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	_, _ = io.WriteString(c, postHead+"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3;x=y\r\ncde\r\n0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := io.ReadAll(resp.Body); string(got) != "length 5" || a.count() != 2 {
-		t.Errorf("%s %q after %d attempts", resp.Status, got, a.count())
+	if got, _ := io.ReadAll(resp.Body); string(got) != "length 5" || a.requestCount() != 2 {
+		t.Errorf("%s %q after %d attempts", resp.Status, got, a.requestCount())
 	}
 }
 
 // A body of which a part has gone is not sent again; what broke before its end has not run, so
 // the client may come again.
 func TestBrokenBodyIsNotSentAgain(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -125,8 +125,8 @@
 			_ = c.Close()
 		}
 	}()
-	r.list(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
-	q := r.call(http.MethodPost, "/visit-update", "id-1")
+	r.updateList(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
+	q := r.newRequest(http.MethodPost, "/visit-update", "id-1")
 	q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(noise(8*mega))), 8*mega
 	if resp, _ := r.do(q); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Error(resp.Status)
@@ -134,8 +134,8 @@
 	if n := conns.Load(); n != 1 {
 		t.Errorf("sent %d times", n)
 	}
-	r.figure(`node_busy_total{tier="visit-update"}`, 1)
-	if n := r.figures()["node_backend_calls_total"]; n != 0 {
+	r.waitForMetric(`node_busy_total{tier="visit-update"}`, 1)
+	if n := r.readMetrics()["node_backend_calls_total"]; n != 0 {
 		t.Errorf("%g attempts are told as written whole", n)
 	}
 }
@@ -143,17 +143,17 @@
 // A long request is decided on at its head: one that is refused costs no server anything, and its
 // client reads the answer though it still sends.
 func TestLongBodyIsRefusedAtItsHead(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for i := range 100 {
-		before := a.count()
+		before := a.requestCount()
 		c := r.dial()
 		head := strings.Replace(strings.Replace(postHead, "enterprise", "basic", 1), "raw", "id-"+strconv.Itoa(i), 1)
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, mega)
 		half := make([]byte, mega/2)
 		_, _ = c.Write(half)
-		if a.count() != before {
+		if a.requestCount() != before {
 			t.Fatal("an app server was asked before the body was whole")
 		}
 		if r.node.stats.byClass["visit-update"].rejected.Load() == 0 && i < 12 { // within the burst: it goes on
@@ -178,9 +178,9 @@
 // A client that stops within its body is told so in time and is no request to anyone.
 func TestClientStopsInItsBody(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for name, framing := range map[string]string{
 		"of a length": "Content-Length: 3000000\r\n\r\n", "in chunks": "Transfer-Encoding: chunked\r\n\r\n100000\r\n"} {
 		c, begun := r.dial(), time.Now()
@@ -194,7 +194,7 @@
 			t.Errorf("%s: after %v", name, took)
 		}
 	}
-	if f := r.figures(); f["node_backend_calls_total"] != 0 || f["node_inflight"] != 0 {
+	if f := r.readMetrics(); f["node_backend_calls_total"] != 0 || f["node_inflight"] != 0 {
 		t.Errorf("sent on whole, or held on to: %v", f)
 	}
 }
@@ -202,9 +202,9 @@
 // A body may take longer than a client waits for its answer, as long as it moves.
 func TestSlowBody(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", strings.Replace(postHead, "7000m", "1500m", 1), 4<<16)
 	for range 4 {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -18,7 +18,7 @@
 const publishInterval = 200 * time.Millisecond
 
 // loopQueue is how many events may wait for the loop before those that post them wait too.
-const loopQueue = 256
+const maxQueuedEvents = 256
 
 // loop is the event loop. It owns the decision module and all state that goes with it: only its own goroutine reads and
 // writes the fields below life, and others post events to it.
@@ -29,11 +29,11 @@
 	maxTokens   float64   // of one request; 0 is no limit
 	stats       *stats
 
-	life    context.Context // of attempts; ends with run
-	endLife context.CancelFunc
-	events  chan func()
-	ended   chan struct{} // closed when run has ended
-	failure error         // why the loop ended early; set before ended is closed
+	attemptCtx     context.Context // of attempts; ends with run
+	cancelAttempts context.CancelFunc
+	events         chan func()
+	ended          chan struct{} // closed when run has ended
+	failure        error         // why the loop ended early; set before ended is closed
 
 	controller    *control.Controller
 	pendingEvents []control.Event // caused by the node itself while it carried out actions
@@ -56,27 +56,27 @@
 	metrics      *prometheus.Registry // of these parts
 }
 
-func newLoop(cfg config.Config, up *upstream, counts *stats) (*loop, error) {
+func newLoop(cfg config.Config, upstreamSide *upstream, metrics *stats) (*loop, error) {
 	controller, err := control.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
-	life, end := context.WithCancel(context.Background())
+	attemptCtx, cancelAttempts := context.WithCancel(context.Background())
 	return &loop{
-		upstream:    up,
-		start:       time.Now(),
-		maxAttempts: cfg.Settings.MaxAttempts,
-		maxTokens:   cfg.Settings.MaxRequestTokens,
-		stats:       counts,
-		life:        life,
-		endLife:     end,
-		events:      make(chan func(), loopQueue),
-		ended:       make(chan struct{}),
-		controller:  controller,
-		exchanges:   make(map[string]*exchange),
-		serverIDs:   make(map[string]uint32),
-		endpoints:   make(map[string]discovery.Target),
-		pools:       make(map[uint32]*pool),
+		upstream:       upstreamSide,
+		start:          time.Now(),
+		maxAttempts:    cfg.Settings.MaxAttempts,
+		maxTokens:      cfg.Settings.MaxRequestTokens,
+		stats:          metrics,
+		attemptCtx:     attemptCtx,
+		cancelAttempts: cancelAttempts,
+		events:         make(chan func(), maxQueuedEvents),
+		ended:          make(chan struct{}),
+		controller:     controller,
+		exchanges:      make(map[string]*exchange),
+		serverIDs:      make(map[string]uint32),
+		endpoints:      make(map[string]discovery.Target),
+		pools:          make(map[uint32]*pool),
 	}, nil
 }
 
@@ -95,7 +95,7 @@
 }
 
 // at converts a time of the decision module's clock; zero stays zero.
-func (l *loop) at(t time.Duration) time.Time {
+func (l *loop) wallTime(t time.Duration) time.Time {
 	if t == 0 {
 		return time.Time{}
 	}
@@ -124,7 +124,7 @@
 			l.finish(x, answer{status: http.StatusBadGateway})
 		}
 		close(l.ended)
-		l.endLife()
+		l.cancelAttempts()
 	}()
 	publish := time.NewTicker(publishInterval)
 	defer publish.Stop()
@@ -153,13 +153,13 @@
 		e := l.pendingEvents[0]
 		l.pendingEvents = l.pendingEvents[1:]
 		for _, a := range l.controller.Handle(l.now(), e) {
-			l.act(a)
+			l.execute(a)
 		}
 	}
 }
 
 // act carries out an action of the decision module.
-func (l *loop) act(a control.Action) {
+func (l *loop) execute(a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
 		l.send(a)
@@ -168,13 +168,13 @@
 			x.attempts[a.Attempt].cancel(context.Canceled)
 		}
 	case control.Reject:
-		l.finishID(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
+		l.finishByID(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 	case control.Fail:
 		status := http.StatusBadGateway
 		if x := l.exchanges[a.ID]; x != nil && x.lastOutcome == control.TimedOut {
 			status = http.StatusGatewayTimeout
 		}
-		l.finishID(a.ID, answer{status: status})
+		l.finishByID(a.ID, answer{status: status})
 	case control.SetTimer:
 		time.AfterFunc(a.After, func() {
 			l.post(func() { l.handle(control.Timer{Label: a.Label}) })
@@ -187,14 +187,14 @@
 }
 
 // begin admits a request to the loop, unless one with its ID is still open.
-func (l *loop) begin(x *exchange) {
+func (l *loop) beginExchange(x *exchange) {
 	if l.exchanges[x.req.ID] != nil {
 		x.answer <- answer{status: http.StatusConflict}
 		return
 	}
 	l.exchanges[x.req.ID] = x
 	if l.consensus != nil {
-		x.version = l.consensus.applyActing()
+		x.version = l.consensus.applyEffectiveVersion()
 		l.consensus.setVersionHeader(x)
 	}
 	x.req.TimeLeft = x.timeLeft
@@ -217,7 +217,7 @@
 
 // hangup takes that the client has left. Attempts that are written go on: the server's work would not stop, and their
 // outcomes still inform the decision module.
-func (l *loop) hangup(x *exchange) {
+func (l *loop) clientGone(x *exchange) {
 	if x.done {
 		return
 	}
@@ -226,7 +226,7 @@
 }
 
 // finishID gives the request with an ID its final answer, unless it has one.
-func (l *loop) finishID(id string, a answer) {
+func (l *loop) finishByID(id string, a answer) {
 	if x := l.exchanges[id]; x != nil {
 		l.finish(x, a)
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -17,12 +17,12 @@
 // stats are the metrics that operators read without a fleet file. What became of a request is counted here only, once, by
 // whoever decides it. All are atomics, so that reading them waits for nobody.
 type stats struct {
-	classes  []string // names, sorted
-	byClass  map[string]*classStats
-	calls    atomic.Int64 // attempts written whole to servers
-	inflight atomic.Int64 // requests received and not ended
-	listed   atomic.Int64 // servers in the list
-	avoided  atomic.Int64 // those of them that the decision module avoids
+	classNames []string // names, sorted
+	byClass    map[string]*classStats
+	attempts   atomic.Int64 // attempts written whole to servers
+	inflight   atomic.Int64 // requests received and not ended
+	listed     atomic.Int64 // servers in the list
+	avoided    atomic.Int64 // those of them that the decision module avoids
 }
 
 // classStats are the counts of one class's requests.
@@ -31,15 +31,15 @@
 func newStats(classes []control.Class) *stats {
 	s := &stats{byClass: make(map[string]*classStats, len(classes))}
 	for _, k := range classes {
-		s.classes = append(s.classes, k.Name)
+		s.classNames = append(s.classNames, k.Name)
 		s.byClass[k.Name] = &classStats{}
 	}
-	slices.Sort(s.classes)
+	slices.Sort(s.classNames)
 	return s
 }
 
 // answered counts a final answer that was written to the client.
-func (s *stats) answered(class string, status int) {
+func (s *stats) countAnswer(class string, status int) {
 	t := s.byClass[class]
 	switch status {
 	case http.StatusOK:
@@ -55,32 +55,32 @@
 func (s *stats) write(w io.Writer) {
 	for _, m := range []struct {
 		name, help string
-		of         func(*classStats) *atomic.Int64
+		counter    func(*classStats) *atomic.Int64
 	}{
 		{"node_success_total", "Requests served.", func(t *classStats) *atomic.Int64 { return &t.success }},
 		{"node_busy_total", "Requests refused.", func(t *classStats) *atomic.Int64 { return &t.rejected }},
 		{"node_failure_total", "Requests failed.", func(t *classStats) *atomic.Int64 { return &t.failure }},
 	} {
 		fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s counter\n", m.name, m.help, m.name)
-		for _, name := range s.classes {
-			fmt.Fprintf(w, "%s{tier=%q} %d\n", m.name, name, m.of(s.byClass[name]).Load())
+		for _, name := range s.classNames {
+			fmt.Fprintf(w, "%s{tier=%q} %d\n", m.name, name, m.counter(s.byClass[name]).Load())
 		}
 	}
 	for _, m := range []struct {
 		name, kind, help string
 		value            *atomic.Int64
 	}{
-		{"node_backend_calls_total", "counter", "Attempts written whole to rating servers.", &s.calls},
+		{"node_backend_calls_total", "counter", "Attempts written whole to rating servers.", &s.attempts},
 		{"node_inflight", "gauge", "Requests taken and not ended.", &s.inflight},
 		{"node_hosts_listed", "gauge", "Rating servers in the list.", &s.listed},
 		{"node_hosts_down", "gauge", "Listed rating servers that are avoided now.", &s.avoided},
 	} {
-		writeFigure(w, m.name, m.kind, m.help, m.value)
+		writeMetric(w, m.name, m.kind, m.help, m.value)
 	}
 }
 
 // writeFigure writes one metric without labels.
-func writeFigure(w io.Writer, name, kind, help string, value *atomic.Int64) {
+func writeMetric(w io.Writer, name, kind, help string, value *atomic.Int64) {
 	fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s %s\n%s %d\n", name, help, name, kind, name, value.Load())
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,7 +40,7 @@
 	listener      net.Listener
 	stopListening context.CancelFunc
 	inherited     bool          // the clients' socket was inherited: another process may share it
-	maxDrain      time.Duration // a drain ends by then
+	drainTimeout  time.Duration // a drain ends by then
 	readyTimeout  time.Duration
 
 	peers      atomic.Pointer[membership.Peers]  // nil while peers are off or not started
@@ -53,9 +53,9 @@
 // New makes an edge node and starts to listen.
 func New(cfg config.Config) (*Node, error) {
 	sockets := newSockets(cfg.MaxSockets, reservedDescriptors(cfg))
-	counts := newStats(cfg.Settings.Classes)
-	up := upstreamOf(cfg, sockets)
-	l, err := newLoop(cfg, up, counts)
+	metrics := newStats(cfg.Settings.Classes)
+	upstreamSide := newUpstreamFromConfig(cfg, sockets)
+	eventLoop, err := newLoop(cfg, upstreamSide, metrics)
 	if err != nil {
 		return nil, &config.FileError{File: cfg.File, Err: err}
 	}
@@ -66,15 +66,15 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		name:             cfg.Name,
-		front:            newFront(cfg.Settings, l, sockets, counts),
-		loop:             l,
-		upstream:         up,
-		stats:            counts,
+		front:            newFront(cfg.Settings, eventLoop, sockets, metrics),
+		loop:             eventLoop,
+		upstream:         upstreamSide,
+		stats:            metrics,
 		discoveryAddress: cfg.Discovery,
 		listener:         &countedListener{listener, ctx, sockets},
 		stopListening:    cancel,
 		inherited:        inherited,
-		maxDrain:         maxDrainOf(cfg.Settings.Classes),
+		drainTimeout:     computeDrainTimeout(cfg.Settings.Classes),
 		readyTimeout:     readyTimeout,
 	}
 	n.drainer = &drainer{front: n.front}
@@ -102,18 +102,18 @@
 }
 
 // upstreamOf makes the upstream side as a configuration has it.
-func upstreamOf(cfg config.Config, sockets *sockets) *upstream {
-	memory := cfg.MemoryMB
+func newUpstreamFromConfig(cfg config.Config, sockets *sockets) *upstream {
+	memoryMB := cfg.MemoryMB
 	if cfg.SocketFD > 0 {
-		memory /= 2 // a second process may run beside this one
+		memoryMB /= 2 // a second process may run beside this one
 	}
-	connect := cfg.ServerConnectTimeout
+	connectTimeout := cfg.ServerConnectTimeout
 	if grace := cfg.Settings.DrainGrace; grace > 0 {
 		// Otherwise the first byte could reach a server after the grace, where it begins to drain while a connection
 		// to it opens.
-		connect = min(connect, grace)
+		connectTimeout = min(connectTimeout, grace)
 	}
-	return newUpstream(connect, cfg.ServerKeepalive, cfg.Settings.FleetSize, sockets, newBudget(memory))
+	return newUpstream(connectTimeout, cfg.ServerKeepalive, cfg.Settings.FleetSize, sockets, newBudget(memoryMB))
 }
 
 // assemble adds the parts that the configuration and the fleet file switch on, and the watch of the endpoint list.
@@ -128,7 +128,7 @@
 	if n.startPeers, err = startPeersFunc(cfg, l); err != nil {
 		return err
 	}
-	if err := n.follow(cfg); err != nil {
+	if err := n.watchEndpoints(cfg); err != nil {
 		return err
 	}
 	if cfg.Console != "" {
@@ -162,8 +162,8 @@
 }
 
 // applyList gives the loop an endpoint list or a change of it. With a server to send to the node is ready.
-func (n *Node) applyList(kind control.UpdateKind, update discovery.Update) {
-	n.loop.endpointsChanged(kind, update)
+func (n *Node) applyUpdate(kind control.UpdateKind, update discovery.Update) {
+	n.loop.updateEndpoints(kind, update)
 	if len(n.loop.serverIDs) > 0 && !n.listUnconfirmed.Load() {
 		n.front.ready.Store(true)
 	}
@@ -172,32 +172,32 @@
 // Run serves until ctx ends, then drains. It returns an error where the node itself has failed. Every goroutine that it
 // starts has ended when it returns.
 func (n *Node) Run(ctx context.Context) error {
-	life, end := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	defer end()
+	runCtx, endRun := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer endRun()
 	defer n.drainer.stop()
-	loopLife, stopLoop := context.WithCancel(life)
+	loopCtx, stopLoop := context.WithCancel(runCtx)
 	defer stopLoop()
 	if n.console != nil {
-		parts.Go(func() { n.console.run(life) })
+		running.Go(func() { n.console.run(runCtx) })
 	}
-	previous := n.startLoop(life, loopLife, &parts)
+	previous := n.startLoop(runCtx, loopCtx, &running)
 	if previous != nil {
-		defer n.confirmListLater().Stop()
-		parts.Go(func() { n.awaitPredecessor(life, previous) })
+		defer n.scheduleListConfirmation().Stop()
+		running.Go(func() { n.awaitPredecessor(runCtx, previous) })
 	}
 	// A node whose discovery is down or lists no server becomes ready all the same: it rejects requests then, which
 	// clients may safely retry.
 	ready := time.AfterFunc(n.readyTimeout, func() { n.front.ready.Store(true) })
 	defer ready.Stop()
-	served := n.startServing(life, &parts)
-	n.startFleetParts(ctx, life, &parts)
+	served := n.startServing(runCtx, &running)
+	n.startFleetServices(ctx, runCtx, &running)
 	select {
 	case <-ctx.Done():
 		return n.drain(stopLoop)
 	case <-n.loop.ended:
-		n.finish(drainWriteTime)
+		n.finish(drainWriteTimeout)
 		return n.loop.failure
 	case err := <-served:
 		return &ServeError{n.Addr(), err}
@@ -206,29 +206,29 @@
 
 // startLoop takes over from a previous process or restores the stored state, and starts the event loop. It returns the
 // connection to the previous process, or nil.
-func (n *Node) startLoop(life, loopLife context.Context, parts *sync.WaitGroup) (previous net.Conn) {
+func (n *Node) startLoop(runCtx, loopCtx context.Context, running *sync.WaitGroup) (previous net.Conn) {
 	if n.handoverDir != "" {
-		previous = n.takeOver(n.handoverDir)
+		previous = n.receiveHandover(n.handoverDir)
 		if previous != nil {
 			n.listUnconfirmed.Store(true)
 		}
 	}
 	if p := n.loop.persistence; p != nil {
 		if !p.open(n, previous != nil) {
-			parts.Go(func() { p.openWhenFree(life) })
+			running.Go(func() { p.openWhenUnlocked(runCtx) })
 		}
-		parts.Go(func() { <-n.loop.ended; p.close() })
+		running.Go(func() { <-n.loop.ended; p.close() })
 	}
-	parts.Go(func() { n.loop.run(loopLife) })
+	running.Go(func() { n.loop.run(loopCtx) })
 	// Without this check a list of no servers would set the decision module's bound.
 	if len(n.knownServers.Targets) > 0 {
-		n.loop.post(func() { n.applyList(control.Cached, n.knownServers) })
+		n.loop.post(func() { n.applyUpdate(control.Cached, n.knownServers) })
 	}
 	return previous
 }
 
 // confirmListLater makes the node ready with the list that was handed over where discovery does not confirm it in time.
-func (n *Node) confirmListLater() *time.Timer {
+func (n *Node) scheduleListConfirmation() *time.Timer {
 	return time.AfterFunc(listConfirmTimeout, func() {
 		n.loop.post(func() {
 			if n.listUnconfirmed.Swap(false) && len(n.loop.serverIDs) > 0 {
@@ -239,28 +239,28 @@
 }
 
 // startServing starts to serve clients and returns the channel that gets the error of the clients' listener.
-func (n *Node) startServing(life context.Context, parts *sync.WaitGroup) <-chan error {
+func (n *Node) startServing(runCtx context.Context, running *sync.WaitGroup) <-chan error {
 	if n.handoverDir != "" {
-		parts.Go(func() { n.serveHandover(life, n.handoverDir) })
+		running.Go(func() { n.serveHandover(runCtx, n.handoverDir) })
 	}
-	parts.Go(func() { n.discovery.Run(life) })
-	parts.Go(func() { n.upstream.sweep(life) })
-	parts.Go(func() { n.logCounts(life) })
+	running.Go(func() { n.discovery.Run(runCtx) })
+	running.Go(func() { n.upstream.sweep(runCtx) })
+	running.Go(func() { n.logCounts(runCtx) })
 	server := n.front.server()
 	served := make(chan error, 1)
-	parts.Go(func() { served <- server.Serve(n.listener) })
+	running.Go(func() { served <- server.Serve(n.listener) })
 	slog.Info("serving", "listen", n.Addr())
 	return served
 }
 
 // startFleetParts starts what a fleet file switches on beside the loop. The other nodes are told of a planned end when
 // ctx ends, and learn of a failure by this node's silence.
-func (n *Node) startFleetParts(ctx, life context.Context, parts *sync.WaitGroup) {
+func (n *Node) startFleetServices(ctx, runCtx context.Context, running *sync.WaitGroup) {
 	if c := n.loop.consensus; c != nil {
-		parts.Go(func() { c.run(life) })
+		running.Go(func() { c.run(runCtx) })
 	}
 	if n.startPeers != nil {
-		parts.Go(func() { n.leavePeers(ctx, life) })
+		running.Go(func() { n.leavePeers(ctx, runCtx) })
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,9 +12,9 @@
 	"sloestile/internal/discovery"
 )
 
-func TestServedUnchanged(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, func(w http.ResponseWriter, req *http.Request) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	r := newTestNode(t)
+	a := newTestServer(t, func(w http.ResponseWriter, req *http.Request) {
 		left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get(headerTimeLeft), "m"))
 		// The answer's last byte has to be there in time: the edge node waits a little less.
 		if err != nil || left < 1 || left > 7000-int(answerMargin.Milliseconds()) {
@@ -22,10 +22,10 @@
 		}
 		w.Header().Set("Content-Type", "text/x-roster")
 		w.Header().Set(headerMeter, "85")
-		served(w, req)
+		serveOK(w, req)
 	})
-	r.list(a.target("s-1", 0))
-	post := r.call(http.MethodPost, "/visit-update/a%2Fb/c", "id-1")
+	r.updateList(a.target("s-1", 0))
+	post := r.newRequest(http.MethodPost, "/visit-update/a%2Fb/c", "id-1")
 	post.Body, post.ContentLength = io.NopCloser(strings.NewReader("swap")), 4
 	resp, body := r.do(post)
 	if resp.StatusCode != 200 || body != "served id-1" || resp.Header.Get("Content-Type") != "text/x-roster" {
@@ -40,7 +40,7 @@
 }
 
 func TestHealthz(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	health := func() int {
 		req, _ := http.NewRequest(http.MethodGet, "http://"+r.node.Addr()+"/healthz", nil)
 		resp, _ := r.do(req)
@@ -49,20 +49,20 @@
 	if s := health(); s != http.StatusServiceUnavailable {
 		t.Errorf("%d with no app server known", s)
 	}
-	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
-	r.wait("ready", r.node.front.ready.Load)
+	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
+	r.waitUntil("ready", r.node.front.ready.Load)
 	if s := health(); s != http.StatusOK {
 		t.Errorf("%d with an app server", s)
 	}
 }
 
 // The module's refusal is given at once and tells when to come again.
-func TestRefusal(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+func TestRejectionHasRetryAfter(t *testing.T) {
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for i := range 100 {
-		q := r.call(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i))
+		q := r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i))
 		q.Header.Set(headerPlan, "basic") // a burst of 8 units
 		resp, _ := r.do(q)
 		if resp.StatusCode == http.StatusOK {
@@ -72,8 +72,8 @@
 		if resp.StatusCode != http.StatusServiceUnavailable || err != nil || after <= 0 {
 			t.Errorf("%s %v", resp.Status, resp.Header)
 		}
-		if a.count() != i {
-			t.Errorf("%d requests sent on before the first refusal of %d", a.count(), i)
+		if a.requestCount() != i {
+			t.Errorf("%d requests sent on before the first refusal of %d", a.requestCount(), i)
 		}
 		return
 	}
@@ -81,24 +81,24 @@
 }
 
 // A keyed request that may have run goes again within its group only, with its key.
-func TestKeyedAfterReset(t *testing.T) {
-	r := newRig(t)
+func TestKeyedRequestIsRetriedAfterReset(t *testing.T) {
+	r := newTestNode(t)
 	fails := true
 	serve := func(w http.ResponseWriter, q *http.Request) {
 		if fails {
 			fails = false
-			reset(w, q)
+			resetConn(w, q)
 			return
 		}
-		served(w, q)
+		serveOK(w, q)
 	}
-	a, b := newApp(t, serve), newApp(t, serve)
-	r.list(a.target("s-1", 0), b.target("s-2", 1))
-	resp, body := r.do(r.call(http.MethodPost, "/visit-update", "id-1"))
+	a, b := newTestServer(t, serve), newTestServer(t, serve)
+	r.updateList(a.target("s-1", 0), b.target("s-2", 1))
+	resp, body := r.do(r.newRequest(http.MethodPost, "/visit-update", "id-1"))
 	if resp.StatusCode != 200 || body != "served id-1" {
 		t.Errorf("%s %q", resp.Status, body)
 	}
-	if n := a.count() * b.count(); n != 0 || a.count()+b.count() != 2 {
+	if n := a.requestCount() * b.requestCount(); n != 0 || a.requestCount()+b.requestCount() != 2 {
 		t.Errorf("attempts %v and %v", a.requests(), b.requests())
 	}
 	for _, s := range append(a.requests(), b.requests()...) {
@@ -109,7 +109,7 @@
 }
 
 // At the end of the client's time the attempt's connection is closed and the client is told.
-func TestTimeOut(t *testing.T) {
+func TestRequestTimesOut(t *testing.T) {
 	t.Parallel()
 	for class, tc := range map[string]struct {
 		method string
@@ -119,20 +119,20 @@
 		"/visit-update": {http.MethodPost, http.StatusGatewayTimeout},    // may have run
 	} {
 		t.Run(class, func(t *testing.T) {
-			r := newRig(t)
+			r := newTestNode(t)
 			gone := make(chan struct{})
-			a := newApp(t, func(_ http.ResponseWriter, q *http.Request) {
+			a := newTestServer(t, func(_ http.ResponseWriter, q *http.Request) {
 				<-q.Context().Done()
 				close(gone)
 			})
-			r.list(a.target("s-1", 0))
-			q := r.call(tc.method, class, "id-1")
+			r.updateList(a.target("s-1", 0))
+			q := r.newRequest(tc.method, class, "id-1")
 			q.Header.Set(headerTimeLeft, "1500000u")
 			if resp, _ := r.do(q); resp.StatusCode != tc.want {
 				t.Errorf("%s", resp.Status)
 			}
-			next(t, gone)
-			if n := a.count(); n != 1 {
+			receive(t, gone)
+			if n := a.requestCount(); n != 1 {
 				t.Errorf("%d attempts", n)
 			}
 		})
@@ -140,50 +140,50 @@
 }
 
 // A client that leaves is owed nothing; its id is free again when its attempt has ended.
-func TestHangup(t *testing.T) {
-	r := newRig(t)
+func TestClientLeavesBeforeTheAnswer(t *testing.T) {
+	r := newTestNode(t)
 	held, finish := make(chan struct{}), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		held <- struct{}{}
 		<-finish
-		served(w, q)
+		serveOK(w, q)
 	})
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	ctx, leave := context.WithCancel(context.Background())
 	left := make(chan error, 1)
 	go func() {
-		resp, err := http.DefaultTransport.RoundTrip(r.call(http.MethodGet, "/roster-read", "id-1").WithContext(ctx))
+		resp, err := http.DefaultTransport.RoundTrip(r.newRequest(http.MethodGet, "/roster-read", "id-1").WithContext(ctx))
 		if err == nil {
 			_ = resp.Body.Close()
 		}
 		left <- err
 	}()
-	next(t, held)
-	if resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusConflict {
+	receive(t, held)
+	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusConflict {
 		t.Errorf("an id in flight was taken again: %s", resp.Status)
 	}
 	leave()
-	if err := next(t, left); err == nil {
+	if err := receive(t, left); err == nil {
 		t.Error("the client got an answer")
 	}
-	r.wait("the hang-up", func() bool { x := r.node.loop.exchanges["id-1"]; return x != nil && x.done })
+	r.waitUntil("the hang-up", func() bool { x := r.node.loop.exchanges["id-1"]; return x != nil && x.done })
 	close(finish)
-	r.wait("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
+	r.waitUntil("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
 	go func() { <-held }()
-	if resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
+	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
 		t.Errorf("a free id: %s", resp.Status)
 	}
 }
 
 // Requests are not lost with a module that panics.
-func TestModuleFails(t *testing.T) {
-	r := newRig(t)
-	answered := r.held()
+func TestDecisionModulePanics(t *testing.T) {
+	r := newTestNode(t)
+	answered := r.holdRequest()
 	r.node.loop.post(func() { panic("no such share") })
-	if s := next(t, answered); s != http.StatusBadGateway {
+	if s := receive(t, answered); s != http.StatusBadGateway {
 		t.Errorf("%d", s)
 	}
-	err := next(t, r.ended)
+	err := receive(t, r.ended)
 	if err == nil || !strings.Contains(err.Error(), "no such share") {
 		t.Errorf("ended with %v", err)
 	}
@@ -191,8 +191,8 @@
 }
 
 // The node's clock is Unix time, so that an app server's start before ours maps truly.
-func TestClock(t *testing.T) {
-	r := newRig(t)
+func TestClockIsUnixTime(t *testing.T) {
+	r := newTestNode(t)
 	if d := time.Since(time.Unix(0, int64(r.node.loop.now()))); d < -time.Minute || d > time.Minute {
 		t.Errorf("%v off", d)
 	}
--- a/internal/node/peering.go
+++ b/internal/node/peering.go
@@ -48,27 +48,27 @@
 
 // startMembership joins the fleet and starts the loop's parts that use the membership.
 func startMembership(cfg config.Config, l *loop) (*membership.Peers, error) {
-	member, err := membershipConfig(cfg)
+	memberConfig, err := membershipConfig(cfg)
 	if err != nil {
 		return nil, err
 	}
-	var changed []func()
+	var onChange []func()
 	if l.limitSharing != nil {
-		member.OnState = l.limitSharing.receive
-		changed = append(changed, l.limitSharing.membershipChanged)
+		memberConfig.OnState = l.limitSharing.receive
+		onChange = append(onChange, l.limitSharing.membershipChanged)
 	}
 	if l.consensus != nil {
-		member.OnMessage = l.consensus.learner.Receive
-		changed = append(changed, l.consensus.updateMembers)
+		memberConfig.OnMessage = l.consensus.learner.Receive
+		onChange = append(onChange, l.consensus.updateMembers)
 	}
-	if changed != nil {
-		member.OnChange = func() {
-			for _, notify := range changed {
+	if onChange != nil {
+		memberConfig.OnChange = func() {
+			for _, notify := range onChange {
 				notify()
 			}
 		}
 	}
-	p, err := membership.Start(member, slog.Default())
+	p, err := membership.Start(memberConfig, slog.Default())
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 		Index:         settings.NodeIndex,
 		Zone:          settings.Zone,
 		Region:        cfg.Fleet.Region(settings.Zone),
-		Program:       program(),
+		Program:       programVersion(),
 		Bind:          net.JoinHostPort(host, strconv.Itoa(peers.Port)),
 		Seeds:         peers.Seeds,
 		DialAddresses: peers.DialAddresses,
@@ -123,7 +123,7 @@
 
 // leavePeers announces this node's end to the others when ctx ends, and leaves the membership when life ends. Until then
 // the node serves and reports to them what it admits.
-func (n *Node) leavePeers(ctx, life context.Context) {
+func (n *Node) leavePeers(ctx, runCtx context.Context) {
 	p := n.joinPeers(ctx)
 	if p == nil {
 		return
@@ -138,11 +138,11 @@
 			slog.Warn("peers: leaving failed", "error", err)
 		}
 		end = p.Leave
-		<-life.Done()
-	case <-life.Done():
+		<-runCtx.Done()
+	case <-runCtx.Done():
 	}
 	if n.loop.limitSharing != nil {
-		n.loop.limitSharing.waitForSender()
+		n.loop.limitSharing.stopSender()
 	}
 	if err := end(); err != nil {
 		slog.Warn("peers: leaving failed", "error", err)
@@ -150,7 +150,7 @@
 }
 
 // program returns the version of this program: the commit that it was built from, where known.
-func program() string {
+func programVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
@@ -164,7 +164,7 @@
 }
 
 // writePeers writes the metrics of the membership.
-func writePeers(w io.Writer, c *membership.Counts) {
+func writePeerMetrics(w io.Writer, c *membership.Counts) {
 	for _, m := range []struct {
 		name, kind, help string
 		value            *atomic.Int64
@@ -179,6 +179,6 @@
 		{"node_peer_sent_bytes_total", "counter", "Bytes of packets sent to others.", &c.SentBytes},
 		{"node_peer_streams_total", "counter", "Streams opened to others.", &c.Streams},
 	} {
-		writeFigure(w, m.name, m.kind, m.help, m.value)
+		writeMetric(w, m.name, m.kind, m.help, m.value)
 	}
 }
--- a/internal/node/peering_test.go
+++ b/internal/node/peering_test.go
@@ -7,7 +7,7 @@
 )
 
 // A fleet file alone does not make nodes talk: the settings have to allow it.
-func TestSettingsThatRefusePeersKeepThemOff(t *testing.T) {
+func TestPeersStayOffUnlessSettingsAllowThem(t *testing.T) {
 	cfg, err := config.Load("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -35,75 +35,75 @@
 	loop             *loop
 	settings         *control.Settings
 	disk             disk.FS
-	dir, node        string
+	dir, nodeName    string
 	discoveryAddress func() string
 	checkpoints      *store.Checkpoints
 	persister        *store.Persister // nil until the folder is this process's
 	writeScheduled   bool
 	snapshotAt       time.Time
 
-	states, failed, bytesWritten prometheus.Counter
-	seconds                      prometheus.Histogram
-	restored, dropped            prometheus.Counter
-	uncovered                    atomic.Int64
-	writtenAt                    atomic.Int64 // ms of Unix time
+	statesWritten, writeErrors, bytesWritten prometheus.Counter
+	writeSeconds                             prometheus.Histogram
+	restoredTenants, droppedParts            prometheus.Counter
+	uncoveredGrants                          atomic.Int64
+	lastWrittenAt                            atomic.Int64 // ms of Unix time
 }
 
-func newPersistence(cfg config.Config, l *loop, discovery func() string) *persistence {
-	most := cfg.Settings.MaxTenants
-	if most <= 0 {
-		most = defaultMaxCheckpoints
+func newPersistence(cfg config.Config, l *loop, discoveryAddress func() string) *persistence {
+	maxCheckpoints := cfg.Settings.MaxTenants
+	if maxCheckpoints <= 0 {
+		maxCheckpoints = defaultMaxCheckpoints
 	}
-	k := &persistence{loop: l, settings: &cfg.Settings, disk: cmp.Or[disk.FS](cfg.Disk, disk.Local{}), dir: cfg.Fleet.State.Dir, node: cfg.Name, discoveryAddress: discovery,
-		checkpoints: store.NewCheckpoints(most)}
-	figures := l.metricsRegistry()
+	p := &persistence{loop: l, settings: &cfg.Settings, disk: cmp.Or[disk.FS](cfg.Disk, disk.Local{}), dir: cfg.Fleet.State.Dir, nodeName: cfg.Name, discoveryAddress: discoveryAddress,
+		checkpoints: store.NewCheckpoints(maxCheckpoints)}
+	registry := l.metricsRegistry()
 	counter := func(name, help string) prometheus.Counter {
 		c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
-		figures.MustRegister(c)
+		registry.MustRegister(c)
 		return c
 	}
-	k.states = counter("node_state_written_total", "States that came to the disk.")
-	k.failed = counter("node_state_errors_total", "States that could not be written.")
-	k.bytesWritten = counter("node_state_writtentotal", "Bytes of the states written.")
-	k.restored = counter("node_state_restored_total", "Customers' stores taken from the disk at the start.")
-	k.dropped = counter("node_state_dropped_total", "Parts of the state on the disk that were too old or could not be.")
-	k.seconds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "node_state_write_seconds", Help: "Time from a state's making until it was on the disk.",
+	p.statesWritten = counter("node_state_written_total", "States that came to the disk.")
+	p.writeErrors = counter("node_state_errors_total", "States that could not be written.")
+	p.bytesWritten = counter("node_state_writtentotal", "Bytes of the states written.")
+	p.restoredTenants = counter("node_state_restored_total", "Customers' stores taken from the disk at the start.")
+	p.droppedParts = counter("node_state_dropped_total", "Parts of the state on the disk that were too old or could not be.")
+	p.writeSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "node_state_write_seconds", Help: "Time from a state's making until it was on the disk.",
 		Buckets: []float64{.001, .003, .01, .03, .1, .3, 1, 3, 10}})
-	figures.MustRegister(k.seconds,
+	registry.MustRegister(p.writeSeconds,
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "node_state_uncovered_total", Help: "Requests sent on that no mark on the disk covered."},
-			func() float64 { return float64(k.uncovered.Load()) }),
+			func() float64 { return float64(p.uncoveredGrants.Load()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "node_state_age_seconds", Help: "Age of the last state on the disk; -1 where there is none of this process."},
 			func() float64 {
-				if at := k.writtenAt.Load(); at > 0 {
+				if at := p.lastWrittenAt.Load(); at > 0 {
 					return time.Since(time.UnixMilli(at)).Seconds()
 				}
 				return -1
 			}))
-	return k
+	return p
 }
 
 // open locks the folder and restores what is stored there, unless another process has handed over its state. It is
 // called before the loop runs. It returns false where another process has the folder.
-func (k *persistence) open(n *Node, inherited bool) bool {
-	f, err := store.Open(k.disk, k.dir, k.node)
+func (p *persistence) open(n *Node, handedOver bool) bool {
+	folder, err := store.Open(p.disk, p.dir, p.nodeName)
 	if err != nil {
 		slog.Warn("state: not persisted", "error", err)
-		_, used := errors.AsType[*store.InUseError](err)
-		return !used
+		_, inUse := errors.AsType[*store.InUseError](err)
+		return !inUse
 	}
 	read := make(chan *store.State, 1)
-	go func() { read <- k.read(f) }() // ends when the disk answers
+	go func() { read <- p.read(folder) }() // ends when the disk answers
 	select {
-	case kept := <-read:
-		if kept != nil && !inherited {
-			k.restore(n, kept)
+	case stored := <-read:
+		if stored != nil && !handedOver {
+			p.restore(n, stored)
 		}
-		k.startPersister(f, kept)
+		p.startPersister(folder, stored)
 	case <-time.After(openTimeout):
-		slog.Warn("state: the disk does not answer, starting without stored state; persisting begins when it answers", "dir", k.dir)
+		slog.Warn("state: the disk does not answer, starting without stored state; persisting begins when it answers", "dir", p.dir)
 		go func() { // ends when the disk answers
-			if kept := <-read; !k.loop.post(func() { k.startPersister(f, kept) }) {
-				_ = f.Close()
+			if stored := <-read; !p.loop.post(func() { p.startPersister(folder, stored) }) {
+				_ = folder.Close()
 			}
 		}()
 	}
@@ -111,17 +111,17 @@
 }
 
 // read returns the stored state; nil is none that can be used.
-func (k *persistence) read(f *store.Folder) *store.State {
-	kept, err := f.Read()
+func (p *persistence) read(folder *store.Folder) *store.State {
+	stored, err := folder.Read()
 	if err != nil {
 		slog.Error("state: stored state quarantined, starting without it", "error", err)
-		k.dropped.Inc()
+		p.droppedParts.Inc()
 	}
-	return kept
+	return stored
 }
 
 // openWhenFree locks the folder once the previous process has left it, or until ctx ends.
-func (k *persistence) openWhenFree(ctx context.Context) {
+func (p *persistence) openWhenUnlocked(ctx context.Context) {
 	t := time.NewTicker(lockRetryInterval)
 	defer t.Stop()
 	for {
@@ -130,8 +130,8 @@
 		case <-ctx.Done():
 			return
 		}
-		f, err := store.Open(k.disk, k.dir, k.node)
-		if _, used := errors.AsType[*store.InUseError](err); used {
+		folder, err := store.Open(p.disk, p.dir, p.nodeName)
+		if _, inUse := errors.AsType[*store.InUseError](err); inUse {
 			continue
 		}
 		if err != nil {
@@ -139,151 +139,151 @@
 			return
 		}
 		// The previous process's checkpoints stay: its tenants may not send here before a crash.
-		kept := k.read(f)
-		if !k.loop.post(func() { k.startPersister(f, kept) }) {
-			_ = f.Close()
+		stored := p.read(folder)
+		if !p.loop.post(func() { p.startPersister(folder, stored) }) {
+			_ = folder.Close()
 		}
 		return
 	}
 }
 
 // startPersister starts to write states to the folder, beginning from the one that is stored.
-func (k *persistence) startPersister(f *store.Folder, from *store.State) {
-	most := k.settings.MaxTenants
-	if most <= 0 {
-		most = defaultMaxCheckpoints
+func (p *persistence) startPersister(folder *store.Folder, stored *store.State) {
+	maxTenants := p.settings.MaxTenants
+	if maxTenants <= 0 {
+		maxTenants = defaultMaxCheckpoints
 	}
-	k.persister = store.NewPersister(f, from, 2*most, func(err error, bytes int, took time.Duration) {
+	p.persister = store.NewPersister(folder, stored, 2*maxTenants, func(err error, bytes int, took time.Duration) {
 		if err != nil {
-			k.failed.Inc()
+			p.writeErrors.Inc()
 		} else {
-			k.states.Inc()
-			k.bytesWritten.Add(float64(bytes))
-			k.seconds.Observe(took.Seconds())
-			k.writtenAt.Store(time.Now().UnixMilli())
+			p.statesWritten.Inc()
+			p.bytesWritten.Add(float64(bytes))
+			p.writeSeconds.Observe(took.Seconds())
+			p.lastWrittenAt.Store(time.Now().UnixMilli())
 		}
-		k.loop.post(func() { k.stateWritten(err == nil) })
+		p.loop.post(func() { p.stateWritten(err == nil) })
 	})
 }
 
 // restore has the loop use a stored state as far as it is not too old.
-func (k *persistence) restore(n *Node, s *store.State) {
-	now := k.loop.now()
-	var from handoverState
-	err := json.Unmarshal(s.Parts[snapshotPart], &from)
-	if err == nil && from.Version != handoverVersion {
+func (p *persistence) restore(n *Node, stored *store.State) {
+	now := p.loop.now()
+	var snapshot handoverState
+	err := json.Unmarshal(stored.Parts[snapshotPart], &snapshot)
+	if err == nil && snapshot.Version != handoverVersion {
 		err = errors.New("of another version")
 	}
 	if err == nil {
-		err = from.List.Check()
+		err = snapshot.List.Check()
 	}
 	if err == nil {
-		err = k.loop.controller.RestoreSnapshot(now, from.Module, maxSnapshotAge)
+		err = p.loop.controller.RestoreSnapshot(now, snapshot.Module, maxSnapshotAge)
 	}
 	if err == nil {
-		n.takeList(from, false)
+		n.adoptList(snapshot, false)
 	} else {
-		k.dropped.Inc()
+		p.droppedParts.Inc()
 		slog.Warn("state: stored snapshot not used", "error", err)
 	}
 	restored := 0
-	for _, r := range s.Checkpoints {
-		units, ok := k.tokensNow(r, now)
+	for _, checkpoint := range stored.Checkpoints {
+		tokens, ok := p.currentTokens(checkpoint, now)
 		if !ok {
 			continue // the bucket is full again, or the clock went back
 		}
-		if err := k.loop.controller.RestoreTenantLevel(now, r.Plan, r.Tenant, r.Nodes, units); err != nil {
-			k.dropped.Inc()
+		if err := p.loop.controller.RestoreTenantLevel(now, checkpoint.Plan, checkpoint.Tenant, checkpoint.Nodes, tokens); err != nil {
+			p.droppedParts.Inc()
 			continue
 		}
 		restored++
 	}
-	k.restored.Add(float64(restored))
-	slog.Info("state: restored", "generation", s.Generation, "age_ms", time.Now().UnixMilli()-s.Written, "tenants", restored)
+	p.restoredTenants.Add(float64(restored))
+	slog.Info("state: restored", "generation", stored.Generation, "age_ms", time.Now().UnixMilli()-stored.Written, "tenants", restored)
 }
 
 // tokensNow returns the tokens that a bucket holds now by its checkpoint; ok is false where it is full.
-func (k *persistence) tokensNow(r store.Checkpoint, now time.Duration) (units float64, ok bool) {
-	for _, p := range k.settings.Plans {
-		if p.Name == r.Plan {
-			since := now - time.Duration(r.At)*time.Millisecond
-			units = r.Level + p.Rate*max(0, since).Seconds() // no refill where the clock went back
-			return units, units < p.Burst
+func (p *persistence) currentTokens(checkpoint store.Checkpoint, now time.Duration) (tokens float64, ok bool) {
+	for _, plan := range p.settings.Plans {
+		if plan.Name == checkpoint.Plan {
+			elapsed := now - time.Duration(checkpoint.At)*time.Millisecond
+			tokens = checkpoint.Level + plan.Rate*max(0, elapsed).Seconds() // no refill where the clock went back
+			return tokens, tokens < plan.Burst
 		}
 	}
 	return 0, false
 }
 
 // granted takes that a tenant's request was admitted and sent.
-func (k *persistence) granted(r *control.Request) {
-	units, rate, depth, spread, ok := k.loop.controller.TenantLevel(r.Plan, r.Tenant)
+func (p *persistence) recordGrant(r *control.Request) {
+	tokens, rate, burst, nodes, ok := p.loop.controller.TenantLevel(r.Plan, r.Tenant)
 	if !ok {
 		return
 	}
-	now := k.loop.now()
-	if k.checkpoints.Granted(store.Key{Plan: r.Plan, Tenant: r.Tenant}, store.Level{Tokens: units, Rate: rate, Burst: depth, Nodes: spread}, now) {
-		k.scheduleWrite()
+	now := p.loop.now()
+	if p.checkpoints.Granted(store.Key{Plan: r.Plan, Tenant: r.Tenant}, store.Level{Tokens: tokens, Rate: rate, Burst: burst, Nodes: nodes}, now) {
+		p.scheduleWrite()
 	}
-	k.uncovered.Store(k.checkpoints.Uncovered)
+	p.uncoveredGrants.Store(p.checkpoints.Uncovered)
 }
 
 // scheduleWrite has a state written soon, unless that is scheduled.
-func (k *persistence) scheduleWrite() {
-	if k.writeScheduled || k.persister == nil {
+func (p *persistence) scheduleWrite() {
+	if p.writeScheduled || p.persister == nil {
 		return
 	}
-	k.writeScheduled = true
-	time.AfterFunc(writeDelay, func() { k.loop.post(k.write) })
+	p.writeScheduled = true
+	time.AfterFunc(writeDelay, func() { p.loop.post(p.write) })
 }
 
 // write has a state written, unless one is being written.
-func (k *persistence) write() {
-	k.writeScheduled = false
+func (p *persistence) write() {
+	p.writeScheduled = false
 	now := time.Now()
-	records := k.checkpoints.NextBatch(k.loop.now(), now)
-	if records == nil {
+	checkpoints := p.checkpoints.NextBatch(p.loop.now(), now)
+	if checkpoints == nil {
 		return
 	}
 	var parts map[string][]byte
-	if now.Sub(k.snapshotAt) >= snapshotInterval {
-		if raw, err := k.snapshot(); err != nil {
+	if now.Sub(p.snapshotAt) >= snapshotInterval {
+		if raw, err := p.snapshot(); err != nil {
 			slog.Warn("state: encoding a snapshot failed", "error", err)
 		} else {
-			parts, k.snapshotAt = map[string][]byte{snapshotPart: raw}, now
+			parts, p.snapshotAt = map[string][]byte{snapshotPart: raw}, now
 		}
 	}
-	if !k.persister.Submit(records, parts) {
-		k.checkpoints.BatchWritten(false)
-		k.scheduleWrite()
+	if !p.persister.Submit(checkpoints, parts) {
+		p.checkpoints.BatchWritten(false)
+		p.scheduleWrite()
 	}
 }
 
 // snapshot returns what was learned of all but tenants, with the endpoint list and the server IDs.
-func (k *persistence) snapshot() ([]byte, error) {
-	module, err := k.loop.controller.Snapshot(k.loop.now())
+func (p *persistence) snapshot() ([]byte, error) {
+	module, err := p.loop.controller.Snapshot(p.loop.now())
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(k.loop.handoverState(k.discoveryAddress(), module))
+	return json.Marshal(p.loop.handoverState(p.discoveryAddress(), module))
 }
 
 // stateWritten takes whether the state that was submitted last came to the disk.
-func (k *persistence) stateWritten(ok bool) {
-	k.checkpoints.BatchWritten(ok)
-	if k.checkpoints.Due() {
-		k.scheduleWrite()
+func (p *persistence) stateWritten(ok bool) {
+	p.checkpoints.BatchWritten(ok)
+	if p.checkpoints.Due() {
+		p.scheduleWrite()
 	}
 }
 
 // close writes the last state, once the loop has ended.
-func (k *persistence) close() {
-	if k.persister == nil || k.loop.failure != nil {
+func (p *persistence) close() {
+	if p.persister == nil || p.loop.failure != nil {
 		return
 	}
-	if raw, err := k.snapshot(); err == nil {
-		k.persister.Submit(k.checkpoints.Final(k.loop.now(), time.Now()), map[string][]byte{snapshotPart: raw})
+	if raw, err := p.snapshot(); err == nil {
+		p.persister.Submit(p.checkpoints.Final(p.loop.now(), time.Now()), map[string][]byte{snapshotPart: raw})
 	}
-	if err := k.persister.Close(stateCloseTimeout); err != nil {
+	if err := p.persister.Close(stateCloseTimeout); err != nil {
 		slog.Warn("state: the final write failed", "error", err)
 	}
 }
--- a/internal/node/persistence_test.go
+++ b/internal/node/persistence_test.go
@@ -19,71 +19,71 @@
 )
 
 // end stops a node and waits for its end.
-func (r *rig) end() {
+func (r *testNode) stopAndWait() {
 	r.stop()
 	select {
 	case err := <-r.ended:
 		r.ended <- err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		r.t.Fatal("the node did not end")
 	}
 }
 
 // What a customer has used is not granted again by the next process, whether the one before ended
 // as planned or left only what was on the disk; spoilt, it starts as from nothing.
-func TestStoresOutliveTheProcess(t *testing.T) {
-	for _, how := range []string{"planned", "killed", "spoilt", "off"} {
-		t.Run(how, func(t *testing.T) {
+func TestTokenBucketsSurviveARestart(t *testing.T) {
+	for _, mode := range []string{"planned", "killed", "spoilt", "off"} {
+		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			app, dir := newApp(t, served), t.TempDir()
-			with := func(c *config.Config) {
-				if c.Settings.FleetSize = 1; how != "off" {
+			server, dir := newTestServer(t, serveOK), t.TempDir()
+			configure := func(c *config.Config) {
+				if c.Settings.FleetSize = 1; mode != "off" {
 					c.Fleet = &config.Fleet{State: &config.State{Dir: dir}}
 				}
 			}
-			a := newRigWith(t, with)
-			a.list(app.target("a", 1))
-			for i := 0; askBasic(a, fmt.Sprint("a", i), 1, 1) == http.StatusOK; i++ {
+			predecessor := newTestNodeWith(t, configure)
+			predecessor.updateList(server.target("a", 1))
+			for i := 0; requestBasicPlan(predecessor, fmt.Sprint("a", i), 1, 1) == http.StatusOK; i++ {
 				if i > 20 {
 					t.Fatal("the store is never empty")
 				}
 			}
 			state := filepath.Join(dir, "state")
-			if how == "killed" {
-				a.wait("a state on the disk", func() bool {
-					return a.node.loop.persistence.writtenAt.Load() > 0 && !a.node.loop.persistence.checkpoints.Due()
+			if mode == "killed" {
+				predecessor.waitUntil("a state on the disk", func() bool {
+					return predecessor.node.loop.persistence.lastWrittenAt.Load() > 0 && !predecessor.node.loop.persistence.checkpoints.Due()
 				})
 				raw, err := os.ReadFile(state)
 				if err != nil {
 					t.Fatal(err)
 				}
-				a.end()
+				predecessor.stopAndWait()
 				if err := os.WriteFile(state, raw, 0o600); err != nil { // as if nothing had come after
 					t.Fatal(err)
 				}
 			}
-			a.end()
-			if how == "spoilt" {
+			predecessor.stopAndWait()
+			if mode == "spoilt" {
 				if err := os.Truncate(state, 30); err != nil {
 					t.Fatal(err)
 				}
 			}
-			b := newRigWith(t, with)
-			b.list(app.target("a", 1))
+			successor := newTestNodeWith(t, configure)
+			successor.updateList(server.target("a", 1))
 			want := http.StatusServiceUnavailable
-			if how == "spoilt" || how == "off" {
+			if mode == "spoilt" || mode == "off" {
 				want = http.StatusOK
 			}
-			if got := askBasic(b, "b", 4, 1); got != want {
+			if got := requestBasicPlan(successor, "b", 4, 1); got != want {
 				t.Errorf("the next process answers %d, wanted %d", got, want)
 			}
 			names, err := os.ReadDir(dir)
-			if err != nil || how == "off" && len(names) > 0 {
+			if err != nil || mode == "off" && len(names) > 0 {
 				t.Errorf("off, the folder holds %v, %v", names, err)
 			}
-			if how != "off" {
+			if mode != "off" {
 				var text strings.Builder
-				writeRegistry(&text, b.node.loop.metrics)
+				writeRegistry(&text, successor.node.loop.metrics)
 				if !strings.Contains(text.String(), "node_state_restored_total") {
 					t.Error("the figures lack what was restored")
 				}
@@ -94,27 +94,27 @@
 
 // A process that finds the folder in use serves all the same, and keeps its state when the one
 // before has ended, with what that one had marked.
-func TestFolderInUse(t *testing.T) {
+func TestStateFolderInUseAtStart(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	with := func(c *config.Config) { c.Fleet = &config.Fleet{State: &config.State{Dir: dir}} }
-	app := newApp(t, served)
-	a := newRigWith(t, with)
-	a.list(app.target("a", 1))
-	if got := askBasic(a, "a", 4, 1); got != http.StatusOK {
+	configure := func(c *config.Config) { c.Fleet = &config.Fleet{State: &config.State{Dir: dir}} }
+	server := newTestServer(t, serveOK)
+	predecessor := newTestNodeWith(t, configure)
+	predecessor.updateList(server.target("a", 1))
+	if got := requestBasicPlan(predecessor, "a", 4, 1); got != http.StatusOK {
 		t.Fatalf("answered %d", got)
 	}
-	b := newRigWith(t, with)
-	b.list(app.target("a", 1))
-	b.wait("no folder", func() bool { return b.node.loop.persistence.persister == nil })
-	a.end()
-	b.wait("the folder", func() bool { return b.node.loop.persistence.persister != nil })
-	req := b.call(http.MethodGet, "/roster-read", "b") // another customer's
-	if resp, _ := b.do(req); resp.StatusCode != http.StatusOK {
+	successor := newTestNodeWith(t, configure)
+	successor.updateList(server.target("a", 1))
+	successor.waitUntil("no folder", func() bool { return successor.node.loop.persistence.persister == nil })
+	predecessor.stopAndWait()
+	successor.waitUntil("the folder", func() bool { return successor.node.loop.persistence.persister != nil })
+	req := successor.newRequest(http.MethodGet, "/roster-read", "b") // another customer's
+	if resp, _ := successor.do(req); resp.StatusCode != http.StatusOK {
 		t.Fatalf("answered %d", resp.StatusCode)
 	}
-	b.wait("a state of its own", func() bool { return b.node.loop.persistence.writtenAt.Load() > 0 })
-	b.end()
+	successor.waitUntil("a state of its own", func() bool { return successor.node.loop.persistence.lastWrittenAt.Load() > 0 })
+	successor.stopAndWait()
 	f, err := store.Open(disk.Local{}, dir, "n0")
 	if err != nil {
 		t.Fatal(err)
@@ -127,28 +127,28 @@
 }
 
 // A disk that stands still holds up neither the start nor a request; when it goes on, the state is kept, with what was marked there before.
-func TestDiskThatStandsStill(t *testing.T) {
-	dir, drive := t.TempDir(), t.TempDir()
-	lies, err := faulty.New(disk.Local{}, drive)
+func TestStalledDiskDelaysNeitherStartNorRequests(t *testing.T) {
+	dir, faultDir := t.TempDir(), t.TempDir()
+	faultyDisk, err := faulty.New(disk.Local{}, faultDir)
 	require.NoError(t, err)
-	with := func(c *config.Config) { c.Fleet, c.Disk = &config.Fleet{State: &config.State{Dir: dir}}, lies }
-	app := newApp(t, served)
-	a := newRigWith(t, with)
-	a.list(app.target("a", 1))
-	require.Equal(t, http.StatusOK, askBasic(a, "a", 4, 1))
-	a.end()
-	require.NoError(t, faulty.Set(drive, faulty.Faults{Stalled: true}))
-	b := newRigWith(t, with)
-	b.list(app.target("a", 1))
-	req := b.call(http.MethodGet, "/roster-read", "b") // another customer's
-	resp, _ := b.do(req)
+	configure := func(c *config.Config) { c.Fleet, c.Disk = &config.Fleet{State: &config.State{Dir: dir}}, faultyDisk }
+	server := newTestServer(t, serveOK)
+	predecessor := newTestNodeWith(t, configure)
+	predecessor.updateList(server.target("a", 1))
+	require.Equal(t, http.StatusOK, requestBasicPlan(predecessor, "a", 4, 1))
+	predecessor.stopAndWait()
+	require.NoError(t, faulty.Set(faultDir, faulty.Faults{Stalled: true}))
+	successor := newTestNodeWith(t, configure)
+	successor.updateList(server.target("a", 1))
+	req := successor.newRequest(http.MethodGet, "/roster-read", "b") // another customer's
+	resp, _ := successor.do(req)
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	require.NoError(t, faulty.Set(drive, faulty.Faults{}))
-	b.wait("the folder", func() bool { return b.node.loop.persistence.persister != nil })
-	resp, _ = b.do(b.call(http.MethodGet, "/roster-read", "c"))
+	require.NoError(t, faulty.Set(faultDir, faulty.Faults{}))
+	successor.waitUntil("the folder", func() bool { return successor.node.loop.persistence.persister != nil })
+	resp, _ = successor.do(successor.newRequest(http.MethodGet, "/roster-read", "c"))
 	require.Equal(t, http.StatusOK, resp.StatusCode)
-	b.wait("a state of its own", func() bool { return b.node.loop.persistence.writtenAt.Load() > 0 })
-	b.end()
+	successor.waitUntil("a state of its own", func() bool { return successor.node.loop.persistence.lastWrittenAt.Load() > 0 })
+	successor.stopAndWait()
 	f, err := store.Open(disk.Local{}, dir, "n0")
 	require.NoError(t, err)
 	defer func() { _ = f.Close() }()
--- a/internal/node/readiness_test.go
+++ b/internal/node/readiness_test.go
@@ -18,13 +18,13 @@
 
 // A process is ready at once by the list that it knows, and by its bound without one, whatever
 // discovery does. Until it has a server it refuses; once it is told one it serves.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
+func TestReadyWhateverDiscoveryAnswers(t *testing.T) {
 	require.Less(t, readyTimeout, 10*time.Second, "nine in ten processes are ready by then")
 	for name, serveList := range map[string]func(w http.ResponseWriter, r *http.Request, tell <-chan string){
 		"turns away": func(w http.ResponseWriter, _ *http.Request, _ <-chan string) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		},
-		"resets":     func(w http.ResponseWriter, r *http.Request, _ <-chan string) { reset(w, r) },
+		"resets":     func(w http.ResponseWriter, r *http.Request, _ <-chan string) { resetConn(w, r) },
 		"is silent":  func(_ http.ResponseWriter, r *http.Request, _ <-chan string) { <-r.Context().Done() },
 		"is garbled": func(w http.ResponseWriter, _ *http.Request, _ <-chan string) { _, _ = fmt.Fprintln(w, "<html>") },
 		"is slow": func(w http.ResponseWriter, r *http.Request, tell <-chan string) {
@@ -50,47 +50,47 @@
 		},
 		"is down": nil,
 	} {
-		for _, knows := range []bool{true, false} {
-			t.Run(fmt.Sprint(name, ", known ", knows), func(t *testing.T) {
+		for _, listKnown := range []bool{true, false} {
+			t.Run(fmt.Sprint(name, ", known ", listKnown), func(t *testing.T) {
 				t.Parallel()
-				a := newApp(t, served)
-				known := discovery.Update{Rev: 7, All: true, Targets: []discovery.Target{a.target("s-1", 0)}}
-				tell := make(chan string, 1)
-				agent := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serveList(w, r, tell) }))
-				_ = agent.Listener.Close()
+				server := newTestServer(t, serveOK)
+				knownList := discovery.Update{Rev: 7, All: true, Targets: []discovery.Target{server.target("s-1", 0)}}
+				lines := make(chan string, 1)
+				discoveryServer := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { serveList(w, r, lines) }))
+				_ = discoveryServer.Listener.Close()
 				// On a host of its own: a port that is free again could go to another test's discovery, which would get this node's calls.
 				var err error
-				agent.Listener, err = net.Listen("tcp", ownHost()+":0")
+				discoveryServer.Listener, err = net.Listen("tcp", uniqueHost()+":0")
 				require.NoError(t, err)
-				agent.Start()
-				t.Cleanup(agent.Close)
+				discoveryServer.Start()
+				t.Cleanup(discoveryServer.Close)
 				if serveList == nil {
-					agent.Close()
+					discoveryServer.Close()
 				}
-				r := newRigWith(t, func(c *config.Config) {
-					if c.Discovery = agent.Listener.Addr().String(); knows {
-						c.KnownServers = known
+				r := newTestNodeWith(t, func(c *config.Config) {
+					if c.Discovery = discoveryServer.Listener.Addr().String(); listKnown {
+						c.KnownServers = knownList
 					}
 				}, func(n *Node) {
-					if n.readyTimeout = 100 * time.Millisecond; knows {
+					if n.readyTimeout = 100 * time.Millisecond; listKnown {
 						n.readyTimeout = time.Hour
 					}
 				})
-				r.wait("ready", r.node.front.ready.Load)
-				lists := name == "is slow" || name == "lists nobody"
-				if lists && !knows { // refused until then
-					got, _ := r.do(r.impatient("id-0"))
+				r.waitUntil("ready", r.node.front.ready.Load)
+				sendsList := name == "is slow" || name == "lists nobody"
+				if sendsList && !listKnown { // refused until then
+					got, _ := r.do(r.newShortRequest("id-0"))
 					require.Equal(t, http.StatusServiceUnavailable, got.StatusCode)
 				}
-				if lists {
-					known.Rev = 10
-					line, err := json.Marshal(known)
+				if sendsList {
+					knownList.Rev = 10
+					line, err := json.Marshal(knownList)
 					require.NoError(t, err)
-					tell <- string(line)
-					r.wait("the list", func() bool { return r.node.loop.listRevision == 10 })
+					lines <- string(line)
+					r.waitUntil("the list", func() bool { return r.node.loop.listRevision == 10 })
 				}
-				got, _ := r.do(r.impatient("id-1"))
-				if knows || lists {
+				got, _ := r.do(r.newShortRequest("id-1"))
+				if listKnown || sendsList {
 					require.Equal(t, http.StatusOK, got.StatusCode)
 					return
 				}
@@ -104,8 +104,8 @@
 }
 
 // impatient is a request whose turn has to come soon.
-func (r *rig) impatient(id string) *http.Request {
-	q := r.call(http.MethodGet, "/roster-read", id)
+func (r *testNode) newShortRequest(id string) *http.Request {
+	q := r.newRequest(http.MethodGet, "/roster-read", id)
 	q.Header.Set(headerTimeLeft, "300m")
 	return q
 }
