--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -22,13 +22,14 @@
 )
 
 const (
-	learnerDescriptors   = 4  // descriptors reserved at a node without a vote, for calls of voters
-	voterDescriptors     = 16 // at a voter, for its log and streams of nodes without a vote
-	descriptorsPerVoter  = 8  // at a voter, for each other voter
-	consensusStopTimeout = 500 * time.Millisecond
+	learnerDescriptors   = 4                      // descriptors reserved at a learner-only node, to call voters
+	voterDescriptors     = 16                     // descriptors reserved at a voter, for its log and for connections of learner-only nodes
+	descriptorsPerVoter  = 8                      // descriptors reserved at a voter per other voter
+	consensusStopTimeout = 500 * time.Millisecond // timeout for learner and voter to stop
 )
 
-// consensusDescriptors returns how many descriptors are set apart for the consensus group at the node with a name.
+// consensusDescriptors returns the number of file descriptors that the node with a name reserves for the consensus
+// group. It is 0 if the fleet file has no consensus group.
 func consensusDescriptors(fleet *config.Fleet, name string) int {
 	if fleet == nil || fleet.Consensus == nil {
 		return 0
@@ -41,23 +42,24 @@
 	return learnerDescriptors
 }
 
-// consensusMember is the node's part in the consensus group: the learner of rule versions, and at a voter the vote and the
-// registry. The learner has a goroutine of its own; the event loop asks it for the acting version when a request begins.
+// consensusMember is the node's membership of the consensus group: the learner of rule versions and, at a voter, also
+// the voter and the registry of versions. The learner runs in its own goroutine; the event loop asks it for the
+// effective version when a request begins.
 type consensusMember struct {
 	config         *config.Consensus
 	name           string
 	loop           *loop
-	voter          *agreement.Voter  // nil where this node has no vote
-	registry       *learner.Registry // nil where this node has no vote
+	voter          *agreement.Voter  // nil if this node is not a voter
+	registry       *learner.Registry // nil if this node is not a voter
 	learner        *learner.Learner
-	transport      *transport.Transport // to call voters; nil at a voter
+	transport      *transport.Transport // transport for calls to voters; nil at a voter
 	self           agreement.Peer
 	settings       rules.Settings
 	peers          atomic.Pointer[membership.Peers] // nil until the membership has started
-	appliedVersion uint64                           // version that the decision module has; owned by the event loop
+	appliedVersion uint64                           // rule version that the decision module applies; owned by the event loop
 }
 
-// newConsensusMember makes the node's part, which does nothing before run.
+// newConsensusMember returns a consensusMember. It is inactive until run is called.
 func newConsensusMember(cfg config.Config, l *loop) (*consensusMember, error) {
 	consensusConfig := cfg.Fleet.Consensus
 	c := &consensusMember{config: consensusConfig, name: cfg.Name, loop: l, settings: ruleSettings(cfg)}
@@ -92,8 +94,8 @@
 	return c, nil
 }
 
-// ruleSettings returns the names that rule sets may use: plans, classes, and the zones of the fleet file's regions and
-// the node's own.
+// ruleSettings returns the settings by which rule sets are checked: the names of plans and classes, the limits on
+// attempts and on requests in flight, and the zones. Zones are the node's own and those of the fleet file's regions.
 func ruleSettings(cfg config.Config) rules.Settings {
 	s := &cfg.Settings
 	rulesSettings := rules.Settings{Zones: []string{s.Zone}, MaxAttempts: s.MaxAttempts, MaxInFlight: s.MaxInFlight}
@@ -111,10 +113,11 @@
 	return rulesSettings
 }
 
-// run takes part until ctx ends. It does not wait for a disk that does not answer.
+// run runs the learner and the voter until ctx ends. It waits at most consensusStopTimeout for them to stop, so that a
+// stalled disk does not block the shutdown.
 func (c *consensusMember) run(ctx context.Context) {
 	stopped := make(chan struct{})
-	go func() { // ends with learner and voter, or with the process
+	go func() { // ends once learner and voter have stopped, or with the process
 		defer close(stopped)
 		learnerStopped := make(chan struct{})
 		go func() { c.learner.Run(ctx); close(learnerStopped) }()
@@ -130,17 +133,17 @@
 	select {
 	case <-stopped:
 	case <-time.After(consensusStopTimeout):
-		slog.Warn("consensus: not stopped in time, a disk or a voter does not answer")
+		slog.Warn("consensus: stopping timed out, a disk or a voter does not respond")
 	}
 }
 
-// start begins to use the membership once it has started.
+// start passes a membership that has started to the consensus member.
 func (c *consensusMember) start(p *membership.Peers) {
 	c.peers.Store(p)
 	c.updateMembers()
 }
 
-// updateMembers tells the learner the live members.
+// updateMembers passes the live members to the learner.
 func (c *consensusMember) updateMembers() {
 	p := c.peers.Load()
 	if p == nil {
@@ -156,7 +159,7 @@
 	c.learner.SetMembers(members)
 }
 
-// send sends a message of the learner to the node with an index.
+// send sends a message of the learner to the node with an index. It fails until the membership has started.
 func (c *consensusMember) send(to int, raw []byte) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Send(to, raw)
@@ -164,7 +167,7 @@
 	return &membership.MemberError{Index: to}
 }
 
-// introduce has the membership meet the node with an index.
+// introduce makes the membership contact the node with an index. It fails until the membership has started.
 func (c *consensusMember) introduce(to int) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Introduce(to)
@@ -172,13 +175,13 @@
 	return &membership.MemberError{Index: to}
 }
 
-// actingChanged has the loop apply the acting version, also while no request begins.
+// effectiveVersionChanged makes the loop apply the effective version, so that it takes effect without a new request.
 func (c *consensusMember) effectiveVersionChanged() {
 	c.loop.post(func() { c.applyEffectiveVersion() })
 }
 
-// applyActing returns the version that a request goes by which begins now, and passes it to the decision module where it
-// has changed. It runs on the event loop.
+// applyEffectiveVersion returns the rule version that applies to a request that begins now; 0 means the settings alone.
+// It passes the rule set to the decision module if the version has changed. It must be called on the event loop.
 func (c *consensusMember) applyEffectiveVersion() uint64 {
 	effective := c.learner.EffectiveVersion()
 	if effective.Number != c.appliedVersion {
@@ -193,7 +196,7 @@
 	return effective.Number
 }
 
-// setVersionHeader adds the rule version to what goes to servers, where the fleet file names a header.
+// setVersionHeader sets the request's rule version in the header that the fleet file names, if it names one.
 func (c *consensusMember) setVersionHeader(x *exchange) {
 	if c.config.VersionHeader != "" {
 		x.upstreamReq.Header.Set(c.config.VersionHeader, strconv.FormatUint(x.version, 10))
@@ -239,6 +242,7 @@
 	gauge("node_council_strangers", "Streams closed for want of a head of this fleet.", status(func(s agreement.Status) float64 { return float64(s.RejectedStreams) }))
 }
 
+// boolValue returns 1 for true and 0 for false.
 func boolValue(yes bool) float64 {
 	if yes {
 		return 1
--- a/internal/node/consensuscalls.go
+++ b/internal/node/consensuscalls.go
@@ -22,30 +22,30 @@
 )
 
 const (
-	orderCallKind    = 'o' // kind of a call from node to voter that carries an order
-	orderTimeout     = 1500 * time.Millisecond
-	maxVersionsShown = 100 // in a status, the latest
+	orderCallKind    = 'o'                     // kind of the calls that carry an order from a node to a voter
+	orderTimeout     = 1500 * time.Millisecond // timeout of an order, and of its proposal at the leader
+	maxVersionsShown = 100                     // maximum number of versions in a status; the newest are shown
 )
 
-// order is an operator's call on its way to the leader.
+// order is an operator's call as it is sent to the leader.
 type order struct {
 	Op     string `cbor:"1,keyasint"` // publish, activate, back, cancel, status or leader
 	Author string `cbor:"2,keyasint,omitempty"`
-	Number uint64 `cbor:"3,keyasint,omitempty"` // of a version
+	Number uint64 `cbor:"3,keyasint,omitempty"` // version number
 	Kind   uint8  `cbor:"4,keyasint,omitempty"` // rules.ActivationKind
-	At     uint64 `cbor:"5,keyasint,omitempty"` // when to activate, in ms of Unix time; 0 is now
-	Parent int64  `cbor:"6,keyasint,omitempty"` // version; -1 is the newest
-	Text   []byte `cbor:"7,keyasint,omitempty"` // of a rule set
+	At     uint64 `cbor:"5,keyasint,omitempty"` // activation time in ms of Unix time; 0 means now
+	Parent int64  `cbor:"6,keyasint,omitempty"` // number of the parent version; -1 means the newest
+	Text   []byte `cbor:"7,keyasint,omitempty"` // text of a rule set
 }
 
-// reply is the leader's answer to an order, or names the leader.
+// reply is a voter's answer to an order: the result, or an error that names the leader.
 type reply struct {
-	Status int    `cbor:"1,keyasint"` // of HTTP
+	Status int    `cbor:"1,keyasint"` // HTTP status
 	Body   []byte `cbor:"2,keyasint,omitempty"`
-	Leader string `cbor:"3,keyasint,omitempty"` // name of the voter to ask instead
+	Leader string `cbor:"3,keyasint,omitempty"` // name of the leader, if another voter leads
 }
 
-// routes adds the operators' calls to the consensus group.
+// addRoutes adds the console's calls for the consensus group to calls.
 func (c *consensusMember) addRoutes(calls map[string]map[string]http.HandlerFunc) {
 	for name, read := range map[string]func(r *http.Request, o *order) error{
 		"publish":  c.readPublish,
@@ -61,7 +61,7 @@
 	}}
 	if c.voter != nil {
 		calls["/council/trust"] = map[string]http.HandlerFunc{http.MethodPost: func(w http.ResponseWriter, _ *http.Request) {
-			slog.Warn("consensus: operator readmits this voter by its disk", "node", c.name)
+			slog.Warn("consensus: readmitting this voter without a quorum, ordered by an operator", "node", c.name)
 			c.voter.RejoinWithoutQuorum()
 			fmt.Fprintln(w, "trusted")
 		}}
@@ -80,7 +80,7 @@
 	}
 }
 
-// readPublish reads a rule set and checks it by this node's settings.
+// readPublish reads a rule set from a call and checks it against this node's settings.
 func (c *consensusMember) readPublish(r *http.Request, o *order) (err error) {
 	if p := r.URL.Query().Get("parent"); p != "" {
 		n, err := strconv.ParseUint(p, 10, 62)
@@ -99,7 +99,7 @@
 	return set.Check(c.settings)
 }
 
-// readActivate reads the version to activate, when and how.
+// readActivate reads the version, the time and the kind of an activation from a call.
 func readActivate(r *http.Request, o *order) error {
 	if err := readNumber(r, "activate", "number", &o.Number); err != nil {
 		return err
@@ -114,7 +114,7 @@
 	return readKind(r, "activate", o)
 }
 
-// readRollback reads the version to roll back to, and how.
+// readRollback reads the version to roll back to and the kind of the activation from a call.
 func readRollback(r *http.Request, o *order) error {
 	if err := readNumber(r, "back", "to", &o.Number); err != nil {
 		return err
@@ -122,7 +122,7 @@
 	return readKind(r, "back", o)
 }
 
-// number reads a version's number from a call.
+// readNumber reads a version number from the form value key of a call into to.
 func readNumber(r *http.Request, call, key string, to *uint64) error {
 	n, err := strconv.ParseUint(r.FormValue(key), 10, 62)
 	if err != nil || n == 0 {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// kind reads the kind of an activation from a call.
+// readKind reads the kind of an activation from a call into o.
 func readKind(r *http.Request, call string, o *order) error {
 	for _, k := range []rules.ActivationKind{rules.Overlap, rules.Exclusive} {
 		if r.FormValue("kind") == k.String() {
@@ -143,14 +143,14 @@
 	return &ConsensusCallError{call, "kind", r.FormValue("kind"), "overlap or exclusive"}
 }
 
-// ConsensusCallError is a call to the consensus group with a part that can't be used.
+// ConsensusCallError reports that a parameter of a call for the consensus group is not valid.
 type ConsensusCallError struct{ Call, Key, Have, Want string }
 
 func (e *ConsensusCallError) Error() string {
 	return fmt.Sprintf("console: council/%s: %s: not by %q; give %s", e.Call, e.Key, e.Have, e.Want)
 }
 
-// handleOrder has the leader execute an order and writes its answer.
+// handleOrder sends an order to the leader and writes the leader's answer. It answers with Retry-After on failure.
 func (c *consensusMember) handleOrder(ctx context.Context, w http.ResponseWriter, o order) {
 	a, err := c.sendToLeader(ctx, o)
 	if err != nil {
@@ -159,13 +159,14 @@
 		slog.Info("console: call rejected", "call", o.Op, "error", err)
 		return
 	}
-	slog.Info("consensus: operator's order", "call", o.Op, "author", o.Author, "number", o.Number, "status", a.Status)
+	slog.Info("consensus: executed an operator's order", "call", o.Op, "author", o.Author, "number", o.Number, "status", a.Status)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(a.Status)
 	_, _ = w.Write(a.Body)
 }
 
-// sendToLeader sends an order to the leader, once: an order that the leader may have got is not sent again.
+// sendToLeader sends an order to the leader and returns the answer. It never retries an order that the leader may have
+// received; the error is an OutcomeUnknownError then.
 func (c *consensusMember) sendToLeader(ctx context.Context, o order) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -183,7 +184,8 @@
 	return a, nil
 }
 
-// findLeader returns the voter that leads by its own verified account: this node, or one that other voters name.
+// findLeader returns the voter that confirms that it leads. It asks this node first if it is a voter, and then the voters that the
+// answers name as leader or that it has not asked yet.
 func (c *consensusMember) findLeader(ctx context.Context) (leader agreement.Peer, err error) {
 	var lastErr error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
 	asked, nextName := map[string]bool{}, c.name
@@ -217,7 +219,7 @@
 	return leader, &agreement.NoMajorityError{Reason: oneline.Of(lastErr)}
 }
 
-// callVoter has a voter execute an order.
+// callVoter sends an order to a voter and returns its reply.
 func (c *consensusMember) callVoter(ctx context.Context, p agreement.Peer, o order) (*reply, error) {
 	body, err := cbor.Marshal(o)
 	if err != nil {
@@ -231,7 +233,7 @@
 	return a, cbor.Unmarshal(raw, a)
 }
 
-// call sends a call to a voter and returns its answer.
+// call sends an encoded order to a voter and returns the encoded reply.
 func (c *consensusMember) call(ctx context.Context, p agreement.Peer, body []byte) ([]byte, error) {
 	if c.voter != nil {
 		return c.voter.Call(ctx, p, orderCallKind, body)
@@ -239,7 +241,7 @@
 	return c.transport.Call(ctx, p.Name, p.Address, append([]byte{orderCallKind}, body...))
 }
 
-// handleCall answers an order of another node.
+// handleCall executes the encoded order of another node and returns the encoded reply; nil if it can't be decoded.
 func (c *consensusMember) handleCall(_ string, body []byte) []byte {
 	var o order
 	if err := cbor.Unmarshal(body, &o); err != nil {
@@ -252,7 +254,7 @@
 	return raw
 }
 
-// execute executes an order where this voter leads, else it names the leader.
+// execute executes an order. If this voter does not lead, the reply is an error that names the leader.
 func (c *consensusMember) execute(o order) *reply {
 	if o.Op == "status" || o.Op == "leader" {
 		if err := c.voter.Verify(); err != nil {
@@ -278,7 +280,7 @@
 	return &reply{Status: http.StatusOK, Body: append(body, '\n')}
 }
 
-// propose has the consensus group decide on an order.
+// propose proposes an order's command to the consensus group and returns the outcome once it is committed.
 func (c *consensusMember) propose(o order) (learner.Outcome, error) {
 	cmd, err := c.command(o)
 	if err != nil {
@@ -299,7 +301,7 @@
 	return outcome, outcome.Err
 }
 
-// command returns the registry's command for an order. A rule set is checked by the leader's settings too.
+// command returns the registry's command for an order. It also checks a rule set against the leader's settings.
 func (c *consensusMember) command(o order) (cmd rules.Command, err error) {
 	newest := func() uint64 {
 		if o.Parent >= 0 {
@@ -329,7 +331,7 @@
 	return cmd, nil
 }
 
-// errorReply returns the answer to an order that failed.
+// errorReply returns the reply to an order that failed.
 func errorReply(err error) *reply {
 	a := &reply{Status: orderStatus(err), Body: []byte(err.Error() + "\n")}
 	if e, ok := errors.AsType[*agreement.NotLeaderError](err); ok {
@@ -338,7 +340,7 @@
 	return a
 }
 
-// orderStatus returns the HTTP status of the answer to an order that failed.
+// orderStatus returns the HTTP status for the error of an order.
 func orderStatus(err error) int {
 	var (
 		staleVersion, orderErr, phaseErr = new(rules.StaleVersionError), new(rules.OrderError), new(rules.PhaseError)
--- a/internal/node/consensusstatus.go
+++ b/internal/node/consensusstatus.go
@@ -9,7 +9,7 @@
 	"sloestile/internal/consensus/learner"
 )
 
-// versionStatus is one version, as the console shows it.
+// versionStatus is the status of a rule version in the console's answer.
 type versionStatus struct {
 	Number       uint64 `json:"number"`
 	Digest       string `json:"digest"`
@@ -23,7 +23,7 @@
 	Bytes        int    `json:"bytes"`
 }
 
-// leaderStatus is what the leader knows, as the console shows it.
+// leaderStatus is the leader's status in the console's answer.
 type leaderStatus struct {
 	Leader       string           `json:"leader"`
 	Term         uint64           `json:"term"`
@@ -39,20 +39,21 @@
 	Failures     []versionFailure `json:"troubles,omitempty"`
 }
 
-// versionNodes counts the nodes that go by a version.
+// versionNodes is the number of nodes that apply a version. Version 0 stands for nodes without a version; Reason says
+// why.
 type versionNodes struct {
 	Version uint64 `json:"version"`
 	Reason  string `json:"why,omitempty"`
 	Nodes   int    `json:"nodes"`
 }
 
-// versionFailure is a node that can't use a version.
+// versionFailure is a node that can't use a version, and the reason.
 type versionFailure struct {
 	Node   int    `json:"node"`
 	Reason string `json:"why"`
 }
 
-// nodeStatus is what a node knows of itself, as the console shows it.
+// nodeStatus is the status of a node in the console's answer.
 type nodeStatus struct {
 	Node           string          `json:"node"`
 	Version        uint64          `json:"version"`
@@ -65,7 +66,7 @@
 	LeaderError    string          `json:"council_error,omitempty"`
 }
 
-// voterStatus is what a voter knows of itself.
+// voterStatus is the status of a voter in the console's answer.
 type voterStatus struct {
 	Phase            string `json:"phase"`
 	Identity         string `json:"identity"`
@@ -77,7 +78,7 @@
 	LastError        string `json:"why,omitempty"`
 }
 
-// leaderStatus returns what this voter knows as the leader.
+// leaderStatus returns the status of this voter as the leader.
 func (c *consensusMember) leaderStatus() leaderStatus {
 	voter := c.voter.Status()
 	state, newest, versions := c.registry.View()
@@ -110,7 +111,7 @@
 	return status
 }
 
-// statusJSON returns what this node and the leader know.
+// statusJSON returns the status of this node and of the leader as JSON, or nil if it can't be encoded.
 func (c *consensusMember) statusJSON(ctx context.Context) []byte {
 	effective := c.learner.EffectiveVersion()
 	status := nodeStatus{Node: c.name, Version: effective.Number, Known: c.learner.State().Active.Number}
--- a/internal/node/console.go
+++ b/internal/node/console.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	maxConsoleConns       = 16              // open at once
-	consoleHeaderTimeout  = time.Second     // of a call's head
-	consoleCallTimeout    = 2 * time.Second // of a call, and of the writing of its answer
-	maxConsoleHeaderBytes = 4 << 10
+	maxConsoleConns       = 16              // maximum number of open connections
+	consoleHeaderTimeout  = time.Second     // timeout for reading the header of a call
+	consoleCallTimeout    = 2 * time.Second // timeout for reading a call, and again for writing its answer
+	maxConsoleHeaderBytes = 4 << 10         // bytes
 )
 
-// console answers the operators' calls. It has a server and connections of its own and reads atomics only, so that it
-// answers however busy the rest of the node is.
+// console is the HTTP server for operators. It has its own listener and connection limit, and most of its calls read
+// only atomics, so that it answers even while the event loop is busy.
 type console struct {
 	srv      *http.Server
 	listener net.Listener
 }
 
-// newConsole starts to listen for operators.
+// newConsole returns a console that listens on an address. Calls are answered once run is called.
 func newConsole(addr string, n *Node) (*console, error) {
 	tcp, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -38,11 +38,11 @@
 	c := &console{listener: &boundedListener{Listener: tcp, open: make(map[*boundedConn]time.Time)}}
 	c.srv = &http.Server{Handler: newConsoleHandler(n), ReadHeaderTimeout: consoleHeaderTimeout, ReadTimeout: consoleCallTimeout,
 		WriteTimeout: consoleCallTimeout, MaxHeaderBytes: maxConsoleHeaderBytes}
-	c.srv.SetKeepAlivesEnabled(false) // one call a connection
+	c.srv.SetKeepAlivesEnabled(false) // one call per connection
 	return c, nil
 }
 
-// run answers calls until ctx ends.
+// run serves calls until ctx ends.
 func (c *console) run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { _ = c.srv.Close() })()
 	if err := c.srv.Serve(c.listener); !errors.Is(err, http.ErrServerClosed) {
@@ -50,7 +50,8 @@
 	}
 }
 
-// consoleRoutes returns the handler of the operators' calls. Another path is answered with 404, another method with 405.
+// newConsoleHandler returns the handler of the console's calls. It answers an unknown path with 404 and another method
+// with 405.
 func newConsoleHandler(n *Node) http.Handler {
 	calls := map[string]map[string]http.HandlerFunc{
 		"/ready":   {http.MethodGet: n.handleReady},
@@ -78,7 +79,7 @@
 	})
 }
 
-// handleReady answers whether the node takes requests.
+// handleReady answers 200 if the node accepts requests, and 503 otherwise.
 func (n *Node) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.front.ready.Load() || n.drainer.draining() {
 		http.Error(w, "no", http.StatusServiceUnavailable)
@@ -87,7 +88,7 @@
 	fmt.Fprintln(w, "yes")
 }
 
-// handleMetrics writes the metrics of the node and of the parts that a fleet file switches on.
+// handleMetrics writes the metrics of the node and of the features that a fleet file enables.
 func (n *Node) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	var text bytes.Buffer
 	n.stats.write(&text)
@@ -107,7 +108,7 @@
 	fmt.Fprintln(w, "draining")
 }
 
-// handleUndrain cancels a drain, unless the process ends.
+// handleUndrain cancels a drain. It answers 409 if the process is shutting down.
 func (n *Node) handleUndrain(w http.ResponseWriter, _ *http.Request) {
 	if !n.drainer.undrain() {
 		writeError(w, &EndingError{n.name})
@@ -116,15 +117,15 @@
 	fmt.Fprintln(w, "serving")
 }
 
-// boundedListener keeps to maxConsoleConns connections: beyond that the oldest is closed for a new one, so that callers
-// that never finish do not keep operators out.
+// boundedListener limits the open connections to maxConsoleConns. Beyond that it closes the oldest connection when it
+// accepts a new one, so that clients that never finish a call cannot lock operators out.
 type boundedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open map[*boundedConn]time.Time
+	open map[*boundedConn]time.Time // time at which each connection was accepted
 }
 
-// boundedConn is a connection that frees its place when it is closed.
+// boundedConn is a connection of a boundedListener. Close removes it from the listener's open connections.
 type boundedConn struct {
 	net.Conn
 	listener *boundedListener
--- a/internal/node/degradeddiscovery.go
+++ b/internal/node/degradeddiscovery.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	healthCheckInterval   = 4 * time.Second // between two health checks of a server; a drain counts as received after 6 s
-	minCheckedServers     = 8               // of a node
-	nodesPerCheckedServer = 10              // nodes of the fleet that check each server, beyond that
+	healthCheckInterval   = 4 * time.Second // interval of health checks; a node must know of a drain within 6 s
+	minCheckedServers     = 8               // minimum number of servers that a node checks
+	nodesPerCheckedServer = 10              // average number of nodes that check each server, beyond that minimum
 )
 
-// degradedDiscovery keeps the rule on drains while the cached list is stale, as discovery answers without a usable update:
-// new requests go only to servers whose own health check says that they serve. Where servers may not be checked, they go
-// to none. It is owned by the event loop.
+// degradedDiscovery keeps new requests away from draining servers while discovery is degraded, that is, answers without
+// a usable update, so that the cached list is stale. New requests then go only to servers that pass a health check, or
+// to none if the settings do not allow health checks. It is owned by the event loop.
 type degradedDiscovery struct {
 	loop        *loop
-	healthCheck func(endpoint string) bool // nil where servers may not be checked
-	grace       time.Duration
+	healthCheck func(endpoint string) bool // nil disables health checks
+	grace       time.Duration              // drain grace of the settings
 	fleetSize   int
 	nodeIndex   int
 
-	active           bool
-	round            int
-	healthy          map[string]bool // passed the last health check, by UID
-	reportedDraining map[string]bool // shown to the decision module as draining, by UID
+	active           bool            // whether discovery is degraded
+	round            int             // incremented when active is set, which cancels scheduled calls
+	healthy          map[string]bool // whether a server passed the last health check, by UID
+	reportedDraining map[string]bool // whether a server was reported to the decision module as draining, by UID
 }
 
+// newDegradedDiscovery returns a degradedDiscovery that is not active. Health checks need a drain grace in the
+// settings.
 func newDegradedDiscovery(s control.Settings, l *loop) *degradedDiscovery {
 	d := &degradedDiscovery{loop: l, grace: s.DrainGrace, fleetSize: s.FleetSize, nodeIndex: s.NodeIndex}
-	if s.HealthChecks && d.grace > 0 { // without a grace no answer comes in time
+	if s.HealthChecks && d.grace > 0 { // without a grace a health check has no time to complete
 		timeout := d.grace / 2
 		client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true,
 			DialContext: (&net.Dialer{Timeout: timeout}).DialContext}}
@@ -52,7 +54,7 @@
 	return d
 }
 
-// setActive begins or ends degraded discovery.
+// setActive sets whether discovery is degraded.
 func (d *degradedDiscovery) setActive(on bool) {
 	d.active, d.healthy = on, map[string]bool{}
 	d.round++
@@ -63,7 +65,8 @@
 	d.drainUnhealthy()
 }
 
-// checkHealth checks the health of servers, and again after healthCheckInterval.
+// checkHealth starts health checks, applies their results after a fraction of the grace, and repeats after
+// healthCheckInterval.
 func (d *degradedDiscovery) checkHealth(round int) {
 	if !d.active || round != d.round {
 		return
@@ -79,7 +82,7 @@
 	d.runAfter(healthCheckInterval, round, func() { d.checkHealth(round) })
 }
 
-// after runs a function on the loop after a while, unless the round is over.
+// runAfter calls run on the loop after a delay, unless the round has ended.
 func (d *degradedDiscovery) runAfter(delay time.Duration, round int, run func()) {
 	time.AfterFunc(delay, func() {
 		d.loop.post(func() {
@@ -90,8 +93,8 @@
 	})
 }
 
-// serversToCheck returns the servers that this node checks. Each server is checked by some nodes, so that in a round all
-// nodes together check it nodesPerCheckedServer times, or each node checks minCheckedServers.
+// serversToCheck returns the servers that this node checks: about as many as make nodesPerCheckedServer nodes of the
+// fleet check each server, but at least minCheckedServers. A hash of the node index and the UID selects them.
 func (d *degradedDiscovery) serversToCheck() []discovery.Target {
 	var all []discovery.Target
 	for _, t := range d.loop.endpoints {
@@ -109,8 +112,8 @@
 	return all[:min(len(all), max(minCheckedServers, nodesPerCheckedServer*len(all)/max(1, d.fleetSize)))]
 }
 
-// showHealthyOnly shows servers to the decision module as draining that have not passed a health check, and as listed
-// those that have again.
+// drainUnhealthy reports servers that have not passed a health check to the decision module as draining, and the others
+// with their listed state. While discovery is not degraded, that is all servers.
 func (d *degradedDiscovery) drainUnhealthy() {
 	var update discovery.Update
 	draining := map[string]bool{}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -10,7 +10,7 @@
 	"sloestile/internal/discovery"
 )
 
-// watcher is what the node needs of the watch of the endpoint list; *discovery.Watcher implements it.
+// watcher watches the endpoint list. It is implemented by *discovery.Watcher.
 type watcher interface {
 	Run(ctx context.Context)
 	Move(addr string)
@@ -18,7 +18,7 @@
 	Adopt(held discovery.Update, current bool) discovery.Update
 }
 
-// follow makes the watch of the endpoint list and has the loop take its updates.
+// watchEndpoints creates the watch of the endpoint list, whose updates go to the loop. Run starts it.
 func (n *Node) watchEndpoints(cfg config.Config) error {
 	n.degraded = newDegradedDiscovery(cfg.Settings, n.loop)
 	n.onUpdate = n.handleUpdate
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// listUpdated passes an update of discovery to the loop.
+// handleUpdate passes an update of discovery to the loop. An update confirms a handed-over list.
 func (n *Node) handleUpdate(u discovery.Update) {
 	kind := control.Delta
 	if u.All {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	// Clients poll /healthz every 0.1 s and open connections for 0.2 s more. Requests on open connections have to end by
-	// 2 s, and no connection may be idle from 4 s on.
-	consoleDrainCloseDelay = 800 * time.Millisecond // a drain by the console: then answers close their connections
-	consoleDrainIdleDelay  = 700 * time.Millisecond // after that: then idle connections are closed
-	idlePollInterval       = 50 * time.Millisecond  // between two closings of idle connections
+	// Clients poll /healthz every 0.1 s and open new connections for another 0.2 s. Requests on open connections have
+	// to end within 2 s, and no idle connection may remain after 4 s.
+	consoleDrainCloseDelay = 800 * time.Millisecond // time from a drain order until answers close their connections
+	consoleDrainIdleDelay  = 700 * time.Millisecond // time from then until idle connections are closed
+	idlePollInterval       = 50 * time.Millisecond  // interval at which idle connections are closed
 )
 
-// Times of a drain. The platform gives a node 0.7 s more than the longest deadline of its classes.
+// Durations of the drain at shutdown. The platform kills a node 0.7 s after the longest deadline of its classes.
 const (
-	maxDrainDeadline  = 3 * time.Second         // longest class deadline that a drain waits for
-	drainMargin       = 300 * time.Millisecond  // after it: what is open then is answered with 502
-	drainClosePeriod  = 1200 * time.Millisecond // before the end of the drain: answers close their connections
-	drainIdleDelay    = 200 * time.Millisecond  // from then until idle connections are closed and no new ones accepted
-	drainListenPeriod = 400 * time.Millisecond  // for which new connections may come, by the protocol
-	drainWriteTimeout = 300 * time.Millisecond  // for the last answers
-	drainPollInterval = 20 * time.Millisecond   // between two looks for an early end
+	maxDrainDeadline  = 3 * time.Second         // maximum class deadline that a drain waits for
+	drainMargin       = 300 * time.Millisecond  // time after the longest deadline at which open requests are answered with 502
+	drainClosePeriod  = 1200 * time.Millisecond // last period of a drain, in which answers close their connections
+	drainIdleDelay    = 200 * time.Millisecond  // time from the begin of that period until idle connections are closed and none are accepted
+	drainListenPeriod = 400 * time.Millisecond  // minimum time for which new connections are accepted, set by the protocol
+	drainWriteTimeout = 300 * time.Millisecond  // timeout for writing the last answers
+	drainPollInterval = 20 * time.Millisecond   // interval of checks whether all connections are closed
 )
 
-// drainer is the state of a drain, by an operator or by SIGTERM. In stage 0 only /healthz says no, in stage 1 each answer
-// closes its connection, in stage 2 idle connections are closed.
+// drainer runs a drain that an operator or SIGTERM started. In stage 0 only /healthz fails, in stage 1 each answer also
+// closes its connection, in stage 2 idle connections are closed too.
 type drainer struct {
 	front *front
 
 	mu     sync.Mutex
-	cancel chan struct{} // closed to cancel the present drain; nil is none
+	cancel chan struct{} // closed to cancel the current drain; nil if no drain runs
 	stage  int           // 0 to 2
-	final  bool          // the process ends: the drain can't be cancelled
+	final  bool          // whether the process is shutting down, so that the drain can't be cancelled
 }
 
-// begin starts a drain that enters stage 1 after serve and stage 2 after a further idle. A drain that runs goes on as it
-// was.
+// begin starts a drain that enters stage 1 after closeDelay and stage 2 after another idleDelay. It does nothing if a
+// drain runs.
 func (d *drainer) begin(closeDelay, idleDelay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -53,7 +53,7 @@
 	d.startLocked(closeDelay, idleDelay)
 }
 
-// start starts the stages of a drain. The lock is held.
+// startLocked starts the stages of a drain. The caller holds the lock.
 func (d *drainer) startLocked(closeDelay, idleDelay time.Duration) {
 	cancelled := make(chan struct{})
 	d.cancel, d.stage = cancelled, 0
@@ -61,8 +61,8 @@
 	go d.runStages(cancelled, closeDelay, idleDelay)
 }
 
-// beginFinal starts the drain with which the process ends. One that an operator started goes on at its pace. A quiet one
-// leaves /healthz as it is, as another process answers at the same address.
+// beginFinal starts the drain at the process's shutdown. A drain that an operator started continues with its own
+// delays. A quiet drain does not make /healthz fail, as another process serves at the same address.
 func (d *drainer) beginFinal(closeDelay, idleDelay time.Duration, quiet bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +73,7 @@
 	}
 }
 
-// callOff cancels a drain. It returns false where the process ends.
+// undrain cancels a drain. It returns false if the process is shutting down.
 func (d *drainer) undrain() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,14 +90,14 @@
 	return true
 }
 
-// leaving reports whether a drain runs or the process ends.
+// draining reports whether a drain runs or the process is shutting down.
 func (d *drainer) draining() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.final || d.cancel != nil
 }
 
-// enterStage enters a stage unless the drain was cancelled.
+// enterStage enters a stage. It returns false if the drain was cancelled.
 func (d *drainer) enterStage(cancelled chan struct{}, stage int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -109,7 +109,7 @@
 	return true
 }
 
-// runStages takes a drain through its stages until it is cancelled.
+// runStages runs the stages of a drain. In stage 2 it closes idle connections until the drain is cancelled.
 func (d *drainer) runStages(cancelled chan struct{}, closeDelay, idleDelay time.Duration) {
 	wait := func(t time.Duration) bool {
 		select {
@@ -127,7 +127,7 @@
 	}
 }
 
-// stop ends the drain's goroutine, with the process.
+// stop ends the drain's goroutine, and no drain can start afterwards.
 func (d *drainer) stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,10 +135,10 @@
 	if d.cancel != nil {
 		close(d.cancel)
 	}
-	d.cancel = make(chan struct{}) // none begins any more
+	d.cancel = make(chan struct{}) // a non-nil channel keeps begin from starting a drain
 }
 
-// maxDrainOf returns how long a drain lasts at most.
+// computeDrainTimeout returns the maximum duration of a drain for the deadlines of the classes.
 func computeDrainTimeout(classes []control.Class) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range classes {
@@ -147,10 +147,11 @@
 	return min(longest, maxDrainDeadline) + drainMargin
 }
 
-// drain ends the process. Clients see it by /healthz but may use their open connections on, and while another node
-// restarts too, some tenants have no other node. So the node serves as before for a while, then each answer closes its
-// connection, and the node ends when all requests are answered. Where another process shares the socket, that one gets
-// all new connections: this one accepts none and lets go at once.
+// drain drains the node at shutdown. Clients detect the drain by /healthz but may still use their open connections, and
+// if another node restarts at the same time, some tenants have no other node. So the node first serves as before; then
+// each answer closes its connection, and drain returns once all requests are answered. If another process shares the
+// listening socket, that process gets all new connections: this one stops accepting and closes connections with their
+// next answer from the start.
 func (n *Node) drain(stopLoop context.CancelFunc) error {
 	begun := time.Now()
 	closeDelay := max(n.drainTimeout-drainClosePeriod, 0)
@@ -169,15 +170,15 @@
 		return n.loop.failure
 	}
 	n.finish(n.drainTimeout - time.Since(begun))
-	stopLoop() // answers what is still open with 502
+	stopLoop() // answers open requests with 502
 	<-n.loop.ended
 	n.finish(drainWriteTimeout)
 	slog.Info("drained", "took", time.Since(begun).Round(time.Millisecond))
 	return n.loop.failure
 }
 
-// awaitDrainEnd waits until the time for new requests is over, or until no connection is left where another process
-// takes new ones. It returns false where the loop ended before.
+// awaitDrainEnd waits for the period in which new requests are accepted. If another process shares the socket, it
+// returns early once no connection is left. It returns false if the loop has ended.
 func (n *Node) awaitDrainEnd(wait time.Duration) bool {
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
@@ -196,8 +197,9 @@
 	}
 }
 
-// finish stops listening and gives open answers some time. http.Server's Shutdown is not used: it closes connections
-// that seem idle to it while a request arrives on them, and drops requests that it has just read.
+// finish stops listening and waits until all connections are closed, at most for the duration within. It does not use
+// http.Server.Shutdown, which closes connections on which a request is just arriving and drops requests that it has
+// just read.
 func (n *Node) finish(within time.Duration) {
 	n.stopListening()
 	if err := n.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -9,7 +9,7 @@
 	"sloestile/internal/discovery"
 )
 
-// condition returns a server's status in the decision module's terms.
+// toCondition converts a server's status to the decision module's type.
 func toCondition(s discovery.Status) control.Condition {
 	switch s {
 	case discovery.Available:
@@ -20,8 +20,8 @@
 	return control.Draining
 }
 
-// member returns a target in the decision module's terms, under the ID that this node gave it. IDs are given in the order
-// in which a node first sees servers; the hash key is the same at all nodes.
+// toEndpoint converts a target to the decision module's type. id is the ID that this node assigned to the server. A
+// node assigns IDs in the order in which it first sees servers; the hash key is the same at all nodes.
 func toEndpoint(t *discovery.Target, id uint32) control.Endpoint {
 	key := fnv.New32a()
 	_, _ = io.WriteString(key, t.UID)
@@ -30,7 +30,7 @@
 		StartedAt: time.Duration(t.BootMS * float64(time.Millisecond))}
 }
 
-// retirePool closes the connections to a server, and makes a new pool where the server stays in use.
+// retirePool closes the connections to a server. replace creates a new pool, as the server stays in use.
 func (l *loop) retirePool(server uint32, replace bool) {
 	p := l.pools[server]
 	if p == nil {
@@ -43,20 +43,20 @@
 	}
 }
 
-// endpointsChanged takes an endpoint list or a change of it. Servers that are no longer listed are forgotten.
+// updateEndpoints applies a complete or delta update of the endpoint list, and records the list for the next process.
 func (l *loop) updateEndpoints(kind control.UpdateKind, update discovery.Update) {
 	l.recordEndpoints(kind, update)
 	l.applyEndpoints(kind, update)
 }
 
-// applyEndpoints passes a list or a change to the decision module and the pools.
+// applyEndpoints applies an update to the decision module and the pools, but does not record it.
 func (l *loop) applyEndpoints(kind control.UpdateKind, update discovery.Update) {
 	l.handle(l.updatePools(kind, update))
 	l.publish()
 }
 
-// updatePools applies a list or a change to the pools and the other parts of the node, and returns the event for the
-// decision module.
+// updatePools applies an update to the pools and the features that use the list, and removes the state of servers that
+// are no longer listed. It returns the event for the decision module.
 func (l *loop) updatePools(kind control.UpdateKind, update discovery.Update) control.EndpointUpdate {
 	event := control.EndpointUpdate{Kind: kind, NodesPerServer: l.nodesPerServer}
 	listed := make(map[string]bool)
@@ -83,7 +83,7 @@
 	return event
 }
 
-// idOf returns the ID of a server, and gives a new one to a server that is not listed yet.
+// serverID returns the ID of a server. It assigns a new ID if the server is not listed yet.
 func (l *loop) serverID(uid string) uint32 {
 	id, ok := l.serverIDs[uid]
 	if !ok {
@@ -94,7 +94,8 @@
 	return id
 }
 
-// notifyEndpoint tells the parts that are switched on of an entry of the list; nil is that it is no longer listed.
+// notifyEndpoint passes an entry of the list to the enabled features. A nil entry means that the server is no longer
+// listed.
 func (l *loop) notifyEndpoint(id uint32, t *discovery.Target) {
 	if l.limitSharing != nil {
 		l.limitSharing.updateServer(id, t)
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -11,20 +11,20 @@
 	"sloestile/internal/oneline"
 )
 
-// ListenError is a socket on which the node can't accept connections.
+// ListenError reports that the node can't listen on a socket.
 type ListenError struct {
-	Callers string // clients or operators
-	Address string // an address, or an inherited descriptor
+	Callers string // who connects to the socket: clients or operators
+	Address string // address, or the inherited descriptor
 	Err     error
 }
 
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("listening for %s: %s: %s; end what has the address, or name another one and start again", e.Callers, e.Address, oneline.Of(e.Err))
+	return fmt.Sprintf("listening for %s: %s: %s; stop the process that uses the address, or configure another one and start again", e.Callers, e.Address, oneline.Of(e.Err))
 }
 
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// ServeError is a clients' listener that has failed while the node served.
+// ServeError reports that the listener for clients failed while the node served.
 type ServeError struct {
 	Address string
 	Err     error
@@ -36,20 +36,20 @@
 
 func (e *ServeError) Unwrap() error { return e.Err }
 
-// ModuleError is a decision module that has panicked. All open requests have been answered with 502.
+// ModuleError reports that the decision module panicked. All open requests have been answered with 502.
 type ModuleError struct{ Panic any }
 
 func (e *ModuleError) Error() string {
 	return fmt.Sprintf("the decision module failed: %s; start the node again and report it with the log's stack", oneline.Of(fmt.Errorf("%v", e.Panic)))
 }
 
-// callError is an operator's call that is rejected.
+// statusError is an error of a console call with the HTTP status of the answer.
 type statusError interface {
 	error
-	Status() int // of HTTP
+	Status() int
 }
 
-// writeError answers an operator's call with an error.
+// writeError answers a console call with an error. The status is 400 unless the error is a statusError.
 func writeError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	if e, ok := errors.AsType[statusError](err); ok {
@@ -59,10 +59,10 @@
 	http.Error(w, err.Error(), status)
 }
 
-// CallError is a path or method that the console does not have.
+// CallError reports a console call with an unknown path, or a method that the path does not allow.
 type CallError struct {
 	Method, Path string
-	Allowed      []string // methods of that path; none is that there is no such path
+	Allowed      []string // methods of the path; empty if the path is unknown
 }
 
 func (e *CallError) Error() string {
@@ -80,7 +80,7 @@
 	return http.StatusMethodNotAllowed
 }
 
-// EndingError is a drain that can't be cancelled, as the process ends.
+// EndingError reports that a drain can't be cancelled, as the process is shutting down.
 type EndingError struct{ Node string }
 
 func (e *EndingError) Error() string {
@@ -90,7 +90,7 @@
 // Status returns the HTTP status of the answer.
 func (e *EndingError) Status() int { return http.StatusConflict }
 
-// ZoneError is an order on a zone that the fleet file does not name.
+// ZoneError reports an order for a zone that the fleet file does not name.
 type ZoneError struct {
 	Zone  string
 	Known []string
@@ -103,7 +103,7 @@
 // Status returns the HTTP status of the answer.
 func (e *ZoneError) Status() int { return http.StatusNotFound }
 
-// BusyError is a call that the event loop has not handled in time.
+// BusyError reports that the event loop has not executed a call in time.
 type BusyError struct {
 	Call    string
 	Timeout time.Duration
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -12,48 +12,48 @@
 	"sloestile/control"
 )
 
-// answerMargin is how long before the client's deadline attempts end, so that the last byte of the answer is there in
-// time.
+// answerMargin is the time before the client's deadline at which attempts end, so that the last byte of the answer
+// arrives in time.
 const answerMargin = 15 * time.Millisecond
 
-// exchange is one request of a client on its way to its final answer.
+// exchange is the state of one request of a client until its final answer.
 type exchange struct {
-	req             control.Request // its TimeLeft is set when the decision module gets it
-	upstreamReq     *http.Request   // as it goes to servers, without its body
-	body            []byte          // the whole body, or what came before rest
-	streamedBody    *clientBody     // of a long body, which is streamed; else nil
-	bodyLength      int64           // of the body in bytes; below 0 is not known
-	timeLeft        time.Duration   // of the client, from the last byte of the request
-	bodyReservation *reservation    // for the body
-	answer          chan answer     // gets the one final answer
+	req             control.Request // request for the decision module; TimeLeft is set when the request is passed to it
+	upstreamReq     *http.Request   // request as it is sent to servers, without its body
+	body            []byte          // whole body, or the part before streamedBody
+	streamedBody    *clientBody     // remainder of a long body, which is streamed; nil if the body is not streamed
+	bodyLength      int64           // length of the body in bytes; negative if unknown
+	timeLeft        time.Duration   // client's time limit, which counts from the last byte of the request
+	bodyReservation *reservation    // memory reserved for the body
+	answer          chan answer     // receives exactly one final answer
 	stats           *stats
-	received        atomic.Bool // the last byte of the request has come
+	received        atomic.Bool // whether the last byte of the request has been received
 
-	// Owned by the event loop once it has begun the request.
-	deadline     time.Time // zero until the last byte has come
-	done         bool      // answered, or the client has left
+	// The fields below are owned by the event loop once beginExchange has been called.
+	deadline     time.Time // client's deadline; zero until the last byte has been received
+	done         bool      // whether the request is answered or the client has left
 	attempts     []*exchangeAttempt
-	inFlight     int // attempts without an outcome
+	inFlight     int // number of attempts without an outcome
 	lastOutcome  control.Outcome
-	costReported bool   // the other nodes know its true cost
-	version      uint64 // rule version that it goes by until its end; 0 is the settings alone
+	costReported bool   // whether the true cost has been reported to the other nodes
+	version      uint64 // rule version that applies to the request until its end; 0 means the settings alone
 }
 
-// markReceived counts the request as in flight, once.
+// markReceived counts the request as in flight. Further calls have no effect.
 func (x *exchange) markReceived() {
 	if !x.received.Swap(true) {
 		x.stats.inflight.Add(1)
 	}
 }
 
-// markEnded counts it as no longer in flight.
+// markEnded counts the request as no longer in flight, if markReceived was called.
 func (x *exchange) markEnded() {
 	if x.received.Load() {
 		x.stats.inflight.Add(-1)
 	}
 }
 
-// bodyBroken returns a channel that is closed when the body can't be read to its end.
+// bodyFailed returns a channel that is closed if a streamed body can't be read to its end. It is nil for other bodies.
 func (x *exchange) bodyFailed() <-chan struct{} {
 	if x.streamedBody == nil {
 		return nil
@@ -61,10 +61,10 @@
 	return x.streamedBody.broken
 }
 
-// bodySpent reports whether a part of the body was streamed and so can't be sent again.
+// bodyConsumed reports whether a part of the body has been streamed to a server, so that the body can't be sent again.
 func (x *exchange) bodyConsumed() bool { return x.streamedBody != nil && x.streamedBody.spent.Load() }
 
-// finish gives the request its final answer and keeps attempts from starting that have not been written yet.
+// finish sends the request's final answer and cancels the start of attempts that have not been written yet.
 func (x *exchange) finish(a answer) {
 	x.done = true
 	for _, t := range x.attempts {
@@ -75,7 +75,7 @@
 	x.answer <- a
 }
 
-// message returns the request as an attempt sends it now.
+// newAttemptRequest returns the request for an attempt that is sent now, with the client's remaining time.
 func (x *exchange) newAttemptRequest() *http.Request {
 	req := *x.upstreamReq
 	req.Header = maps.Clone(req.Header)
@@ -97,25 +97,25 @@
 	return &req
 }
 
-// answer is the final answer to a request. One that streams has its first bytes in body.
+// answer is the final answer to a request. If the answer is streamed, body has its first bytes.
 type answer struct {
 	status      int
 	header      http.Header
 	body        []byte
 	retryAfter  time.Duration
-	stream      *io.PipeReader // the rest; nil is none
-	length      int64          // of one that streams, in all; below 0 is not told
-	reservation *reservation   // of the budget for answers; one that streams has none
+	stream      *io.PipeReader // remainder of a streamed answer; nil if the answer is not streamed
+	length      int64          // total length of a streamed answer in bytes; negative if unknown
+	reservation *reservation   // memory reserved for the answer; nil if the answer is streamed
 }
 
-// close tells the attempt behind a streamed answer that nobody reads it.
+// close closes the stream with an error, so that the attempt that writes to it ends.
 func (a *answer) close(err error) {
 	if a.stream != nil {
 		a.stream.CloseWithError(err)
 	}
 }
 
-// drop releases what an answer holds.
+// discard releases the stream and the memory of an answer that is not sent.
 func (a answer) discard() {
 	a.close(errClientLeft)
 	a.reservation.shrinkTo(0)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -19,31 +19,32 @@
 	"sloestile/internal/discovery"
 )
 
-// This file hands the state of a process over to the one that replaces it, on a Unix socket in the folder that both
-// share. Nothing depends on it: a process that finds no other, or gets what it can't use, starts without that state.
+// This file implements the handover of a process's state to the process that replaces it, over a Unix socket in a
+// folder that both share. The handover is optional: a process that finds no predecessor, or receives a state that it
+// can't use, starts without that state.
 
 const (
 	handoverSocket     = "handover.sock"
-	handoverTimeout    = 1500 * time.Millisecond // of the whole exchange
-	maxHandoverBytes   = 8 << 20                 // bytes of a message
-	handoverVersion    = 1                       // of handoverState; the decision module's state has its own
-	listConfirmTimeout = 3 * time.Second         // after which a list that was handed over is used without confirmation
-	maxOverlap         = 12 * time.Second        // for which two processes run side by side
+	handoverTimeout    = 1500 * time.Millisecond // timeout for connecting, and for sending or receiving a message
+	maxHandoverBytes   = 8 << 20                 // maximum size of a message
+	handoverVersion    = 1                       // version of handoverState; the decision module's state has its own
+	listConfirmTimeout = 3 * time.Second         // time after which a handed-over list is used without confirmation
+	maxOverlap         = 12 * time.Second        // assumed maximum time for which two processes run at once
 )
 
-// handoverState is what goes to the next process, as JSON by its field names and tags: the decision module's state, the
-// UIDs behind its server IDs, and the endpoint list.
+// handoverState is the state for the next process, encoded as JSON by its field names and tags: the decision module's
+// state, the UIDs of its server IDs, and the endpoint list.
 type handoverState struct {
 	Version        int
-	Discovery      string            // address of the discovery whose revision List has
-	LastID         uint32            // highest server ID given
-	IDs            map[string]uint32 // of servers by UID
+	Discovery      string            // address of the discovery that List and its revision come from
+	LastID         uint32            // highest assigned server ID
+	IDs            map[string]uint32 // server IDs by UID
 	List           discovery.Update
-	NodesPerServer float64 `json:"Sharers,omitempty"` // of List, where it is a subset; see discovery.Update
+	NodesPerServer float64 `json:"Sharers,omitempty"` // NodesPerServer of List; 0 unless List is a subset
 	Module         json.RawMessage
 }
 
-// writeMessage sends a message with its length and checksum, so that a part of one is never used.
+// writeMessage writes a message with its length and checksum, so that the receiver never uses an incomplete one.
 func writeMessage(w io.Writer, message []byte) error {
 	header := binary.BigEndian.AppendUint32(nil, uint32(len(message)))
 	header = binary.BigEndian.AppendUint32(header, crc32.ChecksumIEEE(message))
@@ -51,7 +52,7 @@
 	return err
 }
 
-// readMessage reads what writeMessage sent.
+// readMessage reads a message that writeMessage wrote.
 func readMessage(r io.Reader) ([]byte, error) {
 	var header [8]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -59,31 +60,32 @@
 	}
 	size := binary.BigEndian.Uint32(header[:4])
 	if size > maxHandoverBytes {
-		return nil, fmt.Errorf("a message of %d bytes", size)
+		return nil, fmt.Errorf("message of %d bytes is too large", size)
 	}
 	message := make([]byte, size)
 	if _, err := io.ReadFull(r, message); err != nil {
 		return nil, err
 	}
 	if crc32.ChecksumIEEE(message) != binary.BigEndian.Uint32(header[4:]) {
-		return nil, errors.New("a corrupt message")
+		return nil, errors.New("message is corrupt")
 	}
 	return message, nil
 }
 
-// takeOver takes the state of the process that runs beside this one, if one does. It returns the connection to that
-// process, which stays open for as long as both run, or nil.
+// receiveHandover receives and applies the state of the process that this one replaces. It returns the connection to
+// that process, which stays open while both processes run, or nil if there is no such process or its state can't be
+// used.
 func (n *Node) receiveHandover(dir string) net.Conn {
 	conn, err := net.DialTimeout("unix", filepath.Join(dir, handoverSocket), handoverTimeout)
 	if err != nil {
-		return nil // none, or one that has gone
+		return nil // there is no previous process, or it has ended
 	}
 	_ = conn.SetDeadline(time.Now().Add(handoverTimeout))
 	state, size, err := n.readHandover(conn)
 	if err != nil {
 		slog.Warn("handover: starting without the state of the previous process", "error", err)
 		_ = conn.Close()
-		// The other process still uses its descriptors for a while.
+		// The other process still uses descriptors until it ends.
 		n.upstream.sockets.share(true)
 		time.AfterFunc(maxOverlap, func() { n.upstream.sockets.share(false) })
 		return nil
@@ -95,7 +97,8 @@
 	return conn
 }
 
-// readHandover reads the state that another process hands over and has the decision module adopt its part.
+// readHandover reads the state of the previous process and restores the decision module's state from it. size is the
+// message's size in bytes.
 func (n *Node) readHandover(conn net.Conn) (state handoverState, size int, err error) {
 	message, err := readMessage(conn)
 	if err != nil {
@@ -105,7 +108,7 @@
 		return state, 0, err
 	}
 	if state.Version != handoverVersion {
-		return state, 0, fmt.Errorf("version %d, not %d", state.Version, handoverVersion)
+		return state, 0, fmt.Errorf("state has version %d, want %d", state.Version, handoverVersion)
 	}
 	if err := state.List.Check(); err != nil {
 		return state, 0, err
@@ -113,8 +116,8 @@
 	return state, len(message), n.loop.controller.RestoreHandover(n.loop.now(), state.Module)
 }
 
-// takeList adopts another process's endpoint list and server IDs. current reports whether that process held the list
-// until now, so that its revision counts.
+// adoptList adopts another process's endpoint list and server IDs. current reports whether the list is up to date, as
+// that process still runs, so that its revision can be used.
 func (n *Node) adoptList(state handoverState, current bool) {
 	for uid, id := range state.IDs {
 		n.loop.serverIDs[uid] = id
@@ -127,7 +130,7 @@
 	}
 }
 
-// awaitPredecessor waits for the end of the process that this one replaces, and takes the remainder of its state.
+// awaitPredecessor waits until the process that this one replaces ends, and applies the remaining tokens that it sends.
 func (n *Node) awaitPredecessor(ctx context.Context, conn net.Conn) {
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	defer func() { _ = conn.Close() }()
@@ -136,24 +139,24 @@
 		return
 	}
 	if err != nil {
-		slog.Warn("handover: receiving the remainder of the previous process failed", "error", err)
+		slog.Warn("handover: receiving the remaining tokens of the previous process failed", "error", err)
 		remainder = nil
 	}
 	n.loop.post(func() { n.endSharing(remainder) })
 }
 
-// endSharing has the node go on without the other process, with the remainder of its state; nil is none.
+// endSharing ends the sharing of quotas and descriptors with the other process. remainder is the encoded remaining
+// tokens of that process; nil means that there are none.
 func (n *Node) endSharing(remainder []byte) {
 	if err := n.loop.controller.EndSharing(n.loop.now(), remainder); err != nil {
-		slog.Warn("handover: using the remainder of the previous process failed", "error", err)
+		slog.Warn("handover: applying the remaining tokens of the previous process failed", "error", err)
 	}
 	n.upstream.sockets.share(false)
 }
 
-// serveHandover hands the state over to a process that starts beside this one, until ctx ends; and, when the loop has
-// ended, the remainder.
+// serveHandover accepts processes that start while this one runs and hands the state over to each, until ctx ends.
 func (n *Node) serveHandover(ctx context.Context, dir string) {
-	// The rename replaces the old listener at once, so that the name is never without one.
+	// The rename replaces the old socket atomically, so that the name always leads to a listener.
 	ownPath := filepath.Join(dir, handoverSocket+"."+strconv.Itoa(os.Getpid()))
 	listener, err := net.Listen("unix", ownPath)
 	if err == nil {
@@ -176,7 +179,8 @@
 	}
 }
 
-// handOver serves one process that takes over, until either ends.
+// serveSuccessor sends the state to a process that takes over. It returns once that process has ended or, after the
+// loop has ended, the remaining tokens have been sent.
 func (n *Node) serveSuccessor(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	encoded := make(chan []byte, 1)
@@ -209,9 +213,9 @@
 	}()
 	select {
 	case <-successorGone:
-		slog.Warn("handover: the successor has ended")
+		slog.Warn("handover: successor ended")
 		n.loop.post(func() { n.endSharing(nil) })
-	case <-n.loop.ended: // the remainder is used by the other process only
+	case <-n.loop.ended: // only the successor uses the remaining tokens
 		if remainder, err := n.loop.controller.RemainingTokens(n.loop.now()); err == nil && n.loop.failure == nil {
 			_ = conn.SetWriteDeadline(time.Now().Add(handoverTimeout))
 			_ = writeMessage(conn, remainder)
@@ -221,7 +225,7 @@
 	}
 }
 
-// handoverMessage returns the encoded state. From now on the decision module uses half of its quotas.
+// handoverMessage returns the encoded state. From then on the decision module uses half of its quotas.
 func (l *loop) handoverMessage(address string) ([]byte, error) {
 	module, err := l.controller.Handover(l.now())
 	if err != nil {
@@ -230,12 +234,13 @@
 	return json.Marshal(l.handoverState(address, module))
 }
 
-// handoverState returns the state of the loop with that of the decision module.
+// handoverState returns the loop's state. module is the encoded state of the decision module, address that of
+// discovery.
 func (l *loop) handoverState(address string, module []byte) handoverState {
 	state := handoverState{Version: handoverVersion, Discovery: address, LastID: l.lastServerID, IDs: l.serverIDs,
 		List: discovery.Update{Rev: l.listRevision, All: true}, NodesPerServer: l.nodesPerServer, Module: module}
 	if l.nodesPerServer > 0 {
-		state.Discovery = "" // the list is a subset: the next process, also of an older version, must fetch the whole
+		state.Discovery = "" // the list is a subset: the next process, even of an older version, must fetch the complete list
 	}
 	for _, t := range l.endpoints {
 		state.List.Targets = append(state.List.Targets, t)
@@ -243,7 +248,7 @@
 	return state
 }
 
-// rememberEndpoints keeps the endpoint list for a process that takes over.
+// recordEndpoints applies an update to the endpoint list that is handed over and persisted.
 func (l *loop) recordEndpoints(kind control.UpdateKind, update discovery.Update) {
 	if kind != control.Delta {
 		clear(l.endpoints)
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -17,34 +17,35 @@
 )
 
 const (
-	maxOutgoingMessages = 256  // messages that wait to be sent; one beyond is dropped, and its uses are sent again
-	maxQueuedMessages   = 128  // messages that wait for the loop; one beyond is dropped
-	defaultMaxTenants   = 1024 // where there is no memory limit
+	maxOutgoingMessages = 256  // maximum of messages waiting to be sent; beyond it a message is dropped and its content resent later
+	maxQueuedMessages   = 128  // maximum of received messages waiting for the loop; beyond it a message is dropped
+	defaultMaxTenants   = 1024 // maximum number of tenants if the settings have no MaxTenants
 )
 
-// limitSharing is the node's part in token buckets and outlier reports that all nodes share. It is owned by the event
-// loop but for receive, membershipChanged and sendMessages, which never wait for the loop, nor the loop for them.
+// limitSharing shares token buckets and outlier reports with the other nodes. It is owned by the event loop. Only
+// receive, membershipChanged and sendMessages are called by other goroutines; the loop never waits for these.
 type limitSharing struct {
 	loop        *loop
-	limiter     *ratelimit.Limiter // nil until the membership has begun
+	limiter     *ratelimit.Limiter // nil until the membership has started
 	settings    *control.Settings
-	peersConfig config.Peers                // what is shared
-	serverByID  map[uint32]ratelimit.Server // of the listed rating servers
+	peersConfig config.Peers                // states what is shared: limits, outlier reports or both
+	serverByID  map[uint32]ratelimit.Server // the listed servers by ID
 	idByServer  map[ratelimit.Server]uint32
-	peers       atomic.Pointer[membership.Peers] // nil until the membership has begun
+	peers       atomic.Pointer[membership.Peers] // nil until the membership has started
 	outgoing    chan ratelimit.Outgoing
 	sender      sync.WaitGroup
 	flushTimer  *time.Timer
-	flushAt     time.Duration // when the timer rings; zero is not
+	flushAt     time.Duration // time of the next flush on the decision module's clock; 0 if none is scheduled
 
-	membersUpdateQueued atomic.Bool  // news of members is on its way to the loop
-	queuedMessages      atomic.Int64 // messages on their way to the loop
+	membersUpdateQueued atomic.Bool  // whether an update of the live members is queued for the loop
+	queuedMessages      atomic.Int64 // number of received messages queued for the loop
 	counts              atomic.Pointer[ratelimit.Counts]
 	bucketAge           prometheus.Histogram
 	corruptMessages, droppedMessages, unsentMessages,
 	knownBucketRequests, unknownBucketRequests prometheus.Counter
 }
 
+// newLimitSharing returns a limitSharing that is inactive until start is called.
 func newLimitSharing(settings *control.Settings, peers config.Peers, l *loop) *limitSharing {
 	s := &limitSharing{loop: l, settings: settings, peersConfig: peers, serverByID: make(map[uint32]ratelimit.Server), idByServer: make(map[ratelimit.Server]uint32), outgoing: make(chan ratelimit.Outgoing, maxOutgoingMessages)}
 	s.counts.Store(&ratelimit.Counts{})
@@ -91,7 +92,7 @@
 		func() float64 { return float64(s.counts.Load().LowBuckets) }))
 }
 
-// start takes part in the sharing once the membership has started.
+// start starts the sharing with the members of a membership that has started.
 func (s *limitSharing) start(peers *membership.Peers) {
 	quotas := make(map[uint32]ratelimit.Quota)
 	for _, plan := range s.settings.Plans {
@@ -118,7 +119,8 @@
 	return xxhash.Sum64String(r.Plan + " " + r.Tenant)
 }
 
-// bucketOf returns what is known of the shared token bucket of a request's tenant; nil is nothing.
+// bucketOf returns the last known level of the shared token bucket of a request's tenant. It returns nil if the level
+// is unknown or limits are not shared.
 func (s *limitSharing) bucketOf(r *control.Request) *control.SharedBucket {
 	if s.limiter == nil || !s.peersConfig.SharedLimits {
 		return nil
@@ -133,7 +135,7 @@
 	return &control.SharedBucket{Tokens: bucket.Tokens, LowerBound: bucket.IsLowerBound, Age: bucket.Age}
 }
 
-// consume reports tokens of a request that was sent; see ratelimit.Limiter.Consume.
+// consume records that a request which was sent to a server has consumed tokens. See ratelimit.Limiter.Consume.
 func (s *limitSharing) consume(r *control.Request, tokens float64, correction bool) {
 	if s.limiter == nil || !s.peersConfig.SharedLimits {
 		return
@@ -142,7 +144,7 @@
 	s.scheduleFlush()
 }
 
-// updateServer takes an entry of the endpoint list; nil is that the server is no longer listed.
+// updateServer applies an entry of the endpoint list. A nil entry means that the server is no longer listed.
 func (s *limitSharing) updateServer(id uint32, t *discovery.Target) {
 	if old, ok := s.serverByID[id]; ok {
 		delete(s.idByServer, old)
@@ -162,8 +164,8 @@
 	}
 }
 
-// applyOutlierReports tells the decision module of servers that enough nodes report as slow. It must not be called while
-// the loop carries out the module's actions.
+// applyOutlierReports passes the servers that enough nodes report as slow to the decision module. It must not be called
+// while the loop executes the module's actions.
 func (s *limitSharing) applyOutlierReports() {
 	for _, outlier := range s.limiter.Outliers(s.loop.now(), len(s.idByServer)) {
 		if id, ok := s.idByServer[outlier.Server]; ok {
@@ -173,7 +175,7 @@
 	}
 }
 
-// updateMembers takes the live members.
+// updateMembers passes the live members to the limiter.
 func (s *limitSharing) updateMembers() {
 	s.membersUpdateQueued.Store(false)
 	if s.limiter == nil {
@@ -190,7 +192,7 @@
 	s.scheduleFlush()
 }
 
-// leave hands the buckets that this node owns to other nodes.
+// leave transfers the buckets that this node owns to other nodes.
 func (s *limitSharing) leave() {
 	if s.limiter != nil {
 		s.limiter.Leave(s.loop.now())
@@ -198,7 +200,7 @@
 	}
 }
 
-// flush sends the messages that are due.
+// flush queues the messages that are due for sending, and applies outlier reports.
 func (s *limitSharing) flush() {
 	s.flushAt = 0
 	for _, o := range s.limiter.Flush(s.loop.now()) {
@@ -214,7 +216,7 @@
 	s.scheduleFlush()
 }
 
-// scheduleFlush has flush called when a message is due.
+// scheduleFlush schedules a flush for the time at which the next message is due.
 func (s *limitSharing) scheduleFlush() {
 	when, ok := s.limiter.NextFlush()
 	if !ok || (s.flushAt != 0 && s.flushAt <= when) {
@@ -234,7 +236,7 @@
 	})
 }
 
-// receive takes a message of another node and does not keep raw.
+// receive queues a message of another node for the loop. It does not retain raw.
 func (s *limitSharing) receive(raw []byte) {
 	message, err := ratelimit.Decode(raw, s.settings.FleetSize)
 	if err != nil {
@@ -252,7 +254,7 @@
 		if s.limiter != nil {
 			now := s.loop.now()
 			s.limiter.Receive(now, message)
-			if when, ok := s.limiter.NextFlush(); ok && when <= now { // as most answers to others are
+			if when, ok := s.limiter.NextFlush(); ok && when <= now { // most replies are due at once
 				s.flush()
 				return
 			}
@@ -262,14 +264,14 @@
 	})
 }
 
-// membershipChanged has the loop take the live members, once for many changes.
+// membershipChanged queues an update of the live members, unless one is queued.
 func (s *limitSharing) membershipChanged() {
 	if s.peers.Load() != nil && !s.membersUpdateQueued.Swap(true) {
 		s.loop.post(s.updateMembers)
 	}
 }
 
-// sendMessages sends messages until outgoing is closed.
+// sendMessages sends queued messages until outgoing is closed.
 func (s *limitSharing) sendMessages() {
 	for o := range s.outgoing {
 		raw, err := o.Message.Encode()
@@ -283,7 +285,7 @@
 	}
 }
 
-// waitForSender ends the sending once the loop has ended, and waits for it.
+// stopSender waits until the loop has ended, and then until all queued messages have been sent.
 func (s *limitSharing) stopSender() {
 	<-s.loop.ended
 	close(s.outgoing)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -14,46 +14,46 @@
 	"sloestile/internal/discovery"
 )
 
-// publishInterval is how old a metric of the loop may become.
+// publishInterval is the interval at which the metrics of the loop are updated.
 const publishInterval = 200 * time.Millisecond
 
-// loopQueue is how many events may wait for the loop before those that post them wait too.
+// maxQueuedEvents is the capacity of the event queue. post blocks while it is full.
 const maxQueuedEvents = 256
 
-// loop is the event loop. It owns the decision module and all state that goes with it: only its own goroutine reads and
-// writes the fields below life, and others post events to it.
+// loop is the event loop. It owns the decision module and all state that depends on it: only the loop's goroutine
+// accesses the fields from controller to pools. Other goroutines post events to the loop.
 type loop struct {
 	upstream    *upstream
-	start       time.Time // zero of the decision module's clock
-	maxAttempts int       // of a request; 0 is no limit
-	maxTokens   float64   // of one request; 0 is no limit
+	start       time.Time // start of the node; now derives the decision module's clock from it
+	maxAttempts int       // maximum number of attempts per request; 0 means no limit
+	maxTokens   float64   // maximum number of tokens per request; 0 means no limit
 	stats       *stats
 
-	attemptCtx     context.Context // of attempts; ends with run
+	attemptCtx     context.Context // context of all attempts; ends with run
 	cancelAttempts context.CancelFunc
 	events         chan func()
 	ended          chan struct{} // closed when run has ended
-	failure        error         // why the loop ended early; set before ended is closed
+	failure        error         // cause if the decision module panicked; set before ended is closed
 
 	controller    *control.Controller
-	pendingEvents []control.Event // caused by the node itself while it carried out actions
-	exchanges     map[string]*exchange
-
-	// The endpoint list and what the node keeps for each server.
-	serverIDs      map[string]uint32           // of the listed servers by UID
-	lastServerID   uint32                      // no ID is given twice
-	endpoints      map[string]discovery.Target // by UID
-	listRevision   int64
-	nodesPerServer float64          // nodes that use each server of the list; 0 is all
-	pools          map[uint32]*pool // of the available servers
-
-	// What a fleet file switches on; nil is off.
+	pendingEvents []control.Event      // events that the execution of actions has caused
+	exchanges     map[string]*exchange // by request ID
+
+	// The endpoint list, and the state per server.
+	serverIDs      map[string]uint32           // IDs of the listed servers, by UID
+	lastServerID   uint32                      // highest assigned ID; IDs are never reused
+	endpoints      map[string]discovery.Target // entries of the endpoint list, by UID
+	listRevision   int64                       // revision of the endpoint list
+	nodesPerServer float64                     // average number of nodes that use a server; 0 means that all nodes do
+	pools          map[uint32]*pool            // connection pools of the available servers, by ID
+
+	// Features that a fleet file enables; nil if disabled.
 	stragglers   *stragglerWatch
 	limitSharing *limitSharing
 	zones        *zoneEvacuation
 	persistence  *persistence
 	consensus    *consensusMember
-	metrics      *prometheus.Registry // of these parts
+	metrics      *prometheus.Registry // metrics of these features
 }
 
 func newLoop(cfg config.Config, upstreamSide *upstream, metrics *stats) (*loop, error) {
@@ -80,7 +80,8 @@
 	}, nil
 }
 
-// metricsRegistry returns the registry for metrics of the parts that a fleet file switches on.
+// metricsRegistry returns the registry for the metrics of the features that a fleet file enables. It makes the registry
+// at the first call.
 func (l *loop) metricsRegistry() *prometheus.Registry {
 	if l.metrics == nil {
 		l.metrics = prometheus.NewRegistry()
@@ -88,13 +89,14 @@
 	return l.metrics
 }
 
-// now returns the time of the decision module's clock: Unix time at the node's start and monotonic time since. So the
-// start of a server, also one before this node's, maps to it, and steps of the wall clock are not seen.
+// now returns the time on the decision module's clock: the Unix time of the node's start plus the monotonic time since
+// then. Unix times, such as the start of a server, can thus be compared with it, and steps of the wall clock do not
+// affect it.
 func (l *loop) now() time.Duration {
 	return time.Duration(l.start.UnixNano()) + time.Since(l.start)
 }
 
-// at converts a time of the decision module's clock; zero stays zero.
+// wallTime converts a time on the decision module's clock to a time.Time. Zero becomes the zero time.Time.
 func (l *loop) wallTime(t time.Duration) time.Time {
 	if t == 0 {
 		return time.Time{}
@@ -102,7 +104,8 @@
 	return l.start.Add(t - time.Duration(l.start.UnixNano()))
 }
 
-// post has the loop run a function. It returns false, and the function is not run, where the loop has ended.
+// post queues a function for the loop's goroutine. It blocks while the queue is full. It returns false if the loop has
+// ended, and the function is not called then.
 func (l *loop) post(event func()) bool {
 	select {
 	case l.events <- event:
@@ -112,10 +115,10 @@
 	}
 }
 
-// run handles events until ctx ends or the decision module panics. Requests that are open then are answered with 502.
+// run handles events until ctx ends or the decision module panics. It then answers all open requests with 502.
 func (l *loop) run(ctx context.Context) {
 	defer func() {
-		// Requests must get an answer even if the decision module panics.
+		// Requests must be answered even if the decision module panics.
 		if p := recover(); p != nil {
 			l.failure = &ModuleError{p}
 			slog.Error("decision module panicked", "stack", string(debug.Stack()))
@@ -134,19 +137,20 @@
 			return
 		case event := <-l.events:
 			event()
-		case <-publish.C: // select chooses at random, so a busy loop comes here too
+		case <-publish.C: // select chooses at random, so this case is reached under load too
 			l.publish()
 		}
 	}
 }
 
-// publish updates the metrics that only the loop and the decision module know.
+// publish updates the metrics whose values only the loop and the decision module have.
 func (l *loop) publish() {
 	l.stats.listed.Store(int64(len(l.serverIDs)))
 	l.stats.avoided.Store(int64(l.controller.AvoidedServers(l.now())))
 }
 
-// handle passes an event to the decision module and carries out its actions, and then the events that these cause.
+// handle passes an event to the decision module and executes the actions that it returns. It then handles the events
+// that these actions caused.
 func (l *loop) handle(e control.Event) {
 	l.pendingEvents = append(l.pendingEvents, e)
 	for len(l.pendingEvents) > 0 {
@@ -158,7 +162,7 @@
 	}
 }
 
-// act carries out an action of the decision module.
+// execute executes an action of the decision module.
 func (l *loop) execute(a control.Action) {
 	switch a := a.(type) {
 	case control.Send:
@@ -186,7 +190,8 @@
 	}
 }
 
-// begin admits a request to the loop, unless one with its ID is still open.
+// beginExchange passes a new request to the decision module. It answers 409 if a request with the same ID is still
+// open.
 func (l *loop) beginExchange(x *exchange) {
 	if l.exchanges[x.req.ID] != nil {
 		x.answer <- answer{status: http.StatusConflict}
@@ -207,7 +212,8 @@
 	l.handle(x.req)
 }
 
-// bodyReceived takes that the last byte of a long body was received at a time: the client's time runs from then on.
+// bodyReceived handles the end of a long body, whose last byte was received at a time. The client's deadline counts
+// from then.
 func (l *loop) bodyReceived(x *exchange, at time.Time) {
 	x.deadline = at.Add(x.timeLeft)
 	for _, t := range x.attempts {
@@ -215,8 +221,8 @@
 	}
 }
 
-// hangup takes that the client has left. Attempts that are written go on: the server's work would not stop, and their
-// outcomes still inform the decision module.
+// clientGone handles the loss of the client's connection. Attempts that have been written continue: cancelling them
+// would not stop the server's work, and the decision module still uses their outcomes.
 func (l *loop) clientGone(x *exchange) {
 	if x.done {
 		return
@@ -225,14 +231,14 @@
 	l.handle(control.ClientGone{ID: x.req.ID})
 }
 
-// finishID gives the request with an ID its final answer, unless it has one.
+// finishByID finishes the request with an ID. It does nothing if there is no such request.
 func (l *loop) finishByID(id string, a answer) {
 	if x := l.exchanges[id]; x != nil {
 		l.finish(x, a)
 	}
 }
 
-// finish gives a request its final answer, unless it has one.
+// finish sends a request's final answer if none was sent, and releases the request.
 func (l *loop) finish(x *exchange, a answer) {
 	if !x.done {
 		x.finish(a)
@@ -240,8 +246,8 @@
 	l.release(x)
 }
 
-// release removes a finished request once none of its attempts is in flight. Before that its ID could be taken for
-// another request's.
+// release removes a finished request once none of its attempts is in flight. Removed earlier, its ID could be reused
+// while outcomes of its attempts still arrive.
 func (l *loop) release(x *exchange) {
 	if x.done && x.inFlight == 0 {
 		delete(l.exchanges, x.req.ID)
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -14,18 +14,18 @@
 	"sloestile/control"
 )
 
-// stats are the metrics that operators read without a fleet file. What became of a request is counted here only, once, by
-// whoever decides it. All are atomics, so that reading them waits for nobody.
+// stats are the metrics that are available without a fleet file. The result of each request is counted exactly once,
+// where it is decided. All values are atomics, so that reading them never blocks.
 type stats struct {
-	classNames []string // names, sorted
+	classNames []string // names of the classes, sorted
 	byClass    map[string]*classStats
-	attempts   atomic.Int64 // attempts written whole to servers
-	inflight   atomic.Int64 // requests received and not ended
+	attempts   atomic.Int64 // attempts written completely to servers
+	inflight   atomic.Int64 // requests received and not yet ended
 	listed     atomic.Int64 // servers in the list
-	avoided    atomic.Int64 // those of them that the decision module avoids
+	avoided    atomic.Int64 // listed servers that the decision module avoids
 }
 
-// classStats are the counts of one class's requests.
+// classStats counts the results of one class's requests.
 type classStats struct{ success, rejected, failure atomic.Int64 }
 
 func newStats(classes []control.Class) *stats {
@@ -38,7 +38,7 @@
 	return s
 }
 
-// answered counts a final answer that was written to the client.
+// countAnswer counts a final answer that was written to a client.
 func (s *stats) countAnswer(class string, status int) {
 	t := s.byClass[class]
 	switch status {
@@ -51,7 +51,7 @@
 	}
 }
 
-// write writes the metrics in the text format of Prometheus. The label tier has the class.
+// write writes the metrics in the Prometheus text format. The label tier is the class.
 func (s *stats) write(w io.Writer) {
 	for _, m := range []struct {
 		name, help string
@@ -79,12 +79,12 @@
 	}
 }
 
-// writeFigure writes one metric without labels.
+// writeMetric writes one metric without labels.
 func writeMetric(w io.Writer, name, kind, help string, value *atomic.Int64) {
 	fmt.Fprintf(w, "# HELP %s %s\n# TYPE %s %s\n%s %d\n", name, help, name, kind, name, value.Load())
 }
 
-// writeRegistry writes the metrics of the parts that a fleet file switches on, in the same format.
+// writeRegistry writes the metrics of a registry in the Prometheus text format.
 func writeRegistry(w io.Writer, r *prometheus.Registry) {
 	families, err := r.Gather()
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,40 +17,40 @@
 )
 
 const (
-	logInterval  = 5 * time.Second // between two log lines with counts of connections
-	readyTimeout = 5 * time.Second // after the start, by which the node is ready without an endpoint list
+	logInterval  = 5 * time.Second // interval of the log lines with counts of connections
+	readyTimeout = 5 * time.Second // time after the start at which the node is ready even without an endpoint list
 )
 
-// Node is an edge node. New starts to listen, Run serves until its context ends.
+// Node is an edge node. New starts to listen, and Run serves until its context ends.
 type Node struct {
 	name     string
 	front    *front
 	loop     *loop
 	upstream *upstream
 	stats    *stats
-	console  *console // nil is none
+	console  *console // nil if there is no console
 	drainer  *drainer
 
 	discovery        watcher
 	discoveryAddress string
-	knownServers     discovery.Update       // cached list for the decision module at the start
-	onUpdate         func(discovery.Update) // takes the watcher's updates
+	knownServers     discovery.Update       // cached list, which the decision module gets at the start
+	onUpdate         func(discovery.Update) // handles an update of the endpoint list
 	degraded         *degradedDiscovery
 
 	listener      net.Listener
 	stopListening context.CancelFunc
-	inherited     bool          // the clients' socket was inherited: another process may share it
-	drainTimeout  time.Duration // a drain ends by then
+	inherited     bool          // the listening socket is inherited: another process may accept on it too
+	drainTimeout  time.Duration // maximum duration of a drain
 	readyTimeout  time.Duration
 
-	peers      atomic.Pointer[membership.Peers]  // nil while peers are off or not started
-	startPeers func() (*membership.Peers, error) // nil is off
+	peers      atomic.Pointer[membership.Peers]  // nil while the membership is disabled or not started
+	startPeers func() (*membership.Peers, error) // nil disables the membership
 
-	handoverDir     string      // shared with the process that takes over from this one; "" is none
-	listUnconfirmed atomic.Bool // the list that was handed over has not been confirmed by discovery
+	handoverDir     string      // folder of the handover socket, shared with the next process; "" disables the handover
+	listUnconfirmed atomic.Bool // the handed-over endpoint list has not been confirmed by discovery
 }
 
-// New makes an edge node and starts to listen.
+// New returns an edge node that listens already. Run must be called to serve.
 func New(cfg config.Config) (*Node, error) {
 	sockets := newSockets(cfg.MaxSockets, reservedDescriptors(cfg))
 	metrics := newStats(cfg.Settings.Classes)
@@ -89,7 +89,7 @@
 	return n, nil
 }
 
-// reservedDescriptors returns how many descriptors are reserved for other uses than connections to clients and servers.
+// reservedDescriptors returns the number of file descriptors that connections to clients and servers may not use.
 func reservedDescriptors(cfg config.Config) int {
 	reserved := ownDescriptors
 	if cfg.Console != "" {
@@ -101,22 +101,22 @@
 	return reserved + consensusDescriptors(cfg.Fleet, cfg.Name)
 }
 
-// upstreamOf makes the upstream side as a configuration has it.
+// newUpstreamFromConfig returns the upstream side with the limits and timeouts of a configuration.
 func newUpstreamFromConfig(cfg config.Config, sockets *sockets) *upstream {
 	memoryMB := cfg.MemoryMB
 	if cfg.SocketFD > 0 {
-		memoryMB /= 2 // a second process may run beside this one
+		memoryMB /= 2 // a second process may run at the same time, during a handover
 	}
 	connectTimeout := cfg.ServerConnectTimeout
 	if grace := cfg.Settings.DrainGrace; grace > 0 {
-		// Otherwise the first byte could reach a server after the grace, where it begins to drain while a connection
-		// to it opens.
+		// A server may begin to drain while a connection to it opens. A longer timeout would let the first byte of a
+		// request reach it after the drain grace.
 		connectTimeout = min(connectTimeout, grace)
 	}
 	return newUpstream(connectTimeout, cfg.ServerKeepalive, cfg.Settings.FleetSize, sockets, newBudget(memoryMB))
 }
 
-// assemble adds the parts that the configuration and the fleet file switch on, and the watch of the endpoint list.
+// assemble adds the watch of the endpoint list, and the features that the configuration and the fleet file enable.
 func (n *Node) assemble(cfg config.Config) (err error) {
 	l, fleet := n.loop, cfg.Fleet
 	if fleet != nil && fleet.Zones != nil && fleet.Zones.Evacuate {
@@ -140,7 +140,7 @@
 		return nil
 	}
 	p, err := n.startPeers()
-	// The process that this one replaces has the address until it ends; joinPeers tries again.
+	// The process that this one replaces holds the address until it ends; joinPeers retries.
 	if err != nil && (!n.inherited || !errors.Is(err, syscall.EADDRINUSE)) {
 		return err
 	}
@@ -148,11 +148,11 @@
 	return nil
 }
 
-// Addr returns the address where clients connect.
+// Addr returns the address to which clients connect.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Reload applies what may change while the node runs: the address of discovery and the seeds of peers. Requests,
-// connections and the state of the decision module stay as they are.
+// Reload applies the settings that may change while the node runs: the address of discovery and the seeds of the
+// membership. It does not affect requests, connections or the state of the decision module.
 func (n *Node) Reload(cfg config.Config) {
 	slog.Info("reloading", "discovery", cfg.Discovery)
 	n.discovery.Move(cfg.Discovery)
@@ -161,7 +161,8 @@
 	}
 }
 
-// applyList gives the loop an endpoint list or a change of it. With a server to send to the node is ready.
+// applyUpdate applies a complete or delta update of the endpoint list, on the event loop. The node becomes ready once a
+// server is listed, unless the list is an unconfirmed one of the previous process.
 func (n *Node) applyUpdate(kind control.UpdateKind, update discovery.Update) {
 	n.loop.updateEndpoints(kind, update)
 	if len(n.loop.serverIDs) > 0 && !n.listUnconfirmed.Load() {
@@ -169,8 +170,8 @@
 	}
 }
 
-// Run serves until ctx ends, then drains. It returns an error where the node itself has failed. Every goroutine that it
-// starts has ended when it returns.
+// Run serves until ctx ends, and then drains. It returns an error only if the node itself failed. All goroutines that
+// it started have ended when it returns.
 func (n *Node) Run(ctx context.Context) error {
 	runCtx, endRun := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -187,8 +188,8 @@
 		defer n.scheduleListConfirmation().Stop()
 		running.Go(func() { n.awaitPredecessor(runCtx, previous) })
 	}
-	// A node whose discovery is down or lists no server becomes ready all the same: it rejects requests then, which
-	// clients may safely retry.
+	// A node also becomes ready if discovery is down or lists no server: it rejects requests then, and clients may
+	// safely retry these.
 	ready := time.AfterFunc(n.readyTimeout, func() { n.front.ready.Store(true) })
 	defer ready.Stop()
 	served := n.startServing(runCtx, &running)
@@ -204,8 +205,8 @@
 	}
 }
 
-// startLoop takes over from a previous process or restores the stored state, and starts the event loop. It returns the
-// connection to the previous process, or nil.
+// startLoop receives the state of the previous process or restores the stored state, and starts the event loop. It
+// returns the connection to the previous process, or nil if there is none.
 func (n *Node) startLoop(runCtx, loopCtx context.Context, running *sync.WaitGroup) (previous net.Conn) {
 	if n.handoverDir != "" {
 		previous = n.receiveHandover(n.handoverDir)
@@ -220,14 +221,15 @@
 		running.Go(func() { <-n.loop.ended; p.close() })
 	}
 	running.Go(func() { n.loop.run(loopCtx) })
-	// Without this check a list of no servers would set the decision module's bound.
+	// An empty list must not be applied: it would set the decision module's in-flight bound.
 	if len(n.knownServers.Targets) > 0 {
 		n.loop.post(func() { n.applyUpdate(control.Cached, n.knownServers) })
 	}
 	return previous
 }
 
-// confirmListLater makes the node ready with the list that was handed over where discovery does not confirm it in time.
+// scheduleListConfirmation makes the node ready with the handed-over list if discovery does not confirm the list within
+// listConfirmTimeout.
 func (n *Node) scheduleListConfirmation() *time.Timer {
 	return time.AfterFunc(listConfirmTimeout, func() {
 		n.loop.post(func() {
@@ -238,7 +240,7 @@
 	})
 }
 
-// startServing starts to serve clients and returns the channel that gets the error of the clients' listener.
+// startServing starts to serve clients. The returned channel receives the error with which the HTTP server ends.
 func (n *Node) startServing(runCtx context.Context, running *sync.WaitGroup) <-chan error {
 	if n.handoverDir != "" {
 		running.Go(func() { n.serveHandover(runCtx, n.handoverDir) })
@@ -253,8 +255,8 @@
 	return served
 }
 
-// startFleetParts starts what a fleet file switches on beside the loop. The other nodes are told of a planned end when
-// ctx ends, and learn of a failure by this node's silence.
+// startFleetServices starts the services of a fleet file that have goroutines of their own. The node announces a
+// planned shutdown to the other nodes when ctx ends; they detect a failure by missing messages.
 func (n *Node) startFleetServices(ctx, runCtx context.Context, running *sync.WaitGroup) {
 	if c := n.loop.consensus; c != nil {
 		running.Go(func() { c.run(runCtx) })
@@ -264,7 +266,7 @@
 	}
 }
 
-// logCounts writes counts of connections to the log at intervals until ctx ends.
+// logCounts logs counts of connections every logInterval until ctx ends.
 func (n *Node) logCounts(ctx context.Context) {
 	t := time.NewTicker(logInterval)
 	defer t.Stop()
--- a/internal/node/peering.go
+++ b/internal/node/peering.go
@@ -16,17 +16,17 @@
 
 const (
 	peerDescriptors   = 16          // descriptors reserved for the membership
-	joinRetryInterval = time.Second // between two tries to start while the previous process has the address
+	joinRetryInterval = time.Second // interval of attempts to start while the previous process holds the address
 )
 
-// startPeersFunc returns the function that starts the membership, where the fleet file has it and the settings allow it;
-// else nil. It makes the loop's parts that use the membership.
+// startPeersFunc returns the function that starts the membership, or nil if the fleet file does not enable it or the
+// settings do not allow it. It also creates the components of the loop that use the membership.
 func startPeersFunc(cfg config.Config, l *loop) (func() (*membership.Peers, error), error) {
 	if cfg.Fleet == nil || cfg.Fleet.Peers == nil {
 		return nil, nil
 	}
 	if !cfg.Settings.PeerMessages {
-		slog.Warn("peers: off, the settings do not allow them")
+		slog.Warn("peers: disabled by the settings")
 		return nil, nil
 	}
 	peers := cfg.Fleet.Peers
@@ -46,7 +46,7 @@
 	return func() (*membership.Peers, error) { return startMembership(cfg, l) }, nil
 }
 
-// startMembership joins the fleet and starts the loop's parts that use the membership.
+// startMembership joins the fleet and starts the components of the loop that use the membership.
 func startMembership(cfg config.Config, l *loop) (*membership.Peers, error) {
 	memberConfig, err := membershipConfig(cfg)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return p, nil
 }
 
-// membershipConfig returns this node's part of the membership's configuration.
+// membershipConfig returns the membership's configuration without its callbacks.
 func membershipConfig(cfg config.Config) (membership.Config, error) {
 	host, _, err := net.SplitHostPort(cfg.Listen)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}, nil
 }
 
-// joinPeers returns the membership once it has started, or nil where ctx ends before.
+// joinPeers retries to start the membership until it has started, and returns it. It returns nil if ctx ends before.
 func (n *Node) joinPeers(ctx context.Context) *membership.Peers {
 	for n.peers.Load() == nil {
 		select {
@@ -113,7 +113,7 @@
 		}
 		p, err := n.startPeers()
 		if err != nil {
-			slog.Debug("peers: starting failed, trying again", "error", err)
+			slog.Debug("peers: starting failed, retrying", "error", err)
 			continue
 		}
 		n.peers.Store(p)
@@ -121,8 +121,8 @@
 	return n.peers.Load()
 }
 
-// leavePeers announces this node's end to the others when ctx ends, and leaves the membership when life ends. Until then
-// the node serves and reports to them what it admits.
+// leavePeers announces to the other nodes that this node will leave when ctx ends, and leaves the membership when
+// runCtx ends. In between the node still serves and reports its consumed tokens to them.
 func (n *Node) leavePeers(ctx, runCtx context.Context) {
 	p := n.joinPeers(ctx)
 	if p == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// program returns the version of this program: the commit that it was built from, where known.
+// programVersion returns the version of this program: the commit that it was built from, if known.
 func programVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -163,7 +163,7 @@
 	return info.Main.Version
 }
 
-// writePeers writes the metrics of the membership.
+// writePeerMetrics writes the metrics of the membership.
 func writePeerMetrics(w io.Writer, c *membership.Counts) {
 	for _, m := range []struct {
 		name, kind, help string
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -18,19 +18,20 @@
 )
 
 const (
-	writeDelay            = 500 * time.Millisecond // from a grant that needs a checkpoint to the writing of a state
-	snapshotInterval      = 2 * time.Second        // least, between two states with a snapshot of servers and shares
-	maxSnapshotAge        = 10 * time.Minute       // at a start; an older snapshot is not used
-	openTimeout           = time.Second            // for reading the stored state at the start
-	lockRetryInterval     = time.Second            // between two tries for a folder that the previous process still has
-	stateCloseTimeout     = 300 * time.Millisecond // for writing the last state
-	defaultMaxCheckpoints = 4096                   // tenants, where there is no memory limit
+	writeDelay            = 500 * time.Millisecond // delay from a grant that needs a checkpoint to the write of a state
+	snapshotInterval      = 2 * time.Second        // minimum interval between two states with a snapshot
+	maxSnapshotAge        = 10 * time.Minute       // maximum age at the start; an older snapshot is not used
+	openTimeout           = time.Second            // timeout for reading the stored state at the start
+	lockRetryInterval     = time.Second            // interval of attempts to lock a folder that the previous process uses
+	stateCloseTimeout     = 300 * time.Millisecond // timeout for writing the final state
+	defaultMaxCheckpoints = 4096                   // maximum number of tenants if the settings have no MaxTenants
 
-	snapshotPart = "learnt" // name of the snapshot in the stored state
+	snapshotPart = "learnt" // key of the snapshot in the stored state's parts
 )
 
-// persistence stores what the node has learned, so that it outlives the process. It is owned by the event loop; its
-// persister writes in a goroutine of its own.
+// persistence stores the node's state on disk, so that the next process can restore it: checkpoints of the tenants'
+// token buckets, and a snapshot of the decision module's other state and the endpoint list. It is owned by the event
+// loop; its persister writes in its own goroutine.
 type persistence struct {
 	loop             *loop
 	settings         *control.Settings
@@ -38,17 +39,19 @@
 	dir, nodeName    string
 	discoveryAddress func() string
 	checkpoints      *store.Checkpoints
-	persister        *store.Persister // nil until the folder is this process's
+	persister        *store.Persister // nil until this process has locked the folder
 	writeScheduled   bool
-	snapshotAt       time.Time
+	snapshotAt       time.Time // time of the last snapshot
 
 	statesWritten, writeErrors, bytesWritten prometheus.Counter
 	writeSeconds                             prometheus.Histogram
 	restoredTenants, droppedParts            prometheus.Counter
 	uncoveredGrants                          atomic.Int64
-	lastWrittenAt                            atomic.Int64 // ms of Unix time
+	lastWrittenAt                            atomic.Int64 // time of the last written state in ms of Unix time; 0 if none
 }
 
+// newPersistence returns a persistence for the state folder of the fleet file. discoveryAddress returns the current
+// address of discovery.
 func newPersistence(cfg config.Config, l *loop, discoveryAddress func() string) *persistence {
 	maxCheckpoints := cfg.Settings.MaxTenants
 	if maxCheckpoints <= 0 {
@@ -82,17 +85,18 @@
 	return p
 }
 
-// open locks the folder and restores what is stored there, unless another process has handed over its state. It is
-// called before the loop runs. It returns false where another process has the folder.
+// open locks the folder and restores the stored state, unless another process has handed over its state. It must be
+// called before the loop runs. It waits at most openTimeout for the disk. It returns false if another process uses the
+// folder.
 func (p *persistence) open(n *Node, handedOver bool) bool {
 	folder, err := store.Open(p.disk, p.dir, p.nodeName)
 	if err != nil {
-		slog.Warn("state: not persisted", "error", err)
+		slog.Warn("state: opening the folder failed, state is not persisted", "error", err)
 		_, inUse := errors.AsType[*store.InUseError](err)
 		return !inUse
 	}
 	read := make(chan *store.State, 1)
-	go func() { read <- p.read(folder) }() // ends when the disk answers
+	go func() { read <- p.read(folder) }() // ends when the disk responds
 	select {
 	case stored := <-read:
 		if stored != nil && !handedOver {
@@ -100,8 +104,8 @@
 		}
 		p.startPersister(folder, stored)
 	case <-time.After(openTimeout):
-		slog.Warn("state: the disk does not answer, starting without stored state; persisting begins when it answers", "dir", p.dir)
-		go func() { // ends when the disk answers
+		slog.Warn("state: disk does not respond, starting without stored state; persisting starts once it responds", "dir", p.dir)
+		go func() { // ends when the disk responds
 			if stored := <-read; !p.loop.post(func() { p.startPersister(folder, stored) }) {
 				_ = folder.Close()
 			}
@@ -110,7 +114,7 @@
 	return true
 }
 
-// read returns the stored state; nil is none that can be used.
+// read returns the stored state, or nil if there is none that can be used.
 func (p *persistence) read(folder *store.Folder) *store.State {
 	stored, err := folder.Read()
 	if err != nil {
@@ -120,7 +124,7 @@
 	return stored
 }
 
-// openWhenFree locks the folder once the previous process has left it, or until ctx ends.
+// openWhenUnlocked tries to lock the folder until the previous process has unlocked it or ctx ends.
 func (p *persistence) openWhenUnlocked(ctx context.Context) {
 	t := time.NewTicker(lockRetryInterval)
 	defer t.Stop()
@@ -135,10 +139,10 @@
 			continue
 		}
 		if err != nil {
-			slog.Warn("state: not persisted", "error", err)
+			slog.Warn("state: opening the folder failed, state is not persisted", "error", err)
 			return
 		}
-		// The previous process's checkpoints stay: its tenants may not send here before a crash.
+		// Keep the previous process's checkpoints: its tenants may not send a request here before a crash.
 		stored := p.read(folder)
 		if !p.loop.post(func() { p.startPersister(folder, stored) }) {
 			_ = folder.Close()
@@ -147,7 +151,7 @@
 	}
 }
 
-// startPersister starts to write states to the folder, beginning from the one that is stored.
+// startPersister starts the persister. Its states extend the stored one; nil means that there is none.
 func (p *persistence) startPersister(folder *store.Folder, stored *store.State) {
 	maxTenants := p.settings.MaxTenants
 	if maxTenants <= 0 {
@@ -166,13 +170,14 @@
 	})
 }
 
-// restore has the loop use a stored state as far as it is not too old.
+// restore restores the decision module, the endpoint list and the tenants' token buckets from a stored state. It skips
+// a snapshot that is too old or not valid.
 func (p *persistence) restore(n *Node, stored *store.State) {
 	now := p.loop.now()
 	var snapshot handoverState
 	err := json.Unmarshal(stored.Parts[snapshotPart], &snapshot)
 	if err == nil && snapshot.Version != handoverVersion {
-		err = errors.New("of another version")
+		err = errors.New("snapshot has another version")
 	}
 	if err == nil {
 		err = snapshot.List.Check()
@@ -184,13 +189,13 @@
 		n.adoptList(snapshot, false)
 	} else {
 		p.droppedParts.Inc()
-		slog.Warn("state: stored snapshot not used", "error", err)
+		slog.Warn("state: ignoring the stored snapshot", "error", err)
 	}
 	restored := 0
 	for _, checkpoint := range stored.Checkpoints {
 		tokens, ok := p.currentTokens(checkpoint, now)
 		if !ok {
-			continue // the bucket is full again, or the clock went back
+			continue // the bucket is full again, or its plan no longer exists
 		}
 		if err := p.loop.controller.RestoreTenantLevel(now, checkpoint.Plan, checkpoint.Tenant, checkpoint.Nodes, tokens); err != nil {
 			p.droppedParts.Inc()
@@ -202,19 +207,20 @@
 	slog.Info("state: restored", "generation", stored.Generation, "age_ms", time.Now().UnixMilli()-stored.Written, "tenants", restored)
 }
 
-// tokensNow returns the tokens that a bucket holds now by its checkpoint; ok is false where it is full.
+// currentTokens returns the tokens that a bucket holds now according to its checkpoint. ok is false if the bucket is
+// full or its plan does not exist.
 func (p *persistence) currentTokens(checkpoint store.Checkpoint, now time.Duration) (tokens float64, ok bool) {
 	for _, plan := range p.settings.Plans {
 		if plan.Name == checkpoint.Plan {
 			elapsed := now - time.Duration(checkpoint.At)*time.Millisecond
-			tokens = checkpoint.Level + plan.Rate*max(0, elapsed).Seconds() // no refill where the clock went back
+			tokens = checkpoint.Level + plan.Rate*max(0, elapsed).Seconds() // no refill if the clock went back
 			return tokens, tokens < plan.Burst
 		}
 	}
 	return 0, false
 }
 
-// granted takes that a tenant's request was admitted and sent.
+// recordGrant records that a tenant's request was admitted and sent, and schedules a write if a checkpoint is due.
 func (p *persistence) recordGrant(r *control.Request) {
 	tokens, rate, burst, nodes, ok := p.loop.controller.TenantLevel(r.Plan, r.Tenant)
 	if !ok {
@@ -227,7 +233,8 @@
 	p.uncoveredGrants.Store(p.checkpoints.Uncovered)
 }
 
-// scheduleWrite has a state written soon, unless that is scheduled.
+// scheduleWrite schedules a write of the state after writeDelay, unless one is scheduled or the folder is not locked
+// yet.
 func (p *persistence) scheduleWrite() {
 	if p.writeScheduled || p.persister == nil {
 		return
@@ -236,7 +243,8 @@
 	time.AfterFunc(writeDelay, func() { p.loop.post(p.write) })
 }
 
-// write has a state written, unless one is being written.
+// write submits the checkpoints that are due to the persister, unless a batch is being written. At most once per
+// snapshotInterval it adds a snapshot.
 func (p *persistence) write() {
 	p.writeScheduled = false
 	now := time.Now()
@@ -258,7 +266,7 @@
 	}
 }
 
-// snapshot returns what was learned of all but tenants, with the endpoint list and the server IDs.
+// snapshot returns the encoded state of the decision module without tenants, with the endpoint list and the server IDs.
 func (p *persistence) snapshot() ([]byte, error) {
 	module, err := p.loop.controller.Snapshot(p.loop.now())
 	if err != nil {
@@ -267,7 +275,7 @@
 	return json.Marshal(p.loop.handoverState(p.discoveryAddress(), module))
 }
 
-// stateWritten takes whether the state that was submitted last came to the disk.
+// stateWritten handles the result of the last submitted write and schedules another one if checkpoints are due.
 func (p *persistence) stateWritten(ok bool) {
 	p.checkpoints.BatchWritten(ok)
 	if p.checkpoints.Due() {
@@ -275,7 +283,7 @@
 	}
 }
 
-// close writes the last state, once the loop has ended.
+// close writes the final state. It must be called after the loop has ended. It does nothing if the loop has failed.
 func (p *persistence) close() {
 	if p.persister == nil || p.loop.failure != nil {
 		return
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -6,11 +6,12 @@
 	"sloestile/internal/discovery"
 )
 
+// newSubsetDroppedCounter returns the counter of dropped updates of the endpoint list.
 func newSubsetDroppedCounter() prometheus.Counter {
 	return prometheus.NewCounter(prometheus.CounterOpts{Name: "node_subset_dropped_total", Help: "Lists and changes of them that were dropped whole."})
 }
 
-// registerSubset names the figures of the subset for the operators.
+// registerSubsetMetrics registers the metrics of the subset.
 func registerSubsetMetrics(r *prometheus.Registry, c *discovery.Counts, dropped prometheus.Counter) {
 	r.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "node_subset_listed", Help: "Rating servers in the whole list."},
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -16,21 +16,23 @@
 )
 
 const (
-	zoneCheckInterval = 100 * time.Millisecond // while there is evidence or a zone is evacuated
-	zoneOrderTimeout  = time.Second            // for the loop to take an operator's order
+	zoneCheckInterval = 100 * time.Millisecond // interval of checks while there are new outcomes or a zone is not healthy
+	zoneOrderTimeout  = time.Second            // timeout for the loop to execute an operator's order
 )
 
-// zoneEvacuation evacuates zones that fail and returns to them by a recovery ramp. It is owned by the event loop.
+// zoneEvacuation moves traffic away from zones that fail and returns it by a recovery ramp. It is owned by the event
+// loop; other goroutines may only read views.
 type zoneEvacuation struct {
 	loop           *loop
 	policy         *zone.Policy
-	zoneByServer   map[uint32]string // the zone of each listed server
+	zoneByServer   map[uint32]string // zone of each listed server, by server ID
 	checkScheduled bool
-	lastEvidence   time.Duration // the last evidence
-	views          atomic.Pointer[[]zone.View]
+	lastEvidence   time.Duration               // time of the last observation
+	views          atomic.Pointer[[]zone.View] // states of all zones, for the console and the metrics
 }
 
-// newZoneEvacuation makes the policy for the zones that the fleet file names.
+// newZoneEvacuation returns the evacuation of the zones that the fleet file names. It observes the attempts through the
+// straggler watch.
 func newZoneEvacuation(cfg config.Config, l *loop) *zoneEvacuation {
 	own := cfg.Settings.Zone
 	zones := []zone.Zone{{Name: own}}
@@ -56,7 +58,7 @@
 	return z
 }
 
-// updateServer takes an entry of the endpoint list; nil is that the server is no longer listed.
+// updateServer applies an entry of the endpoint list. A nil entry means that the server is no longer listed.
 func (z *zoneEvacuation) updateServer(id uint32, t *discovery.Target) {
 	if t == nil {
 		delete(z.zoneByServer, id)
@@ -65,14 +67,14 @@
 	z.zoneByServer[id] = t.Zone
 }
 
-// observe takes how an attempt ended; took is below zero for one that failed or is late.
+// observe records the outcome of an attempt at a server. A negative duration means that the attempt failed or is late.
 func (z *zoneEvacuation) observe(server uint32, duration time.Duration) {
 	z.lastEvidence = z.loop.now()
 	z.policy.Observe(z.lastEvidence, z.zoneByServer[server], uint64(server), 1, duration >= 0, max(0, duration.Seconds()))
 	z.scheduleCheck()
 }
 
-// scheduleCheck has check called soon.
+// scheduleCheck schedules a check after zoneCheckInterval, unless one is scheduled.
 func (z *zoneEvacuation) scheduleCheck() {
 	if !z.checkScheduled {
 		z.checkScheduled = true
@@ -80,7 +82,8 @@
 	}
 }
 
-// check decides anew, and goes on while there is evidence or a zone is not healthy.
+// check updates the states of the zones. It schedules another check while there are new outcomes or a zone is not
+// healthy.
 func (z *zoneEvacuation) check() {
 	z.checkScheduled = false
 	now := z.loop.now()
@@ -90,8 +93,8 @@
 	}
 }
 
-// publish tells the decision module, the log and the console what has changed. cut reports whether a zone is not
-// healthy.
+// publish logs changes of zones' states and passes changes to the decision module, the console and the metrics.
+// unhealthy reports whether a zone is not healthy or has less than its usual traffic.
 func (z *zoneEvacuation) publish() (unhealthy bool) {
 	oldViews, views := z.views.Load(), z.policy.Views()
 	evacuated := map[string]float64{}
@@ -116,6 +119,7 @@
 	return unhealthy
 }
 
+// zoneFractionDesc describes the metric of the zones' traffic fractions.
 var zoneFractionDesc = prometheus.NewDesc("node_zone_part", "Part of its usual traffic that a zone may have.", []string{"zone", "state"}, nil)
 
 // Describe implements prometheus.Collector.
@@ -128,7 +132,7 @@
 	}
 }
 
-// handleShow answers what the node does with each zone, and why. The JSON keys are the field names of line.
+// handleGet answers with the state of each zone and its reason. The JSON keys are the field names of line.
 func (z *zoneEvacuation) handleGet(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	type line struct {
@@ -142,7 +146,7 @@
 	_ = json.NewEncoder(w).Encode(lines)
 }
 
-// names returns the zones that orders may name.
+// zoneNames returns the names of the zones.
 func (z *zoneEvacuation) zoneNames() (names []string) {
 	for _, v := range *z.views.Load() {
 		names = append(names, v.Zone)
@@ -150,7 +154,7 @@
 	return names
 }
 
-// handleOrder takes an operator's order on a zone: leave, hold, return or none.
+// handleOrder executes an operator's order on a zone: leave, hold, return or none.
 func (z *zoneEvacuation) handleOrder(w http.ResponseWriter, r *http.Request) {
 	order, err := zone.ParseOrder(r.URL.Query().Get("order"))
 	if err != nil {
@@ -161,7 +165,7 @@
 	z.loop.post(func() {
 		ok := z.policy.SetOrder(z.loop.now(), name, order)
 		if ok {
-			slog.Info("zones: operator's order taken", "zone", name, "order", order.String())
+			slog.Info("zones: executed an operator's order", "zone", name, "order", order.String())
 		}
 		z.publish()
 		z.scheduleCheck()
