--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -16,7 +16,7 @@
 	sentAt      time.Time
 	cancel      context.CancelCauseFunc
 	timer       *time.Timer // ends the attempt with the client's time; nil while that does not run
-	start       *start      // nil where nothing was sent
+	start       *startState // nil where nothing was sent
 	stragglerID uint64      // number by which stragglers are watched
 }
 
@@ -29,7 +29,7 @@
 }
 
 // expireAt has the attempt end with the client's time, unless it has an end already.
-func (t *exchangeAttempt) expireAt(deadline time.Time) {
+func (t *exchangeAttempt) startTimer(deadline time.Time) {
 	if t.timer == nil {
 		t.timer = time.AfterFunc(time.Until(deadline), func() { t.cancel(context.DeadlineExceeded) })
 	}
@@ -54,12 +54,12 @@
 		return
 	}
 	x.inFlight++
-	l.countSend(x, t)
+	l.recordSend(x, t)
 	t.sentAt = time.Now()
-	sending := l.newAttempt(x, t, l.at(a.NotAfter))
-	t.start = &sending.start
+	outgoing := l.newAttempt(x, t, l.at(a.NotAfter))
+	t.start = &outgoing.start
 	go func() { // ends with ctx at the latest
-		o := l.upstream.attempt(ctx, pool, sending)
+		o := l.upstream.attempt(ctx, pool, outgoing)
 		if !l.post(func() { l.attemptEnded(x, t, o) }) {
 			o.reservation.shrinkTo(0)
 		}
@@ -75,22 +75,22 @@
 	if !hasDeadline && a.Timeout <= 0 {
 		return ctx, t
 	}
-	left := time.Until(x.deadline)
-	if !hasDeadline || (a.Timeout > 0 && a.Timeout < left) {
-		left = a.Timeout
+	timeout := time.Until(x.deadline)
+	if !hasDeadline || (a.Timeout > 0 && a.Timeout < timeout) {
+		timeout = a.Timeout
 	}
-	if left <= 0 {
+	if timeout <= 0 {
 		cancel(context.DeadlineExceeded)
 		return ctx, t
 	}
-	t.timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
+	t.timer = time.AfterFunc(timeout, func() { cancel(context.DeadlineExceeded) })
 	return ctx, t
 }
 
 // countSend tells the parts that a fleet file switches on of an attempt. Token buckets are charged for the first only.
-func (l *loop) countSend(x *exchange, t *exchangeAttempt) {
+func (l *loop) recordSend(x *exchange, t *exchangeAttempt) {
 	if l.stragglers != nil {
-		t.stragglerID = l.stragglers.began(t.server)
+		t.stragglerID = l.stragglers.attemptStarted(t.server)
 	}
 	if t.number > 0 {
 		return
@@ -104,30 +104,30 @@
 }
 
 // newAttempt returns what the upstream side needs of an attempt.
-func (l *loop) newAttempt(x *exchange, t *exchangeAttempt, startBy time.Time) *attempt {
-	written := func() {
+func (l *loop) newAttempt(x *exchange, t *exchangeAttempt, startDeadline time.Time) *attempt {
+	onWritten := func() {
 		l.stats.calls.Add(1)
 		if x.rest != nil {
 			l.post(func() { l.handle(control.BodySent{ID: x.req.ID, Attempt: t.number}) })
 		}
 	}
-	streamStarted := func(o outcome, length int64) (to *io.PipeWriter) {
-		taken := make(chan struct{})
+	onStreamStart := func(o outcome, length int64) (writer *io.PipeWriter) {
+		handled := make(chan struct{})
 		posted := l.post(func() {
-			to = l.responseStarted(x, t, o, length)
-			close(taken)
+			writer = l.responseStarted(x, t, o, length)
+			close(handled)
 		})
 		if !posted {
 			return nil
 		}
 		select {
-		case <-taken:
-			return to
+		case <-handled:
+			return writer
 		case <-l.ended:
 			return nil
 		}
 	}
-	return &attempt{req: x.message(), first: x.body, rest: x.rest, startBy: startBy, onWritten: written, onStreamStart: streamStarted}
+	return &attempt{req: x.message(), bodyPrefix: x.body, bodyStream: x.rest, startDeadline: startDeadline, onWritten: onWritten, onStreamStart: onStreamStart}
 }
 
 // responseStarted makes a good answer that streams the final one. It returns the writer for the answer's rest, or nil
@@ -140,11 +140,11 @@
 		t.timer.Stop() // its first bytes are in time; the rest takes what it takes
 	}
 	l.reportCost(x, o)
-	from, to := io.Pipe()
-	x.finish(answer{status: http.StatusOK, header: o.header, body: o.body, stream: from, length: length})
+	reader, writer := io.Pipe()
+	x.finish(answer{status: http.StatusOK, header: o.header, body: o.body, stream: reader, length: length})
 	l.handle(control.ResponseStarted{ID: x.req.ID, Attempt: t.number, Server: t.server, Latency: time.Since(t.sentAt),
-		Tokens: o.tokens(l.maxTokens), MeterReading: o.meterReading()})
-	return to
+		Tokens: o.trueCost(l.maxTokens), MeterReading: o.meterReading()})
+	return writer
 }
 
 // attemptEnded takes the outcome of an attempt. The first good answer is the final one.
@@ -152,7 +152,7 @@
 	t.stop()
 	l.reportCost(x, o)
 	if l.stragglers != nil {
-		l.stragglers.ended(t.stragglerID, o.reason)
+		l.stragglers.attemptEnded(t.stragglerID, o.reason)
 	}
 	x.inFlight--
 	x.lastOutcome = o.reason
@@ -160,7 +160,7 @@
 		BodyConsumed: x.bodySpent()}
 	if o.header != nil && !o.streamed {
 		r.MeterReading = o.meterReading()
-		r.Tokens = o.tokens(l.maxTokens)
+		r.Tokens = o.trueCost(l.maxTokens)
 		r.LoadReport = o.loadReport()
 	}
 	if o.reason == control.OK && !x.done {
@@ -178,7 +178,7 @@
 	if l.limitSharing == nil || x.costReported || o.header == nil {
 		return
 	}
-	cost := o.tokens(l.maxTokens)
+	cost := o.trueCost(l.maxTokens)
 	if cost <= 0 {
 		return
 	}
--- a/internal/node/clientanswers.go
+++ b/internal/node/clientanswers.go
@@ -11,19 +11,19 @@
 
 // write sends an answer for as long as the client reads it. It returns errClientLeft where the client does not, and
 // another error where a streamed answer has begun and can't be finished.
-func (f *front) write(w http.ResponseWriter, a answer) error {
+func (f *frontend) write(w http.ResponseWriter, a answer) error {
 	f.setHeader(w.Header(), a)
-	out := &answerWriter{w: w, control: http.NewResponseController(w)}
-	out.extendDeadline()
+	body := &bodyWriter{w: w, controller: http.NewResponseController(w)}
+	body.extendDeadline()
 	w.WriteHeader(a.status)
-	if a.stream == nil && len(a.body) <= uncountedBytes {
+	if a.stream == nil && len(a.body) <= unbudgetedBytes {
 		if _, err := w.Write(a.body); err != nil {
-			return errClientLeft
+			return errClientDisconnected
 		}
 		return nil
 	}
-	for part := range slices.Chunk(a.body, 2*uncountedBytes) {
-		if err := out.send(part); err != nil {
+	for part := range slices.Chunk(a.body, 2*unbudgetedBytes) {
+		if err := body.writePart(part); err != nil {
 			a.close(err)
 			return err
 		}
@@ -31,18 +31,18 @@
 	if a.stream == nil {
 		return nil
 	}
-	return out.sendStream(a)
+	return body.copyStream(a)
 }
 
 // setHeader sets the header of an answer.
-func (f *front) setHeader(h http.Header, a answer) {
+func (f *frontend) setHeader(h http.Header, a answer) {
 	// A request may come on an open connection after the drain began: what counts is whether the node lets go of
 	// connections now, not when the request came.
 	if f.closing.Load() {
 		h.Set("Connection", "close")
 	}
 	for k, v := range a.header {
-		if !hopHeader(k) {
+		if !isHopHeader(k) {
 			h[k] = v
 		}
 	}
@@ -62,30 +62,30 @@
 
 // answerWriter writes the body of an answer in parts, each with a deadline of its own, so that a client that reads
 // nothing does not hold it.
-type answerWriter struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
+type bodyWriter struct {
+	w          http.ResponseWriter
+	controller *http.ResponseController
 }
 
-func (o *answerWriter) extendDeadline() {
-	_ = o.control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+func (b *bodyWriter) extendDeadline() {
+	_ = b.controller.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 }
 
 // send writes a part and flushes it.
-func (o *answerWriter) send(part []byte) error {
-	o.extendDeadline()
-	if _, err := o.w.Write(part); err != nil {
-		return errClientLeft
+func (b *bodyWriter) writePart(part []byte) error {
+	b.extendDeadline()
+	if _, err := b.w.Write(part); err != nil {
+		return errClientDisconnected
 	}
-	if err := o.control.Flush(); err != nil {
-		return errClientLeft
+	if err := b.controller.Flush(); err != nil {
+		return errClientDisconnected
 	}
 	return nil
 }
 
 // sendStream writes the rest of an answer as it comes.
-func (o *answerWriter) sendStream(a answer) error {
-	if err := o.send(nil); err != nil {
+func (b *bodyWriter) copyStream(a answer) error {
+	if err := b.writePart(nil); err != nil {
 		a.close(err)
 		return err
 	}
@@ -94,9 +94,9 @@
 	for {
 		n, err := a.stream.Read(buffer[:])
 		if n > 0 {
-			if gone := o.send(buffer[:n]); gone != nil {
-				a.close(gone)
-				return gone
+			if writeErr := b.writePart(buffer[:n]); writeErr != nil {
+				a.close(writeErr)
+				return writeErr
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -109,7 +109,7 @@
 }
 
 // hopHeader reports whether a header is about one connection or hop only and so is not forwarded.
-func hopHeader(name string) bool {
+func isHopHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 		"Content-Length", "Expect", headerMeter, headerCost, headerLoad, headerUnprocessed:
--- a/internal/node/clientbody.go
+++ b/internal/node/clientbody.go
@@ -21,76 +21,76 @@
 )
 
 var (
-	errMessageTooLong = errors.New("a message of more than 32 MB")
-	errClientLeft     = errors.New("the client has left")
-	errBodyEndedEarly = errors.New("the client's body has ended early")
-	errBodyNotWanted  = errors.New("the body is wanted no more")
-	deadlinePassed    = time.Unix(1, 0)
+	errMessageTooLong     = errors.New("a message of more than 32 MB")
+	errClientDisconnected = errors.New("the client has left")
+	errBodyUnreadable     = errors.New("the client's body has ended early")
+	errBodyStopped        = errors.New("the body is wanted no more")
+	pastDeadline          = time.Unix(1, 0)
 )
 
 // clientBody reads a client's body, with bounds on its length, on silence and on its whole time.
 type clientBody struct {
-	src       io.Reader
-	deadlines *http.ResponseController
-	onEnd     func()      // called when the body has been read to its end
-	spent     atomic.Bool // a part was read that is not held
-
-	mu      sync.Mutex
-	stopped bool
-	fault   error // why the body can't be read to its end
-	ended   bool
-	begun   time.Time
-	total   int64
-	broken  chan struct{} // closed when fault is set
+	src        io.Reader
+	controller *http.ResponseController
+	onComplete func()      // called when the body has been read to its end
+	consumed   atomic.Bool // a part was read that is not held
+
+	mu        sync.Mutex
+	stopped   bool
+	readErr   error // why the body can't be read to its end
+	complete  bool
+	startedAt time.Time
+	bytesRead int64
+	failed    chan struct{} // closed when fault is set
 }
 
-func newClientBody(src io.Reader, limit *http.ResponseController) *clientBody {
-	return &clientBody{src: src, deadlines: limit, onEnd: func() {}, broken: make(chan struct{})}
+func newClientBody(src io.Reader, controller *http.ResponseController) *clientBody {
+	return &clientBody{src: src, controller: controller, onComplete: func() {}, failed: make(chan struct{})}
 }
 
 func (b *clientBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	switch {
-	case b.ended:
+	case b.complete:
 		b.mu.Unlock()
 		return 0, io.EOF
-	case b.fault != nil || b.stopped:
+	case b.readErr != nil || b.stopped:
 		b.mu.Unlock()
-		return 0, errBodyEndedEarly
+		return 0, errBodyUnreadable
 	}
 	now := time.Now()
-	if b.begun.IsZero() {
-		b.begun = now
+	if b.startedAt.IsZero() {
+		b.startedAt = now
 	}
 	// The second deadline ends a body of which a byte comes now and then.
-	_ = b.deadlines.SetReadDeadline(earlier(now.Add(bodyIdleTimeout), b.begun.Add(maxDuration(bodyTimeout, b.total))))
+	_ = b.controller.SetReadDeadline(earlier(now.Add(bodyIdleTimeout), b.startedAt.Add(messageTimeout(bodyTimeout, b.bytesRead))))
 	b.mu.Unlock()
 
 	n, err := b.src.Read(p)
 
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.total += int64(n)
-	if b.total > maxMessageBytes && err == nil {
+	b.bytesRead += int64(n)
+	if b.bytesRead > maxMessageBytes && err == nil {
 		err = errMessageTooLong
 	}
 	switch {
 	case errors.Is(err, io.EOF):
-		b.ended = true
-		_ = b.deadlines.SetReadDeadline(time.Time{})
-		b.onEnd()
+		b.complete = true
+		_ = b.controller.SetReadDeadline(time.Time{})
+		b.onComplete()
 	case err != nil && b.stopped:
-		err = errBodyNotWanted
+		err = errBodyStopped
 	case err != nil:
-		b.fault = err
-		close(b.broken)
+		b.readErr = err
+		close(b.failed)
 	}
 	return n, err
 }
 
 // maxDuration returns how long a message of so many bytes may take.
-func maxDuration(least time.Duration, bytes int64) time.Duration {
-	return least + time.Duration(bytes)*time.Second/minBytesPerSecond
+func messageTimeout(base time.Duration, bytes int64) time.Duration {
+	return base + time.Duration(bytes)*time.Second/minBytesPerSecond
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -105,8 +105,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stopped = true
-	if !b.ended {
-		_ = b.deadlines.SetReadDeadline(deadlinePassed)
+	if !b.complete {
+		_ = b.controller.SetReadDeadline(pastDeadline)
 	}
 }
 
@@ -122,12 +122,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
-	case errors.Is(b.fault, errMessageTooLong):
+	case errors.Is(b.readErr, errMessageTooLong):
 		return newBadRequest(http.StatusRequestEntityTooLarge, "%v", errMessageTooLong)
-	case errors.Is(b.fault, os.ErrDeadlineExceeded):
+	case errors.Is(b.readErr, os.ErrDeadlineExceeded):
 		return newBadRequest(http.StatusRequestTimeout, "the body came to a halt")
 	}
-	return newBadRequest(http.StatusBadRequest, "reading the body: %v", b.fault)
+	return newBadRequest(http.StatusBadRequest, "reading the body: %v", b.readErr)
 }
 
 // discard reads and drops what the client still sends. Closing a connection with unread data would be a reset, which
@@ -135,37 +135,37 @@
 func (b *clientBody) discard(r *http.Request) {
 	b.mu.Lock()
 	// A client that waits for 100 Continue has got the final answer instead.
-	over := b.ended || b.fault != nil || (b.total == 0 && r.Header.Get("Expect") != "")
+	done := b.complete || b.readErr != nil || (b.bytesRead == 0 && r.Header.Get("Expect") != "")
 	b.mu.Unlock()
-	if over {
+	if done {
 		return
 	}
-	piece := streamBuffers.Get().(*[streamBufferBytes]byte)
-	defer streamBuffers.Put(piece)
-	for end := time.Now().Add(discardTimeout); time.Now().Before(end); {
-		_ = b.deadlines.SetReadDeadline(time.Now().Add(discardIdleTimeout))
-		if _, err := b.src.Read(piece[:]); err != nil {
+	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buffer)
+	for deadline := time.Now().Add(discardTimeout); time.Now().Before(deadline); {
+		_ = b.controller.SetReadDeadline(time.Now().Add(discardIdleTimeout))
+		if _, err := b.src.Read(buffer[:]); err != nil {
 			return
 		}
 	}
 }
 
 // readUpTo reads up to most bytes. whole reports whether the body has ended with them.
-func (b *clientBody) readUpTo(most int) (held []byte, whole bool, err error) {
-	held = make([]byte, 0, min(most, uncountedBytes))
-	for len(held) < most {
-		if len(held) == cap(held) {
-			held = append(held, 0)[:len(held)]
+func (b *clientBody) readUpTo(maxBytes int) (buffered []byte, complete bool, err error) {
+	buffered = make([]byte, 0, min(maxBytes, unbudgetedBytes))
+	for len(buffered) < maxBytes {
+		if len(buffered) == cap(buffered) {
+			buffered = append(buffered, 0)[:len(buffered)]
 		}
-		n, err := b.Read(held[len(held):min(cap(held), most)])
-		held = held[:len(held)+n]
+		n, err := b.Read(buffered[len(buffered):min(cap(buffered), maxBytes)])
+		buffered = buffered[:len(buffered)+n]
 		if errors.Is(err, io.EOF) {
-			return held, true, nil
+			return buffered, true, nil
 		} else if err != nil {
 			return nil, false, err
 		}
 	}
-	return held, false, nil
+	return buffered, false, nil
 }
 
 // connKey is the key of a request's *clientConn in its context.
--- a/internal/node/clientconns_test.go
+++ b/internal/node/clientconns_test.go
@@ -15,7 +15,7 @@
 )
 
 // Near the limit on descriptors an idle client connection goes for a new one.
-func TestClientsUnderTheLimit(t *testing.T) {
+func TestIdleClientEvictedAtDescriptorLimit(t *testing.T) {
 	r := newRig(t)
 	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
 	r.wait("ready", r.node.front.ready.Load)
@@ -47,7 +47,7 @@
 }
 
 // Whoever connects is soon answered or closed, whatever part of a request came.
-func TestSlowClients(t *testing.T) {
+func TestSlowClientsTimeOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	a := newApp(t, served)
@@ -55,9 +55,9 @@
 	for name, text := range map[string]string{
 		"silent":      "",
 		"half a head": "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\n" + headerID + ": raw",
-		"half a body": "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + goodHead + "Content-Length: 9\r\n\r\nhalf",
+		"half a body": "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + validHeaders + "Content-Length: 9\r\n\r\nhalf",
 	} {
-		c, begun := r.dial(), time.Now()
+		c, startedAt := r.dial(), time.Now()
 		_, _ = io.WriteString(c, text)
 		t.Run(name, func(t *testing.T) {
 			for _, s := range statuses(t, c) {
@@ -66,7 +66,7 @@
 				}
 			}
 			// Owed within 3 s; a busy machine gets as much again.
-			if took := time.Since(begun); took > 2*3*time.Second {
+			if took := time.Since(startedAt); took > 2*3*time.Second {
 				t.Errorf("after %v", took)
 			}
 		})
@@ -77,12 +77,12 @@
 }
 
 // A request may be held for longer than a client has to send it, and a hang-up is still seen.
-func TestHeldPastReadLimit(t *testing.T) {
+func TestHeldRequestOutlivesReadDeadline(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	asked := make(chan struct{})
+	forwarded := make(chan struct{})
 	finish := make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-finish; served(w, q) })
+	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { forwarded <- struct{}{}; <-finish; served(w, q) })
 	r.list(a.target("s-1", 0))
 	answered := make(chan int, 1)
 	post := r.call(http.MethodPost, "/visit-update", "id-1")
@@ -91,16 +91,16 @@
 		resp, _ := r.do(post)
 		answered <- resp.StatusCode
 	}()
-	next(t, asked)
-	leaves := r.dial()
-	_, _ = io.WriteString(leaves, "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n")
-	next(t, asked)
+	next(t, forwarded)
+	leaving := r.dial()
+	_, _ = io.WriteString(leaving, "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+validHeaders+"\r\n")
+	next(t, forwarded)
 	time.Sleep(bodyIdleTimeout + bodyIdleTimeout/4) // the limit has to pass
 	r.wait("both held", func() bool {
 		x, y := r.node.loop.exchanges["id-1"], r.node.loop.exchanges["raw"]
 		return x != nil && !x.done && y != nil && !y.done
 	})
-	_ = leaves.Close()
+	_ = leaving.Close()
 	r.wait("the hang-up", func() bool { return r.node.loop.exchanges["raw"].done })
 	close(finish)
 	if s := next(t, answered); s != 200 {
@@ -110,9 +110,9 @@
 
 // Where all places are taken by clients that say nothing, one that asks is still served, and
 // the connections to app servers stay.
-func TestSilentClientsMakeRoom(t *testing.T) {
+func TestSilentClientsAreEvicted(t *testing.T) {
 	r := newRig(t)
-	r.node.upstream.sockets.limit.Store(serverPlacesAhead + 20)
+	r.node.upstream.sockets.limit.Store(maxServerReserve + 20)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
@@ -122,7 +122,7 @@
 	}
 	for id := range 3 {
 		c := r.dial()
-		_, _ = io.WriteString(c, strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nConnection: close\r\n"+goodHead+"\r\n", "raw", "after-"+strconv.Itoa(id), 1))
+		_, _ = io.WriteString(c, strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nConnection: close\r\n"+validHeaders+"\r\n", "raw", "after-"+strconv.Itoa(id), 1))
 		if got := statuses(t, c); len(got) != 1 || got[0] != 200 {
 			t.Errorf("answered %v", got)
 		}
@@ -133,7 +133,7 @@
 }
 
 // A connection is kept for a client's proper requests only.
-func TestOnlyProperRequestsKeepTheirConnection(t *testing.T) {
+func TestKeepAliveOnlyAfterValidRequests(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
 	r.list(a.target("s-1", 0))
@@ -155,34 +155,34 @@
 
 // Idle clients that fill all they may leave the node able to call discovery, to answer its console,
 // to reach servers, and to take a further client, for which one that idles goes.
-func TestIdleClientsFillAllPlaces(t *testing.T) {
+func TestIdleClientsFillDescriptorLimit(t *testing.T) {
 	r := newRig(t)
-	const most = 30
-	r.node.upstream.sockets.limit.Store(most)
+	const maxConns = 30
+	r.node.upstream.sockets.limit.Store(maxConns)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	next(t, r.agent.Asked)
 	var last net.Conn
-	for id := range 3 * most {
+	for id := range 3 * maxConns {
 		last = r.dial()
 		name := "raw-" + strconv.Itoa(id)
 		_, _ = io.WriteString(last, strings.Replace(rawGet, "raw", name, 1))
-		r.answered(bufio.NewReader(last), name, false)
-		if open := r.node.upstream.sockets.open.Load(); open > most {
-			t.Fatalf("%d connections of %d", open, most)
+		r.expectServed(bufio.NewReader(last), name, false)
+		if open := r.node.upstream.sockets.openConns.Load(); open > maxConns {
+			t.Fatalf("%d connections of %d", open, maxConns)
 		}
 	}
 	if r.node.front.evicted.Load() == 0 {
 		t.Error("the places were not filled")
 	}
-	r.figure("node_backend_calls_total", 3*most)
+	r.figure("node_backend_calls_total", 3*maxConns)
 	b := newApp(t, served)
 	r.list(b.target("s-2", 1)) // on the watch that is open
 	r.agent.Tell <- ""         // ends it
 	next(t, r.agent.Asked)
 	// A kept connection is served while all places are taken, also where that needs a new one to a
 	// server.
-	r.node.upstream.closeIdleWhere(func(*conn) bool { return true })
-	_, _ = io.WriteString(last, second)
-	r.answered(bufio.NewReader(last), "second", false)
+	r.node.upstream.closeIdleWhere(func(*serverConn) bool { return true })
+	_, _ = io.WriteString(last, secondGet)
+	r.expectServed(bufio.NewReader(last), "second", false)
 }
--- a/internal/node/clientends_test.go
+++ b/internal/node/clientends_test.go
@@ -18,18 +18,18 @@
 
 // resting gives a client whose first request was answered, and the node's end of its connection,
 // which seems to have rested for long.
-func (r *rig) resting() (net.Conn, *bufio.Reader, *clientConn) {
+func (r *rig) idleClient() (net.Conn, *bufio.Reader, *clientConn) {
 	r.t.Helper()
 	c := r.dial()
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, rawGet)
-	r.answered(in, "raw", false)
+	r.expectServed(in, "raw", false)
 	k, f := r.conn(c), r.node.front
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		f.mu.Lock()
-		_, idle := f.idle[k]
+		_, idle := f.idleSince[k]
 		if idle {
-			f.idle[k] = time.Now().Add(-time.Minute)
+			f.idleSince[k] = time.Now().Add(-time.Minute)
 		}
 		f.mu.Unlock()
 		if idle {
@@ -40,64 +40,64 @@
 	return nil, nil, nil
 }
 
-func (r *rig) answered(in *bufio.Reader, id string, closes bool) {
+func (r *rig) expectServed(in *bufio.Reader, id string, wantClose bool) {
 	r.t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	if got, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(got) != "served "+id || resp.Close != closes {
+	if got, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(got) != "served "+id || resp.Close != wantClose {
 		r.t.Errorf("%s %q, closes %v", resp.Status, got, resp.Close)
 	}
 }
 
 // begins sends the first part of a second request and waits until net/http has it.
-func (r *rig) begins(c net.Conn, k *clientConn, part string) {
+func (r *rig) sendPartialRequest(c net.Conn, k *clientConn, part string) {
 	r.t.Helper()
 	_, _ = io.WriteString(c, part)
 	r.wait("the part", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		return k.requestBegun && len(k.head) == len(part)
+		return k.requestStarted && len(k.rawHeader) == len(part)
 	})
 }
 
-var second = strings.Replace(rawGet, "raw", "second", 1)
+var secondGet = strings.Replace(rawGet, "raw", "second", 1)
 
 // A request of which a part was read is answered, whoever would close its connection just then.
-func TestRestingConnectionClosedAsARequestComes(t *testing.T) {
-	for name, closes := range map[string]func(*rig){
+func TestPartialRequestPreventsClose(t *testing.T) {
+	for name, closeConn := range map[string]func(*rig){
 		"by a drain":              func(r *rig) { r.node.front.closeIdle() },
 		"for another one's place": func(r *rig) { r.node.front.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			r.list(newApp(t, served).target("s-1", 0))
-			c, in, k := r.resting()
-			r.begins(c, k, second[:60])
-			closes(r)
-			_, _ = io.WriteString(c, second[60:])
-			r.answered(in, "second", false)
+			c, in, k := r.idleClient()
+			r.sendPartialRequest(c, k, secondGet[:60])
+			closeConn(r)
+			_, _ = io.WriteString(c, secondGet[60:])
+			r.expectServed(in, "second", false)
 		})
 	}
 }
 
 // A request that comes after its connection has been shut is not sent on, and its client reads
 // the end of the connection, not a reset: it may come again.
-func TestRequestBehindTheEnd(t *testing.T) {
+func TestRequestAfterIdleCloseIsDiscarded(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
-	c, in, _ := r.resting()
+	c, in, _ := r.idleClient()
 	r.node.front.closeIdle()
-	if _, err := io.WriteString(c, second); err != nil {
+	if _, err := io.WriteString(c, secondGet); err != nil {
 		t.Error(err)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Error(err)
 	}
 	_ = c.Close()
-	for end := time.Now().Add(patience); r.node.front.conns.Load() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); r.node.front.openConns.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the connection is not closed")
 		}
@@ -108,12 +108,12 @@
 }
 
 // A place that is wanted is free at once, also where the client keeps its end open.
-func TestEvictedAtOnce(t *testing.T) {
+func TestEvictionFreesDescriptorAtOnce(t *testing.T) {
 	r := newRig(t)
 	r.list(newApp(t, served).target("s-1", 0))
-	_, in, _ := r.resting()
-	open := r.node.upstream.sockets.open.Load()
-	if !r.node.front.evict() || r.node.upstream.sockets.open.Load() != open-1 {
+	_, in, _ := r.idleClient()
+	open := r.node.upstream.sockets.openConns.Load()
+	if !r.node.front.evict() || r.node.upstream.sockets.openConns.Load() != open-1 {
 		t.Error("the place is not free")
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
@@ -123,13 +123,13 @@
 
 // An answer that closes its connection is read whole, and then the connection's end, by a client
 // that had sent more than the node read: a close over unread bytes would be a reset.
-func TestAnswerBeforeUnreadBytes(t *testing.T) {
+func TestResponseSurvivesUnreadBytes(t *testing.T) {
 	r := newRig(t)
-	more := strings.Repeat("x", maxHeldBytes)
+	more := strings.Repeat("x", maxBufferedBytes)
 	for name, text := range map[string]string{
 		"no request":        "\x00\x01 noise\r\n\r\n" + more,
 		"behind a health":   "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n" + more,
-		"behind a bad head": "GET /no-such-class HTTP/1.1\r\nHost: n\r\n" + goodHead + "\r\n" + more,
+		"behind a bad head": "GET /no-such-class HTTP/1.1\r\nHost: n\r\n" + validHeaders + "\r\n" + more,
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := r.dial()
@@ -151,13 +151,13 @@
 
 // A request that began on a resting connection before SIGTERM, and ends when the node no longer
 // listens and closes what rests, is served, and its answer ends the connection.
-func TestRequestEndsInTheDrain(t *testing.T) {
+func TestPartialRequestServedDuringDrain(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	r.list(newApp(t, served).target("s-1", 0))
-	c, in, k := r.resting()
-	idle, idleIn, _ := r.resting()
-	r.begins(c, k, second[:60])
+	c, in, k := r.idleClient()
+	idle, idleIn, _ := r.idleClient()
+	r.sendPartialRequest(c, k, secondGet[:60])
 	r.stop()
 	if _, err := idleIn.ReadByte(); err != io.EOF { // what rests is closed
 		t.Error(err)
@@ -170,8 +170,8 @@
 		}
 		_ = d.Close()
 	}
-	_, _ = io.WriteString(c, second[60:])
-	r.answered(in, "second", true)
+	_, _ = io.WriteString(c, secondGet[60:])
+	r.expectServed(in, "second", true)
 	_ = c.Close()
 	if err := next(t, r.ended); err != nil {
 		t.Error(err)
@@ -185,27 +185,27 @@
 
 // A body that is stopped in the instant of its last byte, as an answer to it is there, ends net/http's
 // look for a hang-up: its client has not left, and is answered.
-func TestBodyStoppedAtItsLastByte(t *testing.T) {
+func TestBodyStoppedAtLastByteIsNotADisconnect(t *testing.T) {
 	r := newRig(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	q := r.call(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
 	w := httptest.NewRecorder()
 	x := &exchange{req: control.Request{ID: "id-1", Class: "visit-update", Plan: q.Header.Get(headerPlan), Tenant: "1", Tokens: 1, TenantNodes: 1, Write: true},
 		forward: q, timeLeft: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1), stats: r.node.stats}
-	begun, end := make(chan struct{}), make(chan struct{})
-	x.rest = newClientBody(readerFunc(func([]byte) (int, error) { close(begun); <-end; return 0, io.EOF }), http.NewResponseController(w))
-	x.rest.onEnd = x.markReceived
+	readStarted, lastByte := make(chan struct{}), make(chan struct{})
+	x.rest = newClientBody(readerFunc(func([]byte) (int, error) { close(readStarted); <-lastByte; return 0, io.EOF }), http.NewResponseController(w))
+	x.rest.onComplete = x.markReceived
 	read := make(chan error)
 	go func() { _, err := x.rest.Read(make([]byte, 1)); read <- err }()
-	<-begun
+	<-readStarted
 	x.rest.stop()
-	close(end)
+	close(lastByte)
 	require.ErrorIs(t, <-read, io.EOF)
 	cancel()
 	answered := make(chan int, 1)
 	go func() {
 		defer func() { answered <- -1; _ = recover() }()
-		a, _ := r.node.front.awaitAnswer(w, q, x)
+		a, _ := r.node.front.respond(w, q, x)
 		answered <- a.status
 	}()
 	r.wait("held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
--- a/internal/node/clientfloods_test.go
+++ b/internal/node/clientfloods_test.go
@@ -19,7 +19,7 @@
 // Clients that come in bursts, send much at once and leave, by a close or a reset, while the app server
 // holds what it has: they take no more places than there are, nothing of them stays once they have gone,
 // and the next client is served.
-func TestBurstsOfLeaves(t *testing.T) {
+func TestBurstsOfDisconnects(t *testing.T) {
 	r := newRigWith(t, func(c *config.Config) { c.MaxSockets = 256 })
 	held := make(chan struct{})
 	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { <-held; served(w, q) })
@@ -32,7 +32,7 @@
 		for i := range 60 {
 			c := r.dial()
 			conns = append(conns, c)
-			_, _ = io.WriteString(c, strings.Replace(rawGet, "raw", fmt.Sprintf("id-%d-%d", burst, i), 1)+strings.Repeat("x", maxHeadBytes/2))
+			_, _ = io.WriteString(c, strings.Replace(rawGet, "raw", fmt.Sprintf("id-%d-%d", burst, i), 1)+strings.Repeat("x", maxRequestHeaderBytes/2))
 		}
 		r.wait("all are held", func() bool {
 			held := 0
@@ -56,17 +56,17 @@
 					return false
 				}
 			}
-			return f.conns.Load() == 0
+			return f.openConns.Load() == 0
 		})
 		assert.Less(t, time.Since(left), 5*time.Second, "held until their time of 7 s was over")
-		assert.LessOrEqual(t, f.sockets.open.Load(), f.sockets.limit.Load())
+		assert.LessOrEqual(t, f.sockets.openConns.Load(), f.sockets.limit.Load())
 	}
 	assert.Less(t, a.count(), 60, "attempts for clients that had gone")
 	release()
 	r.wait("all is forgotten", func() bool { return len(r.node.loop.exchanges) == 0 })
 	f.mu.Lock()
-	assert.Empty(t, f.idle)
-	assert.Empty(t, f.fresh)
+	assert.Empty(t, f.idleSince)
+	assert.Empty(t, f.newSince)
 	f.mu.Unlock()
 	resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "next"))
 	require.Equal(t, http.StatusOK, resp.StatusCode)
--- a/internal/node/clientleaves_test.go
+++ b/internal/node/clientleaves_test.go
@@ -16,19 +16,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-const rawGet = "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + goodHead + "\r\n"
+const rawGet = "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + validHeaders + "\r\n"
 
 // A client that only ends its sending has gone, by the protocol. Its connection is closed: an
 // answer that no app server made for it would be one that it could read.
-func TestHalfClosedClientIsAnsweredNothing(t *testing.T) {
+func TestHalfCloseIsTreatedAsDisconnect(t *testing.T) {
 	r := newRig(t)
-	asked, finish := make(chan struct{}), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-finish; served(w, q) })
+	forwarded, finish := make(chan struct{}), make(chan struct{})
+	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { forwarded <- struct{}{}; <-finish; served(w, q) })
 	defer close(finish)
 	r.list(a.target("s-1", 0))
 	c := r.dial()
 	_, _ = io.WriteString(c, rawGet)
-	next(t, asked)
+	next(t, forwarded)
 	_ = c.(*net.TCPConn).CloseWrite()
 	if got := statuses(t, c); len(got) > 0 {
 		t.Errorf("answered %v", got)
@@ -38,52 +38,52 @@
 
 // A client that leaves is noticed behind whatever it sent after its request: no attempt begins
 // for it any more, and what it sent is no request.
-func TestClientLeavesBehindUnreadBytes(t *testing.T) {
-	for name, behind := range map[string]string{
+func TestDisconnectBehindPipelinedBytes(t *testing.T) {
+	for name, pipelined := range map[string]string{
 		"nothing":          "",
 		"a byte":           "G",
 		"an empty line":    "\r\n",
 		"half a request":   rawGet[:40],
 		"a second request": strings.Replace(rawGet, "raw", "second", 1),
-		"as much as kept":  strings.Repeat("x", maxHeadBytes-1),
-		"too much":         strings.Repeat("x", 4*maxHeadBytes),
+		"as much as kept":  strings.Repeat("x", maxRequestHeaderBytes-1),
+		"too much":         strings.Repeat("x", 4*maxRequestHeaderBytes),
 	} {
 		for _, k := range []struct {
-			name     string
-			at       bool // once, with the request
-			vanishes bool // by a reset
+			name        string
+			withRequest bool // once, with the request
+			reset       bool // by a reset
 		}{{"at once", true, false}, {"later", false, false}, {"with a reset", false, true}} {
 			t.Run(name+" "+k.name, func(t *testing.T) {
 				r := newRig(t)
-				asked, fail := make(chan struct{}, 2), make(chan struct{})
-				a := newApp(t, func(w http.ResponseWriter, q *http.Request) { asked <- struct{}{}; <-fail; reset(w, q) })
+				forwarded, fail := make(chan struct{}, 2), make(chan struct{})
+				a := newApp(t, func(w http.ResponseWriter, q *http.Request) { forwarded <- struct{}{}; <-fail; reset(w, q) })
 				release := sync.OnceFunc(func() { close(fail) })
 				t.Cleanup(release)
 				r.list(a.target("s-1", 0))
 				c := r.dial()
 				// It may be let go for that before its attempt has begun, which then never does.
-				unasked := k.at && len(behind) > maxHeadBytes
-				if k.at {
-					_, _ = io.WriteString(c, rawGet+behind)
-					if !unasked {
-						next(t, asked)
+				mayNotStart := k.withRequest && len(pipelined) > maxRequestHeaderBytes
+				if k.withRequest {
+					_, _ = io.WriteString(c, rawGet+pipelined)
+					if !mayNotStart {
+						next(t, forwarded)
 					}
 				} else {
 					_, _ = io.WriteString(c, rawGet)
-					next(t, asked)
-					_, _ = io.WriteString(c, behind)
+					next(t, forwarded)
+					_, _ = io.WriteString(c, pipelined)
 				}
-				if k.vanishes {
+				if k.reset {
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 				_ = c.Close()
 				r.wait("the hang-up", func() bool {
 					x := r.node.loop.exchanges["raw"]
-					return r.node.front.clientsLeft.Load() == 1 && (x == nil || x.done)
+					return r.node.front.clientDisconnects.Load() == 1 && (x == nil || x.done)
 				})
 				release()
 				r.wait("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
-				if n := a.count(); n > 1 || n < 1 && !unasked {
+				if n := a.count(); n > 1 || n < 1 && !mayNotStart {
 					t.Errorf("sent on: %q", a.requests())
 				}
 			})
@@ -93,11 +93,11 @@
 
 // What a client sends behind a request that is held reaches the next one whole, whatever its
 // length, and a second request is served as the first was.
-func TestBytesBehindAHeldRequest(t *testing.T) {
+func TestPipelinedRequestArrivesWhole(t *testing.T) {
 	r := newRig(t)
-	asked, finish := make(chan string, 1), make(chan struct{})
+	forwarded, finish := make(chan string, 1), make(chan struct{})
 	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
-		asked <- q.Header.Get(headerID)
+		forwarded <- q.Header.Get(headerID)
 		<-finish
 		served(w, q)
 	})
@@ -106,9 +106,9 @@
 	c := r.dial()
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, rawGet)
-	next(t, asked)
-	body := noise(3 * maxHeadBytes)
-	second := strings.Replace(postHead, "raw", "second", 1) + "Transfer-Encoding: chunked\r\n\r\n"
+	next(t, forwarded)
+	body := patternBytes(3 * maxRequestHeaderBytes)
+	second := strings.Replace(postHeaders, "raw", "second", 1) + "Transfer-Encoding: chunked\r\n\r\n"
 	k, sent := r.conn(c), 0
 	// Each piece is read ahead before the next is sent.
 	for _, piece := range []string{second[:1], second[1:40], second[40:]} {
@@ -121,7 +121,7 @@
 		})
 	}
 	finish <- struct{}{}
-	answer := func(id string) {
+	expectServed := func(id string) {
 		t.Helper()
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -131,13 +131,13 @@
 			t.Errorf("%s %q, closes %v", resp.Status, got, resp.Close)
 		}
 	}
-	answer("raw")
+	expectServed("raw")
 	fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(body), body)
-	if id := next(t, asked); id != "second" {
+	if id := next(t, forwarded); id != "second" {
 		t.Errorf("%q", id)
 	}
 	finish <- struct{}{}
-	answer("second")
+	expectServed("second")
 	if got := a.requests(); len(got) != 2 || !strings.HasSuffix(got[1], string(body)) {
 		t.Error("the body came otherwise")
 	}
@@ -146,7 +146,7 @@
 // A next request may be longer than what is read ahead and come before net/http, which has written
 // the answer to the one before, ends its look for a hang-up. Nothing of it is lost, and it is no
 // reason to let the client go; before the answer it is.
-func TestNextRequestBeforeTheWatchEnds(t *testing.T) {
+func TestLongPipelinedRequestBeforeWatchEnds(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
@@ -157,36 +157,36 @@
 		socks := newSockets(1000, 0)
 		server, err := (&countedListener{l, t.Context(), socks}).Accept()
 		require.NoError(t, err)
-		k := server.(*clientConn)
-		defer func() { _ = k.countedConn.Close() }()
+		accepted := server.(*clientConn)
+		defer func() { _ = accepted.countedConn.Close() }()
 		if answered {
-			_, err = k.Write([]byte("an answer"))
+			_, err = accepted.Write([]byte("an answer"))
 			require.NoError(t, err)
 		}
 		watched := make(chan error, 1)
 		go func() {
-			n, err := k.Read(make([]byte, 1))
+			n, err := accepted.Read(make([]byte, 1))
 			if n > 0 {
 				err = io.ErrNoProgress
 			}
 			watched <- err
 		}()
-		text := noise(3 * maxHeadBytes)
+		text := patternBytes(3 * maxRequestHeaderBytes)
 		go func() { _, _ = client.Write(text) }()
 		if !answered {
 			require.ErrorIs(t, next(t, watched), errTooMuchPipelined)
 			continue
 		}
 		require.Eventually(t, func() bool {
-			k.mu.Lock()
-			defer k.mu.Unlock()
-			return len(k.pipelined) > maxHeadBytes
+			accepted.mu.Lock()
+			defer accepted.mu.Unlock()
+			return len(accepted.pipelined) > maxRequestHeaderBytes
 		}, patience, time.Millisecond)
-		_ = k.SetReadDeadline(deadlinePassed)
+		_ = accepted.SetReadDeadline(pastDeadline)
 		require.ErrorIs(t, next(t, watched), os.ErrDeadlineExceeded)
-		_ = k.SetReadDeadline(time.Now().Add(patience))
+		_ = accepted.SetReadDeadline(time.Now().Add(patience))
 		got := make([]byte, len(text))
-		_, err = io.ReadFull(k, got)
+		_, err = io.ReadFull(accepted, got)
 		require.NoError(t, err)
 		require.True(t, bytes.Equal(text, got))
 	}
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -20,23 +20,23 @@
 const (
 	maxIDBytes     = 128                   // of X-Correlation-Id
 	timeLeftSlack  = 50 * time.Millisecond // by which X-Time-Left may exceed the class's deadline
-	tenantKeyLimit = 1 << 33               // tenants' keys are below
+	tenantKeyBound = 1 << 33               // tenants' keys are below
 )
 
 // badRequest is a client's mistake and the status of the answer to it.
 type badRequest struct {
-	status int
-	text   string
+	status  int
+	message string
 }
 
 func newBadRequest(status int, format string, args ...any) *badRequest {
-	return &badRequest{status: status, text: fmt.Sprintf(format, args...)}
+	return &badRequest{status: status, message: fmt.Sprintf(format, args...)}
 }
 
 // readRequest reads a client's request. A request with a mistake must not reach the decision module.
-func (f *front) readRequest(r *http.Request, deadlines *http.ResponseController) (*exchange, *badRequest) {
-	if wrong := checkFraming(r); wrong != nil {
-		return nil, wrong
+func (f *frontend) readRequest(r *http.Request, controller *http.ResponseController) (*exchange, *badRequest) {
+	if rejected := checkFraming(r); rejected != nil {
+		return nil, rejected
 	}
 	// A server could read another one of two values than this node.
 	for _, name := range singleHeaders {
@@ -44,34 +44,34 @@
 			return nil, newBadRequest(http.StatusBadRequest, "%s: given twice", name)
 		}
 	}
-	e := control.Request{ID: r.Header.Get(headerID), Plan: r.Header.Get(headerPlan), Tokens: 1, TenantNodes: 1,
+	request := control.Request{ID: r.Header.Get(headerID), Plan: r.Header.Get(headerPlan), Tokens: 1, TenantNodes: 1,
 		Retry: r.Header.Get(headerRetry) == "1", Write: r.Method != http.MethodGet}
-	if e.ID == "" || len(e.ID) > maxIDBytes {
+	if request.ID == "" || len(request.ID) > maxIDBytes {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: none, or too long", headerID)
 	}
-	class, wrong := f.readClass(r)
-	if wrong != nil {
-		return nil, wrong
+	class, rejected := f.readClass(r)
+	if rejected != nil {
+		return nil, rejected
 	}
-	e.Class = class.Name
-	if !f.plans[e.Plan] {
-		return nil, newBadRequest(http.StatusBadRequest, "%s: unknown plan %q", headerPlan, e.Plan)
+	request.Class = class.Name
+	if !f.plans[request.Plan] {
+		return nil, newBadRequest(http.StatusBadRequest, "%s: unknown plan %q", headerPlan, request.Plan)
 	}
-	if wrong := readTenant(&e, r); wrong != nil {
-		return nil, wrong
+	if rejected := readTenant(&request, r); rejected != nil {
+		return nil, rejected
 	}
-	left, err := parseTimeLeft(r.Header.Get(headerTimeLeft), class.Deadline)
+	timeLeft, err := parseTimeLeft(r.Header.Get(headerTimeLeft), class.Deadline)
 	if err != nil {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: %v", headerTimeLeft, err)
 	}
-	if err := f.readWeight(&e, r.Header.Get(headerWeight)); err != nil {
+	if err := f.readTokens(&request, r.Header.Get(headerWeight)); err != nil {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: %v", headerWeight, err)
 	}
-	x := &exchange{req: e, forward: forwardedRequest(r), timeLeft: left - answerMargin, length: r.ContentLength,
+	x := &exchange{req: request, forward: forwardedRequest(r), timeLeft: timeLeft - answerMargin, length: r.ContentLength,
 		answer: make(chan answer, 1), stats: f.stats}
 	if r.ContentLength != 0 {
-		if wrong := f.readBody(x, r, deadlines); wrong != nil {
-			return nil, wrong
+		if rejected := f.readBody(x, r, controller); rejected != nil {
+			return nil, rejected
 		}
 	}
 	if x.rest == nil {
@@ -82,7 +82,7 @@
 }
 
 // readClass returns the class that a request's path names, where the request's method and parts fit it.
-func (f *front) readClass(r *http.Request) (control.Class, *badRequest) {
+func (f *frontend) readClass(r *http.Request) (control.Class, *badRequest) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, ok := f.classes[name]
 	if !ok {
@@ -102,69 +102,69 @@
 }
 
 // readTenant reads the tenant from the query: 16 hexadecimal digits.
-func readTenant(e *control.Request, r *http.Request) *badRequest {
+func readTenant(request *control.Request, r *http.Request) *badRequest {
 	if accounts := r.URL.Query()["account"]; len(accounts) == 1 {
-		e.Tenant = strings.ToLower(accounts[0])
+		request.Tenant = strings.ToLower(accounts[0])
 	}
-	n, err := strconv.ParseUint(e.Tenant, 16, 64)
-	if err != nil || len(e.Tenant) != 16 || n >= tenantKeyLimit {
-		return newBadRequest(http.StatusBadRequest, "account: %q is none", e.Tenant)
+	n, err := strconv.ParseUint(request.Tenant, 16, 64)
+	if err != nil || len(request.Tenant) != 16 || n >= tenantKeyBound {
+		return newBadRequest(http.StatusBadRequest, "account: %q is none", request.Tenant)
 	}
 	return nil
 }
 
 // readBody reads a short body whole. A longer one is streamed: of one with a length over maxHeldBytes nothing is read
 // before the request is admitted, so that a client that is rejected has not sent it for nothing.
-func (f *front) readBody(x *exchange, r *http.Request, deadlines *http.ResponseController) *badRequest {
-	rest := newClientBody(r.Body, deadlines)
-	if r.ContentLength <= maxHeldBytes {
-		whole, wrong := f.readShortBody(x, r, rest)
-		if wrong != nil || whole {
-			return wrong
+func (f *frontend) readBody(x *exchange, r *http.Request, controller *http.ResponseController) *badRequest {
+	stream := newClientBody(r.Body, controller)
+	if r.ContentLength <= maxBufferedBytes {
+		complete, rejected := f.bufferBody(x, r, stream)
+		if rejected != nil || complete {
+			return rejected
 		}
 	}
 	if !x.req.Write {
 		x.bodyReservation.shrinkTo(0)
 		return newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
 	}
-	x.rest, x.req.StreamedBody = rest, true
-	rest.onEnd = func() {
+	x.rest, x.req.StreamedBody = stream, true
+	stream.onComplete = func() {
 		x.markReceived()
-		at := time.Now()
-		f.loop.post(func() { f.loop.bodyReceived(x, at) })
+		receivedAt := time.Now()
+		f.loop.post(func() { f.loop.bodyReceived(x, receivedAt) })
 	}
 	return nil
 }
 
 // readShortBody reads at most maxHeldBytes of a body, and reports whether that is all of it.
-func (f *front) readShortBody(x *exchange, r *http.Request, rest *clientBody) (whole bool, wrong *badRequest) {
-	most := maxHeldBytes
+func (f *frontend) bufferBody(x *exchange, r *http.Request, stream *clientBody) (complete bool, rejected *badRequest) {
+	maxBytes := maxBufferedBytes
 	if r.ContentLength > 0 {
-		most = int(r.ContentLength)
+		maxBytes = int(r.ContentLength)
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), bodyIdleTimeout)
 	defer cancel()
 	var err error
-	if x.bodyReservation, err = reserve(ctx, f.budget.bodies, int64(most)); err != nil {
+	if x.bodyReservation, err = reserve(ctx, f.budget.requestBodies, int64(maxBytes)); err != nil {
 		return false, newBadRequest(http.StatusServiceUnavailable, "no room for the body")
 	}
-	x.body, whole, err = rest.readUpTo(most)
-	if err == nil && !whole && r.ContentLength > 0 {
-		_, err = rest.Read(make([]byte, 1)) // its end
-		whole = errors.Is(err, io.EOF)
-		if whole {
+	x.body, complete, err = stream.readUpTo(maxBytes)
+	if err == nil && !complete && r.ContentLength > 0 {
+		_, err = stream.Read(make([]byte, 1)) // its end
+		complete = errors.Is(err, io.EOF)
+		if complete {
 			err = nil
 		}
 	}
 	if err != nil {
 		x.bodyReservation.shrinkTo(0)
-		return false, rest.badRequest()
+		return false, stream.badRequest()
 	}
-	if whole && !x.req.Write && len(x.body) > 0 {
+	if complete && !x.req.Write && len(x.body) > 0 {
 		x.bodyReservation.shrinkTo(0)
 		return false, newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
 	}
-	return whole, nil
+	return complete, nil
 }
 
 // singleHeaders are the headers of the protocol that a request may have once only.
@@ -175,7 +175,7 @@
 func checkFraming(r *http.Request) *badRequest {
 	switch {
 	case len(r.TransferEncoding) > 0:
-		if c, ok := r.Context().Value(connKey{}).(*clientConn); !ok || c.hasContentLength(r) {
+		if c, ok := r.Context().Value(connKey{}).(*clientConn); !ok || c.mayHaveContentLength(r) {
 			return newBadRequest(http.StatusBadRequest, "a Content-Length next to a Transfer-Encoding")
 		}
 	case r.ContentLength > maxMessageBytes:
@@ -189,14 +189,14 @@
 	out := &http.Request{Method: r.Method, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL:    &url.URL{Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery},
 		Header: make(http.Header, len(r.Header)+2)}
-	hop := r.Header.Values("Connection") // names further headers of this hop
-	for k, v := range r.Header {
-		if !hopHeader(k) && !slices.ContainsFunc(hop, func(list string) bool {
+	connectionLists := r.Header.Values("Connection") // names further headers of this hop
+	for header, values := range r.Header {
+		if !isHopHeader(header) && !slices.ContainsFunc(connectionLists, func(list string) bool {
 			return slices.ContainsFunc(strings.Split(list, ","), func(name string) bool {
-				return textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)) == k
+				return textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)) == header
 			})
 		}) {
-			out.Header[k] = v
+			out.Header[header] = values
 		}
 	}
 	if out.Header.Get("User-Agent") == "" {
@@ -207,7 +207,7 @@
 
 // parseTimeLeft reads a number with the unit m (milliseconds) or u (microseconds). It may exceed the class's deadline by
 // timeLeftSlack at most.
-func parseTimeLeft(s string, most time.Duration) (time.Duration, error) {
+func parseTimeLeft(s string, classDeadline time.Duration) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(s, "m")
 	if !ok {
@@ -215,14 +215,14 @@
 		number, ok = strings.CutSuffix(s, "u")
 	}
 	v, err := parseNumber(number)
-	if d := v * float64(unit); !ok || err != nil || d <= 0 || d > float64(most+timeLeftSlack) {
+	if d := v * float64(unit); !ok || err != nil || d <= 0 || d > float64(classDeadline+timeLeftSlack) {
 		return 0, fmt.Errorf("%q is no time", s)
 	}
 	return time.Duration(v * float64(unit)), nil
 }
 
 // readWeight reads the tokens of a request and the tenant's range of nodes.
-func (f *front) readWeight(e *control.Request, s string) error {
+func (f *frontend) readTokens(request *control.Request, s string) error {
 	if s == "" {
 		return nil
 	}
@@ -230,19 +230,19 @@
 	for pair := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := parseNumber(value)
-		whole := err == nil && v == math.Trunc(v)
+		isInteger := err == nil && v == math.Trunc(v)
 		ok := !seen[name]
 		seen[name] = true
 		switch name {
 		case "units":
 			ok = ok && err == nil && v > 0 && (f.maxTokens == 0 || v <= f.maxTokens)
-			e.Tokens = v
+			request.Tokens = v
 		case "spread":
-			ok = ok && whole && v >= 1 && v <= float64(f.fleetSize)
-			e.TenantNodes = int(v)
+			ok = ok && isInteger && v >= 1 && v <= float64(f.fleetSize)
+			request.TenantNodes = int(v)
 		case "first":
-			ok = ok && whole && v >= 0 && v < float64(f.fleetSize)
-			e.FirstNode = int(v)
+			ok = ok && isInteger && v >= 0 && v < float64(f.fleetSize)
+			request.FirstNode = int(v)
 		}
 		if !ok {
 			return fmt.Errorf("%s: %q", name, value)
--- a/internal/node/clientrequests_test.go
+++ b/internal/node/clientrequests_test.go
@@ -12,7 +12,7 @@
 )
 
 // What a client got wrong is told as such, and nothing is sent on.
-func TestBadInput(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
@@ -92,15 +92,15 @@
 	}
 }
 
-const goodHead = headerID + ": raw\r\n" + headerPlan + ": enterprise\r\n" + headerTimeLeft + ": 7000m\r\n" + headerKey + ": k\r\n"
+const validHeaders = headerID + ": raw\r\n" + headerPlan + ": enterprise\r\n" + headerTimeLeft + ": 7000m\r\n" + headerKey + ": k\r\n"
 
 // Nothing that hides in a body or behind one that can't be told reaches an app server: the
 // client is answered once and its connection closed.
-func TestNothingHidden(t *testing.T) {
+func TestSmuggledRequestsAreRejected(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
-	const post = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n" + goodHead
+	const post = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n" + validHeaders
 	hidden := strings.ReplaceAll(strings.Replace(post, "POST /visit-update", "GET /roster-read", 1), "raw", "hidden") + "\r\n"
 	for name, tc := range map[string]struct {
 		text string
--- a/internal/node/console_test.go
+++ b/internal/node/console_test.go
@@ -225,7 +225,7 @@
 		}
 	})
 	r.list(a.target("s-1", 0))
-	get := strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n", "raw", "%id", 1)
+	get := strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+validHeaders+"\r\n", "raw", "%id", 1)
 	ask := func(c net.Conn, id string) *http.Response {
 		t.Helper()
 		_, _ = io.WriteString(c, strings.Replace(get, "%id", id, 1))
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -33,7 +33,7 @@
 // drainer is the state of a drain, by an operator or by SIGTERM. In stage 0 only /healthz says no, in stage 1 each answer
 // closes its connection, in stage 2 idle connections are closed.
 type drainer struct {
-	front *front
+	front *frontend
 
 	mu     sync.Mutex
 	cancel chan struct{} // closed to cancel the present drain; nil is none
@@ -185,7 +185,7 @@
 	for {
 		select {
 		case <-poll.C:
-			if n.inherited && n.front.conns.Load() <= 0 {
+			if n.inherited && n.front.openConns.Load() <= 0 {
 				return true
 			}
 		case <-over:
@@ -206,7 +206,7 @@
 	n.front.closing.Store(true)
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	for over := time.After(within); n.front.conns.Load() > 0; {
+	for over := time.After(within); n.front.openConns.Load() > 0; {
 		n.front.closeIdle()
 		select {
 		case <-poll.C:
--- a/internal/node/earlyanswers_test.go
+++ b/internal/node/earlyanswers_test.go
@@ -18,14 +18,14 @@
 // An app server begins its work with a request's last byte. A good answer that comes before is of
 // another request, such as a second one to the one before on its connection, and is passed on to
 // nobody; one that turns the request away is.
-func TestAnswerBeforeTheRequestIsWhole(t *testing.T) {
+func TestResponseBeforeEndOfRequest(t *testing.T) {
 	const short = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 	for name, tc := range map[string]struct {
-		answer string
-		want   int
+		response string
+		want     int
 	}{
 		"good":        {short, http.StatusBadGateway},
-		"good, long":  {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*maxHeldBytes, noise(2*maxHeldBytes)), http.StatusBadGateway},
+		"good, long":  {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 2*maxBufferedBytes, patternBytes(2*maxBufferedBytes)), http.StatusBadGateway},
 		"endless":     {"HTTP/1.1 200 OK\r\n\r\nevil", http.StatusBadGateway},
 		"failed":      {"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", http.StatusBadGateway},
 		"turned away": {"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", http.StatusServiceUnavailable},
@@ -34,35 +34,35 @@
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer func() { _ = l.Close() }()
-			taken := make(chan net.Conn, 10)
+			accepted := make(chan net.Conn, 10)
 			go func() {
 				for {
 					c, err := l.Accept()
 					if err != nil {
 						return
 					}
-					taken <- c
+					accepted <- c
 				}
 			}()
 			r := newRig(t)
 			r.list(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
 			c := r.dial()
-			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", postHead, mega, noise(mega/2))
-			far := next(t, taken)
-			defer func() { _ = far.Close() }()
-			_ = far.SetDeadline(time.Now().Add(patience))
-			q, err := http.ReadRequest(bufio.NewReader(far))
+			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", postHeaders, mebibyte, patternBytes(mebibyte/2))
+			serverEnd := next(t, accepted)
+			defer func() { _ = serverEnd.Close() }()
+			_ = serverEnd.SetDeadline(time.Now().Add(patience))
+			q, err := http.ReadRequest(bufio.NewReader(serverEnd))
 			require.NoError(t, err)
-			_, err = io.CopyN(io.Discard, q.Body, mega/4)
+			_, err = io.CopyN(io.Discard, q.Body, mebibyte/4)
 			require.NoError(t, err)
-			go func() { _, _ = io.WriteString(far, tc.answer) }() // the node does not take all of each
+			go func() { _, _ = io.WriteString(serverEnd, tc.response) }() // the node does not take all of each
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			require.NoError(t, err)
 			assert.Equal(t, tc.want, resp.StatusCode)
 			assert.True(t, resp.Close)
 			n, err := io.Copy(io.Discard, q.Body)
 			assert.Error(t, err, "%d more bytes: the request became whole", n)
-			assert.Empty(t, taken, "sent again")
+			assert.Empty(t, accepted, "sent again")
 			r.figure("node_backend_calls_total", 0)
 		})
 	}
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -39,7 +39,7 @@
 	l.upstream.retire(p)
 	delete(l.pools, server)
 	if goesOn {
-		l.pools[server] = l.upstream.pool(p.endpoint)
+		l.pools[server] = l.upstream.newPool(p.endpoint)
 	}
 }
 
@@ -70,7 +70,7 @@
 			l.retirePool(m.Server, false)
 		}
 		if m.Condition == control.Active && l.pools[m.Server] == nil {
-			l.pools[m.Server] = l.upstream.pool(t.Endpoint)
+			l.pools[m.Server] = l.upstream.newPool(t.Endpoint)
 		}
 	}
 	for uid, id := range l.serverIDs {
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -58,18 +58,18 @@
 	if x.rest == nil {
 		return nil
 	}
-	return x.rest.broken
+	return x.rest.failed
 }
 
 // bodySpent reports whether a part of the body was streamed and so can't be sent again.
-func (x *exchange) bodySpent() bool { return x.rest != nil && x.rest.spent.Load() }
+func (x *exchange) bodySpent() bool { return x.rest != nil && x.rest.consumed.Load() }
 
 // finish gives the request its final answer and keeps attempts from starting that have not been written yet.
 func (x *exchange) finish(a answer) {
 	x.done = true
 	for _, t := range x.attempts {
 		if t.start != nil {
-			t.start.callOff()
+			t.start.cancel()
 		}
 	}
 	x.answer <- a
@@ -117,6 +117,6 @@
 
 // drop releases what an answer holds.
 func (a answer) drop() {
-	a.close(errClientLeft)
+	a.close(errClientDisconnected)
 	a.reservation.shrinkTo(0)
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -84,13 +84,13 @@
 		slog.Warn("handover: starting without the state of the previous process", "error", err)
 		_ = c.Close()
 		// The other process still uses its descriptors for a while.
-		n.upstream.sockets.share(true)
-		time.AfterFunc(maxSideBySide, func() { n.upstream.sockets.share(false) })
+		n.upstream.sockets.setShared(true)
+		time.AfterFunc(maxSideBySide, func() { n.upstream.sockets.setShared(false) })
 		return nil
 	}
 	_ = c.SetDeadline(time.Time{})
 	n.takeList(from, true)
-	n.upstream.sockets.share(true)
+	n.upstream.sockets.setShared(true)
 	slog.Info("handover: state taken over", "bytes", size, "endpoints", len(from.List.Targets))
 	return c
 }
@@ -147,7 +147,7 @@
 	if err := n.loop.controller.EndSharing(n.loop.now(), rest); err != nil {
 		slog.Warn("handover: using the remainder of the previous process failed", "error", err)
 	}
-	n.upstream.sockets.share(false)
+	n.upstream.sockets.setShared(false)
 }
 
 // serveHandover hands the state over to a process that starts beside this one, until ctx ends; and, when the loop has
@@ -185,7 +185,7 @@
 		if err != nil {
 			slog.Warn("handover: encoding the state failed", "error", err)
 		}
-		n.upstream.sockets.share(true)
+		n.upstream.sockets.setShared(true)
 		got <- m
 	}) {
 		return
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -39,9 +39,9 @@
 }
 
 // tokens returns the true cost of a request, of most at most (0 is no limit); 0 is not given.
-func (o *outcome) tokens(most float64) float64 {
+func (o *outcome) trueCost(maxTokens float64) float64 {
 	v, err := parseNumber(o.header.Get(headerCost))
-	if err != nil || v < 0 || (most > 0 && v > most) {
+	if err != nil || v < 0 || (maxTokens > 0 && v > maxTokens) {
 		return 0
 	}
 	return v
@@ -50,8 +50,8 @@
 // loadReport returns the server's load report, or nil. The header has two names for each figure; an unknown name and a
 // value out of range are skipped.
 func (o *outcome) loadReport() *control.LoadReport {
-	none := control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
-	l := none
+	unset := control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
+	l := unset
 	for pair := range strings.SplitSeq(o.header.Get(headerLoad), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := parseNumber(value)
@@ -73,7 +73,7 @@
 			l.ErrRPS = v
 		}
 	}
-	if l == none {
+	if l == unset {
 		return nil
 	}
 	return &l
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -93,7 +93,7 @@
 	}
 	r.conns = &recorded{Listener: r.node.listener}
 	r.node.listener = r.conns
-	r.node.upstream.restTime = 0 // at once, so that a wrong one would be used again too
+	r.node.upstream.reuseDelay = 0 // at once, so that a wrong one would be used again too
 	updated := r.node.onUpdate
 	r.node.onUpdate = func(u discovery.Update) {
 		updated(u)
@@ -239,9 +239,9 @@
 }
 
 // pooled are the idle connections to app servers.
-func pooled(u *upstream) []*conn {
-	var all []*conn
-	u.closeIdleWhere(func(c *conn) bool { all = append(all, c); return false })
+func pooled(u *upstream) []*serverConn {
+	var all []*serverConn
+	u.closeIdleWhere(func(c *serverConn) bool { all = append(all, c); return false })
 	return all
 }
 
--- a/internal/node/longanswers_test.go
+++ b/internal/node/longanswers_test.go
@@ -16,10 +16,10 @@
 	"time"
 )
 
-const mega = 1 << 20
+const mebibyte = 1 << 20
 
 // noise gives bytes that differ from place to place.
-func noise(n int) []byte {
+func patternBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(i*7 + i>>8*13 + i>>16*31)
@@ -28,19 +28,19 @@
 }
 
 // stream is an app server that answers over its raw connection, once the request's body is read.
-func stream(t *testing.T, answer func(c net.Conn)) *app {
+func newRawApp(t *testing.T, respond func(c net.Conn)) *app {
 	a := &app{}
 	a.Server = newApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		c := hijack(w)
 		defer func() { _ = c.Close() }()
-		answer(c)
+		respond(c)
 	}).Server
 	return a
 }
 
 // Long answers reach their client unchanged, however they are framed and cut.
-func TestLongAnswers(t *testing.T) {
-	body := noise(3 * mega)
+func TestLongResponsesArriveUnchanged(t *testing.T) {
+	body := patternBytes(3 * mebibyte)
 	chunked := func(w io.Writer, size int) {
 		for b := body; len(b) > 0; {
 			n := min(size, len(b))
@@ -49,7 +49,7 @@
 		}
 		_, _ = io.WriteString(w, "0\r\nX-Sum: 1\r\n\r\n")
 	}
-	for name, answer := range map[string]func(net.Conn){
+	for name, respond := range map[string]func(net.Conn){
 		"of a length": func(c net.Conn) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		},
@@ -74,7 +74,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.list(stream(t, answer).target("s-1", 0))
+			r.list(newRawApp(t, respond).target("s-1", 0))
 			resp, got := r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
 			if resp.StatusCode != 200 || sha256.Sum256([]byte(got)) != sha256.Sum256(body) {
 				t.Errorf("%s, %d bytes of %d", resp.Status, len(got), len(body))
@@ -86,18 +86,18 @@
 }
 
 // What comes slowly is passed on as it comes, and a silence of seconds does not end it.
-func TestSlowAnswer(t *testing.T) {
+func TestSlowResponseIsStreamed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
-	came := make(chan struct{})
-	r.list(stream(t, func(c net.Conn) {
+	firstPartRead := make(chan struct{})
+	r.list(newRawApp(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst")
-		<-came
-		time.Sleep(answerIdleTimeout + answerIdleTimeout/4) // has to pass
+		<-firstPartRead
+		time.Sleep(responseIdleTimeout + responseIdleTimeout/4) // has to pass
 		_, _ = io.WriteString(c, "after")
 	}).target("s-1", 0))
 	c := r.dial()
-	_, _ = io.WriteString(c, "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n")
+	_, _ = io.WriteString(c, "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+validHeaders+"\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -106,21 +106,21 @@
 	if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != "first" {
 		t.Errorf("%q, %v", first, err)
 	}
-	close(came)
+	close(firstPartRead)
 	if rest, err := io.ReadAll(resp.Body); err != nil || string(rest) != "after" {
 		t.Errorf("%q, %v", rest, err)
 	}
 }
 
 // An answer that has begun and breaks ends so that the client can tell, and is counted as failed.
-func TestLongAnswerBreaks(t *testing.T) {
+func TestBrokenStreamIsCountedAsFailed(t *testing.T) {
 	for name, head := range map[string]string{
 		"of a length": "Content-Length: 3000000\r\n\r\n",
 		"in chunks":   "Transfer-Encoding: chunked\r\n\r\n100000\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			a := stream(t, func(c net.Conn) { _, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, noise(mega/2)) })
+			a := newRawApp(t, func(c net.Conn) { _, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, patternBytes(mebibyte/2)) })
 			b := newApp(t, served)
 			r.list(a.target("s-1", 0))
 			resp, err := http.DefaultTransport.RoundTrip(r.call(http.MethodGet, "/roster-read", "id-1"))
@@ -141,12 +141,12 @@
 }
 
 // The node holds little of a long answer whose client takes its time.
-func TestLongAnswersAreHeldBack(t *testing.T) {
-	const each, n = 16 * mega, 12
+func TestStreamedResponsesApplyBackpressure(t *testing.T) {
+	const each, n = 16 * mebibyte, 12
 	r := newRig(t)
 	var written atomic.Int64
-	piece := noise(64 << 10)
-	r.list(stream(t, func(c net.Conn) {
+	piece := patternBytes(64 << 10)
+	r.list(newRawApp(t, func(c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
 		for range each / len(piece) {
 			k, err := c.Write(piece)
@@ -172,12 +172,12 @@
 		last = written.Load()
 	}
 	if w := written.Load(); w > each*n/2 {
-		t.Errorf("%d MB were taken that nobody reads", w/mega)
+		t.Errorf("%d MB were taken that nobody reads", w/mebibyte)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&during)
-	if held := int64(during.HeapAlloc) - int64(before.HeapAlloc); held > 8*mega {
-		t.Errorf("%d MB are held for %d answers", held/mega, n)
+	if held := int64(during.HeapAlloc) - int64(before.HeapAlloc); held > 8*mebibyte {
+		t.Errorf("%d MB are held for %d answers", held/mebibyte, n)
 	}
 	for _, b := range bodies {
 		if got, err := io.Copy(io.Discard, b); got != each || err != nil {
@@ -187,31 +187,31 @@
 }
 
 // A message may take its time, but not without end: a byte now and then is no progress.
-func TestMessagesComeToAnEnd(t *testing.T) {
-	if d := maxDuration(bodyTimeout, 0); d != bodyTimeout {
+func TestMessageTimeoutIsBounded(t *testing.T) {
+	if d := messageTimeout(bodyTimeout, 0); d != bodyTimeout {
 		t.Errorf("%v for nothing", d)
 	}
 	// The slowest proper client sends 64 kB a second.
-	if d := maxDuration(bodyTimeout, 32<<20); d < 32<<20*time.Second/64000 {
+	if d := messageTimeout(bodyTimeout, 32<<20); d < 32<<20*time.Second/64000 {
 		t.Errorf("32 MB may take only %v", d)
 	}
-	b := newClientBody(strings.NewReader("x"), http.NewResponseController(&deadlines{}))
-	b.begun = time.Now().Add(-bodyTimeout)
-	set := &deadlines{}
-	b.deadlines = http.NewResponseController(set)
+	b := newClientBody(strings.NewReader("x"), http.NewResponseController(&deadlineRecorder{}))
+	b.startedAt = time.Now().Add(-bodyTimeout)
+	recorder := &deadlineRecorder{}
+	b.controller = http.NewResponseController(recorder)
 	_, _ = b.Read(make([]byte, 1))
-	if left := time.Until(set.read[0]); left > time.Second {
+	if left := time.Until(recorder.read[0]); left > time.Second {
 		t.Errorf("another %v for a body that has had its time", left)
 	}
 }
 
 // deadlines notes the deadlines that are set.
-type deadlines struct {
+type deadlineRecorder struct {
 	http.ResponseWriter
 	read []time.Time
 }
 
-func (d *deadlines) SetReadDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetReadDeadline(t time.Time) error {
 	d.read = append(d.read, t)
 	return nil
 }
--- a/internal/node/longbodies_test.go
+++ b/internal/node/longbodies_test.go
@@ -17,22 +17,22 @@
 	"sloestile/internal/discovery"
 )
 
-const postHead = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + goodHead
+const postHeaders = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + validHeaders
 
 // Long bodies reach their app server unchanged, however they are framed and cut, and their
 // connection may be used again.
-func TestLongBodies(t *testing.T) {
-	body := noise(2 * mega)
+func TestLongBodiesArriveUnchanged(t *testing.T) {
+	body := patternBytes(2 * mebibyte)
 	for name, send := range map[string]func(io.Writer, *bufio.Reader){
 		"of a length": func(c io.Writer, _ *bufio.Reader) {
-			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", postHead, len(body), body)
+			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", postHeaders, len(body), body)
 		},
 		"in chunks with a trailer": func(c io.Writer, _ *bufio.Reader) {
-			fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n", postHead)
+			fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n", postHeaders)
 			fmt.Fprintf(c, "%x\r\n%s\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n", 99999, body[:99999], len(body)-99999, body[99999:])
 		},
 		"awaited": func(c io.Writer, in *bufio.Reader) {
-			fmt.Fprintf(c, "%sExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", postHead, len(body))
+			fmt.Fprintf(c, "%sExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", postHeaders, len(body))
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
 				t.Errorf("%v, %v", resp, err)
 			}
@@ -49,7 +49,7 @@
 			c := r.dial()
 			in := bufio.NewReader(c)
 			for id := range 2 {
-				send(renamed{c, strconv.Itoa(id)}, in)
+				send(uniqueIDConn{c, strconv.Itoa(id)}, in)
 				resp, err := http.ReadResponse(in, nil)
 				if err != nil {
 					t.Fatal(err)
@@ -67,12 +67,12 @@
 }
 
 // renamed gives each request an id of its own.
-type renamed struct {
+type uniqueIDConn struct {
 	net.Conn
 	id string
 }
 
-func (c renamed) Write(b []byte) (int, error) {
+func (c uniqueIDConn) Write(b []byte) (int, error) {
 	if _, err := c.Conn.Write(bytes.Replace(b, []byte(headerID+": raw"), []byte(headerID+": raw-"+c.id), 1)); err != nil {
 		return 0, err
 	}
@@ -80,7 +80,7 @@
 }
 
 // A short body in chunks is held whole, so it goes on with its length and may go again.
-func TestShortBodyInChunks(t *testing.T) {
+func TestShortChunkedBodyIsBuffered(t *testing.T) {
 	r := newRig(t)
 	first := true
 	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
@@ -93,7 +93,7 @@
 	})
 	r.list(a.target("s-1", 0))
 	c := r.dial()
-	_, _ = io.WriteString(c, postHead+"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3;x=y\r\ncde\r\n0\r\n\r\n")
+	_, _ = io.WriteString(c, postHeaders+"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3;x=y\r\ncde\r\n0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -105,7 +105,7 @@
 
 // A body of which a part has gone is not sent again; what broke before its end has not run, so
 // the client may come again.
-func TestBrokenBodyIsNotSentAgain(t *testing.T) {
+func TestPartlySentBodyIsNotRetried(t *testing.T) {
 	r := newRig(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,14 +120,14 @@
 				return
 			}
 			conns.Add(1)
-			_, _ = io.CopyN(io.Discard, c, mega/2)
+			_, _ = io.CopyN(io.Discard, c, mebibyte/2)
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		}
 	}()
 	r.list(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
 	q := r.call(http.MethodPost, "/visit-update", "id-1")
-	q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(noise(8*mega))), 8*mega
+	q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(patternBytes(8*mebibyte))), 8*mebibyte
 	if resp, _ := r.do(q); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Error(resp.Status)
 	}
@@ -142,16 +142,16 @@
 
 // A long request is decided on at its head: one that is refused costs no server anything, and its
 // client reads the answer though it still sends.
-func TestLongBodyIsRefusedAtItsHead(t *testing.T) {
+func TestLongBodyRejectedBeforeItIsRead(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	for i := range 100 {
 		before := a.count()
 		c := r.dial()
-		head := strings.Replace(strings.Replace(postHead, "enterprise", "basic", 1), "raw", "id-"+strconv.Itoa(i), 1)
-		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, mega)
-		half := make([]byte, mega/2)
+		head := strings.Replace(strings.Replace(postHeaders, "enterprise", "basic", 1), "raw", "id-"+strconv.Itoa(i), 1)
+		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, mebibyte)
+		half := make([]byte, mebibyte/2)
 		_, _ = c.Write(half)
 		if a.count() != before {
 			t.Fatal("an app server was asked before the body was whole")
@@ -162,7 +162,7 @@
 				continue
 			}
 		}
-		_, _ = c.Write(half[:mega/4]) // still sends
+		_, _ = c.Write(half[:mebibyte/4]) // still sends
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
 			continue // the answer was read above
@@ -176,21 +176,21 @@
 }
 
 // A client that stops within its body is told so in time and is no request to anyone.
-func TestClientStopsInItsBody(t *testing.T) {
+func TestStalledBodyTimesOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	for name, framing := range map[string]string{
 		"of a length": "Content-Length: 3000000\r\n\r\n", "in chunks": "Transfer-Encoding: chunked\r\n\r\n100000\r\n"} {
-		c, begun := r.dial(), time.Now()
-		_, _ = io.WriteString(c, strings.Replace(postHead, "raw", name[:4], 1)+framing)
-		_, _ = c.Write(noise(200 << 10))
+		c, startedAt := r.dial(), time.Now()
+		_, _ = io.WriteString(c, strings.Replace(postHeaders, "raw", name[:4], 1)+framing)
+		_, _ = c.Write(patternBytes(200 << 10))
 		got := statuses(t, c)
 		if len(got) != 1 || got[0] != http.StatusRequestTimeout {
 			t.Errorf("%s: answered %v", name, got)
 		}
-		if took := time.Since(begun); took > 2*3*time.Second { // owed within 3 s; a busy machine gets as much again
+		if took := time.Since(startedAt); took > 2*3*time.Second { // owed within 3 s; a busy machine gets as much again
 			t.Errorf("%s: after %v", name, took)
 		}
 	}
@@ -206,17 +206,17 @@
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	c := r.dial()
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", strings.Replace(postHead, "7000m", "1500m", 1), 4<<16)
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", strings.Replace(postHeaders, "7000m", "1500m", 1), 4<<16)
 	for range 4 {
-		_, _ = c.Write(noise(1 << 16))
+		_, _ = c.Write(patternBytes(1 << 16))
 		time.Sleep(600 * time.Millisecond) // 2.4 s in all, more than the client's time
 	}
-	if got := statusOf(t, c); got != 200 {
+	if got := readStatus(t, c); got != 200 {
 		t.Error(got)
 	}
 }
 
-func statusOf(t *testing.T, c net.Conn) int {
+func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -211,7 +211,7 @@
 func (l *loop) bodyReceived(x *exchange, at time.Time) {
 	x.deadline = at.Add(x.timeLeft)
 	for _, t := range x.attempts {
-		t.expireAt(x.deadline)
+		t.startTimer(x.deadline)
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,7 +24,7 @@
 // Node is an edge node. New starts to listen, Run serves until its context ends.
 type Node struct {
 	name     string
-	front    *front
+	front    *frontend
 	loop     *loop
 	upstream *upstream
 	stats    *stats
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		name:             cfg.Name,
-		front:            newFront(cfg.Settings, l, sockets, counts),
+		front:            newFrontend(cfg.Settings, l, sockets, counts),
 		loop:             l,
 		upstream:         up,
 		stats:            counts,
@@ -273,8 +273,8 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			slog.Info("servers", n.upstream.report()...)
-			slog.Info("clients", n.front.report()...)
+			slog.Info("servers", n.upstream.logAttributes()...)
+			slog.Info("clients", n.front.logAttributes()...)
 		}
 	}
 }
--- a/internal/node/peering.go
+++ b/internal/node/peering.go
@@ -40,8 +40,8 @@
 		l.limitSharing = newLimitSharing(&cfg.Settings, *peers, l)
 	}
 	if peers.OutlierReports {
-		w := l.stragglerWatch()
-		w.onLate = append(w.onLate, l.limitSharing.reportSlow)
+		w := l.ensureStragglerWatch()
+		w.onStraggler = append(w.onStraggler, l.limitSharing.reportSlow)
 	}
 	return func() (*membership.Peers, error) { return startMembership(cfg, l) }, nil
 }
--- a/internal/node/serveranswers.go
+++ b/internal/node/serveranswers.go
@@ -16,102 +16,102 @@
 )
 
 const (
-	maxAnswerHeadBytes = 64 << 10                // of an answer's head and of the interim ones before it
-	answerIdleTimeout  = 2500 * time.Millisecond // silence of a server within an answer that is held
-	streamIdleTimeout  = 6 * time.Second         // silence within one that is passed on, and for which a server may read nothing
-	answerHoldTime     = 500 * time.Millisecond  // after which what has come of an answer is passed on
-	answerTimeout      = 30 * time.Second        // of an answer, and the time that its length takes at minBytesPerSecond
-	lateAnswerTime     = 100 * time.Millisecond  // for an answer that came while the sending of its request broke
+	maxResponseHeaderBytes = 64 << 10                // of an answer's head and of the interim ones before it
+	responseIdleTimeout    = 2500 * time.Millisecond // silence of a server within an answer that is held
+	streamIdleTimeout      = 6 * time.Second         // silence within one that is passed on, and for which a server may read nothing
+	responseBufferTimeout  = 500 * time.Millisecond  // after which what has come of an answer is passed on
+	responseTimeout        = 30 * time.Second        // of an answer, and the time that its length takes at minBytesPerSecond
+	lateResponseTimeout    = 100 * time.Millisecond  // for an answer that came while the sending of its request broke
 )
 
 // answerReader reads answers with a bound on the bytes of a head and on silence within an answer.
-type answerReader struct {
+type responseReader struct {
 	net.Conn
-	ctx           context.Context // of the attempt
-	headBytesLeft int             // below 0 is no bound
-	begun         bool            // a byte of the answer has come
-	deadlineSet   bool
-	idleTimeout   time.Duration
+	ctx             context.Context // of the attempt
+	headerBytesLeft int             // below 0 is no bound
+	started         bool            // a byte of the answer has come
+	deadlineSet     bool
+	idleTimeout     time.Duration
 	// onLate is called once, where the answer has not ended by lateAt; nil is nothing.
-	onLate func()
-	lateAt time.Time
+	onBufferTimeout func()
+	bufferDeadline  time.Time
 }
 
 var (
-	errHeadTooLong   = fmt.Errorf("an answer's head of more than %d bytes", maxAnswerHeadBytes)
-	errAnswerTooSlow = errors.New("an answer that does not come to its end")
-	errNoDescriptor  = errors.New("no descriptor is left")
-	errEarlyAnswer   = errors.New("a good answer before the request was whole")
-	errCalledOff     = errors.New("called off before it began")
+	errHeaderTooLong   = fmt.Errorf("an answer's head of more than %d bytes", maxResponseHeaderBytes)
+	errResponseTooSlow = errors.New("an answer that does not come to its end")
+	errNoDescriptor    = errors.New("no descriptor is left")
+	errEarlyResponse   = errors.New("a good answer before the request was whole")
+	errAttemptCanceled = errors.New("called off before it began")
 )
 
 // Read reads for the attempt's answer within its bounds.
-func (r *answerReader) Read(b []byte) (int, error) {
-	if r.headBytesLeft == 0 {
-		return 0, errHeadTooLong
+func (r *responseReader) Read(b []byte) (int, error) {
+	if r.headerBytesLeft == 0 {
+		return 0, errHeaderTooLong
 	}
-	if r.headBytesLeft > 0 {
-		b = b[:min(len(b), r.headBytesLeft)]
+	if r.headerBytesLeft > 0 {
+		b = b[:min(len(b), r.headerBytesLeft)]
 	}
 	for {
-		if late := r.onLate; late != nil && !time.Now().Before(r.lateAt) {
-			r.onLate = nil
-			late()
+		if onTimeout := r.onBufferTimeout; onTimeout != nil && !time.Now().Before(r.bufferDeadline) {
+			r.onBufferTimeout = nil
+			onTimeout()
 		}
-		if r.begun {
-			at := time.Now().Add(r.idleTimeout)
-			if r.onLate != nil && r.lateAt.Before(at) {
-				at = r.lateAt
+		if r.started {
+			deadline := time.Now().Add(r.idleTimeout)
+			if r.onBufferTimeout != nil && r.bufferDeadline.Before(deadline) {
+				deadline = r.bufferDeadline
 			}
-			_ = r.SetReadDeadline(at)
+			_ = r.SetReadDeadline(deadline)
 			r.deadlineSet = true
 			// The attempt may have ended at this moment: its deadline must not be undone.
 			if r.ctx.Err() != nil {
-				_ = r.SetReadDeadline(deadlinePassed)
+				_ = r.SetReadDeadline(pastDeadline)
 			}
 		}
 		n, err := r.Conn.Read(b)
-		if n == 0 && r.onLate != nil && r.ctx.Err() == nil && errors.Is(err, os.ErrDeadlineExceeded) {
+		if n == 0 && r.onBufferTimeout != nil && r.ctx.Err() == nil && errors.Is(err, os.ErrDeadlineExceeded) {
 			continue // only late
 		}
-		if r.headBytesLeft > 0 {
-			r.headBytesLeft -= n
+		if r.headerBytesLeft > 0 {
+			r.headerBytesLeft -= n
 		}
-		r.begun = r.begun || n > 0
+		r.started = r.started || n > 0
 		return n, err
 	}
 }
 
 // start prepares the reader for the answer to an attempt.
-func (r *answerReader) start(ctx context.Context) {
+func (r *responseReader) start(ctx context.Context) {
 	if r.deadlineSet {
 		_ = r.SetReadDeadline(time.Time{})
 	}
-	*r = answerReader{Conn: r.Conn, ctx: ctx, headBytesLeft: maxAnswerHeadBytes, idleTimeout: answerIdleTimeout}
+	*r = responseReader{Conn: r.Conn, ctx: ctx, headerBytesLeft: maxResponseHeaderBytes, idleTimeout: responseIdleTimeout}
 }
 
 // nextAnswer prepares the reader for a further answer after an interim one. The attempt may end at this moment: its end is
 // looked at again so that the deadline by which it ends is not undone.
-func (r *answerReader) nextAnswer() {
+func (r *responseReader) startNext() {
 	if r.deadlineSet {
 		_ = r.SetReadDeadline(time.Time{})
 		if r.ctx.Err() != nil {
-			_ = r.SetReadDeadline(deadlinePassed)
+			_ = r.SetReadDeadline(pastDeadline)
 		}
 	}
-	r.begun = false
+	r.started = false
 }
 
 // readAnswer reads one answer. keep reports whether the connection can be used again. What is not whole and well formed
 // counts as a reset: the request may have run. A good answer ends the sending by stopSending, which returns an error where
 // the last byte of the request had not been written: a server starts its work with that byte.
-func (u *upstream) readAnswer(c *conn, a *attempt, stopSending func() error) (o outcome, keep bool) {
-	resp, err := http.ReadResponse(c.r, a.req)
+func (u *upstream) readResponse(c *serverConn, a *attempt, stopSending func() error) (o outcome, reusable bool) {
+	resp, err := http.ReadResponse(c.reader, a.req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols { // an interim answer
-		if c.r.Buffered() == 0 {
-			c.answers.nextAnswer()
+		if c.reader.Buffered() == 0 {
+			c.responses.startNext()
 		}
-		resp, err = http.ReadResponse(c.r, a.req)
+		resp, err = http.ReadResponse(c.reader, a.req)
 	}
 	if err == nil && resp.StatusCode < 200 {
 		err = fmt.Errorf("unasked for: %s", resp.Status)
@@ -121,13 +121,13 @@
 	}
 	// This may be a late second answer to the request before on this connection.
 	if err == nil && resp.StatusCode == http.StatusOK && stopSending() != nil {
-		err = errEarlyAnswer
+		err = errEarlyResponse
 	}
 	if err != nil {
 		return outcome{reason: control.ResetByPeer, err: err}, false
 	}
 	defer func() { _ = resp.Body.Close() }()
-	c.answers.headBytesLeft = -1
+	c.responses.headerBytesLeft = -1
 	o.header = resp.Header
 	switch {
 	case resp.StatusCode == http.StatusOK:
@@ -138,33 +138,33 @@
 	default:
 		o.reason = control.Errored
 	}
-	o, whole := u.readAnswerBody(c.answers.ctx, c, a, o, resp)
-	return o, whole && !resp.Close && c.r.Buffered() == 0
+	o, complete := u.readResponseBody(c.responses.ctx, c, a, o, resp)
+	return o, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
 // readAnswerBody reads the body of an answer. What is short and comes soon is held whole; else a good answer is passed on
 // as it comes, and the rest of another one is not read. whole reports whether the body was read to its end.
-func (u *upstream) readAnswerBody(ctx context.Context, c *conn, a *attempt, o outcome, resp *http.Response) (got outcome, whole bool) {
-	b := &answerBody{conn: c, attempt: a, outcome: o, length: resp.ContentLength}
-	if err := b.reserve(ctx, u.budget.answers); err != nil {
+func (u *upstream) readResponseBody(ctx context.Context, c *serverConn, a *attempt, o outcome, resp *http.Response) (result outcome, complete bool) {
+	b := &responseBody{conn: c, attempt: a, outcome: o, length: resp.ContentLength}
+	if err := b.reserve(ctx, u.budget.responses); err != nil {
 		return b.fail(control.ResetByPeer, err)
 	}
-	defer func() { c.answers.onLate = nil }()
-	b.prepare()
+	defer func() { c.responses.onBufferTimeout = nil }()
+	b.chooseMode()
 	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buffer)
 	start := time.Now()
-	total := int64(0)
+	bytesRead := int64(0)
 	for {
 		n, err := resp.Body.Read(buffer[:])
-		total += int64(n)
+		bytesRead += int64(n)
 		if err == nil {
-			err = checkProgress(total, start)
+			err = checkProgress(bytesRead, start)
 		}
-		if gone := b.add(buffer[:n]); gone != nil {
-			return b.fail(control.NeverSent, gone)
+		if addErr := b.add(buffer[:n]); addErr != nil {
+			return b.fail(control.NeverSent, addErr)
 		}
-		if len(b.outcome.body) > maxHeldBytes {
+		if len(b.outcome.body) > maxBufferedBytes {
 			if b.outcome.reason != control.OK {
 				b.outcome.body = nil
 				return b.outcome, false // its status is all that counts
@@ -183,19 +183,19 @@
 }
 
 // checkProgress returns an error where an answer has become too long, or has taken too long for its length.
-func checkProgress(total int64, start time.Time) error {
+func checkProgress(bytesRead int64, start time.Time) error {
 	switch {
-	case total > maxMessageBytes:
+	case bytesRead > maxMessageBytes:
 		return errMessageTooLong
-	case time.Since(start) > maxDuration(answerTimeout, total):
-		return errAnswerTooSlow
+	case time.Since(start) > messageTimeout(responseTimeout, bytesRead):
+		return errResponseTooSlow
 	}
 	return nil
 }
 
 // answerBody is the body of one answer while it is read.
-type answerBody struct {
-	conn    *conn
+type responseBody struct {
+	conn    *serverConn
 	attempt *attempt
 	outcome outcome
 	length  int64          // in bytes; below 0 is not known
@@ -203,10 +203,10 @@
 }
 
 // reserve reserves memory for what is held of the body.
-func (b *answerBody) reserve(ctx context.Context, budget *semaphore.Weighted) (err error) {
-	size := int64(maxHeldBytes)
+func (b *responseBody) reserve(ctx context.Context, budget *semaphore.Weighted) (err error) {
+	size := int64(maxBufferedBytes)
 	switch {
-	case b.length > maxHeldBytes:
+	case b.length > maxBufferedBytes:
 		size = streamBufferBytes
 	case b.length >= 0:
 		size = b.length
@@ -216,13 +216,13 @@
 }
 
 // prepare has a good answer passed on at once where it is long, and else when it has taken answerHoldTime.
-func (b *answerBody) prepare() {
+func (b *responseBody) chooseMode() {
 	if b.outcome.reason == control.OK {
-		if b.length > maxHeldBytes {
+		if b.length > maxBufferedBytes {
 			b.startStream()
 		} else {
-			b.conn.answers.onLate = b.startStream
-			b.conn.answers.lateAt = time.Now().Add(answerHoldTime)
+			b.conn.responses.onBufferTimeout = b.startStream
+			b.conn.responses.bufferDeadline = time.Now().Add(responseBufferTimeout)
 		}
 	}
 	if b.length > 0 && !b.outcome.streamed {
@@ -231,9 +231,9 @@
 }
 
 // startStream begins to pass the answer on, with what is held of it.
-func (b *answerBody) startStream() {
-	b.conn.answers.onLate = nil
-	b.conn.answers.idleTimeout = streamIdleTimeout
+func (b *responseBody) startStream() {
+	b.conn.responses.onBufferTimeout = nil
+	b.conn.responses.idleTimeout = streamIdleTimeout
 	b.outcome.streamed = true
 	b.stream = b.attempt.onStreamStart(b.outcome, b.length)
 	b.outcome.body = nil
@@ -241,13 +241,13 @@
 }
 
 // add holds a part of the body or passes it on. It returns an error where nobody reads it any more.
-func (b *answerBody) add(part []byte) error {
+func (b *responseBody) add(part []byte) error {
 	if !b.outcome.streamed {
 		b.outcome.body = append(b.outcome.body, part...)
 		return nil
 	}
 	if b.stream == nil {
-		return errClientLeft
+		return errClientDisconnected
 	}
 	if len(part) == 0 {
 		return nil
@@ -257,14 +257,14 @@
 }
 
 // closeStream ends what is passed on, with the error where the answer broke.
-func (b *answerBody) closeStream(err error) {
+func (b *responseBody) closeStream(err error) {
 	if b.stream != nil {
 		_ = b.stream.CloseWithError(err) // always nil
 	}
 }
 
 // fail returns the outcome of an answer that broke.
-func (b *answerBody) fail(reason control.Outcome, err error) (outcome, bool) {
+func (b *responseBody) fail(reason control.Outcome, err error) (outcome, bool) {
 	b.outcome.reservation.shrinkTo(0)
 	return outcome{reason: reason, err: err, streamed: b.outcome.streamed}, false
 }
--- a/internal/node/serverconns_test.go
+++ b/internal/node/serverconns_test.go
@@ -13,7 +13,7 @@
 
 // The connection that is used again is an open one: one that the app server has closed
 // while it stood idle would end the next request as a reset.
-func TestIdleConnections(t *testing.T) {
+func TestOnlyOpenIdleConnectionsAreReused(t *testing.T) {
 	var hangUp bool
 	var from []string
 	conns := make(map[string]net.Conn)
@@ -29,13 +29,13 @@
 	})
 	socks := newSockets(1024, 0)
 	u := newUpstream(patience, 2*patience, 1, socks, newBudget(64))
-	u.restTime = 0 // at once
-	p := u.pool(a.Listener.Addr().String())
+	u.reuseDelay = 0 // at once
+	p := u.newPool(a.Listener.Addr().String())
 	try := func() {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
-		if o := u.attempt(ctx, p, message(t, nil)); o.reason != control.OK {
+		if o := u.attempt(ctx, p, newTestAttempt(t, nil)); o.reason != control.OK {
 			t.Fatalf("%d (%v)", o.reason, o.err)
 		}
 	}
@@ -55,29 +55,29 @@
 	if from[2] == from[1] {
 		t.Error("a closed connection was used again")
 	}
-	u.maxIdle = 0 // all have idled for too long
+	u.maxIdleAge = 0 // all have idled for too long
 	try()
 	if from[3] == from[2] {
 		t.Error("an old connection was used again")
 	}
-	if n := socks.open.Load(); n != 1 {
+	if n := socks.openConns.Load(); n != 1 {
 		t.Errorf("%d connections open, not the last alone", n)
 	}
 }
 
 // A node that is out of descriptors doesn't hold it against the app server.
-func TestNoDescriptorLeft(t *testing.T) {
+func TestDescriptorLimitIsNotAServerFailure(t *testing.T) {
 	a := newApp(t, served)
 	socks := newSockets(0, 0)
 	socks.limit.Store(0)
 	u := newUpstream(patience, patience, 1, socks, newBudget(64))
-	if o := u.attempt(context.Background(), u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.NeverSent || a.count() > 0 {
+	if o := u.attempt(context.Background(), u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.NeverSent || a.count() > 0 {
 		t.Errorf("%d (%v)", o.reason, o.err)
 	}
 }
 
 // Near the limit an idle connection goes for a new one.
-func TestSocketsUnderTheLimit(t *testing.T) {
+func TestIdleServerConnEvictedAtDescriptorLimit(t *testing.T) {
 	a := newApp(t, served)
 	b := newApp(t, served)
 	socks := newSockets(0, 0)
@@ -85,11 +85,11 @@
 	u := newUpstream(patience, 2*patience, 1, socks, newBudget(64))
 	for _, x := range []*app{a, b, a} {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		if o := u.attempt(ctx, u.pool(x.Listener.Addr().String()), message(t, nil)); o.reason != control.OK {
+		if o := u.attempt(ctx, u.newPool(x.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.OK {
 			t.Errorf("%d (%v)", o.reason, o.err)
 		}
 		cancel()
-		if n := socks.open.Load(); n != 1 {
+		if n := socks.openConns.Load(); n != 1 {
 			t.Errorf("%d connections open", n)
 		}
 	}
@@ -97,12 +97,12 @@
 
 // A node of a large group keeps few idle connections to one app server: the sum of a group is
 // bounded whatever its size.
-func TestIdleConnectionsOfAGroup(t *testing.T) {
+func TestIdleConnectionsBoundedAcrossFleet(t *testing.T) {
 	a := newApp(t, func(http.ResponseWriter, *http.Request) {})
-	for group, want := range map[int]int{1: 5, 3: 5, 16: 4, 80: 2, 100: 2} {
+	for fleetSize, want := range map[int]int{1: 5, 3: 5, 16: 4, 80: 2, 100: 2} {
 		socks := newSockets(1024, 0)
-		u := newUpstream(patience, patience, group, socks, newBudget(64))
-		p := u.pool(a.Listener.Addr().String())
+		u := newUpstream(patience, patience, fleetSize, socks, newBudget(64))
+		p := u.newPool(a.Listener.Addr().String())
 		for range 5 {
 			c, err := u.open(t.Context(), p.endpoint)
 			if err != nil {
@@ -111,9 +111,9 @@
 			defer u.put(p, c)
 		}
 		t.Cleanup(func() {
-			if n := len(p.idle); n != want || socks.open.Load() != int64(want) {
+			if n := len(p.idle); n != want || socks.openConns.Load() != int64(want) {
 				t.Errorf("a node of %d keeps %d idle connections to a server and has %d open, not %d",
-					group, n, socks.open.Load(), want)
+					fleetSize, n, socks.openConns.Load(), want)
 			}
 			u.retire(p)
 		})
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -137,7 +137,7 @@
 			n.finish(time.Millisecond)
 			require.ErrorIs(t, n.listener.Close(), net.ErrClosed)
 			require.Positive(t, cfg.ServerConnectTimeout)
-			require.Positive(t, n.upstream.maxIdle)
+			require.Positive(t, n.upstream.maxIdleAge)
 			require.Positive(t, n.maxDrain)
 			// Within what discovery's TestPausesOfAnySettingsArePositive draws from.
 			require.GreaterOrEqual(t, cfg.Settings.DrainGrace, time.Duration(0))
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	ownDescriptors     = 24                    // for listener, discovery, log, poller and what the runtime opens
-	serverPlacesAhead  = 64                    // left to connections to servers when clients use the rest
-	placeRetryInterval = 20 * time.Millisecond // while a client waits for a place
+	ownDescriptors          = 24                    // for listener, discovery, log, poller and what the runtime opens
+	maxServerReserve        = 64                    // left to connections to servers when clients use the rest
+	descriptorRetryInterval = 20 * time.Millisecond // while a client waits for a place
 )
 
 // sockets keeps the connections to clients and servers together under the limit on descriptors. At the limit, idle
 // connections are closed for new ones.
 type sockets struct {
-	open      atomic.Int64
+	openConns atomic.Int64
 	limit     atomic.Int64
 	fullLimit int64       // of a process that runs alone
 	reserved  int64       // descriptors for other uses
@@ -46,52 +46,52 @@
 		return l, false, nil
 	}
 	fd := cfg.SocketFD
-	wrong := func(err error) error { return &ListenError{"clients", fmt.Sprintf("descriptor %d", fd), err} }
-	if on, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || on == 0 {
-		return nil, true, wrong(fmt.Errorf("no listening socket (%w)", err))
+	fail := func(err error) error { return &ListenError{"clients", fmt.Sprintf("descriptor %d", fd), err} }
+	if listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || listening == 0 {
+		return nil, true, fail(fmt.Errorf("no listening socket (%w)", err))
 	}
 	f := os.NewFile(uintptr(fd), "clients")
 	defer func() { _ = f.Close() }()
 	if l, err = net.FileListener(f); err != nil {
-		return nil, true, wrong(err)
+		return nil, true, fail(err)
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		_ = l.Close()
-		return nil, true, wrong(errors.New("no TCP socket"))
+		return nil, true, fail(errors.New("no TCP socket"))
 	}
 	return l, true, nil
 }
 
 // newSockets returns sockets for a limit on descriptors, of which some are reserved for other uses.
-func newSockets(limit, apart int) *sockets {
-	limit -= apart
-	s := &sockets{reserved: int64(apart), evictClient: func() bool { return false }, evictServer: func(int) bool { return false }}
-	s.fullLimit = int64(max(limit, 2*serverPlacesAhead))
+func newSockets(limit, reserved int) *sockets {
+	limit -= reserved
+	s := &sockets{reserved: int64(reserved), evictClient: func() bool { return false }, evictServer: func(int) bool { return false }}
+	s.fullLimit = int64(max(limit, 2*maxServerReserve))
 	s.limit.Store(s.fullLimit)
 	return s
 }
 
 // share leaves half of the places to another process, or takes them back. Idle connections beyond the half are closed.
-func (s *sockets) share(on bool) {
-	if s.shared.Swap(on) == on {
+func (s *sockets) setShared(shared bool) {
+	if s.shared.Swap(shared) == shared {
 		return
 	}
-	if !on {
+	if !shared {
 		s.limit.Store(s.fullLimit)
 		return
 	}
 	s.limit.Store(s.fullLimit/2 - s.reserved/2) // the other process reserves as many
-	for s.open.Load() > s.limit.Load() && (s.evictServer(0) || s.evictClient()) {
+	for s.openConns.Load() > s.limit.Load() && (s.evictServer(0) || s.evictClient()) {
 	}
 }
 
 // reservePlace reserves a place for one more connection and leaves some free.
-func (s *sockets) reservePlace(leave int64) bool {
-	for s.open.Add(1) > s.limit.Load()-leave {
-		s.open.Add(-1)
+func (s *sockets) acquire(spare int64) bool {
+	for s.openConns.Add(1) > s.limit.Load()-spare {
+		s.openConns.Add(-1)
 		// An idle client's place goes first, so that silent clients do not cost handshakes with servers; and for a client
 		// some idle connections to servers stay.
-		if !s.evictClient() && !s.evictServer(int(leave)) {
+		if !s.evictClient() && !s.evictServer(int(spare)) {
 			return false
 		}
 	}
@@ -99,16 +99,16 @@
 }
 
 // reservedForServers returns how many places clients leave free for connections to servers.
-func (s *sockets) reservedForServers() int64 { return min(serverPlacesAhead, s.limit.Load()/3) }
+func (s *sockets) serverReserve() int64 { return min(maxServerReserve, s.limit.Load()/3) }
 
 // awaitPlace reserves a place as soon as there is one.
-func (s *sockets) awaitPlace(ctx context.Context, leave func() int64) error {
-	for !s.reservePlace(leave()) {
+func (s *sockets) awaitDescriptor(ctx context.Context, spare func() int64) error {
+	for !s.acquire(spare()) {
 		s.waits.Add(1)
 		select {
 		case <-ctx.Done():
 			return net.ErrClosed
-		case <-time.After(placeRetryInterval):
+		case <-time.After(descriptorRetryInterval):
 		}
 	}
 	return nil
@@ -122,7 +122,7 @@
 }
 
 func (c *countedConn) Close() error {
-	c.once.Do(func() { c.sockets.open.Add(-1) })
+	c.once.Do(func() { c.sockets.openConns.Add(-1) })
 	return c.Conn.Close()
 }
 
@@ -134,20 +134,20 @@
 }
 
 func (l *countedListener) Accept() (net.Conn, error) {
-	if err := l.sockets.awaitPlace(l.ctx, l.sockets.reservedForServers); err != nil {
+	if err := l.sockets.awaitDescriptor(l.ctx, l.sockets.serverReserve); err != nil {
 		return nil, err
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		l.sockets.open.Add(-1)
+		l.sockets.openConns.Add(-1)
 		return nil, err
 	}
 	setSocketBuffers(c)
-	k, err := newClientConn(c.(*net.TCPConn), l.sockets)
+	client, err := newClientConn(c.(*net.TCPConn), l.sockets)
 	if err != nil {
-		l.sockets.open.Add(-1)
+		l.sockets.openConns.Add(-1)
 		_ = c.Close()
 		return nil, err
 	}
-	return k, nil
+	return client, nil
 }
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -39,7 +39,7 @@
 }
 
 func readOf(id string) string {
-	return strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n", "raw", id, 1)
+	return strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+validHeaders+"\r\n", "raw", id, 1)
 }
 
 // over waits until nothing of a request is held.
@@ -58,7 +58,7 @@
 		},
 		"it is answered": func(r *rig, c net.Conn, _ context.Context) {
 			r.node.loop.post(func() { r.node.loop.act(control.Fail{ID: "id-1"}) })
-			assert.Equal(r.t, http.StatusBadGateway, statusOf(r.t, c))
+			assert.Equal(r.t, http.StatusBadGateway, readStatus(r.t, c))
 		},
 		"its time is up": func(_ *rig, _ net.Conn, attempt context.Context) { <-attempt.Done() },
 	} {
@@ -77,7 +77,7 @@
 
 			again := r.dial()
 			_, _ = io.WriteString(again, readOf("id-2"))
-			assert.Equal(t, http.StatusOK, statusOf(t, again))
+			assert.Equal(t, http.StatusOK, readStatus(t, again))
 			assert.Len(t, a.requests(), 1)
 			assert.Empty(t, d.asked, "the connection that came up late was not used")
 			r.figure("node_backend_calls_total", 1)
@@ -124,7 +124,7 @@
 		r.list(a.target("s-1", 0))
 		again := r.dial()
 		_, _ = io.WriteString(again, readOf("id-2"))
-		assert.Equal(t, http.StatusOK, statusOf(t, again))
+		assert.Equal(t, http.StatusOK, readStatus(t, again))
 		assert.Len(t, a.requests(), 1)
 	})
 }
@@ -148,7 +148,7 @@
 			r.list(a.target("s-1", 0))
 			d := lateDials(r)
 			c := r.dial()
-			_, _ = io.WriteString(c, postHead+"Content-Length: 4\r\n\r\nswap")
+			_, _ = io.WriteString(c, postHeaders+"Content-Length: 4\r\n\r\nswap")
 			next(t, d.asked)
 			opened := time.Now() // the window began before
 			d.up <- struct{}{}
@@ -159,7 +159,7 @@
 				attempts, status = 1, http.StatusBadGateway
 			}
 			d.up <- struct{}{}
-			assert.Equal(t, status, statusOf(t, c))
+			assert.Equal(t, status, readStatus(t, c))
 			assert.Len(t, a.requests(), attempts)
 			r.over("raw")
 		})
@@ -168,22 +168,22 @@
 
 // An attempt begins or is called off, never both, whoever comes first.
 func TestStartIsOneWay(t *testing.T) {
-	var s start
-	assert.True(t, s.begin())
-	s.callOff()
-	assert.False(t, s.begin(), "begun twice")
-	s = start{}
-	s.callOff()
-	assert.False(t, s.begin(), "begun when it was called off")
+	var s startState
+	assert.True(t, s.tryStart())
+	s.cancel()
+	assert.False(t, s.tryStart(), "begun twice")
+	s = startState{}
+	s.cancel()
+	assert.False(t, s.tryStart(), "begun when it was called off")
 
 	begun, off := make(chan bool), make(chan struct{})
 	for range 1000 {
-		s := &start{}
-		go func() { begun <- s.begin() }()
-		go func() { s.callOff(); off <- struct{}{} }()
+		s := &startState{}
+		go func() { begun <- s.tryStart() }()
+		go func() { s.cancel(); off <- struct{}{} }()
 		first := <-begun
 		<-off
-		assert.Equal(t, first, s.state.Load() == startBegun)
+		assert.Equal(t, first, s.state.Load() == startDone)
 	}
 }
 
--- a/internal/node/stragglers.go
+++ b/internal/node/stragglers.go
@@ -9,27 +9,27 @@
 
 // stragglerWatch notices attempts that take far longer than usual. It is owned by the event loop.
 type stragglerWatch struct {
-	loop    *loop
-	watch   *straggler.Detector[uint32]
-	lastID  uint64        // number given to an attempt
-	timerAt time.Duration // when the timer fires; zero is no timer
-	onLate  []func(server uint32)
+	loop        *loop
+	detector    *straggler.Detector[uint32]
+	lastID      uint64        // number given to an attempt
+	timerAt     time.Duration // when the timer fires; zero is no timer
+	onStraggler []func(server uint32)
 	// onOutcome is called for attempts that ended and were not late; took is below zero for one that failed.
 	onOutcome []func(server uint32, took time.Duration)
 }
 
 // stragglerWatch returns the loop's watch and makes it at the first call.
-func (l *loop) stragglerWatch() *stragglerWatch {
+func (l *loop) ensureStragglerWatch() *stragglerWatch {
 	if l.stragglers == nil {
-		l.stragglers = &stragglerWatch{loop: l, watch: straggler.New[uint32]()}
+		l.stragglers = &stragglerWatch{loop: l, detector: straggler.New[uint32]()}
 	}
 	return l.stragglers
 }
 
 // began starts to watch an attempt and returns its number.
-func (w *stragglerWatch) began(server uint32) uint64 {
+func (w *stragglerWatch) attemptStarted(server uint32) uint64 {
 	w.lastID++
-	w.watch.AttemptStarted(w.loop.now(), w.lastID, server)
+	w.detector.AttemptStarted(w.loop.now(), w.lastID, server)
 	w.scheduleCheck()
 	return w.lastID
 }
@@ -39,17 +39,17 @@
 var serverFailures = map[control.Outcome]bool{control.Errored: true, control.TimedOut: true, control.ConnectFailed: true, control.ResetByPeer: true}
 
 // ended takes the outcome of an attempt.
-func (w *stragglerWatch) ended(number uint64, how control.Outcome) {
-	server, took, late, ok := w.watch.AttemptEnded(w.loop.now(), number, how == control.OK)
+func (w *stragglerWatch) attemptEnded(id uint64, result control.Outcome) {
+	server, latency, straggled, ok := w.detector.AttemptEnded(w.loop.now(), id, result == control.OK)
 	switch {
 	case !ok:
-	case late:
-		w.notifyLate(server)
-	case how == control.OK:
+	case straggled:
+		w.notifyStraggler(server)
+	case result == control.OK:
 		for _, f := range w.onOutcome {
-			f(server, took)
+			f(server, latency)
 		}
-	case serverFailures[how]:
+	case serverFailures[result]:
 		for _, f := range w.onOutcome {
 			f(server, -1)
 		}
@@ -57,22 +57,22 @@
 }
 
 // notifyLate calls those that wait for late attempts.
-func (w *stragglerWatch) notifyLate(server uint32) {
-	for _, f := range w.onLate {
+func (w *stragglerWatch) notifyStraggler(server uint32) {
+	for _, f := range w.onStraggler {
 		f(server)
 	}
 }
 
 // scheduleCheck has check called when the oldest attempt becomes late.
 func (w *stragglerWatch) scheduleCheck() {
-	when, ok := w.watch.NextCheck()
-	if !ok || (w.timerAt != 0 && w.timerAt <= when) {
+	at, ok := w.detector.NextCheck()
+	if !ok || (w.timerAt != 0 && w.timerAt <= at) {
 		return
 	}
-	w.timerAt = when
-	time.AfterFunc(max(0, when-w.loop.now()), func() {
+	w.timerAt = at
+	time.AfterFunc(max(0, at-w.loop.now()), func() {
 		w.loop.post(func() {
-			if w.timerAt == when {
+			if w.timerAt == at {
 				w.check()
 			}
 		})
@@ -82,8 +82,8 @@
 // check notices the attempts that have become late.
 func (w *stragglerWatch) check() {
 	w.timerAt = 0
-	for _, server := range w.watch.Stragglers(w.loop.now()) {
-		w.notifyLate(server)
+	for _, server := range w.detector.Stragglers(w.loop.now()) {
+		w.notifyStraggler(server)
 	}
 	w.scheduleCheck()
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -14,7 +14,7 @@
 )
 
 // message is an attempt whose answer is dropped where it streams.
-func message(t *testing.T, body []byte) *attempt {
+func newTestAttempt(t *testing.T, body []byte) *attempt {
 	req, err := http.NewRequest(http.MethodPost, "http://origin.svc/visit-update", bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
@@ -27,24 +27,24 @@
 }
 
 // raw is an app server that answers each request with the same bytes and hangs up.
-func raw(t *testing.T, answer string) string {
+func newFixedServer(t *testing.T, response string) string {
 	a := newApp(t, func(w http.ResponseWriter, _ *http.Request) {
 		c := hijack(w)
-		_, _ = io.WriteString(c, answer)
+		_, _ = io.WriteString(c, response)
 		_ = c.Close()
 	})
 	return a.Listener.Addr().String()
 }
 
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	refusing, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = refusing.Close()
 	for name, tc := range map[string]struct {
-		answer string // "" is an endpoint that refuses connections
-		want   control.Outcome
+		response string // "" is an endpoint that refuses connections
+		want     control.Outcome
 	}{
 		"served":               {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", control.OK},
 		"served in chunks":     {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", control.OK},
@@ -80,13 +80,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			endpoint := refusing.Addr().String()
-			if tc.answer != "" {
-				endpoint = raw(t, tc.answer)
+			if tc.response != "" {
+				endpoint = newFixedServer(t, tc.response)
 			}
 			u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			if o := u.attempt(ctx, u.pool(endpoint), message(t, []byte("body"))); o.reason != tc.want {
+			if o := u.attempt(ctx, u.newPool(endpoint), newTestAttempt(t, []byte("body"))); o.reason != tc.want {
 				t.Errorf("%d (%v), not %d", o.reason, o.err, tc.want)
 			} else if o.reason == control.OK && string(o.body) != "ok" {
 				t.Errorf("body %q", o.body)
@@ -96,7 +96,7 @@
 }
 
 // What breaks before its last byte is written has not run.
-func TestBrokenWhileWriting(t *testing.T) {
+func TestResetWhileWritingIsConnectFailed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -112,13 +112,13 @@
 	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if o := u.attempt(ctx, u.pool(l.Addr().String()), message(t, make([]byte, 64<<20))); o.reason != control.ConnectFailed {
+	if o := u.attempt(ctx, u.newPool(l.Addr().String()), newTestAttempt(t, make([]byte, 64<<20))); o.reason != control.ConnectFailed {
 		t.Errorf("%d (%v)", o.reason, o.err)
 	}
 }
 
 // A peer that takes nothing, or answers nothing, holds an attempt no longer than its time.
-func TestSilentPeer(t *testing.T) {
+func TestSilentServerTimesOut(t *testing.T) {
 	t.Parallel()
 	l, err := net.Listen("tcp", "127.0.0.1:0") // accepts in the kernel only
 	if err != nil {
@@ -137,10 +137,10 @@
 			u := newUpstream(patience, patience, 1, socks, newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			if o := u.attempt(ctx, u.pool(l.Addr().String()), message(t, tc.body)); o.reason != tc.want {
+			if o := u.attempt(ctx, u.newPool(l.Addr().String()), newTestAttempt(t, tc.body)); o.reason != tc.want {
 				t.Errorf("%d (%v), not %d", o.reason, o.err, tc.want)
 			}
-			if n := socks.open.Load(); n != 0 {
+			if n := socks.openConns.Load(); n != 0 {
 				t.Errorf("%d connections left open", n)
 			}
 		})
@@ -159,31 +159,31 @@
 		cancel()
 	}()
 	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
-	if o := u.attempt(ctx, u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.Cancelled {
+	if o := u.attempt(ctx, u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.Cancelled {
 		t.Errorf("%d (%v)", o.reason, o.err)
 	}
 }
 
-func TestReports(t *testing.T) {
+func TestServerReportHeaders(t *testing.T) {
 	o := outcome{header: http.Header{headerMeter: {"85"}, headerCost: {"3"},
 		headerLoad: {"inflight=7,queue=2, util=0.61,latency_ms=12.5,colour=red,qps=x"}}}
-	if o.meterReading() != 86 || o.tokens(4) != 3 {
-		t.Errorf("used %d, cost %g", o.meterReading(), o.tokens(4))
+	if o.meterReading() != 86 || o.trueCost(4) != 3 {
+		t.Errorf("used %d, cost %g", o.meterReading(), o.trueCost(4))
 	}
 	if l := *o.loadReport(); l != (control.LoadReport{Active: 7, Waiting: 2, CPU: 0.61, AvgMS: 12.5, RPS: -1, ErrRPS: -1}) {
 		t.Errorf("load %+v", l)
 	}
 	for _, odd := range []string{"", "x", "-1", "NaN", "1e400", "1e300", "99999", "inflight=-1,util=NaN", "queue=1e300"} {
 		o := outcome{header: http.Header{headerMeter: {odd}, headerCost: {odd}, headerLoad: {odd}}}
-		if o.meterReading() != 0 || o.tokens(4) != 0 || o.loadReport() != nil {
-			t.Errorf("%q: used %d, cost %g", odd, o.meterReading(), o.tokens(4))
+		if o.meterReading() != 0 || o.trueCost(4) != 0 || o.loadReport() != nil {
+			t.Errorf("%q: used %d, cost %g", odd, o.meterReading(), o.trueCost(4))
 		}
 	}
 }
 
 // An answer that stops half way, or says that it is too long, is a reset as soon as that is
 // known: the connection stays open and silent, and the attempt must not wait for its time.
-func TestAnswerThatStops(t *testing.T) {
+func TestStalledResponseIsAReset(t *testing.T) {
 	t.Parallel()
 	for name, text := range map[string]string{
 		"in its head":       "HTTP/1.1 200 OK\r\nContent-Le",
@@ -205,11 +205,11 @@
 			u := newUpstream(patience, patience, 1, socks, newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			defer cancel()
-			o := u.attempt(ctx, u.pool(a.Listener.Addr().String()), message(t, nil))
+			o := u.attempt(ctx, u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil))
 			if o.reason != control.ResetByPeer || ctx.Err() != nil {
 				t.Errorf("%d (%v)", o.reason, o.err)
 			}
-			if n := socks.open.Load(); n != 0 {
+			if n := socks.openConns.Load(); n != 0 {
 				t.Errorf("%d connections left open", n)
 			}
 		})
@@ -217,52 +217,52 @@
 }
 
 // An interim answer starts no clock: the answer itself may take its time.
-func TestSlowAfterInterim(t *testing.T) {
+func TestInterimResponseStartsNoTimeout(t *testing.T) {
 	t.Parallel()
 	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusEarlyHints)
-		time.Sleep(answerIdleTimeout + answerIdleTimeout/3) // has to pass
+		time.Sleep(responseIdleTimeout + responseIdleTimeout/3) // has to pass
 		_, _ = io.WriteString(w, "ok")
 	})
 	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	if o := u.attempt(ctx, u.pool(a.Listener.Addr().String()), message(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
+	if o := u.attempt(ctx, u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
 		t.Errorf("%d (%v) %q", o.reason, o.err, o.body)
 	}
 }
 
 // The clock of one answer's rest is none of the next attempt's on that connection.
-func TestClockEndsWithItsAnswer(t *testing.T) {
+func TestIdleTimeoutEndsWithItsResponse(t *testing.T) {
 	t.Parallel()
 	asked := 0
 	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
 		if asked++; asked > 1 {
-			time.Sleep(answerIdleTimeout + answerIdleTimeout/3) // has to pass
+			time.Sleep(responseIdleTimeout + responseIdleTimeout/3) // has to pass
 		}
 		_, _ = io.WriteString(w, "o")
 		w.(http.Flusher).Flush() // a chunk of its own, so that there is a rest to wait for
 		_, _ = io.WriteString(w, "k")
 	})
 	u := newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64))
-	u.restTime = 0 // at once
-	p := u.pool(a.Listener.Addr().String())
+	u.reuseDelay = 0 // at once
+	p := u.newPool(a.Listener.Addr().String())
 	for range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		if o := u.attempt(ctx, p, message(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
+		if o := u.attempt(ctx, p, newTestAttempt(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
 			t.Errorf("%d (%v) %q", o.reason, o.err, o.body)
 		}
 		cancel()
 	}
-	if n := u.sockets.open.Load(); n != 1 {
+	if n := u.sockets.openConns.Load(); n != 1 {
 		t.Errorf("%d connections, not the same one", n)
 	}
 }
 
 // What comes behind an answer, before or after its connection is pooled, is never the next
 // answer.
-func TestMoreThanBelongs(t *testing.T) {
-	const good, noise = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
+func TestExtraBytesAreNotTheNextResponse(t *testing.T) {
+	const good, extra = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 	first := make(chan net.Conn, 1)
 	asked := 0
 	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
@@ -275,11 +275,11 @@
 		first <- c
 	})
 	u := newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64))
-	u.restTime = 0 // at once
-	p := u.pool(a.Listener.Addr().String())
+	u.reuseDelay = 0 // at once
+	p := u.newPool(a.Listener.Addr().String())
 	for i := range 2 {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
-		o := u.attempt(ctx, p, message(t, nil))
+		o := u.attempt(ctx, p, newTestAttempt(t, nil))
 		cancel()
 		if o.reason != control.OK || string(o.body) != "ok" {
 			t.Errorf("%d (%v) %q", o.reason, o.err, o.body)
@@ -290,7 +290,7 @@
 		c := next(t, first)
 		defer func() { _ = c.Close() }()
 		idle := pooled(u)[0]
-		_, _ = io.WriteString(c, noise)
+		_, _ = io.WriteString(c, extra)
 		// quiet reads a byte; there has to be one left for try to find.
 		for end := time.Now().Add(patience); idle.isQuiet() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -50,8 +50,8 @@
 	views := z.policy.Views()
 	z.views.Store(&views)
 	l.metricsRegistry().MustRegister(z)
-	w := l.stragglerWatch()
-	w.onLate = append(w.onLate, func(server uint32) { z.observe(server, -1) })
+	w := l.ensureStragglerWatch()
+	w.onStraggler = append(w.onStraggler, func(server uint32) { z.observe(server, -1) })
 	w.onOutcome = append(w.onOutcome, z.observe)
 	return z
 }
