--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -9,18 +9,18 @@
 	"sloestile/control"
 )
 
-// exchangeAttempt is what the event loop keeps of one attempt of a request.
+// exchangeAttempt is the event loop's record of one attempt of a request.
 type exchangeAttempt struct {
 	number      int
 	server      uint32
 	sentAt      time.Time
 	cancel      context.CancelCauseFunc
-	timer       *time.Timer // ends the attempt with the client's time; nil while that does not run
-	start       *startState // nil where nothing was sent
-	stragglerID uint64      // number by which stragglers are watched
+	timer       *time.Timer // ends the attempt at the client's deadline or its timeout; nil while it has neither
+	start       *startState // nil if the attempt was not handed to upstream
+	stragglerID uint64      // ID of the attempt in stragglerWatch
 }
 
-// stop ends the attempt's timer and its context.
+// stop stops the attempt's timer and cancels its context.
 func (t *exchangeAttempt) stop() {
 	if t.timer != nil {
 		t.timer.Stop()
@@ -28,15 +28,15 @@
 	t.cancel(context.Canceled)
 }
 
-// expireAt has the attempt end with the client's time, unless it has an end already.
+// startTimer makes the attempt end at the client's deadline, unless it has a timer already.
 func (t *exchangeAttempt) startTimer(deadline time.Time) {
 	if t.timer == nil {
 		t.timer = time.AfterFunc(time.Until(deadline), func() { t.cancel(context.DeadlineExceeded) })
 	}
 }
 
-// send starts an attempt that the decision module asked for. Where it can't begin, the module is told that it was
-// never sent.
+// send starts an attempt that the decision module requested. If the attempt can't start, the module gets an event with
+// the outcome NeverSent.
 func (l *loop) send(a control.Send) {
 	x := l.exchanges[a.ID]
 	if x == nil {
@@ -58,7 +58,7 @@
 	t.sentAt = time.Now()
 	outgoing := l.newAttempt(x, t, l.at(a.NotAfter))
 	t.start = &outgoing.start
-	go func() { // ends with ctx at the latest
+	go func() { // returns when ctx ends at the latest
 		o := l.upstream.attempt(ctx, pool, outgoing)
 		if !l.post(func() { l.attemptEnded(x, t, o) }) {
 			o.reservation.shrinkTo(0)
@@ -66,8 +66,8 @@
 	}()
 }
 
-// newExchangeAttempt returns a further attempt of a request with its context, which ends with the client's time or with
-// the timeout that the decision module gave, whichever is first.
+// newExchangeAttempt returns a new attempt of a request and its context, which ends at the client's deadline or after the
+// decision module's timeout, whichever comes first.
 func (l *loop) newExchangeAttempt(x *exchange, a control.Send) (context.Context, *exchangeAttempt) {
 	ctx, cancel := context.WithCancelCause(l.life)
 	t := &exchangeAttempt{number: len(x.attempts), server: a.Server, cancel: cancel}
@@ -87,7 +87,8 @@
 	return ctx, t
 }
 
-// countSend tells the parts that a fleet file switches on of an attempt. Token buckets are charged for the first only.
+// recordSend reports a started attempt to the parts that a fleet file enables. Token buckets are charged for the first
+// attempt only.
 func (l *loop) recordSend(x *exchange, t *exchangeAttempt) {
 	if l.stragglers != nil {
 		t.stragglerID = l.stragglers.attemptStarted(t.server)
@@ -103,7 +104,7 @@
 	}
 }
 
-// newAttempt returns what the upstream side needs of an attempt.
+// newAttempt returns the attempt to pass to upstream. Its callbacks report to the event loop.
 func (l *loop) newAttempt(x *exchange, t *exchangeAttempt, startDeadline time.Time) *attempt {
 	onWritten := func() {
 		l.stats.calls.Add(1)
@@ -130,14 +131,14 @@
 	return &attempt{req: x.message(), bodyPrefix: x.body, bodyStream: x.rest, startDeadline: startDeadline, onWritten: onWritten, onStreamStart: onStreamStart}
 }
 
-// responseStarted makes a good answer that streams the final one. It returns the writer for the answer's rest, or nil
-// where nobody waits for it.
+// responseStarted makes a streamed response with status 200 the final one. It returns the writer for the rest of the
+// response, or nil if the request already has its final response.
 func (l *loop) responseStarted(x *exchange, t *exchangeAttempt, o outcome, length int64) *io.PipeWriter {
 	if x.done {
 		return nil
 	}
 	if t.timer != nil {
-		t.timer.Stop() // its first bytes are in time; the rest takes what it takes
+		t.timer.Stop() // the deadline applies to the first bytes only; streamIdleTimeout limits the rest
 	}
 	l.reportCost(x, o)
 	reader, writer := io.Pipe()
@@ -147,7 +148,7 @@
 	return writer
 }
 
-// attemptEnded takes the outcome of an attempt. The first good answer is the final one.
+// attemptEnded applies the outcome of an attempt. The first response with status 200 is the final one.
 func (l *loop) attemptEnded(x *exchange, t *exchangeAttempt, o outcome) {
 	t.stop()
 	l.reportCost(x, o)
@@ -173,7 +174,7 @@
 	l.handle(r)
 }
 
-// reportCost tells the other nodes the true cost of a request, once.
+// reportCost reports the true cost of a request to the other nodes, once.
 func (l *loop) reportCost(x *exchange, o outcome) {
 	if l.limitSharing == nil || x.costReported || o.header == nil {
 		return
--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	maxBufferedBytes  = 64 << 10 // of a message that is held whole; a longer one is streamed
-	maxMessageBytes   = 33 << 20 // of any body or answer: 32 MB, however counted
-	streamBufferBytes = 32 << 10 // held of a message that is streamed
-	unbudgetedBytes   = 4 << 10  // of a message that is held without being counted, as connections' buffers are
+	maxBufferedBytes  = 64 << 10 // size of a message that is buffered whole; a longer one is streamed
+	maxMessageBytes   = 33 << 20 // size of a body: covers 32 MB, decimal and binary
+	streamBufferBytes = 32 << 10 // buffer of a message that is streamed
+	unbudgetedBytes   = 4 << 10  // size that is buffered without a reservation, like the buffers of connections
 
-	budgetMemoryFraction = 1.0 / 4 // of the memory limit that held messages may use
+	budgetMemoryFraction = 1.0 / 4 // fraction of the memory limit that buffered messages may use
 	minBudgetBytes       = 4 << 20
 )
 
-// budget bounds the bytes that the bodies and answers of all requests hold together. Each kind has a half, so that bodies
-// can't take the room that the answers to them need.
+// budget limits the memory in which the bodies and responses of all requests are buffered. Each kind gets one half, so
+// that request bodies can't use up the memory that their responses need.
 type budget struct{ requestBodies, responses *semaphore.Weighted }
 
 func newBudget(memoryMB int) *budget {
@@ -26,7 +26,7 @@
 	return &budget{requestBodies: semaphore.NewWeighted(half), responses: semaphore.NewWeighted(half)}
 }
 
-// reserve reserves n bytes as soon as there is room, or until ctx ends.
+// reserve reserves n bytes, waiting until they are free or ctx ends. Up to unbudgetedBytes are not counted.
 func reserve(ctx context.Context, pool *semaphore.Weighted, n int64) (*reservation, error) {
 	if n <= unbudgetedBytes {
 		return &reservation{}, nil
@@ -37,7 +37,7 @@
 	return &reservation{pool: pool, bytes: n}, nil
 }
 
-// reservation is a reserved part of a budget. A nil one holds nothing.
+// reservation is a reserved part of a budget. A nil reservation is empty.
 type reservation struct {
 	mu    sync.Mutex
 	pool  *semaphore.Weighted
@@ -57,5 +57,5 @@
 	}
 }
 
-// streamBuffers are the buffers through which streams are passed on.
+// streamBuffers holds buffers for copying streams and for discarding data.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
--- a/internal/node/clientbody.go
+++ b/internal/node/clientbody.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	bodyIdleTimeout    = 2500 * time.Millisecond // silence of a client within a body
-	bodyTimeout        = 10 * time.Second        // of a body, and the time that its length takes at minBytesPerSecond
-	minBytesPerSecond  = 16 << 10                // of a message as a whole
-	clientWriteTimeout = 4 * time.Second         // for which a client may read nothing of its answer
-	discardTimeout     = 10 * time.Second        // for which the rest of a rejected body is read and dropped
-	discardIdleTimeout = time.Second             // silence of a client within that rest
+	bodyIdleTimeout    = 2500 * time.Millisecond // time without a byte of a request body
+	bodyTimeout        = 10 * time.Second        // time for a body, plus that for its length at minBytesPerSecond
+	minBytesPerSecond  = 16 << 10                // average rate of a message
+	clientWriteTimeout = 4 * time.Second         // time for which a client may read nothing of its response
+	discardTimeout     = 10 * time.Second        // time for which the rest of a rejected body is read and discarded
+	discardIdleTimeout = time.Second             // time without a byte of that rest
 )
 
 var (
 	errMessageTooLong     = errors.New("a message of more than 32 MB")
-	errClientDisconnected = errors.New("the client has left")
-	errBodyUnreadable     = errors.New("the client's body has ended early")
-	errBodyStopped        = errors.New("the body is wanted no more")
+	errClientDisconnected = errors.New("client connection: client disconnected")
+	errBodyUnreadable     = errors.New("reading the request body: already failed or stopped")
+	errBodyStopped        = errors.New("reading the request body: stopped as it is no longer needed")
 	pastDeadline          = time.Unix(1, 0)
 )
 
-// clientBody reads a client's body, with bounds on its length, on silence and on its whole time.
+// clientBody reads a request body with limits on its length, on the time without progress and on its total time.
 type clientBody struct {
 	src        io.Reader
 	controller *http.ResponseController
-	onComplete func()      // called when the body has been read to its end
-	consumed   atomic.Bool // a part was read that is not held
+	onComplete func()      // called with mu held when the body has been read to its end
+	consumed   atomic.Bool // a part of the body was streamed and is not buffered
 
 	mu        sync.Mutex
 	stopped   bool
-	readErr   error // why the body can't be read to its end
+	readErr   error // error that ended reading before the end of the body; nil if none
 	complete  bool
 	startedAt time.Time
 	bytesRead int64
-	failed    chan struct{} // closed when fault is set
+	failed    chan struct{} // closed when readErr is set
 }
 
 func newClientBody(src io.Reader, controller *http.ResponseController) *clientBody {
@@ -62,7 +62,7 @@
 	if b.startedAt.IsZero() {
 		b.startedAt = now
 	}
-	// The second deadline ends a body of which a byte comes now and then.
+	// The second deadline ends a body that arrives byte by byte.
 	_ = b.controller.SetReadDeadline(earlier(now.Add(bodyIdleTimeout), b.startedAt.Add(messageTimeout(bodyTimeout, b.bytesRead))))
 	b.mu.Unlock()
 
@@ -88,7 +88,7 @@
 	return n, err
 }
 
-// maxDuration returns how long a message of so many bytes may take.
+// messageTimeout returns the time that a message of the given size may take: base, plus its time at minBytesPerSecond.
 func messageTimeout(base time.Duration, bytes int64) time.Duration {
 	return base + time.Duration(bytes)*time.Second/minBytesPerSecond
 }
@@ -100,7 +100,7 @@
 	return b
 }
 
-// stop ends reading, also a read that waits for the client.
+// stop makes reading fail, including a read that is blocked.
 func (b *clientBody) stop() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -117,7 +117,7 @@
 	return b.stopped
 }
 
-// badRequest returns the answer to a client whose body could not be read.
+// badRequest returns the error response to a client whose body could not be read.
 func (b *clientBody) badRequest() *badRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,11 +130,11 @@
 	return newBadRequest(http.StatusBadRequest, "reading the body: %v", b.readErr)
 }
 
-// discard reads and drops what the client still sends. Closing a connection with unread data would be a reset, which
-// can take the answer from a client that reads it after it has sent all.
+// discard reads and discards what the client still sends. Closing a connection with unread data would be a reset, which
+// can destroy the response before a client reads it that sends its whole body first.
 func (b *clientBody) discard(r *http.Request) {
 	b.mu.Lock()
-	// A client that waits for 100 Continue has got the final answer instead.
+	// A client that waits for 100 Continue gets the final response instead and sends no body.
 	done := b.complete || b.readErr != nil || (b.bytesRead == 0 && r.Header.Get("Expect") != "")
 	b.mu.Unlock()
 	if done {
@@ -150,7 +150,7 @@
 	}
 }
 
-// readUpTo reads up to most bytes. whole reports whether the body has ended with them.
+// readUpTo reads up to maxBytes bytes. complete reports whether the end of the body was read.
 func (b *clientBody) readUpTo(maxBytes int) (buffered []byte, complete bool, err error) {
 	buffered = make([]byte, 0, min(maxBytes, unbudgetedBytes))
 	for len(buffered) < maxBytes {
@@ -171,8 +171,8 @@
 // connKey is the key of a request's *clientConn in its context.
 type connKey struct{}
 
-// setSocketBuffers makes the kernel's buffers small, so that the progress of a slow peer is seen and long messages do not
-// pile up in them.
+// setSocketBuffers limits the kernel's buffers, so that a slow peer blocks writes early and long messages do not
+// accumulate in the kernel.
 func setSocketBuffers(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetReadBuffer(socketBufferBytes)
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	maxRequestHeaderBytes = 16 << 10                // of a request's head
-	clientIdleTimeout     = 10 * time.Second        // between two requests of a connection
-	requestHeaderTimeout  = 2600 * time.Millisecond // of a request's head
-	clientCloseTimeout    = 250 * time.Millisecond  // for the client's close after this side's; less than drainWriteTime
-	newConnEvictionAge    = 250 * time.Millisecond  // of a new connection where others need its place
+	maxRequestHeaderBytes = 16 << 10                // size of a request header
+	clientIdleTimeout     = 10 * time.Second        // time between two requests of a connection
+	requestHeaderTimeout  = 2600 * time.Millisecond // time until a request header is complete
+	clientCloseTimeout    = 250 * time.Millisecond  // time for the client to close after the node has; less than drainWriteTime
+	newConnEvictionAge    = 250 * time.Millisecond  // age from which a connection without a complete header may be evicted
 )
 
-// server returns the HTTP server for the clients. Each client must get an answer or a close soon after it has connected,
-// so a head has to come whole in time, and a body has to make progress.
+// server returns the HTTP server for the clients. Each client must get a response or a close soon after it has connected,
+// so a header must be complete in time, and a body must make progress.
 func (f *frontend) server() *http.Server {
 	return &http.Server{Handler: f, MaxHeaderBytes: maxRequestHeaderBytes, IdleTimeout: clientIdleTimeout, ConnState: f.connStateChanged,
 		ReadHeaderTimeout: requestHeaderTimeout, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -32,7 +32,7 @@
 		}}
 }
 
-// connStateChanged keeps track of the connections on which no request is open.
+// connStateChanged tracks the connections on which no request is open.
 func (f *frontend) connStateChanged(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok {
@@ -55,7 +55,8 @@
 	}
 }
 
-// closeIdle closes the connections on which no request is open, also new ones that have sent nothing for a while.
+// closeIdle closes the connections on which no request has been open for idlePollInterval, including new ones that have
+// sent nothing.
 func (f *frontend) closeIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,7 +69,8 @@
 	}
 }
 
-// evict closes a connection that has sent nothing for too long, else the one that has been idle for the longest time.
+// evict closes the oldest connection that has sent no complete header within newConnEvictionAge, else the one that has
+// been idle for the longest time. It reports whether it closed one.
 func (f *frontend) evict() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +87,8 @@
 	return false
 }
 
-// evictConn closes a connection and frees its place at once. part allows it where a part of a head has come.
+// evictConn closes a connection and frees its descriptor at once. With allowPartialHeader it also closes a connection
+// that has sent a part of a header.
 func (f *frontend) evictConn(conns map[*clientConn]time.Time, c *clientConn, allowPartialHeader bool) bool {
 	if !c.closeIfIdle(allowPartialHeader) {
 		return false
@@ -96,28 +99,28 @@
 	return true
 }
 
-// byAge returns the connections, the oldest first.
+// oldestFirst returns the connections sorted by their times.
 func oldestFirst(conns map[*clientConn]time.Time) []*clientConn {
 	return slices.SortedFunc(maps.Keys(conns), func(a, b *clientConn) int { return conns[a].Compare(conns[b]) })
 }
 
-var errTooMuchPipelined = errors.New("too much behind a request that has no answer yet")
+var errTooMuchPipelined = errors.New("watching for a disconnect: too much pipelined data before the response")
 
-// clientConn is a client's connection that records the raw head of the request it carries: net/http drops a
-// Content-Length next to a Transfer-Encoding and does not tell that it was there.
+// clientConn is a client's connection that records the raw header of the request it carries: net/http drops a
+// Content-Length next to a Transfer-Encoding and does not report that it was there.
 type clientConn struct {
 	countedConn
 	mu               sync.Mutex
 	rawHeader        []byte
-	headerComplete   bool // the head has ended, or is too long to be recorded
+	headerComplete   bool // the header has ended, or is too long to be recorded
 	hasReadDeadline  bool
-	pipelined        []byte // bytes that came after the open request
+	pipelined        []byte // bytes received behind the open request
 	rawConn          syscall.RawConn
-	responseStarted  bool      // of the answer to the present request
-	requestStarted   bool      // net/http has bytes of a request without an answer
-	closedForWriting bool      // nothing more is written, and net/http gets nothing more
-	discardDeadline  time.Time // until then what still comes is dropped
-	discardedBytes   int       // bytes
+	responseStarted  bool      // a byte of the response to the current request was written
+	requestStarted   bool      // net/http has bytes of a request that is not finished
+	closedForWriting bool      // the node has half-closed the connection; net/http gets no more bytes
+	discardDeadline  time.Time // time until which received bytes are discarded; zero before the close
+	discardedBytes   int       // number of bytes received after the half-close
 }
 
 func newClientConn(c *net.TCPConn, s *sockets) (*clientConn, error) {
@@ -128,9 +131,9 @@
 	return &clientConn{countedConn: countedConn{Conn: c, sockets: s}, rawConn: rawConn}, nil
 }
 
-// Read returns what the client sends. While a request is open, net/http notices a hang-up by the read of one byte without
-// a deadline, and notices none once it has that byte. So such a read keeps what comes after the request for later, and
-// ends with the connection, or when net/http ends it by a deadline.
+// Read returns what the client sends. While a request is open, net/http detects a disconnect by reading one byte without
+// a deadline, and detects none once it has that byte. So such a read buffers what comes behind the request for later, and
+// returns when the connection ends, or when net/http stops it by a deadline.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	if len(p) == 1 && !c.hasReadDeadline {
@@ -151,8 +154,8 @@
 	return c.receive(p, c.recordRequestBytes)
 }
 
-// receive reads what has come and passes it to got with the lock held. So bytes are either passed on, or dropped after the
-// connection was closed for writing, never both.
+// receive reads available bytes and passes them to record with the lock held. So bytes are either recorded and returned,
+// or discarded after the connection was closed for writing, never both.
 func (c *clientConn) receive(p []byte, record func([]byte)) (n int, err error) {
 	for {
 		discard := false
@@ -177,7 +180,7 @@
 		switch {
 		case waitErr != nil:
 			if op := (*net.OpError)(nil); errors.As(waitErr, &op) {
-				op.Op = "read" // by which net/http knows it
+				op.Op = "read" // net/http checks for this value
 			}
 			return 0, waitErr
 		case err != nil:
@@ -191,7 +194,7 @@
 	}
 }
 
-// Write records that the answer has begun: from now on the client may send its next request.
+// Write records that the response has started: from now on the client may send its next request.
 func (c *clientConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.responseStarted = true
@@ -199,8 +202,9 @@
 	return c.countedConn.Write(p)
 }
 
-// watchForHangup reads and keeps what comes until the client has left, or has sent more than maxHeadBytes. A next request
-// that is longer may come between the answer's last byte and the end of this read by net/http: its rest is left unread.
+// watchForDisconnect reads and buffers what comes until the client disconnects, or has sent more than
+// maxRequestHeaderBytes. The next request may be longer and arrive between the last byte of the response and the moment
+// when net/http stops this read: the rest of it is left unread.
 func (c *clientConn) watchForDisconnect(p []byte) error {
 	for {
 		size, responding := 0, false
@@ -222,7 +226,8 @@
 	}
 }
 
-// SetReadDeadline records whether there is a deadline. A connection that is closed for writing keeps its own.
+// SetReadDeadline sets the deadline and records whether there is one. It has no effect once the connection discards what
+// it receives.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,10 +238,10 @@
 	return c.countedConn.SetReadDeadline(t)
 }
 
-// closeIfIdle closes a connection for writing unless a request has begun to come; with part, a part of a head does not
-// count. What comes later is dropped without net/http, and the connection is closed when the client closes it, or soon. So
-// the client knows that its request was not received, and there is no close with unread bytes, which would be a reset and
-// could take back an answer.
+// closeIfIdle closes a connection for writing unless a part of a request was received; with allowPartialHeader, a part of
+// a header does not count. What comes later is discarded and not passed to net/http, and the connection is closed when the
+// client closes it, or after clientCloseTimeout. So the client knows that its request was not accepted, and there is no
+// close with unread bytes, which would be a reset and could destroy a response that the client has not read yet.
 func (c *clientConn) closeIfIdle(allowPartialHeader bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,7 +253,7 @@
 	return true
 }
 
-// closeWrite closes the connection for writing. The lock is held.
+// closeWrite closes the connection for writing. The caller must hold c.mu.
 func (c *clientConn) closeWrite() error {
 	if c.closedForWriting {
 		return nil
@@ -257,7 +262,7 @@
 	return c.countedConn.Conn.(*net.TCPConn).CloseWrite()
 }
 
-// limitDropping sets the time until which bytes are still read and dropped. The lock is held.
+// startDiscarding sets the time until which bytes are read and discarded. The caller must hold c.mu.
 func (c *clientConn) startDiscarding() {
 	if c.discardDeadline.IsZero() {
 		c.discardDeadline = time.Now().Add(clientCloseTimeout)
@@ -265,14 +270,14 @@
 	}
 }
 
-// CloseWrite closes the connection for writing. net/http calls it after an error to a peer that may still send.
+// CloseWrite closes the connection for writing. net/http calls it after an error response to a peer that may still send.
 func (c *clientConn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeWrite()
 }
 
-// Close closes the connection for writing, drops what the client still sends for a while, and closes.
+// Close closes the connection for writing, discards what the client still sends for up to clientCloseTimeout, and closes.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	_ = c.closeWrite()
@@ -291,7 +296,7 @@
 	return c.closedForWriting
 }
 
-// hasUnreadBytes reports whether bytes have come that are not read. The lock is held.
+// hasUnreadBytes reports whether the kernel holds received bytes that are not read yet. The caller must hold c.mu.
 func (c *clientConn) hasUnreadBytes() bool {
 	unread := false
 	_ = c.rawConn.Control(func(fd uintptr) {
@@ -302,13 +307,13 @@
 	return unread
 }
 
-// requestBytes records bytes that net/http gets. The lock is held.
+// recordRequestBytes records bytes that are returned to net/http. The caller must hold c.mu.
 func (c *clientConn) recordRequestBytes(b []byte) {
 	c.requestStarted = true
 	c.recordHeader(b)
 }
 
-// recordHead records what of the head is in b.
+// recordHeader appends the part of b that belongs to the header. The caller must hold c.mu.
 func (c *clientConn) recordHeader(b []byte) {
 	if c.headerComplete || len(b) == 0 {
 		return
@@ -323,7 +328,7 @@
 	c.headerComplete = c.headerComplete || len(c.rawHeader) > maxRequestHeaderBytes
 }
 
-// nextRequest forgets the head of a request that has been answered.
+// nextRequest clears the state of a finished request.
 func (c *clientConn) nextRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -333,8 +338,8 @@
 	}
 }
 
-// hasContentLength reports whether the head of a chunked request names a Content-Length too, or is not known: it may have
-// come together with the request before it, as no proper client sends it.
+// mayHaveContentLength reports whether the header of a chunked request contains a Content-Length too, or was not recorded:
+// it may have come in one read with the previous request, which no well-behaved client does.
 func (c *clientConn) mayHaveContentLength(r *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	maxIDBytes     = 128                   // of X-Correlation-Id
-	timeLeftSlack  = 50 * time.Millisecond // by which X-Time-Left may exceed the class's deadline
-	tenantKeyBound = 1 << 33               // tenants' keys are below
+	maxIDBytes     = 128                   // length of X-Correlation-Id
+	timeLeftSlack  = 50 * time.Millisecond // time by which X-Time-Left may exceed the class deadline
+	tenantKeyBound = 1 << 33               // exclusive upper bound of tenant keys
 )
 
-// badRequest is a client's mistake and the status of the answer to it.
+// badRequest is the error response to an invalid request.
 type badRequest struct {
 	status  int
 	message string
@@ -33,12 +33,12 @@
 	return &badRequest{status: status, message: fmt.Sprintf(format, args...)}
 }
 
-// readRequest reads a client's request. A request with a mistake must not reach the decision module.
+// readRequest parses and validates a client's request. An invalid request must not reach the decision module.
 func (f *frontend) readRequest(r *http.Request, controller *http.ResponseController) (*exchange, *badRequest) {
 	if rejected := checkFraming(r); rejected != nil {
 		return nil, rejected
 	}
-	// A server could read another one of two values than this node.
+	// A server could use another one of two values than this node does.
 	for _, name := range singleHeaders {
 		if len(r.Header[name]) > 1 {
 			return nil, newBadRequest(http.StatusBadRequest, "%s: given twice", name)
@@ -81,7 +81,7 @@
 	return x, nil
 }
 
-// readClass returns the class that a request's path names, where the request's method and parts fit it.
+// readClass returns the class named by a request's path if the request's method, body and key are valid for it.
 func (f *frontend) readClass(r *http.Request) (control.Class, *badRequest) {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	class, ok := f.classes[name]
@@ -101,7 +101,7 @@
 	return class, nil
 }
 
-// readTenant reads the tenant from the query: 16 hexadecimal digits.
+// readTenant sets the tenant from the query parameter account: 16 hexadecimal digits.
 func readTenant(request *control.Request, r *http.Request) *badRequest {
 	if accounts := r.URL.Query()["account"]; len(accounts) == 1 {
 		request.Tenant = strings.ToLower(accounts[0])
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// readBody reads a short body whole. A longer one is streamed: of one with a length over maxHeldBytes nothing is read
-// before the request is admitted, so that a client that is rejected has not sent it for nothing.
+// readBody buffers a short body whole. A longer one is streamed: if its length is known to exceed maxBufferedBytes,
+// nothing of it is read before the request is admitted, so that a rejected client does not send it in vain.
 func (f *frontend) readBody(x *exchange, r *http.Request, controller *http.ResponseController) *badRequest {
 	stream := newClientBody(r.Body, controller)
 	if r.ContentLength <= maxBufferedBytes {
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// readShortBody reads at most maxHeldBytes of a body, and reports whether that is all of it.
+// bufferBody reads at most maxBufferedBytes of a body, and reports whether that is all of it.
 func (f *frontend) bufferBody(x *exchange, r *http.Request, stream *clientBody) (complete bool, rejected *badRequest) {
 	maxBytes := maxBufferedBytes
 	if r.ContentLength > 0 {
@@ -150,7 +150,7 @@
 	}
 	x.body, complete, err = stream.readUpTo(maxBytes)
 	if err == nil && !complete && r.ContentLength > 0 {
-		_, err = stream.Read(make([]byte, 1)) // its end
+		_, err = stream.Read(make([]byte, 1)) // expects io.EOF
 		complete = errors.Is(err, io.EOF)
 		if complete {
 			err = nil
@@ -167,11 +167,11 @@
 	return complete, nil
 }
 
-// singleHeaders are the headers of the protocol that a request may have once only.
+// singleHeaders lists the protocol's headers that a request may contain only once.
 var singleHeaders = []string{headerID, headerPlan, headerTimeLeft, headerWeight, headerRetry, headerKey}
 
-// checkFraming rejects a request whose body's length is ambiguous or too long. A request with both a Content-Length and
-// a Transfer-Encoding could smuggle a second one in its body.
+// checkFraming rejects a request whose body length is ambiguous or exceeds maxMessageBytes. A request with both a
+// Content-Length and a Transfer-Encoding could smuggle a second request in its body.
 func checkFraming(r *http.Request) *badRequest {
 	switch {
 	case len(r.TransferEncoding) > 0:
@@ -184,12 +184,12 @@
 	return nil
 }
 
-// forwardedRequest returns the request as it goes to servers, without its body.
+// forwardedRequest returns the request to forward to servers, without its body and hop-by-hop headers.
 func forwardedRequest(r *http.Request) *http.Request {
 	out := &http.Request{Method: r.Method, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL:    &url.URL{Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery},
 		Header: make(http.Header, len(r.Header)+2)}
-	connectionLists := r.Header.Values("Connection") // names further headers of this hop
+	connectionLists := r.Header.Values("Connection") // lists of further hop-by-hop headers
 	for header, values := range r.Header {
 		if !isHopHeader(header) && !slices.ContainsFunc(connectionLists, func(list string) bool {
 			return slices.ContainsFunc(strings.Split(list, ","), func(name string) bool {
@@ -200,13 +200,13 @@
 		}
 	}
 	if out.Header.Get("User-Agent") == "" {
-		out.Header["User-Agent"] = []string{""} // none of the library's own
+		out.Header["User-Agent"] = []string{""} // keeps net/http from adding its own
 	}
 	return out
 }
 
-// parseTimeLeft reads a number with the unit m (milliseconds) or u (microseconds). It may exceed the class's deadline by
-// timeLeftSlack at most.
+// parseTimeLeft parses a positive number with the unit m (milliseconds) or u (microseconds). It returns an error if the
+// time exceeds the class deadline by more than timeLeftSlack.
 func parseTimeLeft(s string, classDeadline time.Duration) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(s, "m")
@@ -221,7 +221,7 @@
 	return time.Duration(v * float64(unit)), nil
 }
 
-// readWeight reads the tokens of a request and the tenant's range of nodes.
+// readTokens sets a request's tokens and the tenant's range of nodes from the value of the header X-Weight.
 func (f *frontend) readTokens(request *control.Request, s string) error {
 	if s == "" {
 		return nil
--- a/internal/node/clientresponses.go
+++ b/internal/node/clientresponses.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// write sends an answer for as long as the client reads it. It returns errClientLeft where the client does not, and
-// another error where a streamed answer has begun and can't be finished.
+// write sends a response to the client. It returns errClientDisconnected if the client does not read it, and another
+// error if the source of a streamed response failed.
 func (f *frontend) write(w http.ResponseWriter, a answer) error {
 	f.setHeader(w.Header(), a)
 	body := &bodyWriter{w: w, controller: http.NewResponseController(w)}
@@ -34,10 +34,10 @@
 	return body.copyStream(a)
 }
 
-// setHeader sets the header of an answer.
+// setHeader sets the header of a response.
 func (f *frontend) setHeader(h http.Header, a answer) {
-	// A request may come on an open connection after the drain began: what counts is whether the node lets go of
-	// connections now, not when the request came.
+	// A request may arrive on an open connection after the drain began: what counts is whether the node closes
+	// connections now, not when the request arrived.
 	if f.closing.Load() {
 		h.Set("Connection", "close")
 	}
@@ -47,7 +47,7 @@
 		}
 	}
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // net/http must not guess it from the body
+		h["Content-Type"] = nil // keeps net/http from guessing it from the body
 	}
 	if a.retryAfter > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
@@ -60,8 +60,8 @@
 	}
 }
 
-// answerWriter writes the body of an answer in parts, each with a deadline of its own, so that a client that reads
-// nothing does not hold it.
+// bodyWriter writes a response body in parts, each with its own deadline, so that a client that reads nothing does not
+// block it.
 type bodyWriter struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
@@ -71,7 +71,7 @@
 	_ = b.controller.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 }
 
-// send writes a part and flushes it.
+// writePart writes a part of the body and flushes it.
 func (b *bodyWriter) writePart(part []byte) error {
 	b.extendDeadline()
 	if _, err := b.w.Write(part); err != nil {
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// sendStream writes the rest of an answer as it comes.
+// copyStream writes the streamed rest of a response as it arrives.
 func (b *bodyWriter) copyStream(a answer) error {
 	if err := b.writePart(nil); err != nil {
 		a.close(err)
@@ -108,7 +108,8 @@
 	}
 }
 
-// hopHeader reports whether a header is about one connection or hop only and so is not forwarded.
+// isHopHeader reports whether a header applies to one hop only and so is not forwarded. This includes the protocol's
+// headers from servers to the node.
 func isHopHeader(name string) bool {
 	switch name {
 	case "Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -11,30 +11,30 @@
 	"sloestile/control"
 )
 
-// front is the side to the clients: it reads requests, has the event loop decide on them, and writes the answers.
+// frontend serves the clients: it reads requests, passes them to the event loop for a decision, and writes the responses.
 type frontend struct {
 	loop      *loop
-	classes   map[string]control.Class // by name
-	plans     map[string]bool          // by name
+	classes   map[string]control.Class // classes by name
+	plans     map[string]bool          // known plans by name
 	fleetSize int
-	maxTokens float64 // of a request; 0 is no limit
+	maxTokens float64 // maximum tokens of one request; 0 means no limit
 	sockets   *sockets
 	stats     *stats
 	budget    *budget
 
 	ready    atomic.Bool
-	draining atomic.Bool // /healthz says no
-	closing  atomic.Bool // each answer closes its connection
+	draining atomic.Bool // /healthz responds 503
+	closing  atomic.Bool // each response closes its connection
 
 	mu        sync.Mutex
-	idleSince map[*clientConn]time.Time // connections between two requests, and since when
-	newSince  map[*clientConn]time.Time // connections without a whole head yet, and since when
+	idleSince map[*clientConn]time.Time // start of the idle time of each keep-alive connection without an open request
+	newSince  map[*clientConn]time.Time // accept time of each connection that has not sent a complete header yet
 
-	accepted, evicted, badRequests, clientDisconnects atomic.Int64 // for the log, since the node started
-	openConns                                         atomic.Int64 // open now
+	accepted, evicted, badRequests, clientDisconnects atomic.Int64 // counts since the node started, for the log
+	openConns                                         atomic.Int64 // client connections that are open now
 }
 
-// report returns the counts of the clients' side as attributes of a log line.
+// logAttributes returns the counts of client connections as attributes of a log line.
 func (f *frontend) logAttributes() []any {
 	f.mu.Lock()
 	idleConns, newConns := len(f.idleSince), len(f.newSince)
@@ -66,10 +66,10 @@
 	return f
 }
 
-// ServeHTTP reads a request, waits for its final answer and writes it.
+// ServeHTTP reads a request, waits for its final response and writes it.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*clientConn); ok && c.isClosing() {
-		panic(http.ErrAbortHandler) // it came together with the request before, whose answer closed the connection
+		panic(http.ErrAbortHandler) // pipelined behind a request whose response closed the connection
 	}
 	controller := http.NewResponseController(w)
 	if r.URL.Path == "/healthz" {
@@ -77,7 +77,7 @@
 		return
 	}
 	if r.ContentLength != 0 {
-		// The deadline of the answer before must not cut off a 100 Continue.
+		// The write deadline of the previous response must not cut off a 100 Continue.
 		_ = controller.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	}
 	x, rejected := f.readRequest(r, controller)
@@ -87,12 +87,12 @@
 	}
 	defer x.bodyReservation.shrinkTo(0)
 	if x.rest == nil {
-		// net/http goes on reading while a request is open, to notice a hang-up; the deadline of the body must not end
-		// that.
+		// net/http reads on while a request is open, to detect a disconnect; the read deadline of the body must not end
+		// that read.
 		_ = controller.SetReadDeadline(time.Time{})
 		x.markReceived()
 	} else {
-		// An answer may come before the whole body: net/http must not wait for its rest.
+		// The response may come before the body is complete: net/http must not wait for the rest of the body.
 		_ = controller.EnableFullDuplex()
 		defer x.rest.discard(r)
 	}
@@ -103,13 +103,13 @@
 	}
 	if !complete {
 		f.stats.answered(x.req.Class, http.StatusBadGateway)
-		panic(http.ErrAbortHandler) // so that the client can tell
+		panic(http.ErrAbortHandler) // closes the connection, so that the client detects the truncated response
 	}
 	f.stats.answered(x.req.Class, a.status)
 }
 
-// answerHealth answers /healthz. Here and for bad requests the connection is closed, so that callers can't hold
-// descriptors with connections on which no proper request comes.
+// respondHealth responds to /healthz. Here and after bad requests the connection is closed, so that callers can't hold
+// descriptors with connections that carry no valid request.
 func (f *frontend) respondHealth(w http.ResponseWriter) {
 	status := http.StatusOK
 	if !f.ready.Load() || f.draining.Load() {
@@ -119,8 +119,8 @@
 	_ = f.write(w, answer{status: status})
 }
 
-// awaitAnswer has a request decided, and writes its final answer. It returns nil where the client has left or has been
-// told of its mistake. whole reports whether the answer was written to its end.
+// respond passes a request to the event loop, waits for its final response and writes it. It returns nil if the client
+// has disconnected or its request was rejected as bad. complete reports whether the response was written in full.
 func (f *frontend) respond(w http.ResponseWriter, r *http.Request, x *exchange) (a *answer, complete bool) {
 	f.loop.post(func() { f.loop.begin(x) })
 	final, rejected := f.awaitResponse(r, x)
@@ -129,7 +129,7 @@
 		return nil, false
 	}
 	if !x.received.Load() {
-		w.Header().Set("Connection", "close") // its body was not read to the end
+		w.Header().Set("Connection", "close") // the request body was not read to its end
 	}
 	defer final.drop()
 	if final.stream != nil && x.received.Load() {
@@ -146,16 +146,16 @@
 	return &final, err == nil
 }
 
-// nextAnswer waits for the final answer of a request. It returns the client's mistake where its body broke before there
-// was an answer, and aborts the handler where the client has left.
+// awaitResponse waits for the final response to a request. It returns a badRequest if reading the request body failed
+// before there was a response, and aborts the handler if the client has disconnected.
 func (f *frontend) awaitResponse(r *http.Request, x *exchange) (final answer, rejected *badRequest) {
 	for disconnected := r.Context().Done(); final.status == 0; {
 		select {
 		case final = <-x.answer:
 		case <-disconnected:
-			// net/http ends the context with any read that fails. A failed read of the body reports itself, or was
-			// stopped because the answer is there. A stop at the moment of the body's last byte ends net/http's look
-			// for a hang-up instead.
+			// net/http cancels the context after any failed read. A failed read of the body is reported by bodyBroken,
+			// or was stopped because the response is there. A stop at the moment of the body's last byte makes the read
+			// fail with which net/http detects disconnects.
 			if x.rest != nil && (!x.received.Load() || x.rest.isStopped()) {
 				disconnected = nil
 				continue
@@ -163,8 +163,8 @@
 			f.clientDisconnects.Add(1)
 			f.loop.post(func() { f.loop.hangup(x) })
 			f.finalResponse(x).drop()
-			// Otherwise net/http would answer by itself, and a client that only ended its sending could take that
-			// for a server's answer.
+			// Without the panic net/http would write a response of its own, and a client that only half-closed the
+			// connection could take it for a server's response.
 			panic(http.ErrAbortHandler)
 		case <-x.bodyBroken():
 			f.loop.post(func() { f.loop.hangup(x) })
@@ -179,7 +179,7 @@
 	return final, nil
 }
 
-// finalAnswer returns the final answer of a request, also where the loop has ended.
+// finalResponse returns the final response to a request: 502 if the loop has ended without one.
 func (f *frontend) finalResponse(x *exchange) answer {
 	select {
 	case a := <-x.answer:
@@ -194,7 +194,7 @@
 	}
 }
 
-// rejectBadRequest tells a client its mistake and closes the connection.
+// rejectBadRequest responds with the error to a bad request and closes the connection.
 func (f *frontend) rejectBadRequest(w http.ResponseWriter, rejected *badRequest) {
 	f.badRequests.Add(1)
 	w.Header().Set("Connection", "close")
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxMeterPercent = 10000 // of X-Allowance-Used
-	maxLoadFigure   = 1e6   // of any figure in X-Backend-Load
+	maxMeterPercent = 10000 // maximum of X-Allowance-Used
+	maxLoadFigure   = 1e6   // maximum of any figure in X-Backend-Load
 )
 
-// Headers of the protocol between clients, edge nodes and servers. The protocol's names end here: past this file a tariff
-// is a plan, a weight is tokens, an allowance is a meter reading.
+// Headers of the protocol between clients, edge nodes and servers. Only this file uses the protocol's terms: in the rest
+// of the code a tariff is a plan, a weight is a number of tokens, and an allowance is a meter reading.
 const (
 	headerID          = "X-Correlation-Id"
 	headerPlan        = "X-Tariff"
@@ -29,7 +29,7 @@
 	headerLoad        = "X-Backend-Load"
 )
 
-// meterReading returns the tenant's use in per cent and one more; 0 is not given.
+// meterReading returns the tenant's quota use in percent plus 1; 0 means that the response has no valid reading.
 func (o *outcome) meterReading() int {
 	v, err := strconv.Atoi(o.header.Get(headerMeter))
 	if err != nil || v < 0 || v > maxMeterPercent {
@@ -38,7 +38,8 @@
 	return v + 1
 }
 
-// tokens returns the true cost of a request, of most at most (0 is no limit); 0 is not given.
+// trueCost returns the true cost of a request in tokens; 0 means that the response has none, or one above maxTokens. A
+// maxTokens of 0 means no limit.
 func (o *outcome) trueCost(maxTokens float64) float64 {
 	v, err := parseNumber(o.header.Get(headerCost))
 	if err != nil || v < 0 || (maxTokens > 0 && v > maxTokens) {
@@ -47,8 +48,8 @@
 	return v
 }
 
-// loadReport returns the server's load report, or nil. The header has two names for each figure; an unknown name and a
-// value out of range are skipped.
+// loadReport returns the server's load report, or nil if there is none. The header has two names for each figure; unknown
+// names and values out of range are skipped.
 func (o *outcome) loadReport() *control.LoadReport {
 	unset := control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
 	l := unset
@@ -79,7 +80,7 @@
 	return &l
 }
 
-// parseNumber reads a finite number.
+// parseNumber parses a finite number.
 func parseNumber(s string) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
--- a/internal/node/serverconns.go
+++ b/internal/node/serverconns.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	idleKeepaliveFraction = 2.0 / 3     // of the servers' keepalive for which a connection is kept idle here
+	idleKeepaliveFraction = 2.0 / 3     // fraction of the servers' keep-alive time for which a connection may be idle
 	maxFleetIdleConns     = 64          // idle connections of the whole fleet to one server
-	minNodeIdleConns      = 2           // of them that a node may keep at least
-	idleSweepInterval     = time.Second // between two looks at idle connections
-	connBufferBytes       = 4 << 10
-	// idleRestTime is the least time between two uses of a connection. A faulty server may answer a second time some
-	// milliseconds later: by then that is seen, else it would be read as the answer to the next request.
+	minNodeIdleConns      = 2           // idle connections to one server that each node may keep in any case
+	idleSweepInterval     = time.Second // time between two checks of idle connections
+	connBufferBytes       = 4 << 10     // size of the read and the write buffer of a connection
+	// connReuseDelay is the minimum time between two uses of a connection. A faulty server may send a second response some
+	// milliseconds after the first: after the delay it is detected; before, it would be read as the response to the next
+	// request.
 	connReuseDelay = 20 * time.Millisecond
 )
 
-// connCounts counts how connections to servers begin and end, since the node started.
+// connCounts counts how connections to servers were opened, used and closed since the node started.
 type connCounts struct {
 	dialed, failed, reused atomic.Int64
-	closedByServer         atomic.Int64 // idle, and closed or written to by the server
-	expired                atomic.Int64 // idle for too long
-	broken                 atomic.Int64 // not usable again after an attempt
-	notYetReusable         atomic.Int64 // how often all idle connections had been used just before
+	closedByServer         atomic.Int64 // idle connections that the server closed or sent data on
+	expired                atomic.Int64 // connections that were idle for maxIdleAge
+	broken                 atomic.Int64 // connections that could not be reused after an attempt
+	notYetReusable         atomic.Int64 // times that all idle connections were within reuseDelay
 }
 
-// report returns the counts and the number of idle connections as attributes of a log line.
+// logAttributes returns the counts and the number of idle connections as attributes of a log line.
 func (u *upstream) logAttributes() []any {
 	n := 0
 	u.mu.Lock()
@@ -43,11 +44,11 @@
 		"gone", c.closedByServer.Load(), "aged", c.expired.Load(), "broken", c.broken.Load(), "resting", c.notYetReusable.Load(), "idle", n}
 }
 
-// pool holds the idle connections to one server at one address. A server that is replaced by another one at its address
-// has a pool of its own, so that its connections are not used for that one.
+// pool holds the idle connections to one server. A server that replaces another one at the same address gets a new pool,
+// so that connections to the old one are not used for it.
 type pool struct {
 	endpoint string
-	idle     []*serverConn // the most recently used last; nil once the pool is retired
+	idle     []*serverConn // ordered by last use, the most recent last; nil once the pool is retired
 }
 
 // serverConn is a connection to a server.
@@ -57,11 +58,11 @@
 	responses  responseReader
 	reader     *bufio.Reader
 	writer     *bufio.Writer
-	lastUsedAt time.Time // end of its last use
-	reusableAt time.Time // not used again before; zero for a new one
+	lastUsedAt time.Time // end of the last use; for a new connection, the time when it opened
+	reusableAt time.Time // earliest time of the next use; zero for a new connection
 }
 
-// pool returns a new pool of connections to an address.
+// newPool returns a new pool of connections to an address.
 func (u *upstream) newPool(endpoint string) *pool {
 	p := &pool{endpoint: endpoint}
 	u.mu.Lock()
@@ -70,7 +71,7 @@
 	return p
 }
 
-// retire closes a pool's idle connections; those in use are closed when they come back.
+// retire closes a pool's idle connections; those in use are closed when they are returned.
 func (u *upstream) retire(p *pool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -81,7 +82,7 @@
 	p.idle = nil
 }
 
-// get returns the most recently used idle connection that has rested and is usable, else a new one.
+// get returns the most recently used idle connection that is past its reuse delay and usable, else a new one.
 func (u *upstream) get(ctx context.Context, p *pool) (*serverConn, error) {
 	for {
 		c := u.popReusable(p)
@@ -96,7 +97,7 @@
 	}
 }
 
-// usable reports whether an idle connection can be used, and counts why not.
+// isUsable reports whether an idle connection can be used, and counts the reason if it can't.
 func (u *upstream) isUsable(c *serverConn) bool {
 	switch {
 	case !c.isQuiet():
@@ -109,7 +110,7 @@
 	return false
 }
 
-// open opens a connection.
+// open opens a connection. It returns errNoDescriptor at the descriptor limit.
 func (u *upstream) open(ctx context.Context, endpoint string) (*serverConn, error) {
 	if !u.sockets.acquire(0) {
 		return nil, errNoDescriptor
@@ -131,8 +132,8 @@
 	return c, nil
 }
 
-// isQuiet reports whether an idle connection is open and has nothing to read. Writing to one that the server has closed
-// would be a reset, and what came after the last answer could be taken for the next one.
+// isQuiet reports whether an idle connection is open and has nothing to read. A request on one that the server has closed
+// would end in a reset, and bytes received after the last response could be taken for the next one.
 func (c *serverConn) isQuiet() bool {
 	quiet := false
 	err := c.rawConn.Control(func(fd uintptr) {
@@ -143,7 +144,7 @@
 	return err == nil && quiet
 }
 
-// popRested removes and returns the most recently used idle connection that has rested, or nil.
+// popReusable removes and returns the most recently used idle connection that is past its reuse delay, or nil.
 func (u *upstream) popReusable(p *pool) *serverConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -164,7 +165,7 @@
 func (u *upstream) put(p *pool, c *serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	// The bound keeps many nodes together within the connections that a server holds.
+	// The bound keeps the sum over all nodes within the connections that a server accepts.
 	if _, ok := u.pools[p]; !ok || len(p.idle) >= u.maxIdlePerServer {
 		_ = c.Close()
 		return
@@ -172,7 +173,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// sweep closes idle connections that are old or that the server has closed, until ctx ends.
+// sweep closes idle connections that are too old or that the server has closed, until ctx ends.
 func (u *upstream) sweep(ctx context.Context) {
 	t := time.NewTicker(idleSweepInterval)
 	defer t.Stop()
@@ -186,7 +187,7 @@
 	}
 }
 
-// closeIdleWhere closes the idle connections for which a predicate holds.
+// closeIdleWhere closes the idle connections for which matches returns true.
 func (u *upstream) closeIdleWhere(matches func(*serverConn) bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -204,8 +205,8 @@
 	}
 }
 
-// evict closes the connection that has been idle for the longest time, where there are more than keep. It reports whether
-// it closed one.
+// evict closes the connection that has been idle for the longest time if there are more than keep idle connections. It
+// reports whether it closed one.
 func (u *upstream) evict(keep int) bool {
 	var oldest *serverConn
 	n := 0
--- a/internal/node/serverrequests.go
+++ b/internal/node/serverrequests.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// requestWriter writes a request. A streamed body is written as it comes, for as long as the server reads it.
+// requestWriter writes a request to a server. While it streams a body, each write must finish within streamIdleTimeout.
 type requestWriter struct {
 	*serverConn
-	ctx       context.Context // of the sending
+	ctx       context.Context // context of the sending
 	streaming bool
 }
 
@@ -21,7 +21,7 @@
 		return w.writer.Write(b)
 	}
 	_ = w.SetWriteDeadline(time.Now().Add(streamIdleTimeout))
-	// The sending may have ended at this moment: its deadline must not be undone.
+	// The sending may just have ended: the past deadline that its end set must not be replaced.
 	if w.ctx.Err() != nil {
 		_ = w.SetWriteDeadline(pastDeadline)
 	}
@@ -32,7 +32,8 @@
 	return n, err
 }
 
-// longBody is a streamed body for http.Request.Write. The first read tells the writer that the head has ended.
+// streamedBody is a streamed body for http.Request.Write. Its first read switches the writer to streaming, as the request
+// header is written by then.
 type streamedBody struct {
 	writer *requestWriter
 	prefix []byte
@@ -52,7 +53,7 @@
 
 func (b *streamedBody) Close() error { return nil }
 
-// send writes a request. A write that waits ends by the connection's deadline, which whoever ends ctx must set.
+// send writes a request. A blocked write does not watch ctx: whoever cancels ctx must also set a past write deadline.
 func (c *serverConn) send(ctx context.Context, a *attempt) error {
 	w := &requestWriter{serverConn: c, ctx: ctx}
 	if a.bodyStream != nil {
--- a/internal/node/serverresponses.go
+++ b/internal/node/serverresponses.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	maxResponseHeaderBytes = 64 << 10                // of an answer's head and of the interim ones before it
-	responseIdleTimeout    = 2500 * time.Millisecond // silence of a server within an answer that is held
-	streamIdleTimeout      = 6 * time.Second         // silence within one that is passed on, and for which a server may read nothing
-	responseBufferTimeout  = 500 * time.Millisecond  // after which what has come of an answer is passed on
-	responseTimeout        = 30 * time.Second        // of an answer, and the time that its length takes at minBytesPerSecond
-	lateResponseTimeout    = 100 * time.Millisecond  // for an answer that came while the sending of its request broke
+	maxResponseHeaderBytes = 64 << 10                // size of a response header, including the interim responses before it
+	responseIdleTimeout    = 2500 * time.Millisecond // time without a byte of a response that is buffered
+	streamIdleTimeout      = 6 * time.Second         // time without a byte of a streamed response, and for which a server may read nothing
+	responseBufferTimeout  = 500 * time.Millisecond  // time after which an incomplete response is streamed
+	responseTimeout        = 30 * time.Second        // time for a response, plus that for its length at minBytesPerSecond
+	lateResponseTimeout    = 100 * time.Millisecond  // time to read a response after sending its request has failed
 )
 
-// answerReader reads answers with a bound on the bytes of a head and on silence within an answer.
+// responseReader reads responses with limits on the size of a header and on the time without a byte within a response.
 type responseReader struct {
 	net.Conn
-	ctx             context.Context // of the attempt
-	headerBytesLeft int             // below 0 is no bound
-	started         bool            // a byte of the answer has come
+	ctx             context.Context // context of the attempt
+	headerBytesLeft int             // remaining bytes of the header; below 0 means no limit
+	started         bool            // a byte of the response was read
 	deadlineSet     bool
 	idleTimeout     time.Duration
-	// onLate is called once, where the answer has not ended by lateAt; nil is nothing.
+	// onBufferTimeout is called once if the response is not complete by bufferDeadline; nil disables the check.
 	onBufferTimeout func()
 	bufferDeadline  time.Time
 }
 
 var (
-	errHeaderTooLong   = fmt.Errorf("an answer's head of more than %d bytes", maxResponseHeaderBytes)
-	errResponseTooSlow = errors.New("an answer that does not come to its end")
-	errNoDescriptor    = errors.New("no descriptor is left")
-	errEarlyResponse   = errors.New("a good answer before the request was whole")
-	errAttemptCanceled = errors.New("called off before it began")
+	errHeaderTooLong   = fmt.Errorf("reading the response: header exceeds %d bytes", maxResponseHeaderBytes)
+	errResponseTooSlow = errors.New("reading the response: too slow for its length")
+	errNoDescriptor    = errors.New("connecting to a server: no file descriptor left")
+	errEarlyResponse   = errors.New("reading the response: status 200 before the request was sent in full")
+	errAttemptCanceled = errors.New("sending the request: canceled before the attempt started")
 )
 
-// Read reads for the attempt's answer within its bounds.
+// Read reads bytes of the attempt's response within the limits.
 func (r *responseReader) Read(b []byte) (int, error) {
 	if r.headerBytesLeft == 0 {
 		return 0, errHeaderTooLong
@@ -65,14 +65,14 @@
 			}
 			_ = r.SetReadDeadline(deadline)
 			r.deadlineSet = true
-			// The attempt may have ended at this moment: its deadline must not be undone.
+			// The attempt may just have ended: the past deadline that its end set must not be replaced.
 			if r.ctx.Err() != nil {
 				_ = r.SetReadDeadline(pastDeadline)
 			}
 		}
 		n, err := r.Conn.Read(b)
 		if n == 0 && r.onBufferTimeout != nil && r.ctx.Err() == nil && errors.Is(err, os.ErrDeadlineExceeded) {
-			continue // only late
+			continue // the deadline was bufferDeadline
 		}
 		if r.headerBytesLeft > 0 {
 			r.headerBytesLeft -= n
@@ -82,7 +82,7 @@
 	}
 }
 
-// start prepares the reader for the answer to an attempt.
+// start prepares the reader for the response to an attempt.
 func (r *responseReader) start(ctx context.Context) {
 	if r.deadlineSet {
 		_ = r.SetReadDeadline(time.Time{})
@@ -90,8 +90,8 @@
 	*r = responseReader{Conn: r.Conn, ctx: ctx, headerBytesLeft: maxResponseHeaderBytes, idleTimeout: responseIdleTimeout}
 }
 
-// nextAnswer prepares the reader for a further answer after an interim one. The attempt may end at this moment: its end is
-// looked at again so that the deadline by which it ends is not undone.
+// startNext prepares the reader for a further response after an interim one. The attempt may end while the deadline is
+// cleared: its context is checked again afterwards, so that the past deadline that its end set stays.
 func (r *responseReader) startNext() {
 	if r.deadlineSet {
 		_ = r.SetReadDeadline(time.Time{})
@@ -102,24 +102,25 @@
 	r.started = false
 }
 
-// readAnswer reads one answer. keep reports whether the connection can be used again. What is not whole and well formed
-// counts as a reset: the request may have run. A good answer ends the sending by stopSending, which returns an error where
-// the last byte of the request had not been written: a server starts its work with that byte.
+// readResponse reads one response. reusable reports whether the connection can be used again. An incomplete or malformed
+// response counts as a reset: the server may have processed the request. For a response with status 200 it calls
+// stopSending, which ends the sending and returns an error if the last byte of the request had not been written: a server
+// starts processing with that byte.
 func (u *upstream) readResponse(c *serverConn, a *attempt, stopSending func() error) (o outcome, reusable bool) {
 	resp, err := http.ReadResponse(c.reader, a.req)
-	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols { // an interim answer
+	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols { // interim responses
 		if c.reader.Buffered() == 0 {
 			c.responses.startNext()
 		}
 		resp, err = http.ReadResponse(c.reader, a.req)
 	}
 	if err == nil && resp.StatusCode < 200 {
-		err = fmt.Errorf("unasked for: %s", resp.Status)
+		err = fmt.Errorf("reading the response: unexpected status %s", resp.Status)
 	}
 	if err == nil && resp.ContentLength > maxMessageBytes {
 		err = errMessageTooLong
 	}
-	// This may be a late second answer to the request before on this connection.
+	// A response before the end of the request may be a late second response to the previous request on this connection.
 	if err == nil && resp.StatusCode == http.StatusOK && stopSending() != nil {
 		err = errEarlyResponse
 	}
@@ -142,8 +143,9 @@
 	return o, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
-// readAnswerBody reads the body of an answer. What is short and comes soon is held whole; else a good answer is passed on
-// as it comes, and the rest of another one is not read. whole reports whether the body was read to its end.
+// readResponseBody reads the body of a response. A short body that arrives soon is buffered whole; otherwise a response
+// with status 200 is streamed, and the rest of any other is not read. complete reports whether the body was read to its
+// end.
 func (u *upstream) readResponseBody(ctx context.Context, c *serverConn, a *attempt, o outcome, resp *http.Response) (result outcome, complete bool) {
 	b := &responseBody{conn: c, attempt: a, outcome: o, length: resp.ContentLength}
 	if err := b.reserve(ctx, u.budget.responses); err != nil {
@@ -167,7 +169,7 @@
 		if len(b.outcome.body) > maxBufferedBytes {
 			if b.outcome.reason != control.OK {
 				b.outcome.body = nil
-				return b.outcome, false // its status is all that counts
+				return b.outcome, false // only its status matters
 			}
 			b.startStream()
 		}
@@ -182,7 +184,7 @@
 	}
 }
 
-// checkProgress returns an error where an answer has become too long, or has taken too long for its length.
+// checkProgress returns an error if a response has exceeded maxMessageBytes, or has taken too long for its length.
 func checkProgress(bytesRead int64, start time.Time) error {
 	switch {
 	case bytesRead > maxMessageBytes:
@@ -193,16 +195,16 @@
 	return nil
 }
 
-// answerBody is the body of one answer while it is read.
+// responseBody is the body of one response while it is read.
 type responseBody struct {
 	conn    *serverConn
 	attempt *attempt
 	outcome outcome
-	length  int64          // in bytes; below 0 is not known
-	stream  *io.PipeWriter // of an answer that is passed on; nil is that nobody reads it
+	length  int64          // length in bytes; below 0 means unknown
+	stream  *io.PipeWriter // writer of a streamed response; nil if nobody reads it
 }
 
-// reserve reserves memory for what is held of the body.
+// reserve reserves memory for the buffered part of the body.
 func (b *responseBody) reserve(ctx context.Context, budget *semaphore.Weighted) (err error) {
 	size := int64(maxBufferedBytes)
 	switch {
@@ -215,7 +217,7 @@
 	return err
 }
 
-// prepare has a good answer passed on at once where it is long, and else when it has taken answerHoldTime.
+// chooseMode makes a response with status 200 stream: at once if it is long, else when responseBufferTimeout has passed.
 func (b *responseBody) chooseMode() {
 	if b.outcome.reason == control.OK {
 		if b.length > maxBufferedBytes {
@@ -230,7 +232,7 @@
 	}
 }
 
-// startStream begins to pass the answer on, with what is held of it.
+// startStream starts to stream the response, beginning with the buffered bytes.
 func (b *responseBody) startStream() {
 	b.conn.responses.onBufferTimeout = nil
 	b.conn.responses.idleTimeout = streamIdleTimeout
@@ -240,7 +242,7 @@
 	b.outcome.reservation.shrinkTo(streamBufferBytes)
 }
 
-// add holds a part of the body or passes it on. It returns an error where nobody reads it any more.
+// add buffers or streams a part of the body. It returns an error if nobody reads the stream any more.
 func (b *responseBody) add(part []byte) error {
 	if !b.outcome.streamed {
 		b.outcome.body = append(b.outcome.body, part...)
@@ -256,14 +258,14 @@
 	return err
 }
 
-// closeStream ends what is passed on, with the error where the answer broke.
+// closeStream ends a streamed response. A nil error means that it is complete.
 func (b *responseBody) closeStream(err error) {
 	if b.stream != nil {
 		_ = b.stream.CloseWithError(err) // always nil
 	}
 }
 
-// fail returns the outcome of an answer that broke.
+// fail releases the reservation and returns the outcome of a response that failed.
 func (b *responseBody) fail(reason control.Outcome, err error) (outcome, bool) {
 	b.outcome.reservation.shrinkTo(0)
 	return outcome{reason: reason, err: err, streamed: b.outcome.streamed}, false
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -15,29 +15,31 @@
 )
 
 const (
-	ownDescriptors          = 24                    // for listener, discovery, log, poller and what the runtime opens
-	maxServerReserve        = 64                    // left to connections to servers when clients use the rest
-	descriptorRetryInterval = 20 * time.Millisecond // while a client waits for a place
+	ownDescriptors          = 24                    // descriptors for the listener, discovery, the log, the poller and the runtime
+	maxServerReserve        = 64                    // maximum of descriptors that clients leave to connections to servers
+	descriptorRetryInterval = 20 * time.Millisecond // time between two attempts to get a descriptor for a client
 )
 
-// sockets keeps the connections to clients and servers together under the limit on descriptors. At the limit, idle
-// connections are closed for new ones.
+// sockets keeps the number of connections to clients and servers within the limit on descriptors. At the limit, idle
+// connections are closed to make room for new ones.
 type sockets struct {
 	openConns atomic.Int64
 	limit     atomic.Int64
-	fullLimit int64       // of a process that runs alone
+	fullLimit int64       // limit of a process that does not share the descriptors
 	reserved  int64       // descriptors for other uses
 	shared    atomic.Bool // another process uses half of the descriptors
 
-	waits atomic.Int64 // how often a client had to wait for a place, for the log
+	waits atomic.Int64 // times that accepting a client had to wait for a descriptor, for the log
 
-	// Each closes one idle connection, if there is one. That of the servers keeps some.
+	// evictClient and evictServer close one idle connection and report whether there was one. evictServer leaves keep idle
+	// connections to servers open.
 	evictClient func() bool
 	evictServer func(keep int) bool
 }
 
-// listen listens for clients at the address of the configuration, or on the inherited socket where one is named. That one
-// is never shut down: closing a copy leaves it to the other processes. Its error is a *ListenError.
+// listen listens for clients at the configured address, or on the inherited socket if one is configured. An inherited
+// socket is never shut down: closing this process's copy leaves it open for the other processes. The error is a
+// *ListenError.
 func listen(cfg config.Config) (l net.Listener, inherited bool, err error) {
 	if cfg.SocketFD == 0 {
 		if l, err = net.Listen("tcp", cfg.Listen); err != nil {
@@ -62,7 +64,7 @@
 	return l, true, nil
 }
 
-// newSockets returns sockets for a limit on descriptors, of which some are reserved for other uses.
+// newSockets returns the accounting for a limit on descriptors, of which reserved are for other uses.
 func newSockets(limit, reserved int) *sockets {
 	limit -= reserved
 	s := &sockets{reserved: int64(reserved), evictClient: func() bool { return false }, evictServer: func(int) bool { return false }}
@@ -71,7 +73,8 @@
 	return s
 }
 
-// share leaves half of the places to another process, or takes them back. Idle connections beyond the half are closed.
+// setShared leaves half of the descriptors to another process, or takes them back. Idle connections beyond the half are
+// closed.
 func (s *sockets) setShared(shared bool) {
 	if s.shared.Swap(shared) == shared {
 		return
@@ -85,12 +88,13 @@
 	}
 }
 
-// reservePlace reserves a place for one more connection and leaves some free.
+// acquire reserves a descriptor for one more connection if at least spare ones stay free, and reports whether it did. At
+// the limit it closes idle connections.
 func (s *sockets) acquire(spare int64) bool {
 	for s.openConns.Add(1) > s.limit.Load()-spare {
 		s.openConns.Add(-1)
-		// An idle client's place goes first, so that silent clients do not cost handshakes with servers; and for a client
-		// some idle connections to servers stay.
+		// Idle clients are closed first, so that silent clients do not cost handshakes with servers. To accept a client,
+		// spare idle connections to servers stay open.
 		if !s.evictClient() && !s.evictServer(int(spare)) {
 			return false
 		}
@@ -98,10 +102,10 @@
 	return true
 }
 
-// reservedForServers returns how many places clients leave free for connections to servers.
+// serverReserve returns how many descriptors clients leave free for connections to servers.
 func (s *sockets) serverReserve() int64 { return min(maxServerReserve, s.limit.Load()/3) }
 
-// awaitPlace reserves a place as soon as there is one.
+// awaitDescriptor reserves a descriptor, waiting until there is one or ctx ends.
 func (s *sockets) awaitDescriptor(ctx context.Context, spare func() int64) error {
 	for !s.acquire(spare()) {
 		s.waits.Add(1)
@@ -114,7 +118,7 @@
 	return nil
 }
 
-// countedConn is a connection that frees its place when it is closed.
+// countedConn is a connection that frees its descriptor in sockets when it is closed.
 type countedConn struct {
 	net.Conn
 	sockets *sockets
@@ -126,10 +130,10 @@
 	return c.Conn.Close()
 }
 
-// countedListener accepts connections only while there are places for them.
+// countedListener accepts connections only while there are descriptors for them.
 type countedListener struct {
 	net.Listener
-	ctx     context.Context // ends the waiting for a place
+	ctx     context.Context // ends the wait for a descriptor
 	sockets *sockets
 }
 
--- a/internal/node/stragglers.go
+++ b/internal/node/stragglers.go
@@ -7,18 +7,18 @@
 	"sloestile/fleet/straggler"
 )
 
-// stragglerWatch notices attempts that take far longer than usual. It is owned by the event loop.
+// stragglerWatch detects stragglers: attempts that take far longer than usual. It is owned by the event loop.
 type stragglerWatch struct {
 	loop        *loop
 	detector    *straggler.Detector[uint32]
-	lastID      uint64        // number given to an attempt
-	timerAt     time.Duration // when the timer fires; zero is no timer
+	lastID      uint64        // last ID assigned to an attempt
+	timerAt     time.Duration // time when the timer fires; zero means no timer
 	onStraggler []func(server uint32)
-	// onOutcome is called for attempts that ended and were not late; took is below zero for one that failed.
+	// onOutcome is called for attempts that ended and were no stragglers; took is below zero for one that failed.
 	onOutcome []func(server uint32, took time.Duration)
 }
 
-// stragglerWatch returns the loop's watch and makes it at the first call.
+// ensureStragglerWatch returns the loop's watch and creates it on the first call.
 func (l *loop) ensureStragglerWatch() *stragglerWatch {
 	if l.stragglers == nil {
 		l.stragglers = &stragglerWatch{loop: l, detector: straggler.New[uint32]()}
@@ -26,7 +26,7 @@
 	return l.stragglers
 }
 
-// began starts to watch an attempt and returns its number.
+// attemptStarted starts to watch an attempt and returns its ID.
 func (w *stragglerWatch) attemptStarted(server uint32) uint64 {
 	w.lastID++
 	w.detector.AttemptStarted(w.loop.now(), w.lastID, server)
@@ -34,11 +34,11 @@
 	return w.lastID
 }
 
-// serverFailures are the outcomes that count against a server. An overloaded server reports its load, and a cancelled
-// attempt says nothing.
+// serverFailures contains the outcomes that count against a server. An overloaded server reports its load, and a canceled
+// attempt does not count.
 var serverFailures = map[control.Outcome]bool{control.Errored: true, control.TimedOut: true, control.ConnectFailed: true, control.ResetByPeer: true}
 
-// ended takes the outcome of an attempt.
+// attemptEnded records the outcome of an attempt and calls the callbacks.
 func (w *stragglerWatch) attemptEnded(id uint64, result control.Outcome) {
 	server, latency, straggled, ok := w.detector.AttemptEnded(w.loop.now(), id, result == control.OK)
 	switch {
@@ -56,14 +56,14 @@
 	}
 }
 
-// notifyLate calls those that wait for late attempts.
+// notifyStraggler calls the callbacks for a straggler.
 func (w *stragglerWatch) notifyStraggler(server uint32) {
 	for _, f := range w.onStraggler {
 		f(server)
 	}
 }
 
-// scheduleCheck has check called when the oldest attempt becomes late.
+// scheduleCheck starts a timer that calls check when the next attempt becomes a straggler.
 func (w *stragglerWatch) scheduleCheck() {
 	at, ok := w.detector.NextCheck()
 	if !ok || (w.timerAt != 0 && w.timerAt <= at) {
@@ -79,7 +79,7 @@
 	})
 }
 
-// check notices the attempts that have become late.
+// check reports the attempts that have become stragglers.
 func (w *stragglerWatch) check() {
 	w.timerAt = 0
 	for _, server := range w.detector.Stragglers(w.loop.now()) {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -16,59 +16,59 @@
 // outcome is how an attempt ended.
 type outcome struct {
 	reason      control.Outcome
-	err         error // why there was no answer
+	err         error // reason why there was no response
 	header      http.Header
 	body        []byte
-	reservation *reservation // for the body
-	streamed    bool         // the answer has been passed on as it came
+	reservation *reservation // memory reserved for body
+	streamed    bool         // the response was streamed to the client
 }
 
 // attempt is one sending of a request to a server.
 type attempt struct {
 	start         startState
-	startDeadline time.Time // after which it must not start; zero is no bound
+	startDeadline time.Time // time from which the attempt must not start; zero means no limit
 	req           *http.Request
-	bodyPrefix    []byte      // of a long body, before rest
-	bodyStream    *clientBody // of a long body; nil is none
+	bodyPrefix    []byte      // buffered start of a streamed body, sent before bodyStream
+	bodyStream    *clientBody // unread rest of a streamed body; nil if the body is not streamed
 	onWritten     func()      // called when the last byte of the request has been written
-	// onStreamStart is called when a good answer begins that is not held whole, with its first bytes and its length, which
-	// is below 0 where it is not known. It returns the writer for the rest; nil is that nobody reads it.
+	// onStreamStart is called when a response with status 200 starts to stream, with the bytes read so far and its length
+	// in bytes (below 0 means unknown). It returns the writer for the rest, or nil if nobody reads it.
 	onStreamStart func(o outcome, length int64) *io.PipeWriter
 }
 
-// expired reports whether it is too late to start.
+// expired reports whether startDeadline has passed.
 func (a *attempt) expired() bool {
 	return !a.startDeadline.IsZero() && !time.Now().Before(a.startDeadline)
 }
 
-// start decides between an attempt that begins to be written and its client who leaves: either it begins, or it is
-// called off and never will. So no request is written on a connection that opened after its client had left.
+// startState decides the race between the start of an attempt and its cancellation: it either starts, or is canceled and
+// never starts. So no request is written on a connection that opened after the client had disconnected.
 type startState struct{ state atomic.Int32 }
 
 const (
-	startPending = iota // no connection yet
+	startPending = iota // neither started nor canceled
 	startDone
 	startCanceled
 )
 
-// begin reports whether the attempt may be written. It may be called once.
+// tryStart reports whether the attempt may be written. It returns true at most once.
 func (s *startState) tryStart() bool { return s.state.CompareAndSwap(startPending, startDone) }
 
-// callOff keeps an attempt from beginning. One that has begun goes on.
+// cancel keeps an attempt from starting. It has no effect on one that has started.
 func (s *startState) cancel() { s.state.CompareAndSwap(startPending, startCanceled) }
 
-// upstream sends requests to servers, one at a time on a connection, and never retries by itself. net/http's Transport
-// would retry, and does not tell whether the last byte of a request was written.
+// upstream sends requests to servers, one at a time on a connection, and never retries on its own. net/http's Transport
+// would retry, and does not report whether the last byte of a request was written.
 type upstream struct {
-	maxIdleAge       time.Duration // for which a connection is kept idle
-	reuseDelay       time.Duration // between two uses of a connection
-	maxIdlePerServer int           // idle connections
+	maxIdleAge       time.Duration // time for which a connection may be idle
+	reuseDelay       time.Duration // minimum time between two uses of a connection
+	maxIdlePerServer int           // number of idle connections
 	dial             func(ctx context.Context, network, address string) (net.Conn, error)
 	sockets          *sockets
 	budget           *budget
 
 	mu    sync.Mutex
-	pools map[*pool]struct{} // that are not retired
+	pools map[*pool]struct{} // pools that are not retired
 
 	counts connCounts
 }
@@ -88,22 +88,22 @@
 	return u
 }
 
-// attempt makes one attempt at a server of a pool. It lasts until ctx ends at the latest.
+// attempt makes one attempt at the server of a pool. It returns when ctx ends at the latest.
 func (u *upstream) attempt(ctx context.Context, p *pool, a *attempt) outcome {
 	c, err := u.get(ctx, p)
-	if errors.Is(err, errNoDescriptor) { // says nothing about the server
+	if errors.Is(err, errNoDescriptor) { // not a failure of the server
 		return outcome{reason: control.NeverSent, err: err}
 	}
 	if err != nil {
 		return outcome{reason: control.ConnectFailed, err: err}
 	}
-	// Only now: opening the connection took time, and the request may be over.
+	// Checked after the connection is open: opening took time, and the request may have ended meanwhile.
 	if ctx.Err() != nil || a.expired() || !a.start.tryStart() {
 		u.put(p, c)
 		return outcome{reason: control.NeverSent, err: errAttemptCanceled}
 	}
 	c.responses.start(ctx)
-	// A server that neither reads nor writes must not hold the attempt: both directions end with ctx.
+	// A server that neither reads nor writes must not block the attempt: reads and writes fail when ctx ends.
 	keepDeadlines := context.AfterFunc(ctx, func() { _ = c.SetDeadline(pastDeadline) })
 	o, reusable := u.sendAndRead(ctx, c, a)
 	if o.reason == control.ResetByPeer && ctx.Err() != nil {
@@ -120,7 +120,7 @@
 	return o
 }
 
-// endOf returns the outcome of an attempt that its context ended.
+// contextOutcome returns the outcome of an attempt that ended with its context.
 func contextOutcome(ctx context.Context) control.Outcome {
 	if errors.Is(context.Cause(ctx), context.Canceled) {
 		return control.Cancelled
@@ -128,12 +128,12 @@
 	return control.TimedOut
 }
 
-// sendAndRead writes a request and reads its answer. keep reports whether the connection can be used again.
+// sendAndRead writes a request and reads its response. reusable reports whether the connection can be used again.
 func (u *upstream) sendAndRead(ctx context.Context, c *serverConn, a *attempt) (o outcome, reusable bool) {
 	if a.bodyStream != nil {
 		return u.sendStreaming(c, a)
 	}
-	// A server starts its work with the last byte of a request: what breaks before has not run.
+	// A server starts processing with the last byte of a request: after an earlier failure it has not run.
 	if err := c.send(ctx, a); err != nil {
 		return outcome{reason: control.ConnectFailed, err: err}, false
 	}
@@ -141,8 +141,8 @@
 	return u.readResponse(c, a, func() error { return nil })
 }
 
-// attemptStreaming sends a long body as it comes and reads the answer meanwhile, as a server may reject the request
-// before it has the whole body.
+// sendStreaming streams a long body and reads the response at the same time, as a server may reject the request before it
+// has the whole body. reusable reports whether the connection can be used again.
 func (u *upstream) sendStreaming(c *serverConn, a *attempt) (o outcome, reusable bool) {
 	ctx, cancel := context.WithCancel(c.responses.ctx)
 	defer cancel()
@@ -174,11 +174,11 @@
 	if err == nil || o.err == nil || errors.Is(o.err, errEarlyResponse) {
 		return o, reusable && !early && err == nil
 	}
-	// What breaks before the last byte of the request has not run.
+	// A request that failed before its last byte has not run.
 	o.reservation.shrinkTo(0)
 	a.bodyStream.mu.Lock()
 	defer a.bodyStream.mu.Unlock()
-	if a.bodyStream.readErr != nil { // the client's: says nothing about the server
+	if a.bodyStream.readErr != nil { // the client's failure does not count against the server
 		return outcome{reason: control.NeverSent, err: a.bodyStream.readErr}, false
 	}
 	return outcome{reason: control.ConnectFailed, err: err}, false
