--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -66,8 +66,8 @@
 	}()
 }
 
-// newExchangeAttempt returns a new attempt of a request and its context, which ends at the client's deadline or after the
-// decision module's timeout, whichever comes first.
+// newExchangeAttempt returns a new attempt of a request and its context, which ends at the client's deadline or after
+// the decision module's timeout, whichever comes first.
 func (l *loop) newExchangeAttempt(x *exchange, a control.Send) (context.Context, *exchangeAttempt) {
 	ctx, cancel := context.WithCancelCause(l.life)
 	t := &exchangeAttempt{number: len(x.attempts), server: a.Server, cancel: cancel}
--- a/internal/node/clientbody.go
+++ b/internal/node/clientbody.go
@@ -13,7 +13,7 @@
 
 const (
 	bodyIdleTimeout    = 2500 * time.Millisecond // time without a byte of a request body
-	bodyTimeout        = 10 * time.Second        // time for a body, plus that for its length at minBytesPerSecond
+	bodyTimeout        = 10 * time.Second        // time for a body beside its length at minBytesPerSecond
 	minBytesPerSecond  = 16 << 10                // average rate of a message
 	clientWriteTimeout = 4 * time.Second         // time for which a client may read nothing of its response
 	discardTimeout     = 10 * time.Second        // time for which the rest of a rejected body is read and discarded
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -19,12 +19,12 @@
 	maxRequestHeaderBytes = 16 << 10                // size of a request header
 	clientIdleTimeout     = 10 * time.Second        // time between two requests of a connection
 	requestHeaderTimeout  = 2600 * time.Millisecond // time until a request header is complete
-	clientCloseTimeout    = 250 * time.Millisecond  // time for the client to close after the node has; less than drainWriteTime
-	newConnEvictionAge    = 250 * time.Millisecond  // age from which a connection without a complete header may be evicted
+	clientCloseTimeout    = 250 * time.Millisecond  // time for the client to close too; less than drainWriteTime
+	newConnEvictionAge    = 250 * time.Millisecond  // minimum age for eviction without a complete header
 )
 
-// server returns the HTTP server for the clients. Each client must get a response or a close soon after it has connected,
-// so a header must be complete in time, and a body must make progress.
+// server returns the HTTP server for the clients. Each client must get a response or a close soon after it has
+// connected, so a header must be complete in time, and a body must make progress.
 func (f *frontend) server() *http.Server {
 	return &http.Server{Handler: f, MaxHeaderBytes: maxRequestHeaderBytes, IdleTimeout: clientIdleTimeout, ConnState: f.connStateChanged,
 		ReadHeaderTimeout: requestHeaderTimeout, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
@@ -131,9 +131,9 @@
 	return &clientConn{countedConn: countedConn{Conn: c, sockets: s}, rawConn: rawConn}, nil
 }
 
-// Read returns what the client sends. While a request is open, net/http detects a disconnect by reading one byte without
-// a deadline, and detects none once it has that byte. So such a read buffers what comes behind the request for later, and
-// returns when the connection ends, or when net/http stops it by a deadline.
+// Read returns what the client sends. While a request is open, net/http detects a disconnect by reading one byte
+// without a deadline, and detects none once it has that byte. So such a read buffers what comes behind the request for
+// later, and returns when the connection ends, or when net/http stops it by a deadline.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	if len(p) == 1 && !c.hasReadDeadline {
@@ -154,8 +154,8 @@
 	return c.receive(p, c.recordRequestBytes)
 }
 
-// receive reads available bytes and passes them to record with the lock held. So bytes are either recorded and returned,
-// or discarded after the connection was closed for writing, never both.
+// receive reads available bytes and passes them to record with the lock held. So bytes are either recorded and
+// returned, or discarded after the connection was closed for writing, never both.
 func (c *clientConn) receive(p []byte, record func([]byte)) (n int, err error) {
 	for {
 		discard := false
@@ -226,8 +226,8 @@
 	}
 }
 
-// SetReadDeadline sets the deadline and records whether there is one. It has no effect once the connection discards what
-// it receives.
+// SetReadDeadline sets the deadline and records whether there is one. It has no effect once the connection discards
+// what it receives.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,10 +238,11 @@
 	return c.countedConn.SetReadDeadline(t)
 }
 
-// closeIfIdle closes a connection for writing unless a part of a request was received; with allowPartialHeader, a part of
-// a header does not count. What comes later is discarded and not passed to net/http, and the connection is closed when the
-// client closes it, or after clientCloseTimeout. So the client knows that its request was not accepted, and there is no
-// close with unread bytes, which would be a reset and could destroy a response that the client has not read yet.
+// closeIfIdle closes a connection for writing unless a part of a request was received; with allowPartialHeader, a part
+// of a header does not count. What comes later is discarded and not passed to net/http, and the connection is closed
+// when the client closes it, or after clientCloseTimeout. So the client knows that its request was not accepted, and
+// there is no close with unread bytes, which would be a reset and could destroy a response that the client has not read
+// yet.
 func (c *clientConn) closeIfIdle(allowPartialHeader bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -270,14 +271,16 @@
 	}
 }
 
-// CloseWrite closes the connection for writing. net/http calls it after an error response to a peer that may still send.
+// CloseWrite closes the connection for writing. net/http calls it after an error response to a peer that may still
+// send.
 func (c *clientConn) CloseWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeWrite()
 }
 
-// Close closes the connection for writing, discards what the client still sends for up to clientCloseTimeout, and closes.
+// Close closes the connection for writing, discards what the client still sends for up to clientCloseTimeout, and
+// closes.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	_ = c.closeWrite()
@@ -338,8 +341,8 @@
 	}
 }
 
-// mayHaveContentLength reports whether the header of a chunked request contains a Content-Length too, or was not recorded:
-// it may have come in one read with the previous request, which no well-behaved client does.
+// mayHaveContentLength reports whether the header of a chunked request contains a Content-Length too, or was not
+// recorded: it may have come in one read with the previous request, which no well-behaved client does.
 func (c *clientConn) mayHaveContentLength(r *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -11,7 +11,8 @@
 	"sloestile/control"
 )
 
-// frontend serves the clients: it reads requests, passes them to the event loop for a decision, and writes the responses.
+// frontend serves the clients: it reads requests, passes them to the event loop for a decision, and writes the
+// responses.
 type frontend struct {
 	loop      *loop
 	classes   map[string]control.Class // classes by name
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -14,8 +14,8 @@
 	maxLoadFigure   = 1e6   // maximum of any figure in X-Backend-Load
 )
 
-// Headers of the protocol between clients, edge nodes and servers. Only this file uses the protocol's terms: in the rest
-// of the code a tariff is a plan, a weight is a number of tokens, and an allowance is a meter reading.
+// Headers of the protocol between clients, edge nodes and servers. Only this file uses the protocol's terms: in the
+// rest of the code a tariff is a plan, a weight is a number of tokens, and an allowance is a meter reading.
 const (
 	headerID          = "X-Correlation-Id"
 	headerPlan        = "X-Tariff"
@@ -48,8 +48,8 @@
 	return v
 }
 
-// loadReport returns the server's load report, or nil if there is none. The header has two names for each figure; unknown
-// names and values out of range are skipped.
+// loadReport returns the server's load report, or nil if there is none. The header has two names for each figure;
+// unknown names and values out of range are skipped.
 func (o *outcome) loadReport() *control.LoadReport {
 	unset := control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
 	l := unset
--- a/internal/node/serverconns.go
+++ b/internal/node/serverconns.go
@@ -16,9 +16,9 @@
 	minNodeIdleConns      = 2           // idle connections to one server that each node may keep in any case
 	idleSweepInterval     = time.Second // time between two checks of idle connections
 	connBufferBytes       = 4 << 10     // size of the read and the write buffer of a connection
-	// connReuseDelay is the minimum time between two uses of a connection. A faulty server may send a second response some
-	// milliseconds after the first: after the delay it is detected; before, it would be read as the response to the next
-	// request.
+	// connReuseDelay is the minimum time between two uses of a connection. A faulty server may send a second response
+	// some milliseconds after the first: after the delay it is detected; before, it would be read as the response to
+	// the next request.
 	connReuseDelay = 20 * time.Millisecond
 )
 
@@ -44,8 +44,8 @@
 		"gone", c.closedByServer.Load(), "aged", c.expired.Load(), "broken", c.broken.Load(), "resting", c.notYetReusable.Load(), "idle", n}
 }
 
-// pool holds the idle connections to one server. A server that replaces another one at the same address gets a new pool,
-// so that connections to the old one are not used for it.
+// pool holds the idle connections to one server. A server that replaces another one at the same address gets a new
+// pool, so that connections to the old one are not used for it.
 type pool struct {
 	endpoint string
 	idle     []*serverConn // ordered by last use, the most recent last; nil once the pool is retired
@@ -132,8 +132,8 @@
 	return c, nil
 }
 
-// isQuiet reports whether an idle connection is open and has nothing to read. A request on one that the server has closed
-// would end in a reset, and bytes received after the last response could be taken for the next one.
+// isQuiet reports whether an idle connection is open and has nothing to read. A request on one that the server has
+// closed would end in a reset, and bytes received after the last response could be taken for the next one.
 func (c *serverConn) isQuiet() bool {
 	quiet := false
 	err := c.rawConn.Control(func(fd uintptr) {
--- a/internal/node/serverrequests.go
+++ b/internal/node/serverrequests.go
@@ -32,8 +32,8 @@
 	return n, err
 }
 
-// streamedBody is a streamed body for http.Request.Write. Its first read switches the writer to streaming, as the request
-// header is written by then.
+// streamedBody is a streamed body for http.Request.Write. Its first read switches the writer to streaming, as the
+// request header is written by then.
 type streamedBody struct {
 	writer *requestWriter
 	prefix []byte
--- a/internal/node/serverresponses.go
+++ b/internal/node/serverresponses.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	maxResponseHeaderBytes = 64 << 10                // size of a response header, including the interim responses before it
-	responseIdleTimeout    = 2500 * time.Millisecond // time without a byte of a response that is buffered
-	streamIdleTimeout      = 6 * time.Second         // time without a byte of a streamed response, and for which a server may read nothing
+	maxResponseHeaderBytes = 64 << 10                // size of a header with its interim responses
+	responseIdleTimeout    = 2500 * time.Millisecond // time without a byte of a buffered response
+	streamIdleTimeout      = 6 * time.Second         // time without progress of a streamed body, either way
 	responseBufferTimeout  = 500 * time.Millisecond  // time after which an incomplete response is streamed
-	responseTimeout        = 30 * time.Second        // time for a response, plus that for its length at minBytesPerSecond
+	responseTimeout        = 30 * time.Second        // time for a response beside its length at minBytesPerSecond
 	lateResponseTimeout    = 100 * time.Millisecond  // time to read a response after sending its request has failed
 )
 
@@ -102,10 +102,10 @@
 	r.started = false
 }
 
-// readResponse reads one response. reusable reports whether the connection can be used again. An incomplete or malformed
-// response counts as a reset: the server may have processed the request. For a response with status 200 it calls
-// stopSending, which ends the sending and returns an error if the last byte of the request had not been written: a server
-// starts processing with that byte.
+// readResponse reads one response. reusable reports whether the connection can be used again. An incomplete or
+// malformed response counts as a reset: the server may have processed the request. For a response with status 200 it
+// calls stopSending, which ends the sending and returns an error if the last byte of the request had not been written:
+// a server starts processing with that byte.
 func (u *upstream) readResponse(c *serverConn, a *attempt, stopSending func() error) (o outcome, reusable bool) {
 	resp, err := http.ReadResponse(c.reader, a.req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols { // interim responses
@@ -120,7 +120,8 @@
 	if err == nil && resp.ContentLength > maxMessageBytes {
 		err = errMessageTooLong
 	}
-	// A response before the end of the request may be a late second response to the previous request on this connection.
+	// A response before the end of the request may be a late second response to the previous request on this
+	// connection.
 	if err == nil && resp.StatusCode == http.StatusOK && stopSending() != nil {
 		err = errEarlyResponse
 	}
@@ -217,7 +218,8 @@
 	return err
 }
 
-// chooseMode makes a response with status 200 stream: at once if it is long, else when responseBufferTimeout has passed.
+// chooseMode makes a response with status 200 stream: at once if it is long, else when responseBufferTimeout has
+// passed.
 func (b *responseBody) chooseMode() {
 	if b.outcome.reason == control.OK {
 		if b.length > maxBufferedBytes {
--- a/internal/node/stragglers.go
+++ b/internal/node/stragglers.go
@@ -34,8 +34,8 @@
 	return w.lastID
 }
 
-// serverFailures contains the outcomes that count against a server. An overloaded server reports its load, and a canceled
-// attempt does not count.
+// serverFailures contains the outcomes that count against a server. An overloaded server reports its load, and a
+// canceled attempt does not count.
 var serverFailures = map[control.Outcome]bool{control.Errored: true, control.TimedOut: true, control.ConnectFailed: true, control.ResetByPeer: true}
 
 // attemptEnded records the outcome of an attempt and calls the callbacks.
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -31,8 +31,8 @@
 	bodyPrefix    []byte      // buffered start of a streamed body, sent before bodyStream
 	bodyStream    *clientBody // unread rest of a streamed body; nil if the body is not streamed
 	onWritten     func()      // called when the last byte of the request has been written
-	// onStreamStart is called when a response with status 200 starts to stream, with the bytes read so far and its length
-	// in bytes (below 0 means unknown). It returns the writer for the rest, or nil if nobody reads it.
+	// onStreamStart is called when a response with status 200 starts to stream, with the bytes read so far and its
+	// length in bytes (below 0 means unknown). It returns the writer for the rest, or nil if nobody reads it.
 	onStreamStart func(o outcome, length int64) *io.PipeWriter
 }
 
@@ -41,8 +41,8 @@
 	return !a.startDeadline.IsZero() && !time.Now().Before(a.startDeadline)
 }
 
-// startState decides the race between the start of an attempt and its cancellation: it either starts, or is canceled and
-// never starts. So no request is written on a connection that opened after the client had disconnected.
+// startState decides the race between the start of an attempt and its cancellation: it either starts, or is canceled
+// and never starts. So no request is written on a connection that opened after the client had disconnected.
 type startState struct{ state atomic.Int32 }
 
 const (
@@ -141,8 +141,8 @@
 	return u.readResponse(c, a, func() error { return nil })
 }
 
-// sendStreaming streams a long body and reads the response at the same time, as a server may reject the request before it
-// has the whole body. reusable reports whether the connection can be used again.
+// sendStreaming streams a long body and reads the response at the same time, as a server may reject the request before
+// it has the whole body. reusable reports whether the connection can be used again.
 func (u *upstream) sendStreaming(c *serverConn, a *attempt) (o outcome, reusable bool) {
 	ctx, cancel := context.WithCancel(c.responses.ctx)
 	defer cancel()
