--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	maxHeldBytes      = 64 << 10 // of a message that is held whole; a longer one is streamed
-	maxMessageBytes   = 33 << 20 // of any body or answer: 32 MB, however counted
-	streamBufferBytes = 32 << 10 // held of a message that is streamed
-	uncountedBytes    = 4 << 10  // of a message that is held without being counted, as connections' buffers are
+	maxBufferedBytes  = 64 << 10 // size of a message that is buffered whole; a longer one is streamed
+	maxMessageBytes   = 33 << 20 // size of a body: covers 32 MB, decimal and binary
+	streamBufferBytes = 32 << 10 // buffer of a message that is streamed
+	unbudgetedBytes   = 4 << 10  // size that is buffered without a reservation, like the buffers of connections
 
-	budgetMemoryFraction = 1.0 / 4 // of the memory limit that held messages may use
+	budgetMemoryFraction = 1.0 / 4 // fraction of the memory limit that buffered messages may use
 	minBudgetBytes       = 4 << 20
 )
 
-// budget bounds the bytes that the bodies and answers of all requests hold together. Each kind has a half, so that bodies
-// can't take the room that the answers to them need.
-type budget struct{ bodies, answers *semaphore.Weighted }
+// budget limits the memory in which the bodies and responses of all requests are buffered. Each kind gets one half, so
+// that request bodies can't use up the memory that their responses need.
+type budget struct{ requestBodies, responses *semaphore.Weighted }
 
 func newBudget(memoryMB int) *budget {
 	half := int64(max(budgetMemoryFraction*float64(memoryMB<<20), minBudgetBytes)) / 2
-	return &budget{bodies: semaphore.NewWeighted(half), answers: semaphore.NewWeighted(half)}
+	return &budget{requestBodies: semaphore.NewWeighted(half), responses: semaphore.NewWeighted(half)}
 }
 
-// reserve reserves n bytes as soon as there is room, or until ctx ends.
-func reserve(ctx context.Context, of *semaphore.Weighted, n int64) (*reservation, error) {
-	if n <= uncountedBytes {
+// reserve reserves n bytes, waiting until they are free or ctx ends. Up to unbudgetedBytes are not counted.
+func reserve(ctx context.Context, pool *semaphore.Weighted, n int64) (*reservation, error) {
+	if n <= unbudgetedBytes {
 		return &reservation{}, nil
 	}
-	if err := of.Acquire(ctx, n); err != nil {
+	if err := pool.Acquire(ctx, n); err != nil {
 		return nil, err
 	}
-	return &reservation{pool: of, bytes: n}, nil
+	return &reservation{pool: pool, bytes: n}, nil
 }
 
-// reservation is a reserved part of a budget. A nil one holds nothing.
+// reservation is a reserved part of a budget. A nil reservation is empty.
 type reservation struct {
 	mu    sync.Mutex
 	pool  *semaphore.Weighted
@@ -45,17 +45,17 @@
 }
 
 // shrinkTo releases all but n bytes.
-func (h *reservation) shrinkTo(n int64) {
-	if h == nil {
+func (r *reservation) shrinkTo(n int64) {
+	if r == nil {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.bytes > n {
-		h.pool.Release(h.bytes - n)
-		h.bytes = n
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.bytes > n {
+		r.pool.Release(r.bytes - n)
+		r.bytes = n
 	}
 }
 
-// streamBuffers are the buffers through which streams are passed on.
+// streamBuffers holds buffers for copying streams and for discarding data.
 var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -33,7 +33,7 @@
 // drainer runs a drain that an operator or SIGTERM started. In stage 0 only /healthz fails, in stage 1 each answer also
 // closes its connection, in stage 2 idle connections are closed too.
 type drainer struct {
-	front *front
+	front *frontend
 
 	mu     sync.Mutex
 	cancel chan struct{} // closed to cancel the current drain; nil if no drain runs
@@ -186,7 +186,7 @@
 	for {
 		select {
 		case <-poll.C:
-			if n.inherited && n.front.conns.Load() <= 0 {
+			if n.inherited && n.front.openConns.Load() <= 0 {
 				return true
 			}
 		case <-over:
@@ -208,7 +208,7 @@
 	n.front.closing.Store(true)
 	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	for over := time.After(within); n.front.conns.Load() > 0; {
+	for over := time.After(within); n.front.openConns.Load() > 0; {
 		n.front.closeIdle()
 		select {
 		case <-poll.C:
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -39,7 +39,7 @@
 	l.upstream.retire(p)
 	delete(l.pools, server)
 	if replace {
-		l.pools[server] = l.upstream.pool(p.endpoint)
+		l.pools[server] = l.upstream.newPool(p.endpoint)
 	}
 }
 
@@ -70,7 +70,7 @@
 			l.retirePool(endpoint.Server, false)
 		}
 		if endpoint.Condition == control.Active && l.pools[endpoint.Server] == nil {
-			l.pools[endpoint.Server] = l.upstream.pool(t.Endpoint)
+			l.pools[endpoint.Server] = l.upstream.newPool(t.Endpoint)
 		}
 	}
 	for uid, id := range l.serverIDs {
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -58,18 +58,20 @@
 	if x.streamedBody == nil {
 		return nil
 	}
-	return x.streamedBody.broken
+	return x.streamedBody.failed
 }
 
 // bodyConsumed reports whether a part of the body has been streamed to a server, so that the body can't be sent again.
-func (x *exchange) bodyConsumed() bool { return x.streamedBody != nil && x.streamedBody.spent.Load() }
+func (x *exchange) bodyConsumed() bool {
+	return x.streamedBody != nil && x.streamedBody.consumed.Load()
+}
 
 // finish sends the request's final answer and cancels the start of attempts that have not been written yet.
 func (x *exchange) finish(a answer) {
 	x.done = true
 	for _, t := range x.attempts {
 		if t.start != nil {
-			t.start.callOff()
+			t.start.cancel()
 		}
 	}
 	x.answer <- a
@@ -117,6 +119,6 @@
 
 // discard releases the stream and the memory of an answer that is not sent.
 func (a answer) discard() {
-	a.close(errClientLeft)
+	a.close(errClientDisconnected)
 	a.reservation.shrinkTo(0)
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -86,13 +86,13 @@
 		slog.Warn("handover: starting without the state of the previous process", "error", err)
 		_ = conn.Close()
 		// The other process still uses descriptors until it ends.
-		n.upstream.sockets.share(true)
-		time.AfterFunc(maxOverlap, func() { n.upstream.sockets.share(false) })
+		n.upstream.sockets.setShared(true)
+		time.AfterFunc(maxOverlap, func() { n.upstream.sockets.setShared(false) })
 		return nil
 	}
 	_ = conn.SetDeadline(time.Time{})
 	n.adoptList(state, true)
-	n.upstream.sockets.share(true)
+	n.upstream.sockets.setShared(true)
 	slog.Info("handover: state taken over", "bytes", size, "endpoints", len(state.List.Targets))
 	return conn
 }
@@ -151,7 +151,7 @@
 	if err := n.loop.controller.EndSharing(n.loop.now(), remainder); err != nil {
 		slog.Warn("handover: applying the remaining tokens of the previous process failed", "error", err)
 	}
-	n.upstream.sockets.share(false)
+	n.upstream.sockets.setShared(false)
 }
 
 // serveHandover accepts processes that start while this one runs and hands the state over to each, until ctx ends.
@@ -189,7 +189,7 @@
 		if err != nil {
 			slog.Warn("handover: encoding the state failed", "error", err)
 		}
-		n.upstream.sockets.share(true)
+		n.upstream.sockets.setShared(true)
 		encoded <- state
 	}) {
 		return
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -93,7 +93,7 @@
 	}
 	r.listener = &recordingListener{Listener: r.node.listener}
 	r.node.listener = r.listener
-	r.node.upstream.restTime = 0 // at once, so that a wrong one would be used again too
+	r.node.upstream.reuseDelay = 0 // at once, so that a wrong one would be used again too
 	onUpdate := r.node.onUpdate
 	r.node.onUpdate = func(u discovery.Update) {
 		onUpdate(u)
@@ -239,9 +239,9 @@
 }
 
 // pooled are the idle connections to app servers.
-func idleConns(u *upstream) []*conn {
-	var all []*conn
-	u.closeIdleWhere(func(c *conn) bool { all = append(all, c); return false })
+func idleConns(u *upstream) []*serverConn {
+	var all []*serverConn
+	u.closeIdleWhere(func(c *serverConn) bool { all = append(all, c); return false })
 	return all
 }
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -217,7 +217,7 @@
 func (l *loop) bodyReceived(x *exchange, at time.Time) {
 	x.deadline = at.Add(x.timeLeft)
 	for _, t := range x.attempts {
-		t.expireAt(x.deadline)
+		t.startTimer(x.deadline)
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,7 +24,7 @@
 // Node is an edge node. New starts to listen, and Run serves until its context ends.
 type Node struct {
 	name     string
-	front    *front
+	front    *frontend
 	loop     *loop
 	upstream *upstream
 	stats    *stats
@@ -66,7 +66,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		name:             cfg.Name,
-		front:            newFront(cfg.Settings, eventLoop, sockets, metrics),
+		front:            newFrontend(cfg.Settings, eventLoop, sockets, metrics),
 		loop:             eventLoop,
 		upstream:         upstreamSide,
 		stats:            metrics,
@@ -275,8 +275,8 @@
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			slog.Info("servers", n.upstream.report()...)
-			slog.Info("clients", n.front.report()...)
+			slog.Info("servers", n.upstream.logAttributes()...)
+			slog.Info("clients", n.front.logAttributes()...)
 		}
 	}
 }
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -39,7 +39,7 @@
 }
 
 func rawReadRequest(id string) string {
-	return strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+goodHead+"\r\n", "raw", id, 1)
+	return strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+validHeaders+"\r\n", "raw", id, 1)
 }
 
 // over waits until nothing of a request is held.
@@ -58,7 +58,7 @@
 		},
 		"it is answered": func(r *testNode, c net.Conn, _ context.Context) {
 			r.node.loop.post(func() { r.node.loop.execute(control.Fail{ID: "id-1"}) })
-			assert.Equal(r.t, http.StatusBadGateway, statusOf(r.t, c))
+			assert.Equal(r.t, http.StatusBadGateway, readStatus(r.t, c))
 		},
 		"its time is up": func(_ *testNode, _ net.Conn, attempt context.Context) { <-attempt.Done() },
 	} {
@@ -77,7 +77,7 @@
 
 			again := r.dial()
 			_, _ = io.WriteString(again, rawReadRequest("id-2"))
-			assert.Equal(t, http.StatusOK, statusOf(t, again))
+			assert.Equal(t, http.StatusOK, readStatus(t, again))
 			assert.Len(t, a.requests(), 1)
 			assert.Empty(t, d.dialing, "the connection that came up late was not used")
 			r.waitForMetric("node_backend_calls_total", 1)
@@ -124,7 +124,7 @@
 		r.updateList(a.target("s-1", 0))
 		again := r.dial()
 		_, _ = io.WriteString(again, rawReadRequest("id-2"))
-		assert.Equal(t, http.StatusOK, statusOf(t, again))
+		assert.Equal(t, http.StatusOK, readStatus(t, again))
 		assert.Len(t, a.requests(), 1)
 	})
 }
@@ -148,7 +148,7 @@
 			r.updateList(a.target("s-1", 0))
 			d := blockDials(r)
 			c := r.dial()
-			_, _ = io.WriteString(c, postHead+"Content-Length: 4\r\n\r\nswap")
+			_, _ = io.WriteString(c, postHeaders+"Content-Length: 4\r\n\r\nswap")
 			receive(t, d.dialing)
 			opened := time.Now() // the window began before
 			d.proceed <- struct{}{}
@@ -159,7 +159,7 @@
 				attempts, status = 1, http.StatusBadGateway
 			}
 			d.proceed <- struct{}{}
-			assert.Equal(t, status, statusOf(t, c))
+			assert.Equal(t, status, readStatus(t, c))
 			assert.Len(t, a.requests(), attempts)
 			r.waitForEnd("raw")
 		})
@@ -168,22 +168,22 @@
 
 // An attempt begins or is called off, never both, whoever comes first.
 func TestAttemptStartsOrIsCancelled(t *testing.T) {
-	var s start
-	assert.True(t, s.begin())
-	s.callOff()
-	assert.False(t, s.begin(), "begun twice")
-	s = start{}
-	s.callOff()
-	assert.False(t, s.begin(), "begun when it was called off")
+	var s startState
+	assert.True(t, s.tryStart())
+	s.cancel()
+	assert.False(t, s.tryStart(), "begun twice")
+	s = startState{}
+	s.cancel()
+	assert.False(t, s.tryStart(), "begun when it was called off")
 
 	begun, off := make(chan bool), make(chan struct{})
 	for range 1000 {
-		s := &start{}
-		go func() { begun <- s.begin() }()
-		go func() { s.callOff(); off <- struct{}{} }()
+		s := &startState{}
+		go func() { begun <- s.tryStart() }()
+		go func() { s.cancel(); off <- struct{}{} }()
 		first := <-begun
 		<-off
-		assert.Equal(t, first, s.state.Load() == startBegun)
+		assert.Equal(t, first, s.state.Load() == startDone)
 	}
 }
 
