--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -23,7 +23,7 @@
 
 const (
 	learnerDescriptors   = 4                      // descriptors reserved at a learner-only node, to call voters
-	voterDescriptors     = 16                     // descriptors reserved at a voter, for its log and for connections of learner-only nodes
+	voterDescriptors     = 16                     // descriptors reserved at a voter, for its log and learner-only nodes
 	descriptorsPerVoter  = 8                      // descriptors reserved at a voter per other voter
 	consensusStopTimeout = 500 * time.Millisecond // timeout for learner and voter to stop
 )
@@ -56,7 +56,7 @@
 	self           agreement.Peer
 	settings       rules.Settings
 	peers          atomic.Pointer[membership.Peers] // nil until the membership has started
-	appliedVersion uint64                           // rule version that the decision module applies; owned by the event loop
+	appliedVersion uint64                           // version in the decision module; owned by the event loop
 }
 
 // newConsensusMember returns a consensusMember. It is inactive until run is called.
--- a/internal/node/consensuscalls.go
+++ b/internal/node/consensuscalls.go
@@ -184,8 +184,8 @@
 	return a, nil
 }
 
-// findLeader returns the voter that confirms that it leads. It asks this node first if it is a voter, and then the voters that the
-// answers name as leader or that it has not asked yet.
+// findLeader returns the voter that confirms that it leads. It asks this node first if it is a voter, and then the
+// voters that the answers name as leader or that it has not asked yet.
 func (c *consensusMember) findLeader(ctx context.Context) (leader agreement.Peer, err error) {
 	var lastErr error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
 	asked, nextName := map[string]bool{}, c.name
--- a/internal/node/console_test.go
+++ b/internal/node/console_test.go
@@ -15,10 +15,10 @@
 	"sloestile/internal/discovery"
 )
 
-// door is the address of the rig's console.
+// consoleAddr returns the address of the node's console.
 func (r *testNode) consoleAddr() string { return r.node.console.listener.Addr().String() }
 
-// command makes one call at the console.
+// callConsole makes one call of the console. closes reports whether the answer closes the connection.
 func (r *testNode) callConsole(method, path string) (status int, body string, closes bool) {
 	r.t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.consoleAddr()+path, nil)
@@ -29,7 +29,7 @@
 	return resp.StatusCode, body, resp.Close
 }
 
-// figures reads all that the console tells.
+// readMetrics returns the values of all metrics by name.
 func (r *testNode) readMetrics() map[string]float64 {
 	r.t.Helper()
 	_, text, _ := r.callConsole(http.MethodGet, "/metrics")
@@ -48,7 +48,7 @@
 	return got
 }
 
-// figure waits until a figure is as wanted.
+// waitForMetric waits until a metric has a value.
 func (r *testNode) waitForMetric(name string, want float64) {
 	r.t.Helper()
 	var got map[string]float64
@@ -57,9 +57,10 @@
 			return
 		}
 	}
-	r.t.Errorf("%s is %g, not %g", name, got[name], want)
+	r.t.Errorf("%s is %g, want %g", name, got[name], want)
 }
 
+// healthzStatus returns the status of /healthz.
 func (r *testNode) healthzStatus() int {
 	r.t.Helper()
 	req, _ := http.NewRequest(http.MethodGet, "http://"+r.node.Addr()+"/healthz", nil)
@@ -67,10 +68,12 @@
 	return resp.StatusCode
 }
 
+// Each console call answers with its documented status and closes its connection; unknown paths get 404 and wrong
+// methods 405.
 func TestConsoleCalls(t *testing.T) {
 	r := newTestNode(t)
 	if s, _, closes := r.callConsole(http.MethodGet, "/ready"); s != http.StatusServiceUnavailable || !closes {
-		t.Errorf("/ready with no app server known: %d, closes %v", s, closes)
+		t.Errorf("/ready while no server is listed: status %d, closes %v", s, closes)
 	}
 	a := newTestServer(t, serveOK)
 	r.updateList(a.target("s-1", 0))
@@ -91,7 +94,7 @@
 	}
 }
 
-// Callers that finish no call keep nobody out and are cut.
+// Clients that never finish a call must not lock out other calls, and their connections are closed.
 func TestUnfinishedCallsDoNotBlockTheConsole(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
@@ -111,16 +114,16 @@
 		callers = append(callers, c)
 	}
 	if s, _, _ := r.callConsole(http.MethodGet, "/ready"); s != 200 {
-		t.Errorf("a proper call: %d", s)
+		t.Errorf("complete call: status %d", s)
 	}
 	for _, c := range callers {
 		if _, err := io.Copy(io.Discard, c); err != nil && os.IsTimeout(err) {
-			t.Fatal("a caller that finishes nothing is held on to")
+			t.Fatal("the connection of an unfinished call is not closed")
 		}
 	}
 }
 
-// The console never waits for the loop.
+// The console must answer while the event loop is blocked.
 func TestConsoleAnswersWhileTheLoopIsBusy(t *testing.T) {
 	r := newTestNode(t)
 	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
@@ -130,65 +133,66 @@
 	r.node.loop.post(func() { close(busy); <-over })
 	receive(t, busy)
 	if s, _, _ := r.callConsole(http.MethodGet, "/ready"); s != 200 {
-		t.Errorf("/ready: %d", s)
+		t.Errorf("/ready: status %d", s)
 	}
 	if got := r.readMetrics()["node_hosts_listed"]; got != 1 {
-		t.Errorf("%g hosts listed", got)
+		t.Errorf("%g servers listed, want 1", got)
 	}
 	if s, _, _ := r.callConsole(http.MethodPost, "/drain"); s != 200 {
-		t.Errorf("/drain: %d", s)
+		t.Errorf("/drain: status %d", s)
 	}
 	if s := r.healthzStatus(); s == 200 {
-		t.Error("a draining node says yes")
+		t.Error("/healthz succeeds on a draining node")
 	}
 }
 
+// All metrics exist with value 0 at the start, and each request is counted once by its result.
 func TestMetricsCountRequests(t *testing.T) {
 	r := newTestNode(t)
-	held, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		switch {
 		case strings.Contains(q.URL.Path, "fail"):
 			w.WriteHeader(http.StatusInternalServerError)
 		case strings.Contains(q.URL.Path, "hold"):
-			close(held)
+			close(started)
 			<-finish
 		}
 	})
-	zeros := []string{"node_backend_calls_total", "node_inflight", "node_hosts_listed", "node_hosts_down"}
+	names := []string{"node_backend_calls_total", "node_inflight", "node_hosts_listed", "node_hosts_down"}
 	for _, n := range []string{"node_success_total", "node_busy_total", "node_failure_total"} {
-		zeros = append(zeros, n+`{tier="roster-read"}`, n+`{tier="visit-update"}`)
+		names = append(names, n+`{tier="roster-read"}`, n+`{tier="visit-update"}`)
 	}
 	got := r.readMetrics()
-	for _, n := range zeros {
+	for _, n := range names {
 		if v, ok := got[n]; !ok || v != 0 {
-			t.Errorf("%s is %g (there: %v) at the start", n, v, ok)
+			t.Errorf("%s is %g at the start (exists: %v)", n, v, ok)
 		}
 	}
-	gone := a.target("s-2", 0)
-	r.updateList(a.target("s-1", 0), gone)
+	removed := a.target("s-2", 0)
+	r.updateList(a.target("s-1", 0), removed)
 	r.waitForMetric("node_hosts_listed", 2)
-	gone.State = "removed"
-	r.updateList(gone)
+	removed.State = "removed"
+	r.updateList(removed)
 	r.waitForMetric("node_hosts_listed", 1)
 	for i := range 3 {
 		r.do(r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
 	}
 	r.waitForMetric(`node_success_total{tier="roster-read"}`, 3)
 	r.waitForMetric("node_backend_calls_total", 3)
-	refused := 0.0
+	rejected := 0.0
 	for i := range 60 {
 		q := r.newRequest(http.MethodGet, "/roster-read", "basic-"+strconv.Itoa(i))
 		q.Header.Set(headerPlan, "basic")
 		if resp, _ := r.do(q); resp.StatusCode == http.StatusServiceUnavailable {
-			refused++
+			rejected++
 		}
 	}
-	r.waitForMetric(`node_busy_total{tier="roster-read"}`, refused)
-	r.waitForMetric(`node_success_total{tier="roster-read"}`, 3+60-refused)
+	r.waitForMetric(`node_busy_total{tier="roster-read"}`, rejected)
+	r.waitForMetric(`node_success_total{tier="roster-read"}`, 3+60-rejected)
 	answered := make(chan struct{})
 	go func() { defer close(answered); r.do(r.newRequest(http.MethodPost, "/visit-update/hold", "hold")) }()
-	receive(t, held)
+	receive(t, started)
 	r.waitForMetric("node_inflight", 1)
 	close(finish)
 	<-answered
@@ -203,7 +207,7 @@
 	r.waitForMetric("node_backend_calls_total", float64(a.requestCount()))
 }
 
-// A server that refuses connections is told as avoided, by the module's word.
+// A server that refuses connections is counted as avoided.
 func TestMetricOfAvoidedServers(t *testing.T) {
 	r := newTestNode(t)
 	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", Zone: "z1", State: "up"})
@@ -212,15 +216,15 @@
 	r.waitForMetric("node_hosts_down", 1)
 }
 
-// A drain says no, lets clients go on answers, then closes what idles, answers what was taken
-// and can be called off.
+// A drain makes /healthz fail, then closes connections with their next answer, then closes idle connections. It answers
+// open requests and can be cancelled, except after SIGTERM.
 func TestConsoleDrain(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
-	held, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		if strings.Contains(q.URL.Path, "hold") {
-			close(held)
+			close(started)
 			<-finish
 		}
 	})
@@ -246,41 +250,41 @@
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read/hold", "held"))
 		answered <- resp
 	}()
-	receive(t, held)
+	receive(t, started)
 	begun := time.Now()
 	r.callConsole(http.MethodPost, "/drain")
 	if s := r.healthzStatus(); s == 200 {
-		t.Error("still yes")
+		t.Error("/healthz succeeds during the drain")
 	}
-	// New connections are served while the front catches up.
+	// New connections are served until clients have noticed the drain.
 	if resp := ask(r.dial(), "c"); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
 	for resp := ask(kept, "d"); !resp.Close; resp = ask(kept, "d"+strconv.Itoa(int(time.Since(begun)))) {
 		if time.Since(begun) > testTimeout {
-			t.Fatal("answers do not let their connections go")
+			t.Fatal("answers do not close their connections")
 		}
 	}
 	if _, err := io.Copy(io.Discard, idle); err != nil {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("idle connection: %v", err)
 	}
-	if took := time.Since(begun); took > 2*2*time.Second { // due after 2 s; a busy machine gets as much again
-		t.Errorf("connections were let go after %v", took)
+	if took := time.Since(begun); took > 2*2*time.Second { // due after 2 s; twice that is allowed on a busy machine
+		t.Errorf("connections were closed only after %v", took)
 	}
 	close(finish)
 	if resp := receive(t, answered); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("what was taken: %s, closes %v", resp.Status, resp.Close)
+		t.Errorf("request that was open during the drain: %s, closes %v", resp.Status, resp.Close)
 	}
 	r.callConsole(http.MethodPost, "/undrain")
 	if s := r.healthzStatus(); s != 200 {
-		t.Errorf("after the drain: %d", s)
+		t.Errorf("/healthz after the drain: status %d", s)
 	}
-	back := r.dial()
-	ask(back, "e")
-	if resp := ask(back, "f"); resp.StatusCode != 200 || resp.Close {
-		t.Errorf("after the drain: %s, closes %v", resp.Status, resp.Close)
+	newConn := r.dial()
+	ask(newConn, "e")
+	if resp := ask(newConn, "f"); resp.StatusCode != 200 || resp.Close {
+		t.Errorf("request after the drain: %s, closes %v", resp.Status, resp.Close)
 	}
-	// SIGTERM in a drain ends the process, and there is no way back then.
+	// SIGTERM during a drain shuts the process down, and the drain can't be cancelled any more.
 	r.callConsole(http.MethodPost, "/drain")
 	r.stop()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -291,11 +295,11 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the drain's end is not the process's")
+			t.Fatal("the drain does not become final")
 		}
 	}
 	if r.node.drainer.undrain() {
-		t.Error("a process that ends was called back")
+		t.Error("the drain of a process that is shutting down was cancelled")
 	}
 	if err := receive(t, r.ended); err != nil {
 		t.Error(err)
@@ -305,6 +309,7 @@
 
 var metricLine = regexp.MustCompile(`^[a-z_]+(\{tier="[^"]+"\})? [0-9]+$`)
 
+// Every line of the metrics without a fleet file is a comment or a metric with at most the label tier.
 func TestMetricsFormat(t *testing.T) {
 	r := newTestNode(t)
 	_, text, _ := r.callConsole(http.MethodGet, "/metrics")
--- a/internal/node/degradeddiscovery_test.go
+++ b/internal/node/degradeddiscovery_test.go
@@ -12,8 +12,9 @@
 	"sloestile/internal/discovery"
 )
 
-// Where discovery answers and tells nothing, requests go only to servers that say for themselves that
-// they serve, and to none where these may not be asked; when it speaks again, to all that it lists.
+// While discovery is degraded, requests go only to servers that pass a health check, and to none if health checks are
+// not allowed. A server that drains unnoticed would get requests otherwise. Afterwards all listed servers are used
+// again.
 func TestDegradedDiscoveryUsesOnlyHealthyServers(t *testing.T) {
 	for healthChecks, want := range map[bool]int{true: 1, false: 0} {
 		r := newTestNodeWith(t, func(c *config.Config) {
@@ -35,25 +36,25 @@
 			}
 			return n
 		}
-		r.waitUntil("both are listed", func() bool { return pooledServers() == 2 })
+		r.waitUntil("pools of both servers", func() bool { return pooledServers() == 2 })
 		r.node.loop.post(func() { r.node.degraded.setActive(true) })
-		r.waitUntil("who vouches", func() bool { return pooledServers() == want })
+		r.waitUntil("pools of the healthy servers only", func() bool { return pooledServers() == want })
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 		require.Equal(t, healthChecks, resp.StatusCode == http.StatusOK)
-		require.Equal(t, "up", r.node.listedTarget("s-2").State, "what is listed is not forgotten")
+		require.Equal(t, "up", r.node.listedTarget("s-2").State, "the endpoint list must keep the listed state")
 		r.node.loop.post(func() { r.node.degraded.setActive(false) })
-		r.waitUntil("all are back", func() bool { return pooledServers() == 2 })
+		r.waitUntil("pools of both servers again", func() bool { return pooledServers() == 2 })
 	}
 }
 
-// loopTarget gives an entry of the list, on the loop's goroutine.
+// listedTarget returns an entry of the endpoint list, read on the loop's goroutine.
 func (n *Node) listedTarget(uid string) discovery.Target {
 	c := make(chan discovery.Target, 1)
 	n.loop.post(func() { c <- n.loop.endpoints[uid] })
 	return <-c
 }
 
-// Where the settings tell no grace no word comes in time, and a call for one would have no end.
+// Without a drain grace the timeout of a health check would be zero, which means none, and a check could wait forever.
 func TestNoHealthChecksWithoutDrainGrace(t *testing.T) {
 	require.Nil(t, newDegradedDiscovery(control.Settings{HealthChecks: true}, nil).healthCheck)
 	require.NotNil(t, newDegradedDiscovery(control.Settings{HealthChecks: true, DrainGrace: time.Second}, nil).healthCheck)
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -6,17 +6,17 @@
 // it.
 //
 //   - Connections of clients: frontend.go serves a request, clientrequests.go reads it, clientbody.go streams its body,
-//     clientanswers.go writes the answer, clientconns.go keeps the connections, exchange.go holds a request's state.
+//     clientresponses.go writes the response, clientconns.go keeps the connections, exchange.go has a request's state.
 //   - Connections to servers: attempts.go starts an attempt, upstream.go makes it, serverrequests.go writes the request
-//     and serveranswers.go reads the answer, serverconns.go keeps idle connections, endpoints.go maps the endpoint list to
-//     servers.
+//     and serverresponses.go reads the response, serverconns.go keeps idle connections, endpoints.go maps the endpoint
+//     list to servers.
 //   - Calls of operators: console.go, zones.go, consensuscalls.go, consensusstatus.go; metrics.go writes the metrics.
 //   - Lifecycle: drain.go, handover.go (to the next process), persistence.go (stored state), discovery.go and
 //     degradeddiscovery.go (watch of the endpoint list, and what to do while the list is stale).
 //   - Features that a fleet file enables: peering.go (membership), limitsharing.go (shared token buckets and outlier
 //     reports), stragglers.go, zones.go, consensus.go (rule versions), subset.go.
-//   - Limits: sockets.go (file descriptors), budget.go (memory for bodies and answers). headers.go maps the names of the
-//     protocol's headers.
+//   - Limits: sockets.go (file descriptors), budget.go (memory for bodies and responses). headers.go maps the names of
+//     the protocol's headers.
 //
 // Package config reads the configuration, the environment and the fleet file.
 package node
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -13,12 +13,12 @@
 	"sloestile/control"
 )
 
-// A draining node answers what it holds, takes what still comes and then ends.
+// A draining node answers its open requests and still accepts new ones; then Run returns and the port is closed.
 func TestDrainAnswersOpenRequests(t *testing.T) {
 	r := newTestNode(t)
-	held, finish := make(chan struct{}, 2), make(chan struct{})
+	started, finish := make(chan struct{}, 2), make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
-		held <- struct{}{}
+		started <- struct{}{}
 		<-finish
 		serveOK(w, q)
 	})
@@ -30,17 +30,17 @@
 	}
 	for _, id := range []string{"before", "held on"} {
 		go ask(id)
-		receive(t, held)
+		receive(t, started)
 	}
 	r.stop()
 	r.waitUntil("draining", r.node.front.draining.Load)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "")); resp.StatusCode != 400 || !resp.Close {
-		t.Errorf("a bad request: %s, close %v", resp.Status, resp.Close)
+		t.Errorf("malformed request: %s, close %v", resp.Status, resp.Close)
 	}
 	finish <- struct{}{}
-	// The front may have no other node for the customer while the next one restarts too.
+	// The connection must stay open at first: while another node restarts too, the tenant may have no other node.
 	if resp := receive(t, answers); resp.StatusCode != 200 || resp.Close && !r.node.front.closing.Load() {
-		t.Errorf("%s, close %v before connections are let go", resp.Status, resp.Close)
+		t.Errorf("%s, close %v before answers close their connections", resp.Status, resp.Close)
 	}
 	r.waitUntil("closing", r.node.front.closing.Load)
 	finish <- struct{}{}
@@ -53,11 +53,11 @@
 	r.ended <- nil
 	if c, err := net.Dial("tcp", r.node.Addr()); err == nil {
 		_ = c.Close()
-		t.Error("still listening")
+		t.Error("the node still listens")
 	}
 }
 
-// What an app server doesn't answer while the node drains is answered as failed before the end.
+// A request that its server does not answer during the drain is answered with 502 before the node ends.
 func TestDrainFailsUnansweredRequests(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
@@ -72,19 +72,19 @@
 	r.ended <- nil
 }
 
-// A drain ends before the platform kills the node, which goes by the longest deadline.
+// A drain must end before the platform kills the node, 0.7 s after the longest deadline, but not much earlier.
 func TestDrainEndsBeforeThePlatformKills(t *testing.T) {
 	for _, k := range []struct{ deadline, killAfter time.Duration }{
 		{2 * time.Second, 2700 * time.Millisecond}, {6 * time.Second, 3700 * time.Millisecond}} {
 		classes := []control.Class{{Deadline: time.Second}, {Deadline: k.deadline}}
 		if timeout := computeDrainTimeout(classes); timeout+drainWriteTimeout >= k.killAfter || timeout < k.killAfter-time.Second {
-			t.Errorf("deadline %v: the drain ends after %v, the kill comes after %v", k.deadline, timeout, k.killAfter)
+			t.Errorf("deadline %v: the drain ends after %v, the platform kills after %v", k.deadline, timeout, k.killAfter)
 		}
 	}
 }
 
-// New connections may come for 0.4 s after the signal, also where the classes' deadlines are short:
-// whoever comes by then is taken and answered.
+// Clients may open connections for 0.4 s after SIGTERM. They must be accepted and answered even if the deadlines of all
+// classes are short.
 func TestDrainAcceptsNewConnections(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
@@ -96,7 +96,7 @@
 		c, err := net.Dial("tcp", r.node.Addr())
 		if err != nil {
 			if after := time.Since(begun); after < drainListenPeriod {
-				t.Errorf("refused after %v", after)
+				t.Errorf("connection refused after %v", after)
 			}
 			break
 		}
@@ -117,7 +117,7 @@
 	r.ended <- nil
 }
 
-// A node that is told to end before it knows a server answers what it holds, and ends well.
+// A node that is stopped before a server is listed answers its queued requests with an error and ends without one.
 func TestDrainBeforeReady(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
@@ -126,10 +126,10 @@
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 		answered <- resp.StatusCode
 	}()
-	r.waitUntil("held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
+	r.waitUntil("the queued request", func() bool { return r.node.loop.exchanges["id-1"] != nil })
 	r.stop()
 	if s := receive(t, answered); s < 500 {
-		t.Errorf("answered %d", s)
+		t.Errorf("status %d", s)
 	}
 	if err := receive(t, r.ended); err != nil {
 		t.Error(err)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -9,7 +9,7 @@
 	"sloestile/internal/discovery"
 )
 
-// Nothing new goes to an app server that drains, and its idle connections are closed.
+// A draining server must get no new requests, and its idle connections are closed.
 func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	r := newTestNode(t)
 	a := newTestServer(t, serveOK)
@@ -25,14 +25,14 @@
 		}
 	}
 	if a.requestCount() != 1 || b.requestCount() != 20 {
-		t.Errorf("%d requests to the one that drains, %d to the other", a.requestCount(), b.requestCount())
+		t.Errorf("%d requests to the draining server, %d to the other", a.requestCount(), b.requestCount())
 	}
 	if r.node.loop.pools[r.node.loop.serverIDs["s-1"]] != nil || len(idleConns(r.node.upstream)) != 1 {
-		t.Error("an idle connection to it was kept")
+		t.Error("an idle connection to the draining server was kept")
 	}
 }
 
-// An app server may come back under another address.
+// A server with a known UID may be listed with another address; requests go to the new one.
 func TestServerChangesItsAddress(t *testing.T) {
 	r := newTestNode(t)
 	a, b := newTestServer(t, serveOK), newTestServer(t, serveOK)
@@ -45,20 +45,20 @@
 	}
 }
 
-// A connection belongs to the app server that it was opened to, not to its address: it is
-// never used for another one there, also where it was in use when the first one went.
+// A connection must not be used for another server that is listed later at the same address, even if it was in use
+// while the first server was removed.
 func TestReusedAddressGetsNewConnections(t *testing.T) {
 	r := newTestNode(t)
 	var mu sync.Mutex
 	from := make(map[string]string)
-	held, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		id := q.Header.Get(headerID)
 		mu.Lock()
 		from[id] = q.RemoteAddr
 		mu.Unlock()
 		if id == "held" {
-			close(held)
+			close(started)
 			<-finish
 		}
 		serveOK(w, q)
@@ -69,23 +69,23 @@
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "held"))
 		answered <- resp.StatusCode
 	}()
-	receive(t, held)
+	receive(t, started)
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "before"))
-	gone := a.target("s-1", 0)
-	gone.State = "removed"
-	r.updateList(gone, a.target("s-2", 0))
+	removed := a.target("s-1", 0)
+	removed.State = "removed"
+	r.updateList(removed, a.target("s-2", 0))
 	close(finish)
 	if s := receive(t, answered); s != 200 {
-		t.Errorf("what was held: %d", s)
+		t.Errorf("held request: status %d", s)
 	}
-	r.waitUntil("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
+	r.waitUntil("end of the attempt", func() bool { return len(r.node.loop.exchanges) == 0 })
 	r.do(r.newRequest(http.MethodGet, "/roster-read", "after"))
 	if from["after"] == from["before"] || from["after"] == from["held"] {
-		t.Error("a connection to the one that has gone was used")
+		t.Error("a connection to the removed server was reused")
 	}
 }
 
-// The node keeps nothing of app servers that have come and gone, and gives no id twice.
+// The node must keep no state of removed servers, which would leak, and must not reuse their IDs.
 func TestRemovedServersAreForgotten(t *testing.T) {
 	r := newTestNode(t)
 	a := newTestServer(t, serveOK)
@@ -97,26 +97,26 @@
 		if resp.StatusCode != 200 {
 			t.Errorf("%s", resp.Status)
 		}
-		r.waitUntil("one app server", func() bool {
+		r.waitUntil("one server listed", func() bool {
 			seen[r.node.loop.serverIDs[up.UID]] = true
 			return len(r.node.loop.serverIDs) == 1 && len(r.node.loop.pools) == 1
 		})
 		up.State = "removed"
 		r.updateList(up)
 	}
-	r.waitUntil("none", func() bool { return len(r.node.loop.serverIDs) == 0 && len(r.node.loop.pools) == 0 })
+	r.waitUntil("no server listed", func() bool { return len(r.node.loop.serverIDs) == 0 && len(r.node.loop.pools) == 0 })
 	if len(seen) != 50 || len(r.node.upstream.pools) != 0 || len(idleConns(r.node.upstream)) != 0 {
-		t.Errorf("%d ids, %d pools, %d connections", len(seen), len(r.node.upstream.pools), len(idleConns(r.node.upstream)))
+		t.Errorf("%d IDs assigned, %d pools and %d connections left", len(seen), len(r.node.upstream.pools), len(idleConns(r.node.upstream)))
 	}
 }
 
-// Nodes that hear of servers in another order know them by the same keys.
+// The hash key of a server must not depend on the order in which a node sees servers.
 func TestHashKeyIsTheSameAtAllNodes(t *testing.T) {
 	a, b := discovery.Target{UID: "s-1", State: "up"}, discovery.Target{UID: "s-2", State: "up"}
 	if here, there := toEndpoint(&a, 1), toEndpoint(&a, 2); here.HashKey != there.HashKey || here.HashKey == 0 || here.Server == there.Server {
-		t.Errorf("%+v and %+v", here, there)
+		t.Errorf("endpoints of the same target: %+v and %+v", here, there)
 	}
 	if toEndpoint(&a, 1).HashKey == toEndpoint(&b, 1).HashKey {
-		t.Error("two servers have one key")
+		t.Error("two servers have the same hash key")
 	}
 }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -69,9 +69,9 @@
 // finish sends the request's final answer and cancels the start of attempts that have not been written yet.
 func (x *exchange) finish(a answer) {
 	x.done = true
-	for _, t := range x.attempts {
-		if t.start != nil {
-			t.start.cancel()
+	for _, attempt := range x.attempts {
+		if attempt.start != nil {
+			attempt.start.cancel()
 		}
 	}
 	x.answer <- a
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -20,16 +20,18 @@
 
 func encodeJSON[T any](v *T) ([]byte, error) { return json.MarshalIndent(v, "", " ") }
 
-// What one process hands to the next, or keeps for it, has the recorded bytes.
+// The encoding of the state that a process hands over or stores must not change: the next process may be of another
+// version.
 func TestHandoverStateMatchesGoldenFile(t *testing.T) {
-	b := &handoverState{}
-	golden.Fill(b)
-	b.Module = json.RawMessage(`{"a":1}`)
-	golden.RoundTripOf(t, "handover", b, encodeJSON[handoverState], decodeJSON[handoverState])
+	state := &handoverState{}
+	golden.Fill(state)
+	state.Module = json.RawMessage(`{"a":1}`)
+	golden.RoundTripOf(t, "handover", state, encodeJSON[handoverState], decodeJSON[handoverState])
 	require.Equal(t, "handover.sock learnt", handoverSocket+" "+snapshotPart)
 }
 
-// The orders that go to the leader, its replies and what the console shows of them have the recorded bytes.
+// The encodings of orders, replies and the console's status must not change: nodes of other versions and operators'
+// tools read them.
 func TestConsensusCallsMatchGoldenFiles(t *testing.T) {
 	golden.RoundTrip(t, "order", func(o *order) ([]byte, error) { return cbor.Marshal(*o) }, func(raw []byte) (*order, error) {
 		o := &order{}
@@ -40,21 +42,21 @@
 		return a, cbor.Unmarshal(raw, a)
 	})
 	golden.RoundTrip(t, "agreed", encodeJSON[leaderStatus], decodeJSON[leaderStatus])
-	here := &nodeStatus{}
-	golden.Fill(here)
-	here.Leader = json.RawMessage(`{"a":1}`)
-	golden.RoundTripOf(t, "here", here, encodeJSON[nodeStatus], decodeJSON[nodeStatus])
+	status := &nodeStatus{}
+	golden.Fill(status)
+	status.Leader = json.RawMessage(`{"a":1}`)
+	golden.RoundTripOf(t, "here", status, encodeJSON[nodeStatus], decodeJSON[nodeStatus])
 	require.Equal(t, "o", string(rune(orderCallKind)))
 }
 
-// The figures that are there without a fleet file, and those of the membership, are written as recorded.
+// The metrics that are available without a fleet file, and those of the membership, must not change their text.
 func TestMetricsMatchGoldenFile(t *testing.T) {
-	s := newStats([]control.Class{{Name: "b"}, {Name: "a"}})
-	s.countAnswer("a", 200)
-	s.countAnswer("a", 503)
-	s.countAnswer("b", 500)
+	metrics := newStats([]control.Class{{Name: "b"}, {Name: "a"}})
+	metrics.countAnswer("a", 200)
+	metrics.countAnswer("a", 503)
+	metrics.countAnswer("b", 500)
 	var out strings.Builder
-	s.write(&out)
+	metrics.write(&out)
 	writePeerMetrics(&out, &membership.Counts{})
 	golden.CheckText(t, "figures", out.String())
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -12,7 +12,7 @@
 	"sloestile/internal/config"
 )
 
-// beside gives the configuration of processes that share a socket and a folder.
+// sharedSocketConfig returns a function that configures nodes to share a listening socket and a handover folder.
 func sharedSocketConfig(t *testing.T) func(*config.Config) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,12 +27,12 @@
 	dir := t.TempDir()
 	started := false
 	return func(c *config.Config) {
-		if started { // a successor finds nobody to take over from before the first process listens
+		if started { // wait until the first process listens for a successor
 			waitForFile(t, filepath.Join(dir, handoverSocket))
 		}
 		started = true
 		c.HandoverDir = dir
-		// Each process has a descriptor of its own.
+		// Each process needs its own descriptor.
 		if c.SocketFD, err = syscall.Dup(int(socketFile.Fd())); err != nil {
 			t.Fatal(err)
 		}
@@ -50,33 +50,33 @@
 	t.Fatalf("%s does not exist after %v", path, testTimeout)
 }
 
-// A process that takes over says yes when it has been told its list, keeps the ids of what it
-// took over, and both keep to half of the descriptors while the other runs.
+// A successor keeps the server IDs of its predecessor and becomes ready only once discovery confirms the list. While
+// both processes run, each may use half of the descriptors.
 func TestHandoverBetweenProcesses(t *testing.T) {
 	configure := sharedSocketConfig(t)
 	predecessor := newTestNodeWith(t, configure)
 	a := newTestServer(t, serveOK)
-	removed, b := a.target("s-gone", 0), a.target("s-1", 0)
+	removed, listed := a.target("s-gone", 0), a.target("s-1", 0)
 	predecessor.updateList(removed)
 	removed.State = "removed"
-	predecessor.updateList(removed, b)
+	predecessor.updateList(removed, listed)
 	predecessor.waitUntil("ready", predecessor.node.front.ready.Load)
 	maxSockets := predecessor.node.upstream.sockets.limit.Load()
 
 	successor := newTestNodeWith(t, configure)
-	successor.waitUntil("the old one's ids", func() bool { return successor.node.loop.serverIDs["s-1"] == 2 && successor.node.loop.lastServerID == 2 })
-	if q := receive(t, successor.discovery.Asked); q != "/v1/servers?watch=1" { // its discovery is not the old one's
-		t.Errorf("asked %s", q)
+	successor.waitUntil("server IDs of the predecessor", func() bool { return successor.node.loop.serverIDs["s-1"] == 2 && successor.node.loop.lastServerID == 2 })
+	if q := receive(t, successor.discovery.Asked); q != "/v1/servers?watch=1" { // the discovery addresses differ
+		t.Errorf("watch requested as %s", q)
 	}
 	if s, _, _ := successor.callConsole(http.MethodGet, "/ready"); s == 200 {
-		t.Error("yes before it was told its list")
+		t.Error("ready before the list was confirmed")
 	}
 	for _, r := range []*testNode{predecessor, successor} {
 		if now := r.node.upstream.sockets.limit.Load(); now != maxSockets/2-int64(ownDescriptors+maxConsoleConns)/2 {
-			t.Errorf("%d descriptors of %d", now, maxSockets)
+			t.Errorf("limit of %d descriptors, %d without a second process", now, maxSockets)
 		}
 	}
-	successor.updateList(b)
+	successor.updateList(listed)
 	successor.waitUntil("ready", successor.node.front.ready.Load)
 
 	predecessor.stop()
@@ -84,13 +84,13 @@
 		t.Error(err)
 	}
 	predecessor.ended <- nil
-	successor.waitUntil("alone", func() bool { return successor.node.upstream.sockets.limit.Load() == maxSockets })
+	successor.waitUntil("the full limit of descriptors", func() bool { return successor.node.upstream.sockets.limit.Load() == maxSockets })
 	if resp, _ := successor.do(successor.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
 		t.Error(resp.Status)
 	}
 }
 
-// Where discovery is silent, the list that was handed over has to do.
+// While discovery is silent, the handed-over list is used after listConfirmTimeout, so that the node becomes ready.
 func TestHandedOverListIsUsedWhileDiscoveryIsSilent(t *testing.T) {
 	t.Parallel()
 	configure := sharedSocketConfig(t)
@@ -100,29 +100,29 @@
 	begun := time.Now()
 	for s := 0; s != 200; s, _, _ = successor.callConsole(http.MethodGet, "/ready") {
 		if time.Since(begun) > testTimeout {
-			t.Fatal("never ready")
+			t.Fatal("the node does not become ready")
 		}
 	}
 	if took := time.Since(begun); took < listConfirmTimeout/2 {
-		t.Errorf("yes after %v without its list", took)
+		t.Errorf("ready after %v without a confirmed list", took)
 	}
 }
 
-// A process whose successor goes has all places again.
+// A process whose successor ends may use all descriptors again and stays ready.
 func TestSuccessorEndsDuringHandover(t *testing.T) {
 	configure := sharedSocketConfig(t)
 	predecessor := newTestNodeWith(t, configure)
 	predecessor.updateList(newTestServer(t, serveOK).target("s-1", 0))
 	maxSockets := predecessor.node.upstream.sockets.limit.Load()
 	successor := newTestNodeWith(t, configure)
-	successor.waitUntil("the old one's list", func() bool { return len(successor.node.loop.serverIDs) == 1 })
+	successor.waitUntil("list of the predecessor", func() bool { return len(successor.node.loop.serverIDs) == 1 })
 	successor.stop()
 	if err := receive(t, successor.ended); err != nil {
 		t.Error(err)
 	}
 	successor.ended <- nil
-	predecessor.waitUntil("alone", func() bool { return predecessor.node.upstream.sockets.limit.Load() == maxSockets })
+	predecessor.waitUntil("the full limit of descriptors", func() bool { return predecessor.node.upstream.sockets.limit.Load() == maxSockets })
 	if !predecessor.node.front.ready.Load() {
-		t.Error("the old one is not ready any more")
+		t.Error("the predecessor is no longer ready")
 	}
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -21,36 +21,37 @@
 	"sloestile/internal/discovery/discoverytest"
 )
 
-// patience bounds every wait of the tests; nothing is expected to come near it.
+// testTimeout bounds every wait of the tests. It is far longer than any wait should take.
 const testTimeout = 30 * time.Second
 
+// receive returns the next value of a channel and fails the test after testTimeout.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within the test timeout")
 		panic("unreachable")
 	}
 }
 
-// rig is a node with an agent, and app servers as a test starts them.
+// testNode is a running node with a discovery service. Tests start servers with newTestServer.
 type testNode struct {
 	t         *testing.T
 	discovery *discoverytest.Agent
 	node      *Node
 	stop      context.CancelFunc
 	ended     chan error
-	applied   chan int64 // versions of the list that have been handed to the loop
+	applied   chan int64 // revisions of the updates that were passed to the loop
 	revision  int
 	listener  *recordingListener
 }
 
-// recorded keeps the connections that a node has taken from clients.
+// recordingListener records the connections that a node has accepted from clients.
 type recordingListener struct {
 	net.Listener
-	accepted sync.Map // *clientConn by the client's address
+	accepted sync.Map // accepted connections by the client's address
 }
 
 func (l *recordingListener) Accept() (net.Conn, error) {
@@ -61,7 +62,7 @@
 	return c, err
 }
 
-// conn is the node's end of a client's connection.
+// nodeConn returns the node's end of a client's connection.
 func (r *testNode) nodeConn(client net.Conn) *clientConn {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -69,13 +70,15 @@
 			return c.(*clientConn)
 		}
 	}
-	r.t.Fatal("the node has not taken the connection")
+	r.t.Fatal("the node has not accepted the connection")
 	return nil
 }
 
+// newTestNode starts a node with the test configuration.
 func newTestNode(t *testing.T) *testNode { return newTestNodeWith(t, func(*config.Config) {}) }
 
-// newRigWith starts a node whose configuration a test changes before, and what else it has set.
+// newTestNodeWith starts a node after change has changed its configuration and set has changed the node itself. The
+// node is stopped at the end of the test.
 func newTestNodeWith(t *testing.T, change func(*config.Config), configure ...func(*Node)) *testNode {
 	r := &testNode{t: t, discovery: discoverytest.NewAgent(t), ended: make(chan error, 1), applied: make(chan int64, 100), revision: 7}
 	cfg, err := config.Load("testdata/config.json")
@@ -87,7 +90,7 @@
 	if r.node, err = New(cfg); err != nil {
 		t.Fatal(err)
 	}
-	r.node.drainTimeout = drainClosePeriod + 800*time.Millisecond // short drains
+	r.node.drainTimeout = drainClosePeriod + 800*time.Millisecond // keep drains short
 	for _, f := range configure {
 		f(r.node)
 	}
@@ -105,14 +108,14 @@
 	go func() { r.ended <- r.node.Run(ctx) }()
 	t.Cleanup(func() {
 		if !stopped {
-			r.node.drainTimeout = drainIdleDelay // nobody looks at this drain
+			r.node.drainTimeout = drainIdleDelay // this drain is not tested
 		}
 		stop()
 		select {
 		case err := <-r.ended:
 			r.ended <- err
 		case <-time.After(testTimeout):
-			t.Error("the node did not end")
+			t.Error("the node did not stop")
 		}
 	})
 	return r
@@ -120,14 +123,14 @@
 
 var lastHost atomic.Int64
 
-// ownHost gives a host that no other test and no other process uses, so that a port which is free
-// there stays so.
+// uniqueHost returns a loopback address that no other test or test process uses, so that a freed port on it is not
+// taken by another one.
 func uniqueHost() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 230+lastHost.Add(1), pid>>8&0xff, pid&0xff)
 }
 
-// list tells the node of changes and returns when the module knows them.
+// updateList sends a delta update of the endpoint list and returns once the decision module has it.
 func (r *testNode) updateList(targets ...discovery.Target) {
 	r.t.Helper()
 	r.revision++
@@ -140,7 +143,7 @@
 	}
 }
 
-// wait looks at the loop's state, on the loop's goroutine, until it is as wanted.
+// waitUntil calls holds on the loop's goroutine until it returns true. It fails the test after testTimeout.
 func (r *testNode) waitUntil(condition string, holds func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -152,10 +155,10 @@
 			return
 		}
 	}
-	r.t.Fatalf("%s: not in time", condition)
+	r.t.Fatalf("%s: condition does not hold within the test timeout", condition)
 }
 
-// call is a client's request that a test may change before it is sent.
+// newRequest returns a client's request. Tests may change it before they send it.
 func (r *testNode) newRequest(method, path, id string) *http.Request {
 	req, err := http.NewRequest(method, "http://"+r.node.Addr()+path+"?account=00000000b4d65521", nil)
 	if err != nil {
@@ -171,6 +174,7 @@
 	return req
 }
 
+// do sends a request and returns the response with its body.
 func (r *testNode) do(req *http.Request) (*http.Response, string) {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -187,8 +191,8 @@
 	return resp, string(body)
 }
 
-// held has the node hold a request that its app server never answers. The status of
-// its final answer comes on the channel.
+// holdRequest sends a request that the server never answers, and returns once the server has received it. The channel
+// receives the status of the final answer.
 func (r *testNode) holdRequest() <-chan int {
 	r.t.Helper()
 	requestReceived := make(chan struct{})
@@ -204,13 +208,14 @@
 	return answered
 }
 
-// app is an app server that notes what it is asked.
+// testServer is a rating server that records the requests that it receives.
 type testServer struct {
 	*httptest.Server
 	mu       sync.Mutex
 	received []string // method, URI and key of each request
 }
 
+// newTestServer starts a server that records its requests and passes them to serve.
 func newTestServer(t *testing.T, serve http.HandlerFunc) *testServer {
 	a := &testServer{}
 	a.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -225,7 +230,7 @@
 	return a
 }
 
-// requests are what it has been asked so far.
+// requests returns the requests received so far.
 func (a *testServer) requests() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -238,17 +243,19 @@
 	return discovery.Target{UID: uid, Endpoint: a.Listener.Addr().String(), Zone: "z1", Group: group, State: "up", Capacity: 1}
 }
 
-// pooled are the idle connections to app servers.
+// idleConns returns the idle connections to servers.
 func idleConns(u *upstream) []*serverConn {
 	var all []*serverConn
 	u.closeIdleWhere(func(c *serverConn) bool { all = append(all, c); return false })
 	return all
 }
 
+// serveOK answers with the request's ID.
 func serveOK(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.WriteString(w, "served "+r.Header.Get(headerID))
 }
 
+// hijack takes over the connection of a request.
 func hijack(w http.ResponseWriter) net.Conn {
 	c, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -257,9 +264,10 @@
 	return c
 }
 
-// reset ends a request's connection with no answer.
+// resetConn closes a request's connection without an answer.
 func resetConn(w http.ResponseWriter, _ *http.Request) { _ = hijack(w).Close() }
 
+// neverAnswer returns a handler that does not answer until the client or the test ends.
 func neverAnswer(t *testing.T) http.HandlerFunc {
 	testEnded := make(chan struct{})
 	t.Cleanup(func() { close(testEnded) })
--- a/internal/node/limitsharing_test.go
+++ b/internal/node/limitsharing_test.go
@@ -15,7 +15,7 @@
 	"sloestile/internal/config"
 )
 
-// pair starts two nodes that know each other, and share limits or don't.
+// newNodePair starts two nodes of one membership and waits until they have joined. sharedLimits enables shared limits.
 func newNodePair(t *testing.T, sharedLimits bool) [2]*testNode {
 	var ports [2]int
 	host := uniqueHost()
@@ -36,12 +36,13 @@
 		})
 	}
 	for _, r := range nodes {
-		r.waitUntil("the other node", func() bool { return r.node.peers.Load().Counts.Live.Load() == 1 })
+		r.waitUntil("one live peer", func() bool { return r.node.peers.Load().Counts.Live.Load() == 1 })
 	}
 	return nodes
 }
 
-// askBasic sends a request of a small quota, of a customer that so many nodes share.
+// requestBasicPlan sends a request of plan basic, which has a small quota. nodes is the number of nodes that the
+// tenant's requests come through. It returns the status.
 func requestBasicPlan(r *testNode, id string, tokens, nodes int) int {
 	req := r.newRequest(http.MethodGet, "/roster-read", id)
 	req.Header.Set(headerPlan, "basic")
@@ -50,7 +51,7 @@
 	return resp.StatusCode
 }
 
-// What one node has sent on the other does not grant again; where limits are not shared it does.
+// Tokens that one node has granted must not be granted again by the other node. Without shared limits they are.
 func TestNodesShareLimits(t *testing.T) {
 	for _, sharedLimits := range []bool{true, false} {
 		t.Run(fmt.Sprint(sharedLimits), func(t *testing.T) {
@@ -61,47 +62,47 @@
 			for _, r := range nodes {
 				r.updateList(server.target("a", 1))
 				if sharedLimits {
-					requestBasicPlan(r, "first", 1, 2) // so that the store has an owner that tells of it
-					r.waitUntil("any word", func() bool { return r.node.loop.limitSharing.bucketOf(q) != nil })
+					requestBasicPlan(r, "first", 1, 2) // so that the bucket gets an owner that reports its level
+					r.waitUntil("a known level of the bucket", func() bool { return r.node.loop.limitSharing.bucketOf(q) != nil })
 				}
 			}
 			for i := 0; requestBasicPlan(nodes[0], fmt.Sprint("a", i), 1, 2) == http.StatusOK; i++ {
 				if i > 20 {
-					t.Fatal("the store is never empty")
+					t.Fatal("the token bucket never runs empty")
 				}
 			}
 			b := nodes[1]
 			if !sharedLimits {
 				if got := requestBasicPlan(b, "b", 4, 2); got != http.StatusOK {
-					t.Errorf("a node that knows nothing answers %d", got)
+					t.Errorf("without shared limits the other node answers %d", got)
 				}
 				return
 			}
-			b.waitUntil("word of the store", func() bool {
+			b.waitUntil("the low level of the bucket", func() bool {
 				s := b.node.loop.limitSharing.bucketOf(q)
 				return s != nil && !s.LowerBound && s.Tokens < 3
 			})
 			if got := requestBasicPlan(b, "b", 4, 2); got != http.StatusServiceUnavailable {
-				t.Errorf("a node that is told of an empty store answers %d", got)
+				t.Errorf("a node that knows the low level answers %d", got)
 			}
 			var text strings.Builder
 			writeRegistry(&text, b.node.loop.metrics)
 			if !strings.Contains(text.String(), "node_share_age_seconds_bucket") || !strings.Contains(text.String(), "node_share_known_total") {
-				t.Error("the figures lack age or known")
+				t.Error("the metrics lack the age or the number of known buckets")
 			}
 		})
 	}
 }
 
-// Without a fleet file a node has no part of this, and tells the module nothing.
+// Without a fleet file a node must start neither the membership nor the sharing of limits.
 func TestPeersAreOffWithoutFleetFile(t *testing.T) {
 	r := newTestNode(t)
 	if n := r.node; n.startPeers != nil || n.peers.Load() != nil || n.loop.limitSharing != nil {
-		t.Error("a node without a fleet file talks")
+		t.Error("a node without a fleet file has a membership or shares limits")
 	}
 }
 
-// What the loop does more for a request where limits are shared, and the store known.
+// Measures the loop's additional work per request with shared limits and a known bucket.
 func BenchmarkLimitSharing(b *testing.B) {
 	q := &control.Request{Plan: "basic", Tenant: "x", TenantNodes: 3, Tokens: 1}
 	s := newLimitSharing(&control.Settings{FleetSize: 3}, config.Peers{SharedLimits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
@@ -116,7 +117,7 @@
 	close(s.loop.ended)
 }
 
-// A process that starts while the one before it still has the address begins to talk when that ends.
+// A process that starts while its predecessor holds the membership's address must join once the address is free.
 func TestPeersStartWhenTheAddressIsFree(t *testing.T) {
 	t.Parallel()
 	holder, err := net.Listen("tcp", "127.0.0.1:0")
@@ -135,12 +136,12 @@
 	}
 	n := &Node{startPeers: startPeers}
 	if _, err := n.startPeers(); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Fatalf("while the address is taken: %v", err)
+		t.Fatalf("start while the address is in use: %v", err)
 	}
 	_ = holder.Close()
 	p := n.joinPeers(t.Context())
 	if p == nil || n.peers.Load() != p {
-		t.Fatal("it does not begin")
+		t.Fatal("the membership does not start")
 	}
 	_ = p.Close()
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -56,6 +56,7 @@
 	metrics      *prometheus.Registry // metrics of these features
 }
 
+// newLoop returns an event loop for a configuration. Events are handled once run is called.
 func newLoop(cfg config.Config, upstreamSide *upstream, metrics *stats) (*loop, error) {
 	controller, err := control.New(cfg.Settings, cfg.Seed)
 	if err != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,11 +12,13 @@
 	"sloestile/internal/discovery"
 )
 
+// Path, query, idempotency key and body must reach the server unchanged, and the answer the client; the remaining time
+// is reduced.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	r := newTestNode(t)
 	a := newTestServer(t, func(w http.ResponseWriter, req *http.Request) {
 		left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get(headerTimeLeft), "m"))
-		// The answer's last byte has to be there in time: the edge node waits a little less.
+		// The server gets less time than the client, so that the last byte of the answer reaches the client in time.
 		if err != nil || left < 1 || left > 7000-int(answerMargin.Milliseconds()) {
 			t.Errorf("time left %q", req.Header.Get(headerTimeLeft))
 		}
@@ -32,13 +34,14 @@
 		t.Errorf("%s %q %v", resp.Status, body, resp.Header)
 	}
 	if resp.Header.Get(headerMeter) != "" {
-		t.Error("a report for edge nodes went to a client")
+		t.Error("the meter header, which is for edge nodes, was sent to the client")
 	}
 	if want := "POST /visit-update/a%2Fb/c?account=00000000b4d65521 k-id-1 swap"; a.requests()[0] != want {
-		t.Errorf("%q, not %q", a.requests()[0], want)
+		t.Errorf("forwarded %q, want %q", a.requests()[0], want)
 	}
 }
 
+// /healthz must fail until a server is listed, so that clients do not choose this node.
 func TestHealthz(t *testing.T) {
 	r := newTestNode(t)
 	health := func() int {
@@ -47,23 +50,23 @@
 		return resp.StatusCode
 	}
 	if s := health(); s != http.StatusServiceUnavailable {
-		t.Errorf("%d with no app server known", s)
+		t.Errorf("/healthz: status %d while no server is listed", s)
 	}
 	r.updateList(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
 	r.waitUntil("ready", r.node.front.ready.Load)
 	if s := health(); s != http.StatusOK {
-		t.Errorf("%d with an app server", s)
+		t.Errorf("/healthz: status %d with a listed server", s)
 	}
 }
 
-// The module's refusal is given at once and tells when to come again.
+// A request that the decision module rejects is answered at once with Retry-After, and is not sent to a server.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	r := newTestNode(t)
 	a := newTestServer(t, serveOK)
 	r.updateList(a.target("s-1", 0))
 	for i := range 100 {
 		q := r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i))
-		q.Header.Set(headerPlan, "basic") // a burst of 8 units
+		q.Header.Set(headerPlan, "basic") // a burst of 8 tokens
 		resp, _ := r.do(q)
 		if resp.StatusCode == http.StatusOK {
 			continue
@@ -73,14 +76,15 @@
 			t.Errorf("%s %v", resp.Status, resp.Header)
 		}
 		if a.requestCount() != i {
-			t.Errorf("%d requests sent on before the first refusal of %d", a.requestCount(), i)
+			t.Errorf("%d requests forwarded, but the first rejection came after %d", a.requestCount(), i)
 		}
 		return
 	}
-	t.Error("none of 100 requests was refused")
+	t.Error("none of 100 requests was rejected")
 }
 
-// A keyed request that may have run goes again within its group only, with its key.
+// A request that is idempotent with a key and may have been executed is retried only at servers of the same group, and
+// with its key.
 func TestKeyedRequestIsRetriedAfterReset(t *testing.T) {
 	r := newTestNode(t)
 	fails := true
@@ -99,31 +103,32 @@
 		t.Errorf("%s %q", resp.Status, body)
 	}
 	if n := a.requestCount() * b.requestCount(); n != 0 || a.requestCount()+b.requestCount() != 2 {
-		t.Errorf("attempts %v and %v", a.requests(), b.requests())
+		t.Errorf("attempts in both groups or not two: %v and %v", a.requests(), b.requests())
 	}
 	for _, s := range append(a.requests(), b.requests()...) {
 		if !strings.Contains(s, "k-id-1") {
-			t.Errorf("attempt %q has lost its key", s)
+			t.Errorf("attempt %q lacks its key", s)
 		}
 	}
 }
 
-// At the end of the client's time the attempt's connection is closed and the client is told.
+// At the client's deadline the attempt's connection is closed and the client gets an answer: 503 if the request may be
+// retried safely, 504 if it may have been executed.
 func TestRequestTimesOut(t *testing.T) {
 	t.Parallel()
 	for class, tc := range map[string]struct {
 		method string
 		want   int
 	}{
-		"/roster-read":  {http.MethodGet, http.StatusServiceUnavailable}, // harmless to try again
-		"/visit-update": {http.MethodPost, http.StatusGatewayTimeout},    // may have run
+		"/roster-read":  {http.MethodGet, http.StatusServiceUnavailable}, // idempotent
+		"/visit-update": {http.MethodPost, http.StatusGatewayTimeout},    // may have been executed
 	} {
 		t.Run(class, func(t *testing.T) {
 			r := newTestNode(t)
-			gone := make(chan struct{})
+			connClosed := make(chan struct{})
 			a := newTestServer(t, func(_ http.ResponseWriter, q *http.Request) {
 				<-q.Context().Done()
-				close(gone)
+				close(connClosed)
 			})
 			r.updateList(a.target("s-1", 0))
 			q := r.newRequest(tc.method, class, "id-1")
@@ -131,7 +136,7 @@
 			if resp, _ := r.do(q); resp.StatusCode != tc.want {
 				t.Errorf("%s", resp.Status)
 			}
-			receive(t, gone)
+			receive(t, connClosed)
 			if n := a.requestCount(); n != 1 {
 				t.Errorf("%d attempts", n)
 			}
@@ -139,12 +144,12 @@
 	}
 }
 
-// A client that leaves is owed nothing; its id is free again when its attempt has ended.
+// The ID of a request whose client has left may be reused only after its attempt has ended.
 func TestClientLeavesBeforeTheAnswer(t *testing.T) {
 	r := newTestNode(t)
-	held, finish := make(chan struct{}), make(chan struct{})
+	started, finish := make(chan struct{}), make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
-		held <- struct{}{}
+		started <- struct{}{}
 		<-finish
 		serveOK(w, q)
 	})
@@ -158,24 +163,24 @@
 		}
 		left <- err
 	}()
-	receive(t, held)
+	receive(t, started)
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != http.StatusConflict {
-		t.Errorf("an id in flight was taken again: %s", resp.Status)
+		t.Errorf("second request with an ID that is in flight: %s", resp.Status)
 	}
 	leave()
 	if err := receive(t, left); err == nil {
-		t.Error("the client got an answer")
+		t.Error("the client that left got an answer")
 	}
-	r.waitUntil("the hang-up", func() bool { x := r.node.loop.exchanges["id-1"]; return x != nil && x.done })
+	r.waitUntil("detection of the closed connection", func() bool { x := r.node.loop.exchanges["id-1"]; return x != nil && x.done })
 	close(finish)
-	r.waitUntil("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
-	go func() { <-held }()
+	r.waitUntil("end of the attempt", func() bool { return len(r.node.loop.exchanges) == 0 })
+	go func() { <-started }()
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1")); resp.StatusCode != 200 {
-		t.Errorf("a free id: %s", resp.Status)
+		t.Errorf("request with a reused ID: %s", resp.Status)
 	}
 }
 
-// Requests are not lost with a module that panics.
+// Open requests must be answered if the decision module panics, and Run must return the panic as an error.
 func TestDecisionModulePanics(t *testing.T) {
 	r := newTestNode(t)
 	answered := r.holdRequest()
@@ -185,15 +190,15 @@
 	}
 	err := receive(t, r.ended)
 	if err == nil || !strings.Contains(err.Error(), "no such share") {
-		t.Errorf("ended with %v", err)
+		t.Errorf("Run returned %v", err)
 	}
 	r.ended <- err
 }
 
-// The node's clock is Unix time, so that an app server's start before ours maps truly.
+// The decision module's clock is Unix time, so that the start of a server that is older than the node can be expressed.
 func TestClockIsUnixTime(t *testing.T) {
 	r := newTestNode(t)
 	if d := time.Since(time.Unix(0, int64(r.node.loop.now()))); d < -time.Minute || d > time.Minute {
-		t.Errorf("%v off", d)
+		t.Errorf("the clock differs from Unix time by %v", d)
 	}
 }
--- a/internal/node/peering_test.go
+++ b/internal/node/peering_test.go
@@ -6,7 +6,7 @@
 	"sloestile/internal/config"
 )
 
-// A fleet file alone does not make nodes talk: the settings have to allow it.
+// A fleet file alone must not start the membership: the settings have to allow it too.
 func TestPeersStayOffUnlessSettingsAllowThem(t *testing.T) {
 	cfg, err := config.Load("testdata/config.json")
 	if err != nil {
@@ -15,6 +15,6 @@
 	cfg.Fleet = &config.Fleet{Peers: &config.Peers{Label: "x", Port: 1}}
 	on, err := startPeersFunc(cfg, nil)
 	if on != nil || err != nil {
-		t.Error("peers against the settings", err)
+		t.Error("the membership can be started although the settings do not allow it", err)
 	}
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -15,7 +15,8 @@
 	"sloestile/internal/config"
 )
 
-// with gives the test's configuration with the value at a dotted path changed; nil takes it away.
+// writeConfigWith writes the test configuration with a changed value at a dotted path, and returns the file's path. A
+// nil value removes the key.
 func writeConfigWith(t *testing.T, path string, value any) string {
 	raw, err := os.ReadFile("testdata/config.json")
 	require.NoError(t, err)
@@ -51,14 +52,14 @@
 	return all
 }
 
-// Settings that lack a key, have one that is unknown or out of range, name no class or a hundred: a node
-// starts, or the file is refused by one plain line that names the key. A file that is taken at SIGHUP is
-// one that a node could start with.
+// With keys that are missing, unknown or out of range, and with no class or a hundred, either the node starts or the
+// configuration is rejected with a one-line error that names the key. A configuration that is accepted on SIGHUP is
+// thus one that a node can start with.
 func TestSettingsAreAcceptedOrErrorNamesKey(t *testing.T) {
 	for _, x := range []struct {
 		path    string
 		value   any
-		wantErr string // "" is taken
+		wantErr string // name of the key in the error; "" means that the configuration is accepted
 	}{
 		{"settings.classes", []any{}, "classes"},
 		{"settings.classes", nil, "classes"},
@@ -90,7 +91,7 @@
 		{"settings.classes.1.key-scope", nil, ""},
 		{"settings.classes.1.repeat-window", 0, ""},
 		{"settings.classes.1.repeat-window", nil, ""},
-		{"settings.classes.1.repeat-window", 100, ""}, // shorter than the time for a connection
+		{"settings.classes.1.repeat-window", 100, ""}, // shorter than the connect timeout
 		{"settings.classes.1.repeat-window", -1, "repeat window"},
 		{"settings.tariffs.0.quota-rate", -1, "rate"},
 		{"settings.tariffs.0.name", nil, ""},
@@ -139,7 +140,7 @@
 			require.Positive(t, cfg.ServerConnectTimeout)
 			require.Positive(t, n.upstream.maxIdleAge)
 			require.Positive(t, n.drainTimeout)
-			// Within what discovery's TestPausesOfAnySettingsArePositive draws from.
+			// The values must be in the range from which TestPausesOfAnySettingsArePositive of package discovery draws.
 			require.GreaterOrEqual(t, cfg.Settings.DrainGrace, time.Duration(0))
 			require.Positive(t, cfg.Settings.FleetSize)
 		})
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -18,14 +18,14 @@
 	"sloestile/internal/config"
 )
 
-// lateDial is a network on which a connection comes up when a test says so.
+// blockedDialer delays connections to servers until the test allows them.
 type blockedDialer struct {
-	dialing chan context.Context // of each attempt that waits for its connection
-	proceed chan struct{}        // lets one come up
+	dialing chan context.Context // receives the context of each attempt that waits for its connection
+	proceed chan struct{}        // each value lets one connection open
 }
 
-// lateDials has the connections of a rig to its app servers come up as the test says, also when
-// their attempt's time is over by then: one may come up in that very moment.
+// blockDials delays the node's connections to servers until the test allows them. They also open after their attempt's
+// context has ended, as a connection may open at that very moment.
 func blockDials(r *testNode) *blockedDialer {
 	d := &blockedDialer{dialing: make(chan context.Context, 10), proceed: make(chan struct{})}
 	r.node.loop.post(func() {
@@ -38,29 +38,30 @@
 	return d
 }
 
+// rawReadRequest returns the text of a read request with an ID.
 func rawReadRequest(id string) string {
 	return strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+validHeaders+"\r\n", "raw", id, 1)
 }
 
-// over waits until nothing of a request is held.
+// waitForEnd waits until the loop has released a request.
 func (r *testNode) waitForEnd(id string) {
 	r.t.Helper()
-	r.waitUntil("the end of "+id, func() bool { return r.node.loop.exchanges[id] == nil })
+	r.waitUntil("release of "+id, func() bool { return r.node.loop.exchanges[id] == nil })
 }
 
-// A request that is over while a connection opens for it is not written to that connection when it
-// comes up, and the connection serves another one.
+// A request that ends while its connection opens must not be written to that connection later. The connection is kept
+// and serves another request.
 func TestRequestEndsWhileItsConnectionOpens(t *testing.T) {
 	for name, end := range map[string]func(r *testNode, c net.Conn, attempt context.Context){
-		"its client has left": func(r *testNode, c net.Conn, _ context.Context) {
+		"client leaves": func(r *testNode, c net.Conn, _ context.Context) {
 			_ = c.Close()
 			r.waitUntil("the hang-up", func() bool { return r.node.loop.exchanges["id-1"].done })
 		},
-		"it is answered": func(r *testNode, c net.Conn, _ context.Context) {
+		"request is answered": func(r *testNode, c net.Conn, _ context.Context) {
 			r.node.loop.post(func() { r.node.loop.execute(control.Fail{ID: "id-1"}) })
 			assert.Equal(r.t, http.StatusBadGateway, readStatus(r.t, c))
 		},
-		"its time is up": func(_ *testNode, _ net.Conn, attempt context.Context) { <-attempt.Done() },
+		"deadline passes": func(_ *testNode, _ net.Conn, attempt context.Context) { <-attempt.Done() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestNode(t)
@@ -72,43 +73,42 @@
 			end(r, c, receive(t, d.dialing))
 			d.proceed <- struct{}{}
 			r.waitForEnd("id-1")
-			assert.Empty(t, a.requests(), "written after its end")
-			assert.Len(t, idleConns(r.node.upstream), 1, "connections that idle")
+			assert.Empty(t, a.requests(), "the request was written after its end")
+			assert.Len(t, idleConns(r.node.upstream), 1, "idle connections")
 
 			again := r.dial()
 			_, _ = io.WriteString(again, rawReadRequest("id-2"))
 			assert.Equal(t, http.StatusOK, readStatus(t, again))
 			assert.Len(t, a.requests(), 1)
-			assert.Empty(t, d.dialing, "the connection that came up late was not used")
+			assert.Empty(t, d.dialing, "another connection was opened instead of the idle one")
 			r.waitForMetric("node_backend_calls_total", 1)
 			r.waitForMetric("node_inflight", 0)
 		})
 	}
 }
 
-// A client that leaves between a failure and the repeat gets none, nor does one that leaves while
-// its request waits for a server.
+// If the client leaves between a failed attempt and its retry, or while the request is queued, no attempt must start.
 func TestNoAttemptAfterTheClientLeft(t *testing.T) {
 	left := func(r *testNode, c net.Conn) {
 		_ = c.Close()
 		r.waitUntil("the hang-up", func() bool { x := r.node.loop.exchanges["id-1"]; return x == nil || x.done })
 	}
-	t.Run("before a repeat", func(t *testing.T) {
+	t.Run("before a retry", func(t *testing.T) {
 		r := newTestNode(t)
-		asked, fail := make(chan struct{}), make(chan struct{})
+		started, fail := make(chan struct{}), make(chan struct{})
 		a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 			if q.Header.Get(headerID) != "id-1" {
 				serveOK(w, q)
 				return
 			}
-			asked <- struct{}{}
+			started <- struct{}{}
 			<-fail
 			resetConn(w, q)
 		})
 		r.updateList(a.target("s-1", 0), a.target("s-2", 0))
 		c := r.dial()
 		_, _ = io.WriteString(c, rawReadRequest("id-1"))
-		receive(t, asked)
+		receive(t, started)
 		left(r, c)
 		close(fail)
 		r.waitForEnd("id-1")
@@ -118,7 +118,7 @@
 		r := newTestNode(t)
 		c := r.dial()
 		_, _ = io.WriteString(c, rawReadRequest("id-1"))
-		r.waitUntil("its turn", func() bool { return r.node.loop.exchanges["id-1"] != nil })
+		r.waitUntil("the queued request", func() bool { return r.node.loop.exchanges["id-1"] != nil })
 		left(r, c)
 		a := newTestServer(t, serveOK)
 		r.updateList(a.target("s-1", 0))
@@ -129,8 +129,8 @@
 	})
 }
 
-// A repeat that is chosen within its window is not written behind the window's end, when its connection
-// comes up later.
+// A retry that starts within the idempotency window must not be written after the window's end if its connection opens
+// too late.
 func TestRetryStaysWithinIdempotencyWindow(t *testing.T) {
 	const window = time.Second
 	for name, late := range map[string]bool{"in time": false, "too late": true} {
@@ -150,12 +150,12 @@
 			c := r.dial()
 			_, _ = io.WriteString(c, postHeaders+"Content-Length: 4\r\n\r\nswap")
 			receive(t, d.dialing)
-			opened := time.Now() // the window began before
+			opened := time.Now() // the idempotency window began before
 			d.proceed <- struct{}{}
 			receive(t, d.dialing)
 			attempts, status := 2, http.StatusOK
 			if late {
-				time.Sleep(time.Until(opened.Add(window))) // has to pass
+				time.Sleep(time.Until(opened.Add(window))) // wait for the end of the window
 				attempts, status = 1, http.StatusBadGateway
 			}
 			d.proceed <- struct{}{}
@@ -166,15 +166,15 @@
 	}
 }
 
-// An attempt begins or is called off, never both, whoever comes first.
+// An attempt either begins or is cancelled, never both, even if both happen at the same time.
 func TestAttemptStartsOrIsCancelled(t *testing.T) {
 	var s startState
 	assert.True(t, s.tryStart())
 	s.cancel()
-	assert.False(t, s.tryStart(), "begun twice")
+	assert.False(t, s.tryStart(), "the attempt began twice")
 	s = startState{}
 	s.cancel()
-	assert.False(t, s.tryStart(), "begun when it was called off")
+	assert.False(t, s.tryStart(), "the attempt began after its cancellation")
 
 	begun, off := make(chan bool), make(chan struct{})
 	for range 1000 {
@@ -187,8 +187,8 @@
 	}
 }
 
-// A connection that is being opened when its server is told to drain comes up within the grace, or
-// not at all, whatever the settings allow a connection.
+// A server may begin to drain while a connection to it opens. The connection must open within the drain grace or fail,
+// even if the configured connect timeout is longer.
 func TestConnectTimeoutIsAtMostDrainGrace(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	require.NoError(t, err)
@@ -199,7 +199,7 @@
 	require.NoError(t, err)
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 	full := false
-	for range 10 { // until its line is full, and who comes further is not answered
+	for range 10 { // until the accept queue is full, so that further connections get no answer
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
 		if full = err != nil; full {
 			break
@@ -216,5 +216,5 @@
 	var timeout net.Error
 	require.ErrorAs(t, err, &timeout)
 	require.True(t, timeout.Timeout(), "%v", err)
-	require.NoError(t, ctx.Err(), "it waited for longer than the grace")
+	require.NoError(t, ctx.Err(), "the dial took longer than the drain grace")
 }
--- a/internal/node/subset_test.go
+++ b/internal/node/subset_test.go
@@ -18,7 +18,7 @@
 	"sloestile/internal/discovery"
 )
 
-// subsetOf switches on a subset of some servers, without a floor for zones.
+// withSubset returns a function that configures a subset of a number of servers, without a minimum per zone.
 func withSubset(servers int) func(*config.Config) {
 	minPerZone, maxListed := 0, 1000
 	return func(c *config.Config) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// randomMessages are messages of a discovery with at most most servers: whole lists, changes, drains,
-// servers that go and come again, states that are not known.
+// randomUpdates returns n updates of discovery with at most maxServers servers: complete and delta ones, with servers
+// that drain, are removed and return, and with unknown states.
 func randomUpdates(seed uint64, n, maxServers int) (all []discovery.Update) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	states := []string{"up", "up", "up", "draining", "removed", "paused"}
@@ -46,7 +46,7 @@
 	return all
 }
 
-// updates are what a node's watch tells of messages that discovery sends.
+// receivedUpdates returns the updates that a node's watch passes on when discovery sends updates.
 func receivedUpdates(t *testing.T, configure func(*config.Config), sent []discovery.Update) (received []discovery.Update) {
 	t.Helper()
 	seen := make(chan discovery.Update, len(sent))
@@ -61,7 +61,7 @@
 	return received
 }
 
-// tell sends a message of discovery.
+// sendUpdate sends an update of discovery and returns once the loop has it.
 func (r *testNode) sendUpdate(u discovery.Update) {
 	r.t.Helper()
 	line, err := json.Marshal(u)
@@ -70,7 +70,7 @@
 	receive(r.t, r.applied)
 }
 
-// events are what a node tells its module of updates, and of requests between them.
+// controlEvents returns the events for the decision module that follow from updates, with requests in between.
 func controlEvents(t *testing.T, cfg config.Config, updates []discovery.Update) (all []control.Event) {
 	t.Helper()
 	l, err := newLoop(cfg, newUpstreamFromConfig(cfg, newSockets(64, 0)), newStats(cfg.Settings.Classes))
@@ -90,7 +90,7 @@
 	return all
 }
 
-// actions are what a controller does on events 20 ms apart.
+// controllerActions returns the actions of a controller on events that are 20 ms apart.
 func controllerActions(t *testing.T, cfg config.Config, events []control.Event) (taken []string) {
 	t.Helper()
 	c, err := control.New(cfg.Settings, cfg.Seed)
@@ -105,8 +105,8 @@
 	return taken
 }
 
-// As long as the list is no longer than the subset all is as without it: the node is told the same, gives
-// the same ids and does the same.
+// While the list is not longer than the subset, a subset must change nothing: the watch passes on the same updates, and
+// server IDs, events and actions are the same.
 func TestSubsetLargerThanListChangesNothing(t *testing.T) {
 	cfg, err := config.Load("testdata/config.json")
 	require.NoError(t, err)
@@ -122,10 +122,10 @@
 		require.True(t, slices.ContainsFunc(wantActions, func(a string) bool { return strings.Contains(a, "control.Send") }))
 	}
 	cut := receivedUpdates(t, withSubset(6), randomUpdates(1, 1, 12))
-	require.NotEqual(t, 12, len(cut[0].Targets), "a longer list is not cut")
+	require.NotEqual(t, 12, len(cut[0].Targets), "a list longer than the subset is not cut")
 }
 
-// manyTargets are entries of a list whose servers are one.
+// manyTargets returns n entries of an endpoint list that all lead to the same server.
 func manyTargets(a *testServer, n int) []discovery.Target {
 	all := make([]discovery.Target, n)
 	for i := range all {
@@ -134,20 +134,20 @@
 	return all
 }
 
-// used are the servers that the node uses, in order; it reads them on the loop.
+// serversInUse returns the sorted UIDs of the servers that the node uses, read on the loop's goroutine.
 func (r *testNode) serversInUse() []string {
 	got := make(chan []string, 1)
 	r.node.loop.post(func() { got <- slices.Sorted(maps.Keys(r.node.loop.serverIDs)) })
 	return receive(r.t, got)
 }
 
-// A node with a subset uses and shows its servers only, and the figures say so; without the section there
-// are none of its figures.
+// A node with a subset uses only the servers of the subset, and the metrics show that. Without a subset there are no
+// metrics of it.
 func TestNodeUsesItsSubset(t *testing.T) {
 	a := newTestServer(t, serveOK)
 	r := newTestNodeWith(t, withSubset(6))
 	r.sendUpdate(discovery.Update{Rev: 8, All: true, Targets: manyTargets(a, 40)})
-	r.waitUntil("its servers", func() bool {
+	r.waitUntil("the servers of the subset", func() bool {
 		return len(r.node.loop.serverIDs) == 6 && len(r.node.loop.endpoints) == 6 && len(r.node.loop.pools) == 6
 	})
 	require.InDelta(t, 2*6/40.0, r.node.loop.nodesPerServer, 1e-9)
@@ -160,7 +160,7 @@
 	receive(t, r.discovery.Asked)
 	receive(t, r.discovery.Asked)
 	require.Equal(t, 1.0, r.readMetrics()["node_subset_dropped_total"])
-	require.Len(t, r.serversInUse(), 6, "the list before does not stay")
+	require.Len(t, r.serversInUse(), 6, "a dropped update must not change the list")
 
 	withoutSubset := newTestNode(t)
 	for name := range withoutSubset.readMetrics() {
@@ -169,10 +169,10 @@
 	require.Nil(t, withoutSubset.node.loop.metrics)
 }
 
-// What a process hands over or keeps is its subset. The next one begins with it, asks for the whole list,
-// and comes to the same subset.
+// A process hands over or stores only its subset. The next process starts with that subset, requests the complete list
+// and selects the same subset from it.
 func TestNextProcessUsesTheSameSubset(t *testing.T) {
-	for _, how := range []string{"handed over", "kept"} {
+	for _, how := range []string{"handed over", "stored"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			a, handover := newTestServer(t, serveOK), sharedSocketConfig(t)
@@ -191,22 +191,22 @@
 			predecessor.sendUpdate(completeList)
 			before := predecessor.serversInUse()
 			require.Len(t, before, 6)
-			if how == "kept" {
-				require.Equal(t, http.StatusOK, requestBasicPlan(predecessor, "a", 1, 1)) // else there is nothing to keep
+			if how == "stored" {
+				require.Equal(t, http.StatusOK, requestBasicPlan(predecessor, "a", 1, 1)) // a state is written only after a request
 				predecessor.stopAndWait()
 			}
 			successor := newTestNodeWith(t, configure)
-			require.Equal(t, "/v1/servers?watch=1", receive(t, successor.discovery.Asked), "it does not ask for the whole list")
-			require.Equal(t, before, successor.serversInUse(), "what was there before is not used at first")
-			successor.waitUntil("sharers", func() bool { return successor.node.loop.nodesPerServer == 6.0/40 })
+			require.Equal(t, "/v1/servers?watch=1", receive(t, successor.discovery.Asked), "the successor does not request the complete list")
+			require.Equal(t, before, successor.serversInUse(), "the successor does not start with the subset of its predecessor")
+			successor.waitUntil("nodes per server", func() bool { return successor.node.loop.nodesPerServer == 6.0/40 })
 			successor.sendUpdate(completeList)
 			require.Equal(t, before, successor.serversInUse())
 		})
 	}
 }
 
-// A program without subsets that takes a subset over takes it for another discovery's list, and asks for
-// the whole one; a whole list is handed over as ever.
+// A program of a version without subsets must not use the revision of a subset that is handed over to it: without an
+// address of discovery it requests the complete list. A complete list is handed over with the address.
 func TestHandoverMarksSubset(t *testing.T) {
 	for servers, want := range map[int]string{6: `"Discovery":""`, 40: `"Discovery":"d:1"`} {
 		r := newTestNodeWith(t, withSubset(servers))
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -161,7 +161,7 @@
 		writeError(w, err)
 		return
 	}
-	name, known := r.URL.Query().Get("zone"), make(chan bool, 1)
+	name, result := r.URL.Query().Get("zone"), make(chan bool, 1)
 	z.loop.post(func() {
 		ok := z.policy.SetOrder(z.loop.now(), name, order)
 		if ok {
@@ -169,10 +169,10 @@
 		}
 		z.publish()
 		z.scheduleCheck()
-		known <- ok
+		result <- ok
 	})
 	select {
-	case ok := <-known:
+	case ok := <-result:
 		if !ok {
 			writeError(w, &ZoneError{name, z.zoneNames()})
 			return
--- a/internal/node/zones_test.go
+++ b/internal/node/zones_test.go
@@ -12,8 +12,8 @@
 	"sloestile/internal/discovery"
 )
 
-// A zone whose server resets what it is sent is left; the operators' order goes before, and the
-// console says what the node does and why.
+// A zone whose servers reset all requests is evacuated, and no more requests are sent to it. The console shows the
+// states and reasons, and executes operators' orders, which take precedence over the outcomes of attempts.
 func TestFailingZoneIsEvacuated(t *testing.T) {
 	healthy, failing := newTestServer(t, serveOK), newTestServer(t, resetConn)
 	r := newTestNodeWith(t, func(c *config.Config) {
@@ -22,7 +22,7 @@
 	a := healthy.target("a", 1)
 	a.Zone = "z1"
 	all := []discovery.Target{a}
-	for i := range 8 { // one alone is a server's matter, and put aside before the zone is judged
+	for i := range 8 { // a single failing server would be ejected before its zone is evacuated
 		b := failing.target(fmt.Sprint("b", i), 1)
 		b.Zone = "z2"
 		all = append(all, b)
@@ -41,15 +41,15 @@
 	for i := range 60 {
 		r.do(r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint(i)))
 	}
-	r.waitUntil("the zone to be left", state(zone.Evacuated))
+	r.waitUntil("evacuation of the zone", state(zone.Evacuated))
 	n := failing.requestCount()
 	for i := range 20 {
 		if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", fmt.Sprint("x", i))); resp.StatusCode != http.StatusOK {
-			t.Errorf("a request is answered %d while the other zone serves", resp.StatusCode)
+			t.Errorf("status %d while the other zone serves", resp.StatusCode)
 		}
 	}
 	if got := failing.requestCount(); got != n {
-		t.Errorf("%d more attempts at the zone that was left", got-n)
+		t.Errorf("%d attempts sent to the evacuated zone", got-n)
 	}
 	call := func(method, path string) (int, string) {
 		req, err := http.NewRequest(method, "http://"+r.node.console.listener.Addr().String()+path, nil)
@@ -79,6 +79,6 @@
 		}
 	}
 	if resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "last")); resp.StatusCode == 0 {
-		t.Error("no answer with all zones left")
+		t.Error("no response while all zones are evacuated")
 	}
 }
--- a/internal/node/zonesgolden_test.go
+++ b/internal/node/zonesgolden_test.go
@@ -15,7 +15,7 @@
 	"sloestile/internal/golden"
 )
 
-// fixedZones returns an evacuation with a zone in each state and under each order.
+// fixedZones returns a zoneEvacuation with a zone in each state and under each order.
 func fixedZones() *zoneEvacuation {
 	z := &zoneEvacuation{}
 	z.views.Store(&[]zone.View{
@@ -27,14 +27,14 @@
 	return z
 }
 
-// The console shows the zones in the recorded JSON.
+// The console's answer to GET /zones must not change: operators' tools parse it.
 func TestZonesAnswerMatchesGoldenFile(t *testing.T) {
 	w := httptest.NewRecorder()
 	fixedZones().handleGet(w, httptest.NewRequest(http.MethodGet, "/zones", nil))
 	golden.CheckText(t, "zones", w.Header().Get("Content-Type")+"\n"+w.Body.String())
 }
 
-// The metric of the zones has the recorded name, help, labels and values.
+// The name, help text, labels and values of the zones' metric must not change.
 func TestZoneMetricMatchesGoldenFile(t *testing.T) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(fixedZones())
