--- a/internal/node/clientcloses_test.go
+++ b/internal/node/clientcloses_test.go
@@ -16,8 +16,8 @@
 	"sloestile/control"
 )
 
-// resting gives a client whose first request was answered, and the node's end of its connection,
-// which seems to have rested for long.
+// idleClient returns a client connection whose first request was answered, and the node's end of it, whose idle time is
+// set to a minute.
 func (r *rig) idleClient() (net.Conn, *bufio.Reader, *clientConn) {
 	r.t.Helper()
 	c := r.dial()
@@ -36,10 +36,11 @@
 			return c, in, k
 		}
 	}
-	r.t.Fatal("the connection does not rest")
+	r.t.Fatal("the connection does not become idle")
 	return nil, nil, nil
 }
 
+// expectServed reads one response and checks that it is the server's to the request with an ID.
 func (r *rig) expectServed(in *bufio.Reader, id string, wantClose bool) {
 	r.t.Helper()
 	resp, err := http.ReadResponse(in, nil)
@@ -47,15 +48,15 @@
 		r.t.Fatal(err)
 	}
 	if got, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(got) != "served "+id || resp.Close != wantClose {
-		r.t.Errorf("%s %q, closes %v", resp.Status, got, resp.Close)
+		r.t.Errorf("response %s %q, close %v; want 200 to %s, close %v", resp.Status, got, resp.Close, id, wantClose)
 	}
 }
 
-// begins sends the first part of a second request and waits until net/http has it.
+// sendPartialRequest sends the first part of a second request and waits until net/http has it.
 func (r *rig) sendPartialRequest(c net.Conn, k *clientConn, part string) {
 	r.t.Helper()
 	_, _ = io.WriteString(c, part)
-	r.wait("the part", func() bool {
+	r.wait("net/http has the partial request", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.requestStarted && len(k.rawHeader) == len(part)
@@ -64,11 +65,12 @@
 
 var secondGet = strings.Replace(rawGet, "raw", "second", 1)
 
-// A request of which a part was read is answered, whoever would close its connection just then.
+// An idle connection on which a part of a request was read is not closed as idle, neither by a drain nor by an
+// eviction, and the request is served.
 func TestPartialRequestPreventsClose(t *testing.T) {
 	for name, closeConn := range map[string]func(*rig){
-		"by a drain":              func(r *rig) { r.node.front.closeIdle() },
-		"for another one's place": func(r *rig) { r.node.front.evict() },
+		"by a drain":     func(r *rig) { r.node.front.closeIdle() },
+		"by an eviction": func(r *rig) { r.node.front.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
@@ -82,8 +84,8 @@
 	}
 }
 
-// A request that comes after its connection has been shut is not sent on, and its client reads
-// the end of the connection, not a reset: it may come again.
+// A request that arrives after the node closed its idle connection is not forwarded, and its client reads the end of
+// the connection and no reset: so it knows that it may retry.
 func TestRequestAfterIdleCloseIsDiscarded(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
@@ -94,42 +96,42 @@
 		t.Error(err)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Error(err)
+		t.Errorf("reading from the closed connection: error %v, want io.EOF", err)
 	}
 	_ = c.Close()
 	for end := time.Now().Add(patience); r.node.front.openConns.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the connection is not closed")
+			t.Fatal("the client connection is not closed")
 		}
 	}
 	if n := a.count(); n != 1 {
-		t.Errorf("sent on: %q", a.requests())
+		t.Errorf("requests at the server: %q, want the first only", a.requests())
 	}
 }
 
-// A place that is wanted is free at once, also where the client keeps its end open.
+// An eviction frees the descriptor at once, even if the client keeps its end open.
 func TestEvictionFreesDescriptorAtOnce(t *testing.T) {
 	r := newRig(t)
 	r.list(newApp(t, served).target("s-1", 0))
 	_, in, _ := r.idleClient()
 	open := r.node.upstream.sockets.openConns.Load()
 	if !r.node.front.evict() || r.node.upstream.sockets.openConns.Load() != open-1 {
-		t.Error("the place is not free")
+		t.Error("the eviction did not free a descriptor")
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Error(err)
+		t.Errorf("reading from the closed connection: error %v, want io.EOF", err)
 	}
 }
 
-// An answer that closes its connection is read whole, and then the connection's end, by a client
-// that had sent more than the node read: a close over unread bytes would be a reset.
+// A client that has sent more than the node reads gets the whole response and then the end of the connection. A close
+// with unread bytes would be a reset, which can destroy the response.
 func TestResponseSurvivesUnreadBytes(t *testing.T) {
 	r := newRig(t)
 	more := strings.Repeat("x", maxBufferedBytes)
 	for name, text := range map[string]string{
-		"no request":        "\x00\x01 noise\r\n\r\n" + more,
-		"behind a health":   "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n" + more,
-		"behind a bad head": "GET /no-such-class HTTP/1.1\r\nHost: n\r\n" + validHeaders + "\r\n" + more,
+		"invalid header":        "\x00\x01 noise\r\n\r\n" + more,
+		"behind a health check": "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n" + more,
+		"behind a bad request":  "GET /no-such-class HTTP/1.1\r\nHost: n\r\n" + validHeaders + "\r\n" + more,
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := r.dial()
@@ -143,14 +145,14 @@
 				t.Error(err)
 			}
 			if _, err := in.ReadByte(); err != io.EOF {
-				t.Errorf("%d, then %v", resp.StatusCode, err)
+				t.Errorf("status %d, then error %v, want io.EOF", resp.StatusCode, err)
 			}
 		})
 	}
 }
 
-// A request that began on a resting connection before SIGTERM, and ends when the node no longer
-// listens and closes what rests, is served, and its answer ends the connection.
+// A request that started on an idle connection before SIGTERM, and is complete only when the node no longer listens and
+// closes idle connections, is served, and its response closes the connection.
 func TestPartialRequestServedDuringDrain(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -159,8 +161,8 @@
 	idle, idleIn, _ := r.idleClient()
 	r.sendPartialRequest(c, k, secondGet[:60])
 	r.stop()
-	if _, err := idleIn.ReadByte(); err != io.EOF { // what rests is closed
-		t.Error(err)
+	if _, err := idleIn.ReadByte(); err != io.EOF { // idle connections are closed
+		t.Errorf("reading from the closed connection: error %v, want io.EOF", err)
 	}
 	_ = idle.Close()
 	for {
@@ -179,12 +181,14 @@
 	r.ended <- nil
 }
 
+// readerFunc implements io.Reader with a function.
 type readerFunc func([]byte) (int, error)
 
 func (f readerFunc) Read(p []byte) (int, error) { return f(p) }
 
-// A body that is stopped in the instant of its last byte, as an answer to it is there, ends net/http's
-// look for a hang-up: its client has not left, and is answered.
+// A response that arrives with the last byte of the body stops the body at that moment. That makes net/http's check for
+// a disconnect fail and cancels the request's context, though the client has not disconnected: it must get the
+// response.
 func TestBodyStoppedAtLastByteIsNotADisconnect(t *testing.T) {
 	r := newRig(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -208,7 +212,7 @@
 		a, _ := r.node.front.respond(w, q, x)
 		answered <- a.status
 	}()
-	r.wait("held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
+	r.wait("the request is held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
 	r.node.loop.post(func() { r.node.loop.act(control.Fail{ID: "id-1"}) })
 	require.Equal(t, http.StatusBadGateway, next(t, answered))
 }
--- a/internal/node/clientconns_test.go
+++ b/internal/node/clientconns_test.go
@@ -14,12 +14,13 @@
 	"sloestile/internal/discovery"
 )
 
-// Near the limit on descriptors an idle client connection goes for a new one.
+// At the limit on descriptors, an idle client connection is closed to accept a new one. Otherwise new clients would
+// wait until an idle one leaves.
 func TestIdleClientEvictedAtDescriptorLimit(t *testing.T) {
 	r := newRig(t)
 	r.list(discovery.Target{UID: "s-1", Endpoint: "127.0.0.1:1", State: "up"})
 	r.wait("ready", r.node.front.ready.Load)
-	r.node.upstream.sockets.limit.Store(3) // one client, a server, and the place for the next
+	r.node.upstream.sockets.limit.Store(3) // one client, one server, and the next accept
 	for range 3 {
 		c, err := net.Dial("tcp", r.node.Addr())
 		if err != nil {
@@ -29,7 +30,7 @@
 		_ = c.SetDeadline(time.Now().Add(patience))
 		_, _ = io.WriteString(c, "GET /healthz HTTP/1.1\r\nHost: n\r\n\r\n")
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
-			t.Fatalf("%v, %v", resp, err)
+			t.Fatalf("GET /healthz: response %v, error %v; want status 200", resp, err)
 		}
 	}
 }
@@ -46,28 +47,29 @@
 	return c
 }
 
-// Whoever connects is soon answered or closed, whatever part of a request came.
+// A client that stops before its request is complete gets an error response or a close in time, wherever it stops, and
+// nothing is forwarded. Otherwise slow clients would hold descriptors.
 func TestSlowClientsTimeOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
 	a := newApp(t, served)
 	r.list(a.target("s-1", 0))
 	for name, text := range map[string]string{
-		"silent":      "",
-		"half a head": "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\n" + headerID + ": raw",
-		"half a body": "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + validHeaders + "Content-Length: 9\r\n\r\nhalf",
+		"silent":        "",
+		"half a header": "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\n" + headerID + ": raw",
+		"half a body":   "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + validHeaders + "Content-Length: 9\r\n\r\nhalf",
 	} {
 		c, startedAt := r.dial(), time.Now()
 		_, _ = io.WriteString(c, text)
 		t.Run(name, func(t *testing.T) {
 			for _, s := range statuses(t, c) {
 				if s < 400 {
-					t.Errorf("answered %d", s)
+					t.Errorf("response status %d, want an error status", s)
 				}
 			}
-			// Owed within 3 s; a busy machine gets as much again.
+			// The protocol requires it within 3 s; a busy machine gets twice that.
 			if took := time.Since(startedAt); took > 2*3*time.Second {
-				t.Errorf("after %v", took)
+				t.Errorf("closed after %v", took)
 			}
 		})
 	}
@@ -76,7 +78,8 @@
 	}
 }
 
-// A request may be held for longer than a client has to send it, and a hang-up is still seen.
+// A request may be held for longer than the read deadline of its body, and a disconnect is still detected meanwhile. A
+// read deadline left on the connection would look like a disconnect.
 func TestHeldRequestOutlivesReadDeadline(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -95,21 +98,21 @@
 	leaving := r.dial()
 	_, _ = io.WriteString(leaving, "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n"+validHeaders+"\r\n")
 	next(t, forwarded)
-	time.Sleep(bodyIdleTimeout + bodyIdleTimeout/4) // the limit has to pass
-	r.wait("both held", func() bool {
+	time.Sleep(bodyIdleTimeout + bodyIdleTimeout/4) // longer than the read deadline
+	r.wait("both requests are held", func() bool {
 		x, y := r.node.loop.exchanges["id-1"], r.node.loop.exchanges["raw"]
 		return x != nil && !x.done && y != nil && !y.done
 	})
 	_ = leaving.Close()
-	r.wait("the hang-up", func() bool { return r.node.loop.exchanges["raw"].done })
+	r.wait("the disconnect is detected", func() bool { return r.node.loop.exchanges["raw"].done })
 	close(finish)
 	if s := next(t, answered); s != 200 {
-		t.Errorf("%d", s)
+		t.Errorf("status %d for the held request, want 200", s)
 	}
 }
 
-// Where all places are taken by clients that say nothing, one that asks is still served, and
-// the connections to app servers stay.
+// When silent clients hold all descriptors, a client that sends a request is still served, and connections to servers
+// stay open: silent clients must not cost handshakes with servers.
 func TestSilentClientsAreEvicted(t *testing.T) {
 	r := newRig(t)
 	r.node.upstream.sockets.limit.Store(maxServerReserve + 20)
@@ -124,15 +127,15 @@
 		c := r.dial()
 		_, _ = io.WriteString(c, strings.Replace("GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\nConnection: close\r\n"+validHeaders+"\r\n", "raw", "after-"+strconv.Itoa(id), 1))
 		if got := statuses(t, c); len(got) != 1 || got[0] != 200 {
-			t.Errorf("answered %v", got)
+			t.Errorf("response statuses %v, want one 200", got)
 		}
 	}
 	if after := pooled(r.node.upstream); len(before) != 1 || !slices.Equal(before, after) {
-		t.Error("the app server's connection was given up for silent clients")
+		t.Error("the connection to the server was closed for silent clients")
 	}
 }
 
-// A connection is kept for a client's proper requests only.
+// A connection is kept alive only after valid requests to a class, so that other callers hold no descriptors.
 func TestKeepAliveOnlyAfterValidRequests(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "done") })
@@ -153,8 +156,8 @@
 	}
 }
 
-// Idle clients that fill all they may leave the node able to call discovery, to answer its console,
-// to reach servers, and to take a further client, for which one that idles goes.
+// When idle clients use all descriptors that they may, the node can still call discovery, serve its console, connect to
+// servers, and accept a further client by closing an idle one.
 func TestIdleClientsFillDescriptorLimit(t *testing.T) {
 	r := newRig(t)
 	const maxConns = 30
@@ -169,19 +172,19 @@
 		_, _ = io.WriteString(last, strings.Replace(rawGet, "raw", name, 1))
 		r.expectServed(bufio.NewReader(last), name, false)
 		if open := r.node.upstream.sockets.openConns.Load(); open > maxConns {
-			t.Fatalf("%d connections of %d", open, maxConns)
+			t.Fatalf("%d connections are open, limit %d", open, maxConns)
 		}
 	}
 	if r.node.front.evicted.Load() == 0 {
-		t.Error("the places were not filled")
+		t.Error("no client was evicted: the limit was not reached")
 	}
 	r.figure("node_backend_calls_total", 3*maxConns)
 	b := newApp(t, served)
-	r.list(b.target("s-2", 1)) // on the watch that is open
-	r.agent.Tell <- ""         // ends it
+	r.list(b.target("s-2", 1)) // update on the open watch
+	r.agent.Tell <- ""         // ends the watch
 	next(t, r.agent.Asked)
-	// A kept connection is served while all places are taken, also where that needs a new one to a
-	// server.
+	// A request on a kept-alive connection is served while all descriptors are in use, even if it needs a new
+	// connection to a server.
 	r.node.upstream.closeIdleWhere(func(*serverConn) bool { return true })
 	_, _ = io.WriteString(last, secondGet)
 	r.expectServed(bufio.NewReader(last), "second", false)
--- a/internal/node/clientdisconnects_test.go
+++ b/internal/node/clientdisconnects_test.go
@@ -18,8 +18,8 @@
 
 const rawGet = "GET /roster-read?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + validHeaders + "\r\n"
 
-// A client that only ends its sending has gone, by the protocol. Its connection is closed: an
-// answer that no app server made for it would be one that it could read.
+// The protocol treats a half-close by the client as a disconnect. The connection is closed without a response: the
+// client could still read one, and take an error of the node for a server's response.
 func TestHalfCloseIsTreatedAsDisconnect(t *testing.T) {
 	r := newRig(t)
 	forwarded, finish := make(chan struct{}), make(chan struct{})
@@ -31,13 +31,13 @@
 	next(t, forwarded)
 	_ = c.(*net.TCPConn).CloseWrite()
 	if got := statuses(t, c); len(got) > 0 {
-		t.Errorf("answered %v", got)
+		t.Errorf("response statuses %v, want none", got)
 	}
-	r.wait("the hang-up", func() bool { x := r.node.loop.exchanges["raw"]; return x == nil || x.done })
+	r.wait("the disconnect is detected", func() bool { x := r.node.loop.exchanges["raw"]; return x == nil || x.done })
 }
 
-// A client that leaves is noticed behind whatever it sent after its request: no attempt begins
-// for it any more, and what it sent is no request.
+// A disconnect is detected whatever the client sent behind its request: no further attempt starts for it, and the
+// pipelined bytes are not taken for a request.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	for name, pipelined := range map[string]string{
 		"nothing":          "",
@@ -45,13 +45,13 @@
 		"an empty line":    "\r\n",
 		"half a request":   rawGet[:40],
 		"a second request": strings.Replace(rawGet, "raw", "second", 1),
-		"as much as kept":  strings.Repeat("x", maxRequestHeaderBytes-1),
-		"too much":         strings.Repeat("x", 4*maxRequestHeaderBytes),
+		"up to the limit":  strings.Repeat("x", maxRequestHeaderBytes-1),
+		"above the limit":  strings.Repeat("x", 4*maxRequestHeaderBytes),
 	} {
 		for _, k := range []struct {
 			name        string
-			withRequest bool // once, with the request
-			reset       bool // by a reset
+			withRequest bool // the pipelined bytes are sent in one write with the request
+			reset       bool // the client disconnects by a reset
 		}{{"at once", true, false}, {"later", false, false}, {"with a reset", false, true}} {
 			t.Run(name+" "+k.name, func(t *testing.T) {
 				r := newRig(t)
@@ -61,7 +61,7 @@
 				t.Cleanup(release)
 				r.list(a.target("s-1", 0))
 				c := r.dial()
-				// It may be let go for that before its attempt has begun, which then never does.
+				// The node may close the connection for that before the attempt has started, which then never starts.
 				mayNotStart := k.withRequest && len(pipelined) > maxRequestHeaderBytes
 				if k.withRequest {
 					_, _ = io.WriteString(c, rawGet+pipelined)
@@ -77,22 +77,22 @@
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 				_ = c.Close()
-				r.wait("the hang-up", func() bool {
+				r.wait("the disconnect is detected", func() bool {
 					x := r.node.loop.exchanges["raw"]
 					return r.node.front.clientDisconnects.Load() == 1 && (x == nil || x.done)
 				})
 				release()
-				r.wait("the attempt's end", func() bool { return len(r.node.loop.exchanges) == 0 })
+				r.wait("the attempt has ended", func() bool { return len(r.node.loop.exchanges) == 0 })
 				if n := a.count(); n > 1 || n < 1 && !mayNotStart {
-					t.Errorf("sent on: %q", a.requests())
+					t.Errorf("requests at the server: %q", a.requests())
 				}
 			})
 		}
 	}
 }
 
-// What a client sends behind a request that is held reaches the next one whole, whatever its
-// length, and a second request is served as the first was.
+// A request that is pipelined behind a held one in several pieces arrives whole, and is served after the first.
+// Otherwise the read that watches for a disconnect could lose bytes of it.
 func TestPipelinedRequestArrivesWhole(t *testing.T) {
 	r := newRig(t)
 	forwarded, finish := make(chan string, 1), make(chan struct{})
@@ -110,11 +110,11 @@
 	body := patternBytes(3 * maxRequestHeaderBytes)
 	second := strings.Replace(postHeaders, "raw", "second", 1) + "Transfer-Encoding: chunked\r\n\r\n"
 	k, sent := r.conn(c), 0
-	// Each piece is read ahead before the next is sent.
+	// Each piece is buffered as pipelined before the next is sent.
 	for _, piece := range []string{second[:1], second[1:40], second[40:]} {
 		_, _ = io.WriteString(c, piece)
 		sent += len(piece)
-		r.wait("the piece", func() bool {
+		r.wait("the piece is buffered", func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			return len(k.pipelined) == sent
@@ -128,24 +128,24 @@
 			t.Fatal(err)
 		}
 		if got, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 || string(got) != "served "+id || resp.Close {
-			t.Errorf("%s %q, closes %v", resp.Status, got, resp.Close)
+			t.Errorf("response %s %q, close %v; want 200 to %s, no close", resp.Status, got, resp.Close, id)
 		}
 	}
 	expectServed("raw")
 	fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	if id := next(t, forwarded); id != "second" {
-		t.Errorf("%q", id)
+		t.Errorf("the server got request %q, want second", id)
 	}
 	finish <- struct{}{}
 	expectServed("second")
 	if got := a.requests(); len(got) != 2 || !strings.HasSuffix(got[1], string(body)) {
-		t.Error("the body came otherwise")
+		t.Error("the body of the second request changed")
 	}
 }
 
-// A next request may be longer than what is read ahead and come before net/http, which has written
-// the answer to the one before, ends its look for a hang-up. Nothing of it is lost, and it is no
-// reason to let the client go; before the answer it is.
+// The next request may exceed the limit on pipelined bytes and arrive after the response was written but before
+// net/http stops watching for a disconnect. Then no byte of it is lost and the connection stays open; before the
+// response, the connection is closed for it.
 func TestLongPipelinedRequestBeforeWatchEnds(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,7 +160,7 @@
 		accepted := server.(*clientConn)
 		defer func() { _ = accepted.countedConn.Close() }()
 		if answered {
-			_, err = accepted.Write([]byte("an answer"))
+			_, err = accepted.Write([]byte("a response"))
 			require.NoError(t, err)
 		}
 		watched := make(chan error, 1)
--- a/internal/node/clientfloods_test.go
+++ b/internal/node/clientfloods_test.go
@@ -16,9 +16,9 @@
 	"sloestile/internal/config"
 )
 
-// Clients that come in bursts, send much at once and leave, by a close or a reset, while the app server
-// holds what it has: they take no more places than there are, nothing of them stays once they have gone,
-// and the next client is served.
+// Bursts of clients send a request with pipelined data and disconnect, by a close or a reset, while the server does not
+// respond. They use no more descriptors than the limit, all their state is released after they disconnected, and the
+// next client is served.
 func TestBurstsOfDisconnects(t *testing.T) {
 	r := newRigWith(t, func(c *config.Config) { c.MaxSockets = 256 })
 	held := make(chan struct{})
@@ -34,7 +34,7 @@
 			conns = append(conns, c)
 			_, _ = io.WriteString(c, strings.Replace(rawGet, "raw", fmt.Sprintf("id-%d-%d", burst, i), 1)+strings.Repeat("x", maxRequestHeaderBytes/2))
 		}
-		r.wait("all are held", func() bool {
+		r.wait("all requests are held", func() bool {
 			held := 0
 			for _, x := range r.node.loop.exchanges {
 				if !x.done {
@@ -50,7 +50,7 @@
 			}
 			_ = c.Close()
 		}
-		r.wait("nobody is left", func() bool {
+		r.wait("all disconnects are detected", func() bool {
 			for _, x := range r.node.loop.exchanges {
 				if !x.done {
 					return false
@@ -58,12 +58,12 @@
 			}
 			return f.openConns.Load() == 0
 		})
-		assert.Less(t, time.Since(left), 5*time.Second, "held until their time of 7 s was over")
+		assert.Less(t, time.Since(left), 5*time.Second, "the disconnects were not detected before the deadline of 7 s")
 		assert.LessOrEqual(t, f.sockets.openConns.Load(), f.sockets.limit.Load())
 	}
-	assert.Less(t, a.count(), 60, "attempts for clients that had gone")
+	assert.Less(t, a.count(), 60, "attempts were started for disconnected clients")
 	release()
-	r.wait("all is forgotten", func() bool { return len(r.node.loop.exchanges) == 0 })
+	r.wait("all requests are removed", func() bool { return len(r.node.loop.exchanges) == 0 })
 	f.mu.Lock()
 	assert.Empty(t, f.idleSince)
 	assert.Empty(t, f.newSince)
--- a/internal/node/clientrequests_test.go
+++ b/internal/node/clientrequests_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// What a client got wrong is told as such, and nothing is sent on.
+// Invalid requests are rejected with the status of their error, and none is forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
@@ -39,7 +39,7 @@
 		"time without end":  {func(q *http.Request) { q.Header.Set(headerTimeLeft, "1e300m") }, 400},
 		"time past class":   {func(q *http.Request) { q.Header.Set(headerTimeLeft, "7600m") }, 400},
 		"huge units":        {func(q *http.Request) { q.Header.Set(headerWeight, "units=1e300") }, 400},
-		"units over most":   {func(q *http.Request) { q.Header.Set(headerWeight, "units=4.1") }, 400},
+		"units over limit":  {func(q *http.Request) { q.Header.Set(headerWeight, "units=4.1") }, 400},
 		"negative units":    {func(q *http.Request) { q.Header.Set(headerWeight, "units=-1") }, 400},
 		"units given twice": {func(q *http.Request) { q.Header.Set(headerWeight, "units=1,units=2") }, 400},
 		"two ids":           {func(q *http.Request) { q.Header.Add(headerID, "worse") }, 400},
@@ -55,27 +55,27 @@
 			q := r.call(http.MethodPost, "/visit-update", "bad")
 			tc.change(q)
 			if resp, body := r.do(q); resp.StatusCode != tc.want {
-				t.Errorf("%s %q", resp.Status, body)
+				t.Errorf("response %s %q, want status %d", resp.Status, body, tc.want)
 			}
 		})
 	}
 	if resp, _ := r.do(r.call(http.MethodPost, "/roster-read", "bad")); resp.StatusCode != 405 {
-		t.Errorf("a POST to a safe class: %s", resp.Status)
+		t.Errorf("POST to an idempotent class: %s, want 405", resp.Status)
 	}
 	withBody := r.call(http.MethodGet, "/roster-read", "bad")
 	withBody.Body, withBody.ContentLength = io.NopCloser(strings.NewReader("x")), 1
 	if resp, _ := r.do(withBody); resp.StatusCode != 400 {
-		t.Errorf("a GET with a body: %s", resp.Status)
+		t.Errorf("GET with a body: %s, want 400", resp.Status)
 	}
 	if n := a.count(); n > 0 {
-		t.Errorf("%d bad requests were sent on", n)
+		t.Errorf("%d invalid requests were forwarded", n)
 	}
 	if resp, _ := r.do(r.call(http.MethodPost, "/visit-update", "good")); resp.StatusCode != 200 {
-		t.Errorf("a good one after them: %s", resp.Status)
+		t.Errorf("valid request after the invalid ones: %s, want 200", resp.Status)
 	}
 }
 
-// statuses reads all answers on a raw connection until it is closed.
+// statuses reads responses on a raw connection until it is closed, and returns their statuses.
 func statuses(t *testing.T, c net.Conn) []int {
 	t.Helper()
 	var got []int
@@ -83,7 +83,7 @@
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			if ne := net.Error(nil); errors.As(err, &ne) && ne.Timeout() {
-				t.Fatalf("the connection stays open after %v", got)
+				t.Fatalf("the connection stays open after the responses %v", got)
 			}
 			return got
 		}
@@ -94,8 +94,8 @@
 
 const validHeaders = headerID + ": raw\r\n" + headerPlan + ": enterprise\r\n" + headerTimeLeft + ": 7000m\r\n" + headerKey + ": k\r\n"
 
-// Nothing that hides in a body or behind one that can't be told reaches an app server: the
-// client is answered once and its connection closed.
+// A request with an ambiguous or invalid body length gets one error response and its connection is closed. Otherwise a
+// request hidden in or behind its body could be smuggled to a server.
 func TestSmuggledRequestsAreRejected(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
@@ -106,25 +106,25 @@
 		text string
 		want int
 	}{
-		"length and chunks": {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"chunks and length": {post + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(5+len(hidden)) + "\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"spaced out length": {post + "Transfer-Encoding: chunked\r\nContent-Length:5\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"an odd chunk":      {post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n" + hidden, 400},
-		"two lengths":       {post + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + hidden, 400},
-		"negative length":   {post + "Content-Length: -1\r\n\r\n" + hidden, 400},
-		"huge length":       {post + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
-		"no length at all":  {post + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
-		"no head":           {"\x00\x01 noise\r\n\r\n" + hidden, 400},
+		"length and chunks":  {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"chunks and length":  {post + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(5+len(hidden)) + "\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"spaced out length":  {post + "Transfer-Encoding: chunked\r\nContent-Length:5\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"invalid chunk":      {post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n" + hidden, 400},
+		"two lengths":        {post + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + hidden, 400},
+		"negative length":    {post + "Content-Length: -1\r\n\r\n" + hidden, 400},
+		"huge length":        {post + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
+		"overflowing length": {post + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
+		"invalid header":     {"\x00\x01 noise\r\n\r\n" + hidden, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := r.dial()
 			_, _ = io.WriteString(c, tc.text)
 			if got := statuses(t, c); len(got) != 1 || got[0] != tc.want {
-				t.Errorf("answered %v", got)
+				t.Errorf("response statuses %v, want one %d", got, tc.want)
 			}
 		})
 	}
 	if n := a.count(); n > 0 {
-		t.Errorf("sent on: %q", a.requests())
+		t.Errorf("requests at the server: %q, want none", a.requests())
 	}
 }
--- a/internal/node/longbodies_test.go
+++ b/internal/node/longbodies_test.go
@@ -19,22 +19,21 @@
 
 const postHeaders = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: o\r\n" + validHeaders
 
-// Long bodies reach their app server unchanged, however they are framed and cut, and their
-// connection may be used again.
+// Long bodies reach the server unchanged, whatever their framing, and the client's connection can be reused.
 func TestLongBodiesArriveUnchanged(t *testing.T) {
 	body := patternBytes(2 * mebibyte)
 	for name, send := range map[string]func(io.Writer, *bufio.Reader){
-		"of a length": func(c io.Writer, _ *bufio.Reader) {
+		"with a length": func(c io.Writer, _ *bufio.Reader) {
 			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", postHeaders, len(body), body)
 		},
 		"in chunks with a trailer": func(c io.Writer, _ *bufio.Reader) {
 			fmt.Fprintf(c, "%sTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n", postHeaders)
 			fmt.Fprintf(c, "%x\r\n%s\r\n%x\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n", 99999, body[:99999], len(body)-99999, body[99999:])
 		},
-		"awaited": func(c io.Writer, in *bufio.Reader) {
+		"after 100 Continue": func(c io.Writer, in *bufio.Reader) {
 			fmt.Fprintf(c, "%sExpect: 100-continue\r\nContent-Length: %d\r\n\r\n", postHeaders, len(body))
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 100 {
-				t.Errorf("%v, %v", resp, err)
+				t.Errorf("response %v, error %v; want 100 Continue", resp, err)
 			}
 			_, _ = c.Write(body)
 		},
@@ -56,7 +55,7 @@
 				}
 				got, _ := io.ReadAll(resp.Body)
 				if want := fmt.Sprintf("%x", sha256.Sum256(body)); resp.StatusCode != 200 || string(got) != want || resp.Close {
-					t.Errorf("%s %q closes %v", resp.Status, got, resp.Close)
+					t.Errorf("response %s %q, close %v; want 200 %q, no close", resp.Status, got, resp.Close, want)
 				}
 			}
 			r.figure(`node_success_total{tier="visit-update"}`, 2)
@@ -66,7 +65,7 @@
 	}
 }
 
-// renamed gives each request an id of its own.
+// uniqueIDConn replaces the ID in a request header, so that each request has its own.
 type uniqueIDConn struct {
 	net.Conn
 	id string
@@ -79,7 +78,7 @@
 	return len(b), nil
 }
 
-// A short body in chunks is held whole, so it goes on with its length and may go again.
+// A short chunked body is buffered whole, so it is forwarded with its length and can be retried.
 func TestShortChunkedBodyIsBuffered(t *testing.T) {
 	r := newRig(t)
 	first := true
@@ -99,12 +98,12 @@
 		t.Fatal(err)
 	}
 	if got, _ := io.ReadAll(resp.Body); string(got) != "length 5" || a.count() != 2 {
-		t.Errorf("%s %q after %d attempts", resp.Status, got, a.count())
+		t.Errorf("response %s %q after %d attempts, want length 5 after 2", resp.Status, got, a.count())
 	}
 }
 
-// A body of which a part has gone is not sent again; what broke before its end has not run, so
-// the client may come again.
+// A request whose streamed body was partly sent is not retried, as the node no longer has that part. It failed before
+// its last byte, so it has not run: the status 503 allows the client to retry.
 func TestPartlySentBodyIsNotRetried(t *testing.T) {
 	r := newRig(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -129,19 +128,19 @@
 	q := r.call(http.MethodPost, "/visit-update", "id-1")
 	q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(patternBytes(8*mebibyte))), 8*mebibyte
 	if resp, _ := r.do(q); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Error(resp.Status)
+		t.Errorf("response %s, want 503", resp.Status)
 	}
 	if n := conns.Load(); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("sent %d times, want once", n)
 	}
 	r.figure(`node_busy_total{tier="visit-update"}`, 1)
 	if n := r.figures()["node_backend_calls_total"]; n != 0 {
-		t.Errorf("%g attempts are told as written whole", n)
+		t.Errorf("%g attempts are counted as sent in full, want none", n)
 	}
 }
 
-// A long request is decided on at its head: one that is refused costs no server anything, and its
-// client reads the answer though it still sends.
+// A long request is admitted or rejected before its body is read: a rejected one uses no server, and its client can
+// read the response while it still sends.
 func TestLongBodyRejectedBeforeItIsRead(t *testing.T) {
 	r := newRig(t)
 	a := newApp(t, served)
@@ -154,28 +153,28 @@
 		half := make([]byte, mebibyte/2)
 		_, _ = c.Write(half)
 		if a.count() != before {
-			t.Fatal("an app server was asked before the body was whole")
+			t.Fatal("a server got the request before the body was complete")
 		}
-		if r.node.stats.byClass["visit-update"].rejected.Load() == 0 && i < 12 { // within the burst: it goes on
+		if r.node.stats.byClass["visit-update"].rejected.Load() == 0 && i < 12 { // within the burst: admitted
 			_, _ = c.Write(half)
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && resp.StatusCode == 200 {
 				continue
 			}
 		}
-		_, _ = c.Write(half[:mebibyte/4]) // still sends
+		_, _ = c.Write(half[:mebibyte/4]) // the client still sends
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			continue // the answer was read above
+			continue // the response was read above
 		}
 		if resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" || !resp.Close {
-			t.Errorf("%s, %v", resp.Status, resp.Header)
+			t.Errorf("response %s with header %v, want 503 with Retry-After and close", resp.Status, resp.Header)
 		}
 		return
 	}
-	t.Error("none was refused")
+	t.Error("no request was rejected")
 }
 
-// A client that stops within its body is told so in time and is no request to anyone.
+// A client that stops within its body gets status 408 in time, and its request does not reach a server in full.
 func TestStalledBodyTimesOut(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -188,18 +187,19 @@
 		_, _ = c.Write(patternBytes(200 << 10))
 		got := statuses(t, c)
 		if len(got) != 1 || got[0] != http.StatusRequestTimeout {
-			t.Errorf("%s: answered %v", name, got)
+			t.Errorf("%s: response statuses %v, want one 408", name, got)
 		}
-		if took := time.Since(startedAt); took > 2*3*time.Second { // owed within 3 s; a busy machine gets as much again
-			t.Errorf("%s: after %v", name, took)
+		if took := time.Since(startedAt); took > 2*3*time.Second { // 3 s by the protocol, twice that on a busy machine
+			t.Errorf("%s: closed after %v", name, took)
 		}
 	}
 	if f := r.figures(); f["node_backend_calls_total"] != 0 || f["node_inflight"] != 0 {
-		t.Errorf("sent on whole, or held on to: %v", f)
+		t.Errorf("a request was sent in full or is still counted as in flight: %v", f)
 	}
 }
 
-// A body may take longer than a client waits for its answer, as long as it moves.
+// A body that makes progress may take longer than the client's time limit, which starts with the last byte of the
+// request.
 func TestSlowBody(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -209,13 +209,14 @@
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", strings.Replace(postHeaders, "7000m", "1500m", 1), 4<<16)
 	for range 4 {
 		_, _ = c.Write(patternBytes(1 << 16))
-		time.Sleep(600 * time.Millisecond) // 2.4 s in all, more than the client's time
+		time.Sleep(600 * time.Millisecond) // 2.4 s in total, more than the client's time limit
 	}
 	if got := readStatus(t, c); got != 200 {
-		t.Error(got)
+		t.Errorf("status %d, want 200", got)
 	}
 }
 
+// readStatus reads one response on a raw connection and returns its status.
 func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/internal/node/longresponses_test.go
+++ b/internal/node/longresponses_test.go
@@ -18,7 +18,7 @@
 
 const mebibyte = 1 << 20
 
-// noise gives bytes that differ from place to place.
+// patternBytes returns n bytes whose pattern does not repeat at buffer boundaries.
 func patternBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -27,7 +27,7 @@
 	return b
 }
 
-// stream is an app server that answers over its raw connection, once the request's body is read.
+// newRawApp returns a server that reads a request with its body and then calls respond with the raw connection.
 func newRawApp(t *testing.T, respond func(c net.Conn)) *app {
 	a := &app{}
 	a.Server = newApp(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -38,7 +38,7 @@
 	return a
 }
 
-// Long answers reach their client unchanged, however they are framed and cut.
+// Long responses reach the client unchanged, whatever their framing and the sizes of the server's writes.
 func TestLongResponsesArriveUnchanged(t *testing.T) {
 	body := patternBytes(3 * mebibyte)
 	chunked := func(w io.Writer, size int) {
@@ -50,21 +50,21 @@
 		_, _ = io.WriteString(w, "0\r\nX-Sum: 1\r\n\r\n")
 	}
 	for name, respond := range map[string]func(net.Conn){
-		"of a length": func(c net.Conn) {
+		"with a length": func(c net.Conn) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		},
 		"in chunks": func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
 			chunked(c, 70001)
 		},
-		"behind interim ones": func(c net.Conn) {
+		"after interim responses": func(c net.Conn) {
 			_, _ = io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: <a>\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			chunked(c, 5000)
 		},
 		"ended by close": func(c net.Conn) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", body)
 		},
-		"cut anywhere": func(c net.Conn) {
+		"in writes of growing size": func(c net.Conn) {
 			var b bytes.Buffer
 			fmt.Fprintf(&b, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			for i := 1; b.Len() > 0; i = i*3 + 1 {
@@ -77,7 +77,7 @@
 			r.list(newRawApp(t, respond).target("s-1", 0))
 			resp, got := r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
 			if resp.StatusCode != 200 || sha256.Sum256([]byte(got)) != sha256.Sum256(body) {
-				t.Errorf("%s, %d bytes of %d", resp.Status, len(got), len(body))
+				t.Errorf("response %s with %d bytes, want 200 with the %d bytes of the server", resp.Status, len(got), len(body))
 			}
 			r.figure(`node_success_total{tier="roster-read"}`, 1)
 			r.figure("node_inflight", 0)
@@ -85,7 +85,8 @@
 	}
 }
 
-// What comes slowly is passed on as it comes, and a silence of seconds does not end it.
+// A slow response is streamed as it arrives, and a pause longer than the idle timeout of buffered responses does not
+// end it.
 func TestSlowResponseIsStreamed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t)
@@ -93,7 +94,7 @@
 	r.list(newRawApp(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst")
 		<-firstPartRead
-		time.Sleep(responseIdleTimeout + responseIdleTimeout/4) // has to pass
+		time.Sleep(responseIdleTimeout + responseIdleTimeout/4) // longer than the timeout
 		_, _ = io.WriteString(c, "after")
 	}).target("s-1", 0))
 	c := r.dial()
@@ -104,19 +105,19 @@
 	}
 	first := make([]byte, 5)
 	if _, err := io.ReadFull(resp.Body, first); err != nil || string(first) != "first" {
-		t.Errorf("%q, %v", first, err)
+		t.Errorf("first part %q, error %v", first, err)
 	}
 	close(firstPartRead)
 	if rest, err := io.ReadAll(resp.Body); err != nil || string(rest) != "after" {
-		t.Errorf("%q, %v", rest, err)
+		t.Errorf("second part %q, error %v", rest, err)
 	}
 }
 
-// An answer that has begun and breaks ends so that the client can tell, and is counted as failed.
+// A streamed response that breaks off ends with an error at the client, is counted as failed and is not retried.
 func TestBrokenStreamIsCountedAsFailed(t *testing.T) {
 	for name, head := range map[string]string{
-		"of a length": "Content-Length: 3000000\r\n\r\n",
-		"in chunks":   "Transfer-Encoding: chunked\r\n\r\n100000\r\n",
+		"with a length": "Content-Length: 3000000\r\n\r\n",
+		"in chunks":     "Transfer-Encoding: chunked\r\n\r\n100000\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
@@ -130,17 +131,17 @@
 			defer func() { _ = resp.Body.Close() }()
 			r.list(b.target("s-2", 0))
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil || n == 0 {
-				t.Errorf("%d bytes and %v", n, err)
+				t.Errorf("the client read %d bytes and error %v, want some bytes and an error", n, err)
 			}
 			r.figure(`node_failure_total{tier="roster-read"}`, 1)
 			if got := r.figures()[`node_success_total{tier="roster-read"}`]; got != 0 || b.count() != 0 {
-				t.Errorf("%g successes, %d sent again", got, b.count())
+				t.Errorf("%g successes counted, %d retries, want none", got, b.count())
 			}
 		})
 	}
 }
 
-// The node holds little of a long answer whose client takes its time.
+// While clients do not read, the node buffers little of their long responses and stops reading from the server.
 func TestStreamedResponsesApplyBackpressure(t *testing.T) {
 	const each, n = 16 * mebibyte, 12
 	r := newRig(t)
@@ -168,32 +169,33 @@
 		defer func() { _ = resp.Body.Close() }()
 		bodies = append(bodies, resp.Body)
 	}
-	for last := int64(-1); last != written.Load(); time.Sleep(50 * time.Millisecond) { // until all wait
+	for last := int64(-1); last != written.Load(); time.Sleep(50 * time.Millisecond) { // until all writes block
 		last = written.Load()
 	}
 	if w := written.Load(); w > each*n/2 {
-		t.Errorf("%d MB were taken that nobody reads", w/mebibyte)
+		t.Errorf("the node read %d MB that no client reads", w/mebibyte)
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&during)
 	if held := int64(during.HeapAlloc) - int64(before.HeapAlloc); held > 8*mebibyte {
-		t.Errorf("%d MB are held for %d answers", held/mebibyte, n)
+		t.Errorf("the node buffers %d MB for %d responses", held/mebibyte, n)
 	}
 	for _, b := range bodies {
 		if got, err := io.Copy(io.Discard, b); got != each || err != nil {
-			t.Errorf("%d bytes, %v", got, err)
+			t.Errorf("the client read %d bytes, error %v", got, err)
 		}
 	}
 }
 
-// A message may take its time, but not without end: a byte now and then is no progress.
+// The total time of a message is bounded by its length, so that a peer that sends a byte now and then can't hold a
+// connection. The bound allows the slowest well-behaved client.
 func TestMessageTimeoutIsBounded(t *testing.T) {
 	if d := messageTimeout(bodyTimeout, 0); d != bodyTimeout {
-		t.Errorf("%v for nothing", d)
+		t.Errorf("timeout %v for an empty message, want %v", d, bodyTimeout)
 	}
-	// The slowest proper client sends 64 kB a second.
+	// The slowest well-behaved client sends 64 kB per second.
 	if d := messageTimeout(bodyTimeout, 32<<20); d < 32<<20*time.Second/64000 {
-		t.Errorf("32 MB may take only %v", d)
+		t.Errorf("timeout %v for 32 MB is too short", d)
 	}
 	b := newClientBody(strings.NewReader("x"), http.NewResponseController(&deadlineRecorder{}))
 	b.startedAt = time.Now().Add(-bodyTimeout)
@@ -201,11 +203,11 @@
 	b.controller = http.NewResponseController(recorder)
 	_, _ = b.Read(make([]byte, 1))
 	if left := time.Until(recorder.read[0]); left > time.Second {
-		t.Errorf("another %v for a body that has had its time", left)
+		t.Errorf("another %v for a body whose time is over", left)
 	}
 }
 
-// deadlines notes the deadlines that are set.
+// deadlineRecorder records the read deadlines that are set.
 type deadlineRecorder struct {
 	http.ResponseWriter
 	read []time.Time
--- a/internal/node/resets_test.go
+++ b/internal/node/resets_test.go
@@ -18,16 +18,16 @@
 	"sloestile/control"
 )
 
-// line is one connection of a node to an app server that a test plays by hand, at both ends.
+// connPair is a connection of a node to a server of which a test controls both ends.
 type connPair struct {
 	t            *testing.T
 	u            *upstream
 	pool         *pool
-	dialed       chan *net.TCPConn // the node's ends
-	accepted     chan *net.TCPConn // the app server's
+	dialed       chan *net.TCPConn // the node's ends of new connections
+	accepted     chan *net.TCPConn // the server's ends of new connections
 	nodeEnd      *net.TCPConn
 	serverEnd    *net.TCPConn
-	serverReader *bufio.Reader // of the far end
+	serverReader *bufio.Reader // reader of serverEnd
 }
 
 func newConnPair(t *testing.T) *connPair {
@@ -59,7 +59,7 @@
 	return p
 }
 
-// up waits until both ends of the next connection are there.
+// awaitConn waits until both ends of the next connection are open.
 func (p *connPair) awaitConn() {
 	p.nodeEnd, p.serverEnd = next(p.t, p.dialed), next(p.t, p.accepted)
 	p.t.Cleanup(func() { _ = p.serverEnd.Close() })
@@ -67,7 +67,7 @@
 	p.serverReader = bufio.NewReader(p.serverEnd)
 }
 
-// request reads a whole one at the far end.
+// readRequest reads a whole request at the server's end.
 func (p *connPair) readRequest() {
 	p.t.Helper()
 	q, err := http.ReadRequest(p.serverReader)
@@ -77,13 +77,14 @@
 	}
 }
 
+// respond writes text at the server's end.
 func (p *connPair) respond(text string) {
 	p.t.Helper()
 	_, err := io.WriteString(p.serverEnd, text)
 	assert.NoError(p.t, err)
 }
 
-// reset resets the connection from the far end, and returns when the near one has it.
+// reset resets the connection from the server's end, and returns when the node's end has received the reset.
 func (p *connPair) reset() {
 	p.t.Helper()
 	_ = p.serverEnd.SetLinger(0)
@@ -93,7 +94,7 @@
 
 const tcpClosed = unix.BPF_TCP_CLOSE
 
-// reaches waits until the near end is in a state.
+// awaitTCPState waits until the node's end is in a state or closed.
 func (p *connPair) awaitTCPState(state uint8) {
 	p.t.Helper()
 	raw, err := p.nodeEnd.SyscallConn()
@@ -110,10 +111,10 @@
 			return
 		}
 	}
-	p.t.Errorf("the near end does not reach state %d", state)
+	p.t.Errorf("the node's end does not reach TCP state %d", state)
 }
 
-// try makes an attempt in the background.
+// startAttempt makes an attempt in the background and returns the channel for its outcome.
 func (p *connPair) startAttempt(a *attempt) <-chan outcome {
 	done := make(chan outcome, 1)
 	go func() {
@@ -124,7 +125,7 @@
 	return done
 }
 
-// use has a connection serve one request and idle.
+// serveOne makes one request on a new connection, which is idle afterwards.
 func (p *connPair) serveOne() {
 	p.t.Helper()
 	done := p.startAttempt(newTestAttempt(p.t, nil))
@@ -135,7 +136,7 @@
 	require.Len(p.t, pooled(p.u), 1)
 }
 
-// body gives its parts one by one; before each but the first it calls a function of the test.
+// steppedBody returns its parts one by one; before each read but the first it calls beforeNext.
 type steppedBody struct {
 	parts      [][]byte
 	beforeNext func()
@@ -157,56 +158,56 @@
 	return n, nil
 }
 
-// A connection that is reset before or in a request's bytes, be it new or used again, surely ran
-// nothing; one that breaks behind the last byte may have.
+// A request whose connection is lost before its last byte was written has certainly not run; after the last byte it may
+// have run. The outcome must distinguish the two, on new and on reused connections, as only the first is safe to retry.
 func TestOutcomeOfConnectionLossByPhase(t *testing.T) {
 	const piece = 2 * connBufferBytes
 	for name, tc := range map[string]struct {
 		parts      [][]byte
-		beforeLast func(n *connPair) // before the second part
-		afterWrite func(n *connPair) // when all is written
+		beforeLast func(p *connPair) // called before the second part
+		afterWrite func(p *connPair) // called when the request is written in full
 		want       control.Outcome
 	}{
-		"before its bytes": {[][]byte{{1}, {2}}, (*connPair).reset, nil, control.ConnectFailed},
-		"in its bytes": {[][]byte{make([]byte, piece), make([]byte, piece)}, func(n *connPair) {
-			_, err := n.serverReader.ReadByte()
-			assert.NoError(n.t, err)
-			n.reset()
+		"reset before the first byte": {[][]byte{{1}, {2}}, (*connPair).reset, nil, control.ConnectFailed},
+		"reset within the request": {[][]byte{make([]byte, piece), make([]byte, piece)}, func(p *connPair) {
+			_, err := p.serverReader.ReadByte()
+			assert.NoError(p.t, err)
+			p.reset()
 		}, nil, control.ConnectFailed},
-		"before its last byte": {[][]byte{make([]byte, piece), {2}}, func(n *connPair) {
-			_, err := n.serverReader.ReadByte()
-			assert.NoError(n.t, err)
-			n.reset()
+		"reset before the last byte": {[][]byte{make([]byte, piece), {2}}, func(p *connPair) {
+			_, err := p.serverReader.ReadByte()
+			assert.NoError(p.t, err)
+			p.reset()
 		}, nil, control.ConnectFailed},
-		"behind its bytes, unread": {[][]byte{{1}, {2}}, func(*connPair) {}, (*connPair).reset, control.ResetByPeer},
-		"behind its bytes, read": {[][]byte{{1}, {2}}, func(*connPair) {}, func(n *connPair) {
-			n.readRequest()
-			n.reset()
+		"reset after the request, unread": {[][]byte{{1}, {2}}, func(*connPair) {}, (*connPair).reset, control.ResetByPeer},
+		"reset after the request, read": {[][]byte{{1}, {2}}, func(*connPair) {}, func(p *connPair) {
+			p.readRequest()
+			p.reset()
 		}, control.ResetByPeer},
-		"in its status line": {[][]byte{{1}, {2}}, func(*connPair) {}, func(n *connPair) {
-			n.readRequest()
-			n.respond("HTTP/1.1 2")
-			n.reset()
+		"reset within the status line": {[][]byte{{1}, {2}}, func(*connPair) {}, func(p *connPair) {
+			p.readRequest()
+			p.respond("HTTP/1.1 2")
+			p.reset()
 		}, control.ResetByPeer},
-		"closed behind its bytes": {[][]byte{{1}, {2}}, func(*connPair) {}, func(n *connPair) {
-			n.readRequest()
-			_ = n.serverEnd.Close()
+		"closed after the request": {[][]byte{{1}, {2}}, func(*connPair) {}, func(p *connPair) {
+			p.readRequest()
+			_ = p.serverEnd.Close()
 		}, control.ResetByPeer},
-		"closed in its status line": {[][]byte{{1}, {2}}, func(*connPair) {}, func(n *connPair) {
-			n.readRequest()
-			n.respond("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1")
-			_ = n.serverEnd.Close()
+		"closed within the header": {[][]byte{{1}, {2}}, func(*connPair) {}, func(p *connPair) {
+			p.readRequest()
+			p.respond("HTTP/1.1 503 Busy\r\nX-Unprocessed: 1")
+			_ = p.serverEnd.Close()
 		}, control.ResetByPeer},
 	} {
 		for kind, reused := range map[string]bool{"new": false, "reused": true} {
 			t.Run(name+", "+kind, func(t *testing.T) {
-				n := newConnPair(t)
+				p := newConnPair(t)
 				if reused {
-					n.serveOne()
+					p.serveOne()
 				}
 				length := 0
-				for _, p := range tc.parts {
-					length += len(p)
+				for _, part := range tc.parts {
+					length += len(part)
 				}
 				a := newTestAttempt(t, nil)
 				reached, proceed := make(chan struct{}), make(chan struct{})
@@ -214,49 +215,49 @@
 				a.req.ContentLength = int64(length)
 				written := make(chan struct{})
 				a.onWritten = func() { close(written) }
-				done := n.startAttempt(a)
+				done := p.startAttempt(a)
 				next(t, reached)
 				if !reused {
-					n.awaitConn()
+					p.awaitConn()
 				}
-				tc.beforeLast(n)
+				tc.beforeLast(p)
 				proceed <- struct{}{}
 				if tc.afterWrite != nil {
 					next(t, written)
-					tc.afterWrite(n)
+					tc.afterWrite(p)
 				}
 				o := next(t, done)
 				assert.Equal(t, tc.want, o.reason, "%v", o.err)
-				assert.Empty(t, pooled(n.u))
-				assert.Zero(t, n.u.sockets.openConns.Load(), "connections left open")
+				assert.Empty(t, pooled(p.u))
+				assert.Zero(t, p.u.sockets.openConns.Load(), "connections are left open")
 				select {
 				case <-written:
-					assert.NotNil(t, tc.afterWrite, "told as written")
+					assert.NotNil(t, tc.afterWrite, "onWritten was called for an incomplete request")
 				default:
-					assert.Nil(t, tc.afterWrite, "not told as written")
+					assert.Nil(t, tc.afterWrite, "onWritten was not called")
 				}
 			})
 		}
 	}
 }
 
-// A reset is no end of an answer that has no length: what is held of it is dropped, and what is
-// passed on breaks off.
+// A reset does not complete a response without a length, unlike a close: the buffered part is dropped, and a streamed
+// response ends with an error.
 func TestResetInResponseWithoutLength(t *testing.T) {
-	t.Run("held", func(t *testing.T) {
-		n := newConnPair(t)
-		done := n.startAttempt(newTestAttempt(t, nil))
-		n.awaitConn()
-		n.readRequest()
-		n.respond("HTTP/1.1 200 OK\r\n\r\nok")
-		n.reset()
+	t.Run("buffered", func(t *testing.T) {
+		p := newConnPair(t)
+		done := p.startAttempt(newTestAttempt(t, nil))
+		p.awaitConn()
+		p.readRequest()
+		p.respond("HTTP/1.1 200 OK\r\n\r\nok")
+		p.reset()
 		o := next(t, done)
 		assert.Equal(t, control.ResetByPeer, o.reason)
 		assert.Empty(t, o.body)
 	})
 	for end, want := range map[string]error{"reset": syscall.ECONNRESET, "closed": io.EOF} {
-		t.Run("passed on, "+end, func(t *testing.T) {
-			n := newConnPair(t)
+		t.Run("streamed, "+end, func(t *testing.T) {
+			p := newConnPair(t)
 			a := newTestAttempt(t, nil)
 			reader, writer := io.Pipe()
 			streamStarted := make(chan []byte, 1)
@@ -265,12 +266,12 @@
 				streamStarted <- o.body
 				return writer
 			}
-			done := n.startAttempt(a)
-			n.awaitConn()
-			n.readRequest()
-			n.respond("HTTP/1.1 200 OK\r\n\r\n")
+			done := p.startAttempt(a)
+			p.awaitConn()
+			p.readRequest()
+			p.respond("HTTP/1.1 200 OK\r\n\r\n")
 			sent := patternBytes(maxBufferedBytes + 1)
-			n.respond(string(sent))
+			p.respond(string(sent))
 			got := next(t, streamStarted)
 			for rest := make([]byte, streamBufferBytes); len(got) < len(sent); {
 				k, err := reader.Read(rest)
@@ -281,39 +282,39 @@
 			reason := control.OK
 			if end == "reset" {
 				reason = control.ResetByPeer
-				n.reset()
+				p.reset()
 			} else {
-				_ = n.serverEnd.Close()
+				_ = p.serverEnd.Close()
 			}
 			_, err := reader.Read(make([]byte, 1))
 			assert.ErrorIs(t, err, want)
 			assert.Equal(t, reason, next(t, done).reason)
-			assert.Empty(t, pooled(n.u))
+			assert.Empty(t, pooled(p.u))
 		})
 	}
 }
 
-// A second answer that comes late, on a connection given back, is never the answer to the next
-// request: the connection rests for a while, in which the second answer is there to be seen.
+// A faulty server sends a second response shortly after the first, when the connection is already back in its pool. It
+// must not be read as the response to the next request: during the reuse delay it arrives and is detected.
 func TestLateSecondResponseIsNotUsed(t *testing.T) {
-	n := newConnPair(t)
+	p := newConnPair(t)
 	assert.Equal(t, connReuseDelay, newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64)).reuseDelay)
-	n.u.reuseDelay = patience // until the test has it over
-	n.serveOne()
-	before, first := n.nodeEnd, n.serverEnd
+	p.u.reuseDelay = patience // until the test clears it
+	p.serveOne()
+	before, first := p.nodeEnd, p.serverEnd
 
-	done := n.startAttempt(newTestAttempt(t, nil))
-	n.awaitConn()
+	done := p.startAttempt(newTestAttempt(t, nil))
+	p.awaitConn()
 	_, err := io.WriteString(first, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil")
 	assert.NoError(t, err)
-	n.readRequest()
-	n.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	p.readRequest()
+	p.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	o := next(t, done)
 	assert.Equal(t, control.OK, o.reason, "%v", o.err)
 	assert.Equal(t, "ok", string(o.body))
-	assert.EqualValues(t, 1, n.u.counts.notYetReusable.Load())
+	assert.EqualValues(t, 1, p.u.counts.notYetReusable.Load())
 
-	idle := pooled(n.u)
+	idle := pooled(p.u)
 	require.Len(t, idle, 2)
 	assert.Same(t, before, idle[0].Conn)
 	for end := time.Now().Add(patience); nothingToRead(t, before) && time.Now().Before(end); time.Sleep(time.Millisecond / 10) {
@@ -321,20 +322,20 @@
 	for _, c := range idle {
 		c.reusableAt = time.Time{}
 	}
-	done = n.startAttempt(newTestAttempt(t, nil))
-	n.readRequest() // on the second one, the most recently used
-	n.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	done = p.startAttempt(newTestAttempt(t, nil))
+	p.readRequest() // on the second connection, the most recently used
+	p.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	assert.Equal(t, "ok", string(next(t, done).body))
-	assert.Len(t, pooled(n.u), 2)
-	done = n.startAttempt(newTestAttempt(t, nil))
-	n.awaitConn() // the first one is spoilt, and the second rests again
-	n.readRequest()
-	n.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+	assert.Len(t, pooled(p.u), 2)
+	done = p.startAttempt(newTestAttempt(t, nil))
+	p.awaitConn() // the first connection has unread data, and the second is within its reuse delay
+	p.readRequest()
+	p.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	assert.Equal(t, "ok", string(next(t, done).body))
-	assert.EqualValues(t, 1, n.u.counts.closedByServer.Load())
+	assert.EqualValues(t, 1, p.u.counts.closedByServer.Load())
 }
 
-// nothingCame tells whether nothing waits to be read on a connection, without reading it.
+// nothingToRead reports whether a connection has no received bytes, without reading them.
 func nothingToRead(t *testing.T, c net.Conn) bool {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
--- a/internal/node/serverconns_test.go
+++ b/internal/node/serverconns_test.go
@@ -11,8 +11,8 @@
 	"sloestile/control"
 )
 
-// The connection that is used again is an open one: one that the app server has closed
-// while it stood idle would end the next request as a reset.
+// Only an open connection is reused: a request on one that the server has closed while it was idle would end in a
+// reset.
 func TestOnlyOpenIdleConnectionsAreReused(t *testing.T) {
 	var hangUp bool
 	var from []string
@@ -29,21 +29,21 @@
 	})
 	socks := newSockets(1024, 0)
 	u := newUpstream(patience, 2*patience, 1, socks, newBudget(64))
-	u.reuseDelay = 0 // at once
+	u.reuseDelay = 0 // reusable at once
 	p := u.newPool(a.Listener.Addr().String())
 	try := func() {
 		t.Helper()
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		defer cancel()
 		if o := u.attempt(ctx, p, newTestAttempt(t, nil)); o.reason != control.OK {
-			t.Fatalf("%d (%v)", o.reason, o.err)
+			t.Fatalf("outcome %d (%v), want OK", o.reason, o.err)
 		}
 	}
 	try()
 	hangUp = true
 	try()
 	if from[0] != from[1] {
-		t.Error("an open connection was not used again")
+		t.Error("an open connection was not reused")
 	}
 	idle := p.idle[0]
 	_ = conns[from[1]].Close()
@@ -53,30 +53,30 @@
 	hangUp = false
 	try()
 	if from[2] == from[1] {
-		t.Error("a closed connection was used again")
+		t.Error("a closed connection was reused")
 	}
-	u.maxIdleAge = 0 // all have idled for too long
+	u.maxIdleAge = 0 // all connections have been idle for too long
 	try()
 	if from[3] == from[2] {
-		t.Error("an old connection was used again")
+		t.Error("a connection that was idle for too long was reused")
 	}
 	if n := socks.openConns.Load(); n != 1 {
-		t.Errorf("%d connections open, not the last alone", n)
+		t.Errorf("%d connections are open, want only the last", n)
 	}
 }
 
-// A node that is out of descriptors doesn't hold it against the app server.
+// An attempt that fails because the node has no descriptor left does not count against the server.
 func TestDescriptorLimitIsNotAServerFailure(t *testing.T) {
 	a := newApp(t, served)
 	socks := newSockets(0, 0)
 	socks.limit.Store(0)
 	u := newUpstream(patience, patience, 1, socks, newBudget(64))
 	if o := u.attempt(context.Background(), u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.NeverSent || a.count() > 0 {
-		t.Errorf("%d (%v)", o.reason, o.err)
+		t.Errorf("outcome %d (%v) after %d requests, want NeverSent and no request", o.reason, o.err, a.count())
 	}
 }
 
-// Near the limit an idle connection goes for a new one.
+// At the limit on descriptors, an idle connection to a server is closed to open a new one.
 func TestIdleServerConnEvictedAtDescriptorLimit(t *testing.T) {
 	a := newApp(t, served)
 	b := newApp(t, served)
@@ -86,17 +86,16 @@
 	for _, x := range []*app{a, b, a} {
 		ctx, cancel := context.WithTimeout(context.Background(), patience)
 		if o := u.attempt(ctx, u.newPool(x.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.OK {
-			t.Errorf("%d (%v)", o.reason, o.err)
+			t.Errorf("outcome %d (%v), want OK", o.reason, o.err)
 		}
 		cancel()
 		if n := socks.openConns.Load(); n != 1 {
-			t.Errorf("%d connections open", n)
+			t.Errorf("%d connections are open, want 1", n)
 		}
 	}
 }
 
-// A node of a large group keeps few idle connections to one app server: the sum of a group is
-// bounded whatever its size.
+// A node of a large fleet keeps few idle connections to one server, so that their sum over the fleet is bounded.
 func TestIdleConnectionsBoundedAcrossFleet(t *testing.T) {
 	a := newApp(t, func(http.ResponseWriter, *http.Request) {})
 	for fleetSize, want := range map[int]int{1: 5, 3: 5, 16: 4, 80: 2, 100: 2} {
@@ -112,7 +111,7 @@
 		}
 		t.Cleanup(func() {
 			if n := len(p.idle); n != want || socks.openConns.Load() != int64(want) {
-				t.Errorf("a node of %d keeps %d idle connections to a server and has %d open, not %d",
+				t.Errorf("in a fleet of %d, a node keeps %d idle connections to a server and has %d open, want %d",
 					fleetSize, n, socks.openConns.Load(), want)
 			}
 			u.retire(p)
--- a/internal/node/serverrequests_test.go
+++ b/internal/node/serverrequests_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The end of a sending that comes while the writer gives its next piece its time is not undone: the
-// piece does not wait for an app server that takes nothing.
+// Canceling a sending sets a past write deadline. A write that starts at the same moment must not replace it with a
+// later one: it would wait for a server that reads nothing.
 func TestCanceledSendKeepsPastDeadline(t *testing.T) {
-	n := newConnPair(t)
-	c, err := n.u.open(t.Context(), n.pool.endpoint)
+	p := newConnPair(t)
+	c, err := p.u.open(t.Context(), p.pool.endpoint)
 	require.NoError(t, err)
 	defer func() { _ = c.Close() }()
 	c.responses.start(t.Context())
@@ -23,7 +23,7 @@
 	_ = c.SetWriteDeadline(pastDeadline)
 	w := &requestWriter{serverConn: c, ctx: ctx, streaming: true}
 	startedAt := time.Now()
-	_, err = w.Write(make([]byte, 16*mebibyte)) // more than sockets hold
+	_, err = w.Write(make([]byte, 16*mebibyte)) // more than the socket buffers hold
 	assert.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	assert.Less(t, time.Since(startedAt), streamIdleTimeout)
 }
