--- a/internal/node/budget.go
+++ b/internal/node/budget.go
@@ -9,12 +9,12 @@
 
 const (
 	maxBufferedBytes  = 64 << 10 // size of a message that is buffered whole; a longer one is streamed
-	maxMessageBytes   = 33 << 20 // size of a body: covers 32 MB, decimal and binary
-	streamBufferBytes = 32 << 10 // buffer of a message that is streamed
+	maxMessageBytes   = 33 << 20 // size of any body; above 32 MB, decimal or binary
+	streamBufferBytes = 32 << 10 // size of the buffer of a streamed message
 	unbudgetedBytes   = 4 << 10  // size that is buffered without a reservation, like the buffers of connections
 
 	budgetMemoryFraction = 1.0 / 4 // fraction of the memory limit that buffered messages may use
-	minBudgetBytes       = 4 << 20
+	minBudgetBytes       = 4 << 20 // size of the budget at a small memory limit
 )
 
 // budget limits the memory in which the bodies and responses of all requests are buffered. Each kind gets one half, so
--- a/internal/node/clientbody.go
+++ b/internal/node/clientbody.go
@@ -13,8 +13,8 @@
 
 const (
 	bodyIdleTimeout    = 2500 * time.Millisecond // time without a byte of a request body
-	bodyTimeout        = 10 * time.Second        // time for a body beside its length at minBytesPerSecond
-	minBytesPerSecond  = 16 << 10                // average rate of a message
+	bodyTimeout        = 10 * time.Second        // base of messageTimeout for a request body
+	minBytesPerSecond  = 16 << 10                // average rate of a message, for messageTimeout
 	clientWriteTimeout = 4 * time.Second         // time for which a client may read nothing of its response
 	discardTimeout     = 10 * time.Second        // time for which the rest of a rejected body is read and discarded
 	discardIdleTimeout = time.Second             // time without a byte of that rest
@@ -25,14 +25,14 @@
 	errClientDisconnected = errors.New("client connection: client disconnected")
 	errBodyUnreadable     = errors.New("reading the request body: already failed or stopped")
 	errBodyStopped        = errors.New("reading the request body: stopped as it is no longer needed")
-	pastDeadline          = time.Unix(1, 0)
+	pastDeadline          = time.Unix(1, 0) // deadline that makes blocked reads and writes fail at once
 )
 
 // clientBody reads a request body with limits on its length, on the time without progress and on its total time.
 type clientBody struct {
 	src        io.Reader
 	controller *http.ResponseController
-	onComplete func()      // called with mu held when the body has been read to its end
+	onComplete func()      // called with mu held when the end of the body is read
 	consumed   atomic.Bool // a part of the body was streamed and is not buffered
 
 	mu        sync.Mutex
@@ -48,6 +48,7 @@
 	return &clientBody{src: src, controller: controller, onComplete: func() {}, failed: make(chan struct{})}
 }
 
+// Read reads from the body within the limits. Once reading has failed or was stopped, it returns errBodyUnreadable.
 func (b *clientBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	switch {
@@ -93,6 +94,7 @@
 	return base + time.Duration(bytes)*time.Second/minBytesPerSecond
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -180,4 +182,5 @@
 	}
 }
 
+// socketBufferBytes is the size of the kernel's read buffer and of its write buffer of a connection.
 const socketBufferBytes = 64 << 10
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -239,10 +239,10 @@
 }
 
 // closeIfIdle closes a connection for writing unless a part of a request was received; with allowPartialHeader, a part
-// of a header does not count. What comes later is discarded and not passed to net/http, and the connection is closed
-// when the client closes it, or after clientCloseTimeout. So the client knows that its request was not accepted, and
-// there is no close with unread bytes, which would be a reset and could destroy a response that the client has not read
-// yet.
+// of a header does not count. It reports whether it did. What comes later is discarded and not passed to net/http, and
+// the connection is closed when the client closes it, or after clientCloseTimeout. So the client knows that its request
+// was not accepted, and there is no close with unread bytes, which would be a reset and could destroy a response that
+// the client has not read yet.
 func (c *clientConn) closeIfIdle(allowPartialHeader bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/serverrequests.go
+++ b/internal/node/serverrequests.go
@@ -9,7 +9,7 @@
 type requestWriter struct {
 	*serverConn
 	ctx       context.Context // context of the sending
-	streaming bool
+	streaming bool            // the header is written, and the body is flushed as it arrives
 }
 
 func (w *requestWriter) WriteByte(b byte) error { return w.writer.WriteByte(b) }
--- a/internal/node/serverresponses.go
+++ b/internal/node/serverresponses.go
@@ -18,9 +18,9 @@
 const (
 	maxResponseHeaderBytes = 64 << 10                // size of a header with its interim responses
 	responseIdleTimeout    = 2500 * time.Millisecond // time without a byte of a buffered response
-	streamIdleTimeout      = 6 * time.Second         // time without progress of a streamed body, either way
+	streamIdleTimeout      = 6 * time.Second         // time without progress of a streamed body
 	responseBufferTimeout  = 500 * time.Millisecond  // time after which an incomplete response is streamed
-	responseTimeout        = 30 * time.Second        // time for a response beside its length at minBytesPerSecond
+	responseTimeout        = 30 * time.Second        // base of messageTimeout for a response
 	lateResponseTimeout    = 100 * time.Millisecond  // time to read a response after sending its request has failed
 )
 
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -50,7 +50,7 @@
 	fd := cfg.SocketFD
 	fail := func(err error) error { return &ListenError{"clients", fmt.Sprintf("descriptor %d", fd), err} }
 	if listening, err := syscall.GetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN); err != nil || listening == 0 {
-		return nil, true, fail(fmt.Errorf("no listening socket (%w)", err))
+		return nil, true, fail(fmt.Errorf("not a listening socket (%w)", err))
 	}
 	f := os.NewFile(uintptr(fd), "clients")
 	defer func() { _ = f.Close() }()
@@ -59,7 +59,7 @@
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		_ = l.Close()
-		return nil, true, fail(errors.New("no TCP socket"))
+		return nil, true, fail(errors.New("not a TCP socket"))
 	}
 	return l, true, nil
 }
@@ -133,7 +133,7 @@
 // countedListener accepts connections only while there are descriptors for them.
 type countedListener struct {
 	net.Listener
-	ctx     context.Context // ends the wait for a descriptor
+	ctx     context.Context // context of waiting for a descriptor
 	sockets *sockets
 }
 
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -46,9 +46,9 @@
 type startState struct{ state atomic.Int32 }
 
 const (
-	startPending = iota // neither started nor canceled
-	startDone
-	startCanceled
+	startPending  = iota // neither started nor canceled
+	startDone            // started
+	startCanceled        // never starts
 )
 
 // tryStart reports whether the attempt may be written. It returns true at most once.
@@ -62,7 +62,7 @@
 type upstream struct {
 	maxIdleAge       time.Duration // time for which a connection may be idle
 	reuseDelay       time.Duration // minimum time between two uses of a connection
-	maxIdlePerServer int           // number of idle connections
+	maxIdlePerServer int           // maximum number of idle connections
 	dial             func(ctx context.Context, network, address string) (net.Conn, error)
 	sockets          *sockets
 	budget           *budget
