--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -47,16 +47,16 @@
 	x.attempts = append(x.attempts, t)
 	pool := l.pools[a.Server]
 	overLimit := l.maxAttempts > 0 && len(x.attempts) > l.maxAttempts
-	if pool == nil || x.done || ctx.Err() != nil || x.bodySpent() || overLimit {
+	if pool == nil || x.done || ctx.Err() != nil || x.bodyConsumed() || overLimit {
 		t.stop()
 		l.pendingEvents = append(l.pendingEvents, control.AttemptEnded{ID: a.ID, Attempt: t.number, Server: a.Server,
-			Outcome: control.NeverSent, Done: x.done, BodyConsumed: x.bodySpent()})
+			Outcome: control.NeverSent, Done: x.done, BodyConsumed: x.bodyConsumed()})
 		return
 	}
 	x.inFlight++
 	l.recordSend(x, t)
 	t.sentAt = time.Now()
-	outgoing := l.newAttempt(x, t, l.at(a.NotAfter))
+	outgoing := l.newAttempt(x, t, l.wallTime(a.NotAfter))
 	t.start = &outgoing.start
 	go func() { // returns when ctx ends at the latest
 		o := l.upstream.attempt(ctx, pool, outgoing)
@@ -69,7 +69,7 @@
 // newExchangeAttempt returns a new attempt of a request and its context, which ends at the client's deadline or after
 // the decision module's timeout, whichever comes first.
 func (l *loop) newExchangeAttempt(x *exchange, a control.Send) (context.Context, *exchangeAttempt) {
-	ctx, cancel := context.WithCancelCause(l.life)
+	ctx, cancel := context.WithCancelCause(l.attemptCtx)
 	t := &exchangeAttempt{number: len(x.attempts), server: a.Server, cancel: cancel}
 	hasDeadline := !x.deadline.IsZero()
 	if !hasDeadline && a.Timeout <= 0 {
@@ -100,15 +100,15 @@
 		l.limitSharing.consume(&x.req, x.req.Tokens, false)
 	}
 	if l.persistence != nil {
-		l.persistence.granted(&x.req)
+		l.persistence.recordGrant(&x.req)
 	}
 }
 
 // newAttempt returns the attempt to pass to upstream. Its callbacks report to the event loop.
 func (l *loop) newAttempt(x *exchange, t *exchangeAttempt, startDeadline time.Time) *attempt {
 	onWritten := func() {
-		l.stats.calls.Add(1)
-		if x.rest != nil {
+		l.stats.attempts.Add(1)
+		if x.streamedBody != nil {
 			l.post(func() { l.handle(control.BodySent{ID: x.req.ID, Attempt: t.number}) })
 		}
 	}
@@ -128,7 +128,7 @@
 			return nil
 		}
 	}
-	return &attempt{req: x.message(), bodyPrefix: x.body, bodyStream: x.rest, startDeadline: startDeadline, onWritten: onWritten, onStreamStart: onStreamStart}
+	return &attempt{req: x.newAttemptRequest(), bodyPrefix: x.body, bodyStream: x.streamedBody, startDeadline: startDeadline, onWritten: onWritten, onStreamStart: onStreamStart}
 }
 
 // responseStarted makes a streamed response with status 200 the final one. It returns the writer for the rest of the
@@ -158,7 +158,7 @@
 	x.inFlight--
 	x.lastOutcome = o.reason
 	r := control.AttemptEnded{ID: x.req.ID, Attempt: t.number, Server: t.server, Outcome: o.reason, Latency: time.Since(t.sentAt),
-		BodyConsumed: x.bodySpent()}
+		BodyConsumed: x.bodyConsumed()}
 	if o.header != nil && !o.streamed {
 		r.MeterReading = o.meterReading()
 		r.Tokens = o.trueCost(l.maxTokens)
--- a/internal/node/clientcloses_test.go
+++ b/internal/node/clientcloses_test.go
@@ -18,14 +18,14 @@
 
 // idleClient returns a client connection whose first request was answered, and the node's end of it, whose idle time is
 // set to a minute.
-func (r *rig) idleClient() (net.Conn, *bufio.Reader, *clientConn) {
+func (r *testNode) idleClient() (net.Conn, *bufio.Reader, *clientConn) {
 	r.t.Helper()
 	c := r.dial()
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, rawGet)
 	r.expectServed(in, "raw", false)
-	k, f := r.conn(c), r.node.front
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	k, f := r.nodeConn(c), r.node.front
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		f.mu.Lock()
 		_, idle := f.idleSince[k]
 		if idle {
@@ -41,7 +41,7 @@
 }
 
 // expectServed reads one response and checks that it is the server's to the request with an ID.
-func (r *rig) expectServed(in *bufio.Reader, id string, wantClose bool) {
+func (r *testNode) expectServed(in *bufio.Reader, id string, wantClose bool) {
 	r.t.Helper()
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -53,10 +53,10 @@
 }
 
 // sendPartialRequest sends the first part of a second request and waits until net/http has it.
-func (r *rig) sendPartialRequest(c net.Conn, k *clientConn, part string) {
+func (r *testNode) sendPartialRequest(c net.Conn, k *clientConn, part string) {
 	r.t.Helper()
 	_, _ = io.WriteString(c, part)
-	r.wait("net/http has the partial request", func() bool {
+	r.waitUntil("net/http has the partial request", func() bool {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		return k.requestStarted && len(k.rawHeader) == len(part)
@@ -68,13 +68,13 @@
 // An idle connection on which a part of a request was read is not closed as idle, neither by a drain nor by an
 // eviction, and the request is served.
 func TestPartialRequestPreventsClose(t *testing.T) {
-	for name, closeConn := range map[string]func(*rig){
-		"by a drain":     func(r *rig) { r.node.front.closeIdle() },
-		"by an eviction": func(r *rig) { r.node.front.evict() },
+	for name, closeConn := range map[string]func(*testNode){
+		"by a drain":     func(r *testNode) { r.node.front.closeIdle() },
+		"by an eviction": func(r *testNode) { r.node.front.evict() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.list(newApp(t, served).target("s-1", 0))
+			r := newTestNode(t)
+			r.updateList(newTestServer(t, serveOK).target("s-1", 0))
 			c, in, k := r.idleClient()
 			r.sendPartialRequest(c, k, secondGet[:60])
 			closeConn(r)
@@ -87,9 +87,9 @@
 // A request that arrives after the node closed its idle connection is not forwarded, and its client reads the end of
 // the connection and no reset: so it knows that it may retry.
 func TestRequestAfterIdleCloseIsDiscarded(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	c, in, _ := r.idleClient()
 	r.node.front.closeIdle()
 	if _, err := io.WriteString(c, secondGet); err != nil {
@@ -99,20 +99,20 @@
 		t.Errorf("reading from the closed connection: error %v, want io.EOF", err)
 	}
 	_ = c.Close()
-	for end := time.Now().Add(patience); r.node.front.openConns.Load() > 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.node.front.openConns.Load() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the client connection is not closed")
 		}
 	}
-	if n := a.count(); n != 1 {
+	if n := a.requestCount(); n != 1 {
 		t.Errorf("requests at the server: %q, want the first only", a.requests())
 	}
 }
 
 // An eviction frees the descriptor at once, even if the client keeps its end open.
 func TestEvictionFreesDescriptorAtOnce(t *testing.T) {
-	r := newRig(t)
-	r.list(newApp(t, served).target("s-1", 0))
+	r := newTestNode(t)
+	r.updateList(newTestServer(t, serveOK).target("s-1", 0))
 	_, in, _ := r.idleClient()
 	open := r.node.upstream.sockets.openConns.Load()
 	if !r.node.front.evict() || r.node.upstream.sockets.openConns.Load() != open-1 {
@@ -126,7 +126,7 @@
 // A client that has sent more than the node reads gets the whole response and then the end of the connection. A close
 // with unread bytes would be a reset, which can destroy the response.
 func TestResponseSurvivesUnreadBytes(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	more := strings.Repeat("x", maxBufferedBytes)
 	for name, text := range map[string]string{
 		"invalid header":        "\x00\x01 noise\r\n\r\n" + more,
@@ -155,8 +155,8 @@
 // closes idle connections, is served, and its response closes the connection.
 func TestPartialRequestServedDuringDrain(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	r.list(newApp(t, served).target("s-1", 0))
+	r := newTestNode(t)
+	r.updateList(newTestServer(t, serveOK).target("s-1", 0))
 	c, in, k := r.idleClient()
 	idle, idleIn, _ := r.idleClient()
 	r.sendPartialRequest(c, k, secondGet[:60])
@@ -175,7 +175,7 @@
 	_, _ = io.WriteString(c, secondGet[60:])
 	r.expectServed(in, "second", true)
 	_ = c.Close()
-	if err := next(t, r.ended); err != nil {
+	if err := receive(t, r.ended); err != nil {
 		t.Error(err)
 	}
 	r.ended <- nil
@@ -190,19 +190,19 @@
 // a disconnect fail and cancels the request's context, though the client has not disconnected: it must get the
 // response.
 func TestBodyStoppedAtLastByteIsNotADisconnect(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	q := r.call(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
+	q := r.newRequest(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
 	w := httptest.NewRecorder()
 	x := &exchange{req: control.Request{ID: "id-1", Class: "visit-update", Plan: q.Header.Get(headerPlan), Tenant: "1", Tokens: 1, TenantNodes: 1, Write: true},
-		forward: q, timeLeft: patience, deadline: time.Now().Add(patience), answer: make(chan answer, 1), stats: r.node.stats}
+		upstreamReq: q, timeLeft: testTimeout, deadline: time.Now().Add(testTimeout), answer: make(chan answer, 1), stats: r.node.stats}
 	readStarted, lastByte := make(chan struct{}), make(chan struct{})
-	x.rest = newClientBody(readerFunc(func([]byte) (int, error) { close(readStarted); <-lastByte; return 0, io.EOF }), http.NewResponseController(w))
-	x.rest.onComplete = x.markReceived
+	x.streamedBody = newClientBody(readerFunc(func([]byte) (int, error) { close(readStarted); <-lastByte; return 0, io.EOF }), http.NewResponseController(w))
+	x.streamedBody.onComplete = x.markReceived
 	read := make(chan error)
-	go func() { _, err := x.rest.Read(make([]byte, 1)); read <- err }()
+	go func() { _, err := x.streamedBody.Read(make([]byte, 1)); read <- err }()
 	<-readStarted
-	x.rest.stop()
+	x.streamedBody.stop()
 	close(lastByte)
 	require.ErrorIs(t, <-read, io.EOF)
 	cancel()
@@ -212,7 +212,7 @@
 		a, _ := r.node.front.respond(w, q, x)
 		answered <- a.status
 	}()
-	r.wait("the request is held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
-	r.node.loop.post(func() { r.node.loop.act(control.Fail{ID: "id-1"}) })
-	require.Equal(t, http.StatusBadGateway, next(t, answered))
+	r.waitUntil("the request is held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
+	r.node.loop.post(func() { r.node.loop.execute(control.Fail{ID: "id-1"}) })
+	require.Equal(t, http.StatusBadGateway, receive(t, answered))
 }
--- a/internal/node/clientdisconnects_test.go
+++ b/internal/node/clientdisconnects_test.go
@@ -21,19 +21,19 @@
 // The protocol treats a half-close by the client as a disconnect. The connection is closed without a response: the
 // client could still read one, and take an error of the node for a server's response.
 func TestHalfCloseIsTreatedAsDisconnect(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	forwarded, finish := make(chan struct{}), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { forwarded <- struct{}{}; <-finish; served(w, q) })
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) { forwarded <- struct{}{}; <-finish; serveOK(w, q) })
 	defer close(finish)
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	_, _ = io.WriteString(c, rawGet)
-	next(t, forwarded)
+	receive(t, forwarded)
 	_ = c.(*net.TCPConn).CloseWrite()
 	if got := statuses(t, c); len(got) > 0 {
 		t.Errorf("response statuses %v, want none", got)
 	}
-	r.wait("the disconnect is detected", func() bool { x := r.node.loop.exchanges["raw"]; return x == nil || x.done })
+	r.waitUntil("the disconnect is detected", func() bool { x := r.node.loop.exchanges["raw"]; return x == nil || x.done })
 }
 
 // A disconnect is detected whatever the client sent behind its request: no further attempt starts for it, and the
@@ -54,36 +54,36 @@
 			reset       bool // the client disconnects by a reset
 		}{{"at once", true, false}, {"later", false, false}, {"with a reset", false, true}} {
 			t.Run(name+" "+k.name, func(t *testing.T) {
-				r := newRig(t)
+				r := newTestNode(t)
 				forwarded, fail := make(chan struct{}, 2), make(chan struct{})
-				a := newApp(t, func(w http.ResponseWriter, q *http.Request) { forwarded <- struct{}{}; <-fail; reset(w, q) })
+				a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) { forwarded <- struct{}{}; <-fail; resetConn(w, q) })
 				release := sync.OnceFunc(func() { close(fail) })
 				t.Cleanup(release)
-				r.list(a.target("s-1", 0))
+				r.updateList(a.target("s-1", 0))
 				c := r.dial()
 				// The node may close the connection for that before the attempt has started, which then never starts.
 				mayNotStart := k.withRequest && len(pipelined) > maxRequestHeaderBytes
 				if k.withRequest {
 					_, _ = io.WriteString(c, rawGet+pipelined)
 					if !mayNotStart {
-						next(t, forwarded)
+						receive(t, forwarded)
 					}
 				} else {
 					_, _ = io.WriteString(c, rawGet)
-					next(t, forwarded)
+					receive(t, forwarded)
 					_, _ = io.WriteString(c, pipelined)
 				}
 				if k.reset {
 					_ = c.(*net.TCPConn).SetLinger(0)
 				}
 				_ = c.Close()
-				r.wait("the disconnect is detected", func() bool {
+				r.waitUntil("the disconnect is detected", func() bool {
 					x := r.node.loop.exchanges["raw"]
 					return r.node.front.clientDisconnects.Load() == 1 && (x == nil || x.done)
 				})
 				release()
-				r.wait("the attempt has ended", func() bool { return len(r.node.loop.exchanges) == 0 })
-				if n := a.count(); n > 1 || n < 1 && !mayNotStart {
+				r.waitUntil("the attempt has ended", func() bool { return len(r.node.loop.exchanges) == 0 })
+				if n := a.requestCount(); n > 1 || n < 1 && !mayNotStart {
 					t.Errorf("requests at the server: %q", a.requests())
 				}
 			})
@@ -94,27 +94,27 @@
 // A request that is pipelined behind a held one in several pieces arrives whole, and is served after the first.
 // Otherwise the read that watches for a disconnect could lose bytes of it.
 func TestPipelinedRequestArrivesWhole(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	forwarded, finish := make(chan string, 1), make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		forwarded <- q.Header.Get(headerID)
 		<-finish
-		served(w, q)
+		serveOK(w, q)
 	})
 	t.Cleanup(func() { close(finish) })
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	in := bufio.NewReader(c)
 	_, _ = io.WriteString(c, rawGet)
-	next(t, forwarded)
+	receive(t, forwarded)
 	body := patternBytes(3 * maxRequestHeaderBytes)
 	second := strings.Replace(postHeaders, "raw", "second", 1) + "Transfer-Encoding: chunked\r\n\r\n"
-	k, sent := r.conn(c), 0
+	k, sent := r.nodeConn(c), 0
 	// Each piece is buffered as pipelined before the next is sent.
 	for _, piece := range []string{second[:1], second[1:40], second[40:]} {
 		_, _ = io.WriteString(c, piece)
 		sent += len(piece)
-		r.wait("the piece is buffered", func() bool {
+		r.waitUntil("the piece is buffered", func() bool {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			return len(k.pipelined) == sent
@@ -133,7 +133,7 @@
 	}
 	expectServed("raw")
 	fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(body), body)
-	if id := next(t, forwarded); id != "second" {
+	if id := receive(t, forwarded); id != "second" {
 		t.Errorf("the server got request %q, want second", id)
 	}
 	finish <- struct{}{}
@@ -174,17 +174,17 @@
 		text := patternBytes(3 * maxRequestHeaderBytes)
 		go func() { _, _ = client.Write(text) }()
 		if !answered {
-			require.ErrorIs(t, next(t, watched), errTooMuchPipelined)
+			require.ErrorIs(t, receive(t, watched), errTooMuchPipelined)
 			continue
 		}
 		require.Eventually(t, func() bool {
 			accepted.mu.Lock()
 			defer accepted.mu.Unlock()
 			return len(accepted.pipelined) > maxRequestHeaderBytes
-		}, patience, time.Millisecond)
+		}, testTimeout, time.Millisecond)
 		_ = accepted.SetReadDeadline(pastDeadline)
-		require.ErrorIs(t, next(t, watched), os.ErrDeadlineExceeded)
-		_ = accepted.SetReadDeadline(time.Now().Add(patience))
+		require.ErrorIs(t, receive(t, watched), os.ErrDeadlineExceeded)
+		_ = accepted.SetReadDeadline(time.Now().Add(testTimeout))
 		got := make([]byte, len(text))
 		_, err = io.ReadFull(accepted, got)
 		require.NoError(t, err)
--- a/internal/node/clientfloods_test.go
+++ b/internal/node/clientfloods_test.go
@@ -20,12 +20,12 @@
 // respond. They use no more descriptors than the limit, all their state is released after they disconnected, and the
 // next client is served.
 func TestBurstsOfDisconnects(t *testing.T) {
-	r := newRigWith(t, func(c *config.Config) { c.MaxSockets = 256 })
+	r := newTestNodeWith(t, func(c *config.Config) { c.MaxSockets = 256 })
 	held := make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) { <-held; served(w, q) })
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) { <-held; serveOK(w, q) })
 	release := sync.OnceFunc(func() { close(held) })
 	t.Cleanup(release)
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	f := r.node.front
 	for burst := range 3 {
 		var conns []net.Conn
@@ -34,7 +34,7 @@
 			conns = append(conns, c)
 			_, _ = io.WriteString(c, strings.Replace(rawGet, "raw", fmt.Sprintf("id-%d-%d", burst, i), 1)+strings.Repeat("x", maxRequestHeaderBytes/2))
 		}
-		r.wait("all requests are held", func() bool {
+		r.waitUntil("all requests are held", func() bool {
 			held := 0
 			for _, x := range r.node.loop.exchanges {
 				if !x.done {
@@ -50,7 +50,7 @@
 			}
 			_ = c.Close()
 		}
-		r.wait("all disconnects are detected", func() bool {
+		r.waitUntil("all disconnects are detected", func() bool {
 			for _, x := range r.node.loop.exchanges {
 				if !x.done {
 					return false
@@ -61,13 +61,13 @@
 		assert.Less(t, time.Since(left), 5*time.Second, "the disconnects were not detected before the deadline of 7 s")
 		assert.LessOrEqual(t, f.sockets.openConns.Load(), f.sockets.limit.Load())
 	}
-	assert.Less(t, a.count(), 60, "attempts were started for disconnected clients")
+	assert.Less(t, a.requestCount(), 60, "attempts were started for disconnected clients")
 	release()
-	r.wait("all requests are removed", func() bool { return len(r.node.loop.exchanges) == 0 })
+	r.waitUntil("all requests are removed", func() bool { return len(r.node.loop.exchanges) == 0 })
 	f.mu.Lock()
 	assert.Empty(t, f.idleSince)
 	assert.Empty(t, f.newSince)
 	f.mu.Unlock()
-	resp, _ := r.do(r.call(http.MethodGet, "/roster-read", "next"))
+	resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", "next"))
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 }
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -67,15 +67,15 @@
 	if err := f.readTokens(&request, r.Header.Get(headerWeight)); err != nil {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: %v", headerWeight, err)
 	}
-	x := &exchange{req: request, forward: forwardedRequest(r), timeLeft: timeLeft - answerMargin, length: r.ContentLength,
+	x := &exchange{req: request, upstreamReq: forwardedRequest(r), timeLeft: timeLeft - answerMargin, bodyLength: r.ContentLength,
 		answer: make(chan answer, 1), stats: f.stats}
 	if r.ContentLength != 0 {
 		if rejected := f.readBody(x, r, controller); rejected != nil {
 			return nil, rejected
 		}
 	}
-	if x.rest == nil {
-		x.length = int64(len(x.body))
+	if x.streamedBody == nil {
+		x.bodyLength = int64(len(x.body))
 		x.deadline = time.Now().Add(x.timeLeft)
 	}
 	return x, nil
@@ -127,7 +127,7 @@
 		x.bodyReservation.shrinkTo(0)
 		return newBadRequest(http.StatusBadRequest, "a body with %s", r.Method)
 	}
-	x.rest, x.req.StreamedBody = stream, true
+	x.streamedBody, x.req.StreamedBody = stream, true
 	stream.onComplete = func() {
 		x.markReceived()
 		receivedAt := time.Now()
--- a/internal/node/clientrequests_test.go
+++ b/internal/node/clientrequests_test.go
@@ -13,9 +13,9 @@
 
 // Invalid requests are rejected with the status of their error, and none is forwarded.
 func TestInvalidRequestsAreRejected(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for name, tc := range map[string]struct {
 		change func(*http.Request)
 		want   int
@@ -52,25 +52,25 @@
 		"odd first":         {func(q *http.Request) { q.Header.Set(headerWeight, "first=-1") }, 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			q := r.call(http.MethodPost, "/visit-update", "bad")
+			q := r.newRequest(http.MethodPost, "/visit-update", "bad")
 			tc.change(q)
 			if resp, body := r.do(q); resp.StatusCode != tc.want {
 				t.Errorf("response %s %q, want status %d", resp.Status, body, tc.want)
 			}
 		})
 	}
-	if resp, _ := r.do(r.call(http.MethodPost, "/roster-read", "bad")); resp.StatusCode != 405 {
+	if resp, _ := r.do(r.newRequest(http.MethodPost, "/roster-read", "bad")); resp.StatusCode != 405 {
 		t.Errorf("POST to an idempotent class: %s, want 405", resp.Status)
 	}
-	withBody := r.call(http.MethodGet, "/roster-read", "bad")
+	withBody := r.newRequest(http.MethodGet, "/roster-read", "bad")
 	withBody.Body, withBody.ContentLength = io.NopCloser(strings.NewReader("x")), 1
 	if resp, _ := r.do(withBody); resp.StatusCode != 400 {
 		t.Errorf("GET with a body: %s, want 400", resp.Status)
 	}
-	if n := a.count(); n > 0 {
+	if n := a.requestCount(); n > 0 {
 		t.Errorf("%d invalid requests were forwarded", n)
 	}
-	if resp, _ := r.do(r.call(http.MethodPost, "/visit-update", "good")); resp.StatusCode != 200 {
+	if resp, _ := r.do(r.newRequest(http.MethodPost, "/visit-update", "good")); resp.StatusCode != 200 {
 		t.Errorf("valid request after the invalid ones: %s, want 200", resp.Status)
 	}
 }
@@ -97,9 +97,9 @@
 // A request with an ambiguous or invalid body length gets one error response and its connection is closed. Otherwise a
 // request hidden in or behind its body could be smuggled to a server.
 func TestSmuggledRequestsAreRejected(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	const post = "POST /visit-update?account=00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\n" + validHeaders
 	hidden := strings.ReplaceAll(strings.Replace(post, "POST /visit-update", "GET /roster-read", 1), "raw", "hidden") + "\r\n"
 	for name, tc := range map[string]struct {
@@ -124,7 +124,7 @@
 			}
 		})
 	}
-	if n := a.count(); n > 0 {
+	if n := a.requestCount(); n > 0 {
 		t.Errorf("requests at the server: %q, want none", a.requests())
 	}
 }
--- a/internal/node/degradeddiscovery.go
+++ b/internal/node/degradeddiscovery.go
@@ -13,33 +13,35 @@
 )
 
 const (
-	healthCheckInterval   = 4 * time.Second // between two health checks of a server; a drain counts as received after 6 s
-	minCheckedServers     = 8               // of a node
-	nodesPerCheckedServer = 10              // nodes of the fleet that check each server, beyond that
+	healthCheckInterval   = 4 * time.Second // interval of health checks; a node must know of a drain within 6 s
+	minCheckedServers     = 8               // minimum number of servers that a node checks
+	nodesPerCheckedServer = 10              // average number of nodes that check each server, beyond that minimum
 )
 
-// degradedDiscovery keeps the rule on drains while the cached list is stale, as discovery answers without a usable update:
-// new requests go only to servers whose own health check says that they serve. Where servers may not be checked, they go
-// to none. It is owned by the event loop.
+// degradedDiscovery keeps new requests away from draining servers while discovery is degraded, that is, answers without
+// a usable update, so that the cached list is stale. New requests then go only to servers that pass a health check, or
+// to none if the settings do not allow health checks. It is owned by the event loop.
 type degradedDiscovery struct {
 	loop        *loop
-	healthCheck func(endpoint string) bool // nil where servers may not be checked
-	grace       time.Duration
-	group       int
-	self        int
+	healthCheck func(endpoint string) bool // nil disables health checks
+	grace       time.Duration              // drain grace of the settings
+	fleetSize   int
+	nodeIndex   int
 
-	active        bool
-	round         int
-	healthy       map[string]bool // passed the last health check, by UID
-	shownDraining map[string]bool // shown to the decision module as draining, by UID
+	active           bool            // whether discovery is degraded
+	round            int             // incremented when active is set, which cancels scheduled calls
+	healthy          map[string]bool // whether a server passed the last health check, by UID
+	reportedDraining map[string]bool // whether a server was reported to the decision module as draining, by UID
 }
 
+// newDegradedDiscovery returns a degradedDiscovery that is not active. Health checks need a drain grace in the
+// settings.
 func newDegradedDiscovery(s control.Settings, l *loop) *degradedDiscovery {
-	d := &degradedDiscovery{loop: l, grace: s.DrainGrace, group: s.FleetSize, self: s.NodeIndex}
-	if s.HealthChecks && d.grace > 0 { // without a grace no answer comes in time
-		within := d.grace / 2
-		client := &http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true,
-			DialContext: (&net.Dialer{Timeout: within}).DialContext}}
+	d := &degradedDiscovery{loop: l, grace: s.DrainGrace, fleetSize: s.FleetSize, nodeIndex: s.NodeIndex}
+	if s.HealthChecks && d.grace > 0 { // without a grace a health check has no time to complete
+		timeout := d.grace / 2
+		client := &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true,
+			DialContext: (&net.Dialer{Timeout: timeout}).DialContext}}
 		d.healthCheck = func(endpoint string) bool {
 			resp, err := client.Get("http://" + endpoint + "/healthz")
 			if err != nil {
@@ -52,7 +54,7 @@
 	return d
 }
 
-// setActive begins or ends degraded discovery.
+// setActive sets whether discovery is degraded.
 func (d *degradedDiscovery) setActive(on bool) {
 	d.active, d.healthy = on, map[string]bool{}
 	d.round++
@@ -60,38 +62,39 @@
 		d.checkHealth(d.round)
 		return
 	}
-	d.showHealthyOnly()
+	d.drainUnhealthy()
 }
 
-// checkHealth checks the health of servers, and again after healthCheckInterval.
+// checkHealth starts health checks, applies their results after a fraction of the grace, and repeats after
+// healthCheckInterval.
 func (d *degradedDiscovery) checkHealth(round int) {
 	if !d.active || round != d.round {
 		return
 	}
-	heard := map[string]bool{}
+	passed := map[string]bool{}
 	for _, t := range d.serversToCheck() {
 		go func() {
 			ok := d.healthCheck(t.Endpoint)
-			d.loop.post(func() { heard[t.UID] = ok })
+			d.loop.post(func() { passed[t.UID] = ok })
 		}()
 	}
-	d.after(d.grace/2+d.grace/8, round, func() { d.healthy = heard; d.showHealthyOnly() })
-	d.after(healthCheckInterval, round, func() { d.checkHealth(round) })
+	d.runAfter(d.grace/2+d.grace/8, round, func() { d.healthy = passed; d.drainUnhealthy() })
+	d.runAfter(healthCheckInterval, round, func() { d.checkHealth(round) })
 }
 
-// after runs a function on the loop after a while, unless the round is over.
-func (d *degradedDiscovery) after(wait time.Duration, round int, do func()) {
-	time.AfterFunc(wait, func() {
+// runAfter calls run on the loop after a delay, unless the round has ended.
+func (d *degradedDiscovery) runAfter(delay time.Duration, round int, run func()) {
+	time.AfterFunc(delay, func() {
 		d.loop.post(func() {
 			if d.active && round == d.round {
-				do()
+				run()
 			}
 		})
 	})
 }
 
-// serversToCheck returns the servers that this node checks. Each server is checked by some nodes, so that in a round all
-// nodes together check it nodesPerCheckedServer times, or each node checks minCheckedServers.
+// serversToCheck returns the servers that this node checks: about as many as make nodesPerCheckedServer nodes of the
+// fleet check each server, but at least minCheckedServers. A hash of the node index and the UID selects them.
 func (d *degradedDiscovery) serversToCheck() []discovery.Target {
 	var all []discovery.Target
 	for _, t := range d.loop.endpoints {
@@ -101,34 +104,34 @@
 	}
 	rank := func(t discovery.Target) uint64 {
 		h := fnv.New64a()
-		h.Write([]byte{byte(d.self), byte(d.self >> 8)})
+		h.Write([]byte{byte(d.nodeIndex), byte(d.nodeIndex >> 8)})
 		h.Write([]byte(t.UID))
 		return h.Sum64()
 	}
 	slices.SortFunc(all, func(a, b discovery.Target) int { return cmp.Compare(rank(a), rank(b)) })
-	return all[:min(len(all), max(minCheckedServers, nodesPerCheckedServer*len(all)/max(1, d.group)))]
+	return all[:min(len(all), max(minCheckedServers, nodesPerCheckedServer*len(all)/max(1, d.fleetSize)))]
 }
 
-// showHealthyOnly shows servers to the decision module as draining that have not passed a health check, and as listed
-// those that have again.
-func (d *degradedDiscovery) showHealthyOnly() {
-	var news discovery.Update
-	demoted := map[string]bool{}
+// drainUnhealthy reports servers that have not passed a health check to the decision module as draining, and the others
+// with their listed state. While discovery is not degraded, that is all servers.
+func (d *degradedDiscovery) drainUnhealthy() {
+	var update discovery.Update
+	draining := map[string]bool{}
 	for uid, t := range d.loop.endpoints {
 		if t.Status() != discovery.Available {
 			continue
 		}
-		demoted[uid] = d.active && !d.healthy[uid]
-		if demoted[uid] {
+		draining[uid] = d.active && !d.healthy[uid]
+		if draining[uid] {
 			t.State = "draining"
 		}
-		if demoted[uid] != d.shownDraining[uid] {
-			news.Targets = append(news.Targets, t)
+		if draining[uid] != d.reportedDraining[uid] {
+			update.Targets = append(update.Targets, t)
 		}
 	}
-	d.shownDraining = demoted
-	slices.SortFunc(news.Targets, func(a, b discovery.Target) int { return cmp.Compare(a.UID, b.UID) })
-	if len(news.Targets) > 0 {
-		d.loop.applyEndpoints(control.Delta, news)
+	d.reportedDraining = draining
+	slices.SortFunc(update.Targets, func(a, b discovery.Target) int { return cmp.Compare(a.UID, b.UID) })
+	if len(update.Targets) > 0 {
+		d.loop.applyEndpoints(control.Delta, update)
 	}
 }
--- a/internal/node/earlyresponses_test.go
+++ b/internal/node/earlyresponses_test.go
@@ -44,13 +44,13 @@
 					accepted <- c
 				}
 			}()
-			r := newRig(t)
-			r.list(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
+			r := newTestNode(t)
+			r.updateList(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
 			c := r.dial()
 			fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", postHeaders, mebibyte, patternBytes(mebibyte/2))
-			serverEnd := next(t, accepted)
+			serverEnd := receive(t, accepted)
 			defer func() { _ = serverEnd.Close() }()
-			_ = serverEnd.SetDeadline(time.Now().Add(patience))
+			_ = serverEnd.SetDeadline(time.Now().Add(testTimeout))
 			q, err := http.ReadRequest(bufio.NewReader(serverEnd))
 			require.NoError(t, err)
 			_, err = io.CopyN(io.Discard, q.Body, mebibyte/4)
@@ -63,7 +63,7 @@
 			n, err := io.Copy(io.Discard, q.Body)
 			assert.Error(t, err, "%d more bytes: the node sent the rest of the request", n)
 			assert.Empty(t, accepted, "the request was retried")
-			r.figure("node_backend_calls_total", 0)
+			r.waitForMetric("node_backend_calls_total", 0)
 		})
 	}
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -87,7 +87,7 @@
 		return
 	}
 	defer x.bodyReservation.shrinkTo(0)
-	if x.rest == nil {
+	if x.streamedBody == nil {
 		// net/http reads on while a request is open, to detect a disconnect; the read deadline of the body must not end
 		// that read.
 		_ = controller.SetReadDeadline(time.Time{})
@@ -95,7 +95,7 @@
 	} else {
 		// The response may come before the body is complete: net/http must not wait for the rest of the body.
 		_ = controller.EnableFullDuplex()
-		defer x.rest.discard(r)
+		defer x.streamedBody.discard(r)
 	}
 	defer x.markEnded()
 	a, complete := f.respond(w, r, x)
@@ -103,10 +103,10 @@
 		return
 	}
 	if !complete {
-		f.stats.answered(x.req.Class, http.StatusBadGateway)
+		f.stats.countAnswer(x.req.Class, http.StatusBadGateway)
 		panic(http.ErrAbortHandler) // closes the connection, so that the client detects the truncated response
 	}
-	f.stats.answered(x.req.Class, a.status)
+	f.stats.countAnswer(x.req.Class, a.status)
 }
 
 // respondHealth responds to /healthz. Here and after bad requests the connection is closed, so that callers can't hold
@@ -123,7 +123,7 @@
 // respond passes a request to the event loop, waits for its final response and writes it. It returns nil if the client
 // has disconnected or its request was rejected as bad. complete reports whether the response was written in full.
 func (f *frontend) respond(w http.ResponseWriter, r *http.Request, x *exchange) (a *answer, complete bool) {
-	f.loop.post(func() { f.loop.begin(x) })
+	f.loop.post(func() { f.loop.beginExchange(x) })
 	final, rejected := f.awaitResponse(r, x)
 	if rejected != nil {
 		f.rejectBadRequest(w, rejected)
@@ -132,12 +132,12 @@
 	if !x.received.Load() {
 		w.Header().Set("Connection", "close") // the request body was not read to its end
 	}
-	defer final.drop()
+	defer final.discard()
 	if final.stream != nil && x.received.Load() {
 		defer context.AfterFunc(r.Context(), func() { final.stream.CloseWithError(errClientDisconnected) })()
 	}
 	err := f.write(w, final)
-	if x.rest != nil {
+	if x.streamedBody != nil {
 		_ = http.NewResponseController(w).Flush()
 	}
 	if errors.Is(err, errClientDisconnected) {
@@ -157,21 +157,21 @@
 			// net/http cancels the context after any failed read. A failed read of the body is reported by bodyBroken,
 			// or was stopped because the response is there. A stop at the moment of the body's last byte makes the read
 			// fail with which net/http detects disconnects.
-			if x.rest != nil && (!x.received.Load() || x.rest.isStopped()) {
+			if x.streamedBody != nil && (!x.received.Load() || x.streamedBody.isStopped()) {
 				disconnected = nil
 				continue
 			}
 			f.clientDisconnects.Add(1)
-			f.loop.post(func() { f.loop.hangup(x) })
-			f.finalResponse(x).drop()
+			f.loop.post(func() { f.loop.clientGone(x) })
+			f.finalResponse(x).discard()
 			// Without the panic net/http would write a response of its own, and a client that only half-closed the
 			// connection could take it for a server's response.
 			panic(http.ErrAbortHandler)
-		case <-x.bodyBroken():
-			f.loop.post(func() { f.loop.hangup(x) })
+		case <-x.bodyFailed():
+			f.loop.post(func() { f.loop.clientGone(x) })
 			final = f.finalResponse(x)
 			if final.status == 0 {
-				return final, x.rest.badRequest()
+				return final, x.streamedBody.badRequest()
 			}
 		case <-f.loop.ended:
 			final = f.finalResponse(x)
--- a/internal/node/longbodies_test.go
+++ b/internal/node/longbodies_test.go
@@ -39,12 +39,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+			r := newTestNode(t)
+			a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 				got, _ := io.ReadAll(q.Body)
 				fmt.Fprintf(w, "%x", sha256.Sum256(got))
 			})
-			r.list(a.target("s-1", 0))
+			r.updateList(a.target("s-1", 0))
 			c := r.dial()
 			in := bufio.NewReader(c)
 			for id := range 2 {
@@ -58,9 +58,9 @@
 					t.Errorf("response %s %q, close %v; want 200 %q, no close", resp.Status, got, resp.Close, want)
 				}
 			}
-			r.figure(`node_success_total{tier="visit-update"}`, 2)
-			r.figure("node_backend_calls_total", 2)
-			r.figure("node_inflight", 0)
+			r.waitForMetric(`node_success_total{tier="visit-update"}`, 2)
+			r.waitForMetric("node_backend_calls_total", 2)
+			r.waitForMetric("node_inflight", 0)
 		})
 	}
 }
@@ -80,32 +80,32 @@
 
 // A short chunked body is buffered whole, so it is forwarded with its length and can be retried.
 func TestShortChunkedBodyIsBuffered(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	first := true
-	a := newApp(t, func(w http.ResponseWriter, q *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
 		if first {
 			first = false
-			reset(w, q)
+			resetConn(w, q)
 			return
 		}
 		fmt.Fprint(w, "length ", q.ContentLength)
 	})
-	r.list(a.target("s-1", 0))
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	_, _ = io.WriteString(c, postHeaders+"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n3;x=y\r\ncde\r\n0\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, _ := io.ReadAll(resp.Body); string(got) != "length 5" || a.count() != 2 {
-		t.Errorf("response %s %q after %d attempts, want length 5 after 2", resp.Status, got, a.count())
+	if got, _ := io.ReadAll(resp.Body); string(got) != "length 5" || a.requestCount() != 2 {
+		t.Errorf("response %s %q after %d attempts, want length 5 after 2", resp.Status, got, a.requestCount())
 	}
 }
 
 // A request whose streamed body was partly sent is not retried, as the node no longer has that part. It failed before
 // its last byte, so it has not run: the status 503 allows the client to retry.
 func TestPartlySentBodyIsNotRetried(t *testing.T) {
-	r := newRig(t)
+	r := newTestNode(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -124,8 +124,8 @@
 			_ = c.Close()
 		}
 	}()
-	r.list(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
-	q := r.call(http.MethodPost, "/visit-update", "id-1")
+	r.updateList(discovery.Target{UID: "s-1", Endpoint: l.Addr().String(), Zone: "z1", State: "up"})
+	q := r.newRequest(http.MethodPost, "/visit-update", "id-1")
 	q.Body, q.ContentLength = io.NopCloser(bytes.NewReader(patternBytes(8*mebibyte))), 8*mebibyte
 	if resp, _ := r.do(q); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("response %s, want 503", resp.Status)
@@ -133,8 +133,8 @@
 	if n := conns.Load(); n != 1 {
 		t.Errorf("sent %d times, want once", n)
 	}
-	r.figure(`node_busy_total{tier="visit-update"}`, 1)
-	if n := r.figures()["node_backend_calls_total"]; n != 0 {
+	r.waitForMetric(`node_busy_total{tier="visit-update"}`, 1)
+	if n := r.readMetrics()["node_backend_calls_total"]; n != 0 {
 		t.Errorf("%g attempts are counted as sent in full, want none", n)
 	}
 }
@@ -142,17 +142,17 @@
 // A long request is admitted or rejected before its body is read: a rejected one uses no server, and its client can
 // read the response while it still sends.
 func TestLongBodyRejectedBeforeItIsRead(t *testing.T) {
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for i := range 100 {
-		before := a.count()
+		before := a.requestCount()
 		c := r.dial()
 		head := strings.Replace(strings.Replace(postHeaders, "enterprise", "basic", 1), "raw", "id-"+strconv.Itoa(i), 1)
 		fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, mebibyte)
 		half := make([]byte, mebibyte/2)
 		_, _ = c.Write(half)
-		if a.count() != before {
+		if a.requestCount() != before {
 			t.Fatal("a server got the request before the body was complete")
 		}
 		if r.node.stats.byClass["visit-update"].rejected.Load() == 0 && i < 12 { // within the burst: admitted
@@ -177,9 +177,9 @@
 // A client that stops within its body gets status 408 in time, and its request does not reach a server in full.
 func TestStalledBodyTimesOut(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	for name, framing := range map[string]string{
 		"of a length": "Content-Length: 3000000\r\n\r\n", "in chunks": "Transfer-Encoding: chunked\r\n\r\n100000\r\n"} {
 		c, startedAt := r.dial(), time.Now()
@@ -193,7 +193,7 @@
 			t.Errorf("%s: closed after %v", name, took)
 		}
 	}
-	if f := r.figures(); f["node_backend_calls_total"] != 0 || f["node_inflight"] != 0 {
+	if f := r.readMetrics(); f["node_backend_calls_total"] != 0 || f["node_inflight"] != 0 {
 		t.Errorf("a request was sent in full or is still counted as in flight: %v", f)
 	}
 }
@@ -202,9 +202,9 @@
 // request.
 func TestSlowBody(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
-	a := newApp(t, served)
-	r.list(a.target("s-1", 0))
+	r := newTestNode(t)
+	a := newTestServer(t, serveOK)
+	r.updateList(a.target("s-1", 0))
 	c := r.dial()
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", strings.Replace(postHeaders, "7000m", "1500m", 1), 4<<16)
 	for range 4 {
--- a/internal/node/longresponses_test.go
+++ b/internal/node/longresponses_test.go
@@ -28,9 +28,9 @@
 }
 
 // newRawApp returns a server that reads a request with its body and then calls respond with the raw connection.
-func newRawApp(t *testing.T, respond func(c net.Conn)) *app {
-	a := &app{}
-	a.Server = newApp(t, func(w http.ResponseWriter, _ *http.Request) {
+func newRawApp(t *testing.T, respond func(c net.Conn)) *testServer {
+	a := &testServer{}
+	a.Server = newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		c := hijack(w)
 		defer func() { _ = c.Close() }()
 		respond(c)
@@ -73,14 +73,14 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
-			r.list(newRawApp(t, respond).target("s-1", 0))
-			resp, got := r.do(r.call(http.MethodGet, "/roster-read", "id-1"))
+			r := newTestNode(t)
+			r.updateList(newRawApp(t, respond).target("s-1", 0))
+			resp, got := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 			if resp.StatusCode != 200 || sha256.Sum256([]byte(got)) != sha256.Sum256(body) {
 				t.Errorf("response %s with %d bytes, want 200 with the %d bytes of the server", resp.Status, len(got), len(body))
 			}
-			r.figure(`node_success_total{tier="roster-read"}`, 1)
-			r.figure("node_inflight", 0)
+			r.waitForMetric(`node_success_total{tier="roster-read"}`, 1)
+			r.waitForMetric("node_inflight", 0)
 		})
 	}
 }
@@ -89,9 +89,9 @@
 // end it.
 func TestSlowResponseIsStreamed(t *testing.T) {
 	t.Parallel()
-	r := newRig(t)
+	r := newTestNode(t)
 	firstPartRead := make(chan struct{})
-	r.list(newRawApp(t, func(c net.Conn) {
+	r.updateList(newRawApp(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst")
 		<-firstPartRead
 		time.Sleep(responseIdleTimeout + responseIdleTimeout/4) // longer than the timeout
@@ -120,22 +120,22 @@
 		"in chunks":     "Transfer-Encoding: chunked\r\n\r\n100000\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
+			r := newTestNode(t)
 			a := newRawApp(t, func(c net.Conn) { _, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, patternBytes(mebibyte/2)) })
-			b := newApp(t, served)
-			r.list(a.target("s-1", 0))
-			resp, err := http.DefaultTransport.RoundTrip(r.call(http.MethodGet, "/roster-read", "id-1"))
+			b := newTestServer(t, serveOK)
+			r.updateList(a.target("s-1", 0))
+			resp, err := http.DefaultTransport.RoundTrip(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer func() { _ = resp.Body.Close() }()
-			r.list(b.target("s-2", 0))
+			r.updateList(b.target("s-2", 0))
 			if n, err := io.Copy(io.Discard, resp.Body); err == nil || n == 0 {
 				t.Errorf("the client read %d bytes and error %v, want some bytes and an error", n, err)
 			}
-			r.figure(`node_failure_total{tier="roster-read"}`, 1)
-			if got := r.figures()[`node_success_total{tier="roster-read"}`]; got != 0 || b.count() != 0 {
-				t.Errorf("%g successes counted, %d retries, want none", got, b.count())
+			r.waitForMetric(`node_failure_total{tier="roster-read"}`, 1)
+			if got := r.readMetrics()[`node_success_total{tier="roster-read"}`]; got != 0 || b.requestCount() != 0 {
+				t.Errorf("%g successes counted, %d retries, want none", got, b.requestCount())
 			}
 		})
 	}
@@ -144,10 +144,10 @@
 // While clients do not read, the node buffers little of their long responses and stops reading from the server.
 func TestStreamedResponsesApplyBackpressure(t *testing.T) {
 	const each, n = 16 * mebibyte, 12
-	r := newRig(t)
+	r := newTestNode(t)
 	var written atomic.Int64
 	piece := patternBytes(64 << 10)
-	r.list(newRawApp(t, func(c net.Conn) {
+	r.updateList(newRawApp(t, func(c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
 		for range each / len(piece) {
 			k, err := c.Write(piece)
@@ -162,7 +162,7 @@
 	runtime.ReadMemStats(&before)
 	var bodies []io.ReadCloser
 	for i := range n {
-		resp, err := http.DefaultTransport.RoundTrip(r.call(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
+		resp, err := http.DefaultTransport.RoundTrip(r.newRequest(http.MethodGet, "/roster-read", "id-"+strconv.Itoa(i)))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/resets_test.go
+++ b/internal/node/resets_test.go
@@ -34,7 +34,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
-	p := &connPair{t: t, u: newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64)),
+	p := &connPair{t: t, u: newUpstream(testTimeout, 2*testTimeout, 1, newSockets(1024, 0), newBudget(64)),
 		dialed: make(chan *net.TCPConn, 10), accepted: make(chan *net.TCPConn, 10)}
 	p.u.reuseDelay = 0
 	p.pool = p.u.newPool(l.Addr().String())
@@ -61,9 +61,9 @@
 
 // awaitConn waits until both ends of the next connection are open.
 func (p *connPair) awaitConn() {
-	p.nodeEnd, p.serverEnd = next(p.t, p.dialed), next(p.t, p.accepted)
+	p.nodeEnd, p.serverEnd = receive(p.t, p.dialed), receive(p.t, p.accepted)
 	p.t.Cleanup(func() { _ = p.serverEnd.Close() })
-	_ = p.serverEnd.SetDeadline(time.Now().Add(patience))
+	_ = p.serverEnd.SetDeadline(time.Now().Add(testTimeout))
 	p.serverReader = bufio.NewReader(p.serverEnd)
 }
 
@@ -99,7 +99,7 @@
 	p.t.Helper()
 	raw, err := p.nodeEnd.SyscallConn()
 	require.NoError(p.t, err)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond / 10) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond / 10) {
 		var info *unix.TCPInfo
 		if raw.Control(func(fd uintptr) {
 			info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
@@ -118,7 +118,7 @@
 func (p *connPair) startAttempt(a *attempt) <-chan outcome {
 	done := make(chan outcome, 1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		done <- p.u.attempt(ctx, p.pool, a)
 	}()
@@ -132,8 +132,8 @@
 	p.awaitConn()
 	p.readRequest()
 	p.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	require.Equal(p.t, control.OK, next(p.t, done).reason)
-	require.Len(p.t, pooled(p.u), 1)
+	require.Equal(p.t, control.OK, receive(p.t, done).reason)
+	require.Len(p.t, idleConns(p.u), 1)
 }
 
 // steppedBody returns its parts one by one; before each read but the first it calls beforeNext.
@@ -216,19 +216,19 @@
 				written := make(chan struct{})
 				a.onWritten = func() { close(written) }
 				done := p.startAttempt(a)
-				next(t, reached)
+				receive(t, reached)
 				if !reused {
 					p.awaitConn()
 				}
 				tc.beforeLast(p)
 				proceed <- struct{}{}
 				if tc.afterWrite != nil {
-					next(t, written)
+					receive(t, written)
 					tc.afterWrite(p)
 				}
-				o := next(t, done)
+				o := receive(t, done)
 				assert.Equal(t, tc.want, o.reason, "%v", o.err)
-				assert.Empty(t, pooled(p.u))
+				assert.Empty(t, idleConns(p.u))
 				assert.Zero(t, p.u.sockets.openConns.Load(), "connections are left open")
 				select {
 				case <-written:
@@ -251,7 +251,7 @@
 		p.readRequest()
 		p.respond("HTTP/1.1 200 OK\r\n\r\nok")
 		p.reset()
-		o := next(t, done)
+		o := receive(t, done)
 		assert.Equal(t, control.ResetByPeer, o.reason)
 		assert.Empty(t, o.body)
 	})
@@ -272,7 +272,7 @@
 			p.respond("HTTP/1.1 200 OK\r\n\r\n")
 			sent := patternBytes(maxBufferedBytes + 1)
 			p.respond(string(sent))
-			got := next(t, streamStarted)
+			got := receive(t, streamStarted)
 			for rest := make([]byte, streamBufferBytes); len(got) < len(sent); {
 				k, err := reader.Read(rest)
 				require.NoError(t, err)
@@ -288,8 +288,8 @@
 			}
 			_, err := reader.Read(make([]byte, 1))
 			assert.ErrorIs(t, err, want)
-			assert.Equal(t, reason, next(t, done).reason)
-			assert.Empty(t, pooled(p.u))
+			assert.Equal(t, reason, receive(t, done).reason)
+			assert.Empty(t, idleConns(p.u))
 		})
 	}
 }
@@ -298,8 +298,8 @@
 // must not be read as the response to the next request: during the reuse delay it arrives and is detected.
 func TestLateSecondResponseIsNotUsed(t *testing.T) {
 	p := newConnPair(t)
-	assert.Equal(t, connReuseDelay, newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64)).reuseDelay)
-	p.u.reuseDelay = patience // until the test clears it
+	assert.Equal(t, connReuseDelay, newUpstream(testTimeout, testTimeout, 1, newSockets(1024, 0), newBudget(64)).reuseDelay)
+	p.u.reuseDelay = testTimeout // until the test clears it
 	p.serveOne()
 	before, first := p.nodeEnd, p.serverEnd
 
@@ -309,15 +309,15 @@
 	assert.NoError(t, err)
 	p.readRequest()
 	p.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	o := next(t, done)
+	o := receive(t, done)
 	assert.Equal(t, control.OK, o.reason, "%v", o.err)
 	assert.Equal(t, "ok", string(o.body))
 	assert.EqualValues(t, 1, p.u.counts.notYetReusable.Load())
 
-	idle := pooled(p.u)
+	idle := idleConns(p.u)
 	require.Len(t, idle, 2)
 	assert.Same(t, before, idle[0].Conn)
-	for end := time.Now().Add(patience); nothingToRead(t, before) && time.Now().Before(end); time.Sleep(time.Millisecond / 10) {
+	for end := time.Now().Add(testTimeout); nothingToRead(t, before) && time.Now().Before(end); time.Sleep(time.Millisecond / 10) {
 	}
 	for _, c := range idle {
 		c.reusableAt = time.Time{}
@@ -325,13 +325,13 @@
 	done = p.startAttempt(newTestAttempt(t, nil))
 	p.readRequest() // on the second connection, the most recently used
 	p.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	assert.Equal(t, "ok", string(next(t, done).body))
-	assert.Len(t, pooled(p.u), 2)
+	assert.Equal(t, "ok", string(receive(t, done).body))
+	assert.Len(t, idleConns(p.u), 2)
 	done = p.startAttempt(newTestAttempt(t, nil))
 	p.awaitConn() // the first connection has unread data, and the second is within its reuse delay
 	p.readRequest()
 	p.respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-	assert.Equal(t, "ok", string(next(t, done).body))
+	assert.Equal(t, "ok", string(receive(t, done).body))
 	assert.EqualValues(t, 1, p.u.counts.closedByServer.Load())
 }
 
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -29,7 +29,7 @@
 // newFixedServer returns the address of a server that responds to each request with the same bytes and closes the
 // connection.
 func newFixedServer(t *testing.T, response string) string {
-	a := newApp(t, func(w http.ResponseWriter, _ *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		c := hijack(w)
 		_, _ = io.WriteString(c, response)
 		_ = c.Close()
@@ -86,8 +86,8 @@
 			if tc.response != "" {
 				endpoint = newFixedServer(t, tc.response)
 			}
-			u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			u := newUpstream(testTimeout, testTimeout, 1, newSockets(1024, 0), newBudget(64))
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			if o := u.attempt(ctx, u.newPool(endpoint), newTestAttempt(t, []byte("body"))); o.reason != tc.want {
 				t.Errorf("outcome %d (%v), want %d", o.reason, o.err, tc.want)
@@ -113,8 +113,8 @@
 			_ = c.Close()
 		}
 	}()
-	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	u := newUpstream(testTimeout, testTimeout, 1, newSockets(1024, 0), newBudget(64))
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if o := u.attempt(ctx, u.newPool(l.Addr().String()), newTestAttempt(t, make([]byte, 64<<20))); o.reason != control.ConnectFailed {
 		t.Errorf("outcome %d (%v), want ConnectFailed", o.reason, o.err)
@@ -138,7 +138,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			socks := newSockets(1024, 0)
-			u := newUpstream(patience, patience, 1, socks, newBudget(64))
+			u := newUpstream(testTimeout, testTimeout, 1, socks, newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			if o := u.attempt(ctx, u.newPool(l.Addr().String()), newTestAttempt(t, tc.body)); o.reason != tc.want {
@@ -154,7 +154,7 @@
 // A canceled attempt closes its connection and has the outcome Cancelled.
 func TestCancelledAttempt(t *testing.T) {
 	asked := make(chan struct{})
-	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		close(asked)
 		<-r.Context().Done() // ends when the node closes the connection
 	})
@@ -163,7 +163,7 @@
 		<-asked
 		cancel()
 	}()
-	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
+	u := newUpstream(testTimeout, testTimeout, 1, newSockets(1024, 0), newBudget(64))
 	if o := u.attempt(ctx, u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.Cancelled {
 		t.Errorf("outcome %d (%v), want Cancelled", o.reason, o.err)
 	}
@@ -202,14 +202,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			over := make(chan struct{})
-			a := newApp(t, func(w http.ResponseWriter, _ *http.Request) {
+			a := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(hijack(w), text)
 				<-over
 			})
 			t.Cleanup(func() { close(over) })
 			socks := newSockets(1024, 0)
-			u := newUpstream(patience, patience, 1, socks, newBudget(64))
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			u := newUpstream(testTimeout, testTimeout, 1, socks, newBudget(64))
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
 			o := u.attempt(ctx, u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil))
 			if o.reason != control.ResetByPeer || ctx.Err() != nil {
@@ -225,13 +225,13 @@
 // An interim response does not start the idle timeout: the final response may come later than that.
 func TestInterimResponseStartsNoTimeout(t *testing.T) {
 	t.Parallel()
-	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusEarlyHints)
 		time.Sleep(responseIdleTimeout + responseIdleTimeout/3) // longer than the idle timeout
 		_, _ = io.WriteString(w, "ok")
 	})
-	u := newUpstream(patience, patience, 1, newSockets(1024, 0), newBudget(64))
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	u := newUpstream(testTimeout, testTimeout, 1, newSockets(1024, 0), newBudget(64))
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if o := u.attempt(ctx, u.newPool(a.Listener.Addr().String()), newTestAttempt(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
 		t.Errorf("outcome %d (%v) with body %q, want OK with body ok", o.reason, o.err, o.body)
@@ -243,7 +243,7 @@
 func TestIdleTimeoutEndsWithItsResponse(t *testing.T) {
 	t.Parallel()
 	asked := 0
-	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if asked++; asked > 1 {
 			time.Sleep(responseIdleTimeout + responseIdleTimeout/3) // longer than the idle timeout
 		}
@@ -251,11 +251,11 @@
 		w.(http.Flusher).Flush() // sends two chunks, so that the idle timeout is set before the second
 		_, _ = io.WriteString(w, "k")
 	})
-	u := newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64))
+	u := newUpstream(testTimeout, 2*testTimeout, 1, newSockets(1024, 0), newBudget(64))
 	u.reuseDelay = 0 // reusable at once
 	p := u.newPool(a.Listener.Addr().String())
 	for range 2 {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		if o := u.attempt(ctx, p, newTestAttempt(t, nil)); o.reason != control.OK || string(o.body) != "ok" {
 			t.Errorf("outcome %d (%v) with body %q, want OK with body ok", o.reason, o.err, o.body)
 		}
@@ -272,7 +272,7 @@
 	const good, extra = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 	first := make(chan net.Conn, 1)
 	asked := 0
-	a := newApp(t, func(w http.ResponseWriter, r *http.Request) {
+	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if asked++; asked > 1 {
 			_, _ = io.WriteString(w, "ok")
 			return
@@ -281,11 +281,11 @@
 		_, _ = io.WriteString(c, good)
 		first <- c
 	})
-	u := newUpstream(patience, 2*patience, 1, newSockets(1024, 0), newBudget(64))
+	u := newUpstream(testTimeout, 2*testTimeout, 1, newSockets(1024, 0), newBudget(64))
 	u.reuseDelay = 0 // reusable at once
 	p := u.newPool(a.Listener.Addr().String())
 	for i := range 2 {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		o := u.attempt(ctx, p, newTestAttempt(t, nil))
 		cancel()
 		if o.reason != control.OK || string(o.body) != "ok" {
@@ -294,12 +294,12 @@
 		if i > 0 {
 			break
 		}
-		c := next(t, first)
+		c := receive(t, first)
 		defer func() { _ = c.Close() }()
-		idle := pooled(u)[0]
+		idle := idleConns(u)[0]
 		_, _ = io.WriteString(c, extra)
 		// isQuiet reads a byte; the extra response is longer, so that the attempt still finds some.
-		for end := time.Now().Add(patience); idle.isQuiet() && time.Now().Before(end); {
+		for end := time.Now().Add(testTimeout); idle.isQuiet() && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
