--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -6,10 +6,10 @@
 // it.
 //
 //   - Connections of clients: frontend.go serves a request, clientrequests.go reads it, clientbody.go streams its body,
-//     clientanswers.go writes the answer, clientconns.go keeps the connections, exchange.go holds a request's state.
+//     clientresponses.go writes the response, clientconns.go keeps the connections, exchange.go holds a request's state.
 //   - Connections to servers: attempts.go starts an attempt, upstream.go makes it, serverrequests.go writes the request
-//     and serveranswers.go reads the answer, serverconns.go keeps idle connections, endpoints.go maps the endpoint list to
-//     servers.
+//     and serverresponses.go reads the response, serverconns.go keeps idle connections, endpoints.go maps the endpoint
+//     list to servers.
 //   - Calls of operators: console.go, zones.go, consensuscalls.go, consensusstatus.go; metrics.go writes the metrics.
 //   - Lifecycle: drain.go, handover.go (to the next process), persistence.go (stored state), discovery.go and
 //     degradeddiscovery.go (watch of the endpoint list, and what to do while the list is stale).
--- a/internal/node/longresponses_test.go
+++ b/internal/node/longresponses_test.go
@@ -27,8 +27,8 @@
 	return b
 }
 
-// newRawApp returns a server that reads a request with its body and then calls respond with the raw connection.
-func newRawApp(t *testing.T, respond func(c net.Conn)) *testServer {
+// newRawServer returns a server that reads a request with its body and then calls respond with the raw connection.
+func newRawServer(t *testing.T, respond func(c net.Conn)) *testServer {
 	a := &testServer{}
 	a.Server = newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		c := hijack(w)
@@ -74,7 +74,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestNode(t)
-			r.updateList(newRawApp(t, respond).target("s-1", 0))
+			r.updateList(newRawServer(t, respond).target("s-1", 0))
 			resp, got := r.do(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
 			if resp.StatusCode != 200 || sha256.Sum256([]byte(got)) != sha256.Sum256(body) {
 				t.Errorf("response %s with %d bytes, want 200 with the %d bytes of the server", resp.Status, len(got), len(body))
@@ -91,7 +91,7 @@
 	t.Parallel()
 	r := newTestNode(t)
 	firstPartRead := make(chan struct{})
-	r.updateList(newRawApp(t, func(c net.Conn) {
+	r.updateList(newRawServer(t, func(c net.Conn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfirst")
 		<-firstPartRead
 		time.Sleep(responseIdleTimeout + responseIdleTimeout/4) // longer than the timeout
@@ -121,7 +121,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newTestNode(t)
-			a := newRawApp(t, func(c net.Conn) { _, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, patternBytes(mebibyte/2)) })
+			a := newRawServer(t, func(c net.Conn) { _, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s%s", head, patternBytes(mebibyte/2)) })
 			b := newTestServer(t, serveOK)
 			r.updateList(a.target("s-1", 0))
 			resp, err := http.DefaultTransport.RoundTrip(r.newRequest(http.MethodGet, "/roster-read", "id-1"))
@@ -147,7 +147,7 @@
 	r := newTestNode(t)
 	var written atomic.Int64
 	piece := patternBytes(64 << 10)
-	r.updateList(newRawApp(t, func(c net.Conn) {
+	r.updateList(newRawServer(t, func(c net.Conn) {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", each)
 		for range each / len(piece) {
 			k, err := c.Write(piece)
