--- a/internal/node/degradeddiscovery.go
+++ b/internal/node/degradeddiscovery.go
@@ -93,8 +93,8 @@
 	})
 }
 
-// serversToCheck returns the servers that this node checks: about as many as make nodesPerCheckedServer nodes of the
-// fleet check each server, but at least minCheckedServers. A hash of the node index and the UID selects them.
+// serversToCheck returns the servers that this node checks. Their number is such that on average nodesPerCheckedServer
+// nodes check each server, and at least minCheckedServers. A hash of the node index and the UID selects them.
 func (d *degradedDiscovery) serversToCheck() []discovery.Target {
 	var all []discovery.Target
 	for _, t := range d.loop.endpoints {
@@ -112,8 +112,8 @@
 	return all[:min(len(all), max(minCheckedServers, nodesPerCheckedServer*len(all)/max(1, d.fleetSize)))]
 }
 
-// drainUnhealthy reports servers that have not passed a health check to the decision module as draining, and the others
-// with their listed state. While discovery is not degraded, that is all servers.
+// drainUnhealthy reports servers to the decision module as draining that have not passed a health check while discovery
+// is degraded, and all others with their listed state. It passes on only changes.
 func (d *degradedDiscovery) drainUnhealthy() {
 	var update discovery.Update
 	draining := map[string]bool{}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -42,7 +42,7 @@
 	discovery *discoverytest.Agent
 	node      *Node
 	stop      context.CancelFunc
-	ended     chan error
+	ended     chan error // receives the result of Run
 	applied   chan int64 // revisions of the updates that were passed to the loop
 	revision  int
 	listener  *recordingListener
@@ -77,7 +77,7 @@
 // newTestNode starts a node with the test configuration.
 func newTestNode(t *testing.T) *testNode { return newTestNodeWith(t, func(*config.Config) {}) }
 
-// newTestNodeWith starts a node after change has changed its configuration and set has changed the node itself. The
+// newTestNodeWith starts a node. Before that, change may change its configuration and configure the node itself. The
 // node is stopped at the end of the test.
 func newTestNodeWith(t *testing.T, change func(*config.Config), configure ...func(*Node)) *testNode {
 	r := &testNode{t: t, discovery: discoverytest.NewAgent(t), ended: make(chan error, 1), applied: make(chan int64, 100), revision: 7}
@@ -96,7 +96,7 @@
 	}
 	r.listener = &recordingListener{Listener: r.node.listener}
 	r.node.listener = r.listener
-	r.node.upstream.reuseDelay = 0 // at once, so that a wrong one would be used again too
+	r.node.upstream.reuseDelay = 0 // reuse connections at once, so that a wrong reuse shows
 	onUpdate := r.node.onUpdate
 	r.node.onUpdate = func(u discovery.Update) {
 		onUpdate(u)
