--- a/fleet/maintenance/agent.go
+++ b/fleet/maintenance/agent.go
@@ -39,7 +39,7 @@
 }
 
 // NextRequest returns the request to send to the leader now. The caller records the time before it
-// sends it.
+// sends the request and passes it to HandleResponse as sentAt.
 func (a *Agent) NextRequest(now time.Duration) Request {
 	req := Request{Host: a.host, Name: a.name, FencingToken: a.response.FencingToken}
 	switch {
@@ -64,7 +64,8 @@
 	case response.Host == "" || sentAt < a.responseSentAt || now >= sentAt+response.TTL ||
 		(response.FencingToken != 0 && response.FencingToken < a.response.FencingToken):
 		return a.CheckTimeout(now) // expired or overtaken
-	case response.Stage.isHeld() && response.Nonce != a.nonce: // another process of this host has requested the lease since
+	case response.Stage.isHeld() && response.Nonce != a.nonce:
+		// Another process of this host has requested the lease since.
 		a.registered = false
 		a.response, a.responseSentAt = response, sentAt
 		return a.undrain()
@@ -72,7 +73,8 @@
 	a.registered, a.response, a.responseSentAt = true, response, sentAt
 	a.inWork = a.inWork && response.Stage == StageOut
 	switch {
-	case response.Stage.isHeld() && response.FencingToken <= a.abandonedToken: // undrained; the next request confirms it
+	case response.Stage.isHeld() && response.FencingToken <= a.abandonedToken:
+		// The machine was undrained; the next request confirms it.
 	case response.Stage == StageDraining || response.Stage == StageDrained:
 		if !a.draining {
 			a.draining = true
@@ -90,8 +92,8 @@
 	return ActionNone
 }
 
-// CheckTimeout makes a draining machine undrain if the last response has expired. It is to be
-// called at short intervals, and first of all after the process may have been paused.
+// CheckTimeout makes a draining machine undrain if the last response has expired. The caller has to
+// call it at short intervals, and before anything else after the process may have been paused.
 func (a *Agent) CheckTimeout(now time.Duration) Action {
 	if a.draining && now >= a.responseSentAt+responseTTL {
 		a.abandonedToken = a.response.FencingToken
--- a/fleet/maintenance/bounds.go
+++ b/fleet/maintenance/bounds.go
@@ -10,6 +10,7 @@
 	voters int   // unavailable voters
 }
 
+// zoneKind identifies the machines of one kind in one zone.
 type zoneKind struct {
 	zone string
 	kind Kind
@@ -25,7 +26,7 @@
 	return usage{zones: map[zoneKind]*zoneUsage{}, ring: make([]int, ringSize), groups: make([]int, groupCount)}
 }
 
-// clone returns a copy, with which a forecast looks ahead.
+// clone returns an independent copy, which a forecast can change.
 func (u *usage) clone() usage {
 	c := newUsage(len(u.ring), len(u.groups))
 	copy(c.ring, u.ring)
@@ -93,7 +94,7 @@
 // violation is a bound that taking a machine out of service would violate, with its figures.
 type violation struct {
 	bound            Bound
-	unavailable, max uint64 // count or capacity, including the machine itself
+	unavailable, max uint64 // unavailable count or capacity with the machine itself, and its permitted maximum
 	subject          int    // size of the customer's set, or index of the anti-affinity group
 }
 
@@ -156,8 +157,8 @@
 }
 
 // capacityAfterZoneLoss returns the capacity of the machines of a kind that remains after the loss
-// of the largest zone, and the unavailable capacity in all zones, in requests per second. If all of
-// them are in one zone, no zone is subtracted.
+// of the largest zone, and the unavailable capacity in all zones, in requests per second. Closed
+// zones are not counted. If all machines are in one zone, no zone is subtracted.
 func (s *State) capacityAfterZoneLoss(u *usage, kind Kind) (remaining, unavailable uint64) {
 	largest, zones := uint64(0), 0
 	for key, zone := range u.zones {
--- a/fleet/maintenance/command.go
+++ b/fleet/maintenance/command.go
@@ -20,9 +20,9 @@
 
 // Command is one entry of the replicated log. Exactly one of the pointers is set.
 type Command struct {
-	// GroupTime is the time of the consensus group. It advances only while there is a leader, and
-	// never faster than any clock: each leader counts it on its own monotonic clock, starting at
-	// State.Now when it took over.
+	// GroupTime is the time of the consensus group. It advances only while there is a leader, so that
+	// it never runs ahead of elapsed time: each leader counts it on its own monotonic clock, starting
+	// at State.Now when it took over.
 	GroupTime time.Duration `cbor:"1,keyasint"`
 	WallTime  Timestamp     `cbor:"2,keyasint"` // the leader's wall time, used only for deadlines and uplink windows
 
@@ -38,7 +38,8 @@
 
 // LoadPlan puts a work plan in force. With a nil Plan no further lease is granted.
 type LoadPlan struct {
-	Version uint64 `cbor:"1,keyasint"` // version of the rule set with the plan; one that is not higher than the last is rejected
+	// Version is the version of the rule set with the plan. It has to be higher than the last one.
+	Version uint64 `cbor:"1,keyasint"`
 	Plan    *Plan  `cbor:"2,keyasint,omitempty"`
 }
 
@@ -117,11 +118,11 @@
 	Base           uint64        `cbor:"1,keyasint"`
 	MeasuredAt     time.Duration `cbor:"2,keyasint"`           // group time before the measurement began
 	Partial        bool          `cbor:"3,keyasint,omitempty"` // further changes did not fit
-	RingSize       int           `cbor:"4,keyasint"`           // number of edge nodes in the ring over which customers' sets extend
-	Machines       []Machine     `cbor:"5,keyasint,omitempty"`
+	RingSize       int           `cbor:"4,keyasint"`           // number of positions in the ring of all edge nodes
+	Machines       []Machine     `cbor:"5,keyasint,omitempty"` // new and changed machines
 	Removed        []string      `cbor:"6,keyasint,omitempty"` // hosts that are no longer part of the fleet
 	Zones          []Zone        `cbor:"7,keyasint,omitempty"` // all zones that are not healthy
-	ServedFraction Fraction      `cbor:"8,keyasint"`           // fraction of the offered value that was served in the last second
+	ServedFraction Fraction      `cbor:"8,keyasint"`           // fraction of the offered value served in the last second
 	ServedUnknown  bool          `cbor:"9,keyasint,omitempty"` // ServedFraction is not known
 	// NoMajorityDuration is the time for which the consensus group had no majority before the
 	// observation.
@@ -158,12 +159,12 @@
 
 // Halt stops all grants and recalls the machines that drain.
 type Halt struct {
-	Reason string `cbor:"1,keyasint"`
+	Reason string `cbor:"1,keyasint"` // shown to operators; empty means "by hand"
 }
 
 // Resume ends a halt, whether an operator or a fault caused it.
 type Resume struct {
-	Reason string `cbor:"1,keyasint"`
+	Reason string `cbor:"1,keyasint"` // recorded in the log only
 }
 
 // UplinkWindow is a time in which a zone is without its uplink or needs all its machines.
--- a/fleet/maintenance/compile.go
+++ b/fleet/maintenance/compile.go
@@ -22,6 +22,7 @@
 	deadline Timestamp
 }
 
+// groupLimit is the bound of one anti-affinity group.
 type groupLimit struct {
 	name           string
 	maxUnavailable int
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// expandHosts expands names and ranges to at most maxHosts hosts.
+// expandHosts expands names and ranges to hosts. More than maxHosts are an error.
 func expandHosts(key string, names []string, maxHosts int) (hosts []string, err error) {
 	if len(names) == 0 {
 		return nil, &PlanError{Key: key, Reason: "no host is listed", Hint: "list at least one"}
--- a/fleet/maintenance/errors.go
+++ b/fleet/maintenance/errors.go
@@ -107,7 +107,7 @@
 	Host        string
 	Bound       Bound
 	Scope       string // machines to which the bound applies
-	Unavailable uint64 // number or capacity, including the machine itself
+	Unavailable uint64 // unavailable number or capacity, including the machine itself
 	Max         uint64 // permitted number or capacity
 }
 
--- a/fleet/maintenance/errors_test.go
+++ b/fleet/maintenance/errors_test.go
@@ -6,7 +6,8 @@
 	"sloestile/internal/oncall"
 )
 
-func TestErrorsSayWhatToDo(t *testing.T) {
+// Each error must include a hint for the operator.
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&BoundError{Host: "h-1", Bound: BoundZone, Scope: "edge nodes of zone hall-a", Unavailable: 3, Max: 2},
 		&HaltedError{Reason: "zone hall-a is left"},
--- a/fleet/maintenance/explore_test.go
+++ b/fleet/maintenance/explore_test.go
@@ -65,7 +65,8 @@
 		choice := 0
 		switch inFlight := len(m.inFlight); {
 		case inFlight > 0 && rng.IntN(4) > 0:
-			if choice = 1 + 3*(inFlight-1-min(rng.IntN(inFlight), rng.IntN(inFlight))); rng.IntN(3) == 0 { // mostly the newest message
+			// A newer message is more likely.
+			if choice = 1 + 3*(inFlight-1-min(rng.IntN(inFlight), rng.IntN(inFlight))); rng.IntN(3) == 0 {
 				choice += rng.IntN(3)
 			}
 		case rng.IntN(4) == 0:
--- a/fleet/maintenance/forecast.go
+++ b/fleet/maintenance/forecast.go
@@ -39,7 +39,7 @@
 type expectedReturn struct {
 	at      Timestamp
 	machine *machine   // nil for the end of an uplink window, when the bounds are checked again
-	requeue *candidate // candidate that the machine becomes again on its return; nil if its work is done then
+	requeue *candidate // candidate for the work that remains after the return; nil if none remains
 }
 
 type returnHeap []expectedReturn
@@ -125,7 +125,7 @@
 }
 
 // expectedReturns returns a heap of the expected returns of the machines with a held lease and the
-// ends of the uplink windows.
+// ends of the uplink windows. It records the returns in f.
 func (s *State) expectedReturns(f *Forecast) returnHeap {
 	var returns returnHeap
 	for _, lease := range s.heldLeases() {
@@ -149,7 +149,8 @@
 	return returns
 }
 
-// pendingCandidates returns the hosts that still have to be taken out of service, sorted.
+// pendingCandidates returns the hosts that still have to be taken out of service, sorted. It records
+// in f those of which no machine is observed.
 func (s *State) pendingCandidates(f *Forecast) []candidate {
 	var candidates []candidate
 	for _, host := range s.plan.hosts {
@@ -204,6 +205,8 @@
 	}
 }
 
+// addBlocked records a host that can never be taken out of service as things stand, and that it
+// misses its deadline, if it has one.
 func (f *Forecast) addBlocked(host string, deadline Timestamp, err *BoundError) {
 	f.Blocked = append(f.Blocked, err)
 	if deadline > 0 {
--- a/fleet/maintenance/golden_test.go
+++ b/fleet/maintenance/golden_test.go
@@ -16,14 +16,15 @@
 	return v, decoder.Unmarshal(raw, v)
 }
 
-// Commands with each field set, the response and the snapshot are encoded to the recorded bytes.
-func TestFormsAreAsRecorded(t *testing.T) {
+// Commands with each field set, the response and the snapshot must be encoded to the recorded bytes,
+// which nodes of other versions and stored snapshots rely on.
+func TestEncodingsAreAsRecorded(t *testing.T) {
 	golden.RoundTrip(t, "command", func(c *Command) ([]byte, error) { return encoder.Marshal(c) }, decodeAs[Command])
 	golden.RoundTrip(t, "answer", (*Response).Encode, decodeAs[Response])
 	golden.RoundTrip(t, "snapshot", func(s *snapshot) ([]byte, error) { return encoder.Marshal(s) }, decodeAs[snapshot])
 }
 
-// The names of all enumeration values that operators read are as recorded.
+// The names of all enumeration values that operators read must be as recorded.
 func TestNamesAreAsRecorded(t *testing.T) {
 	text := ""
 	for i := range uint8(9) {
@@ -34,12 +35,12 @@
 	golden.CheckText(t, "names", text)
 }
 
-// The last stage has the recorded name, and no stage follows it.
+// The last stage must have the recorded name, and no stage may follow it.
 func TestLastStageIsAsRecorded(t *testing.T) {
 	golden.CheckText(t, "last-stage", StageDone.String()+"\n"+(StageDone+1).String()+"\n")
 }
 
-// A plan with every key is parsed to the recorded values.
+// A plan with every key must be parsed to the recorded values.
 func TestPlanIsReadAsRecorded(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-key.toml"))
 	require.NoError(t, err)
@@ -48,7 +49,7 @@
 	golden.CheckText(t, "every-key", golden.Values(plan))
 }
 
-// A plan is written with the recorded keys; optional ones are left out if they are empty.
+// A plan must be written with the recorded keys, without optional ones that are empty.
 func TestPlanIsWrittenAsRecorded(t *testing.T) {
 	plan, err := Parse([]byte(validPlan))
 	require.NoError(t, err)
--- a/fleet/maintenance/halt.go
+++ b/fleet/maintenance/halt.go
@@ -26,8 +26,9 @@
 // Halted reports whether work is halted.
 func (s *State) Halted() bool { return s.halt.operatorReason != "" || s.halt.faultReason != "" }
 
-// haltWork stops all grants. Grants that were not used are void, draining machines are recalled,
-// and machines out of service keep their lease until they are back.
+// haltWork stops all grants and sets reason, a field of haltState, to text unless it is already set.
+// Grants that were not used are void, draining machines are recalled, and machines out of service
+// keep their lease until they are back.
 func (s *State) haltWork(reason *string, text string, result *Result) {
 	result.ForecastStale = result.ForecastStale || !s.Halted()
 	if *reason == "" {
@@ -82,8 +83,9 @@
 	}
 }
 
-// detectFault returns the fault that the observation shows, or "". The texts are part of the
-// replicated state, so that nodes of two program versions have to agree on them.
+// detectFault returns the fault that the observation shows, or "", and records the served fraction.
+// The texts are part of the replicated state: nodes of different program versions have to agree on
+// them.
 func (s *State) detectFault(o *Observation, policy *HaltPolicy) string {
 	if o.NoMajorityDuration > time.Duration(policy.MaxNoMajorityDuration) {
 		return fmt.Sprintf("the council had no majority for %v", o.NoMajorityDuration.Round(time.Millisecond))
--- a/fleet/maintenance/lease_test.go
+++ b/fleet/maintenance/lease_test.go
@@ -70,6 +70,7 @@
 	return r
 }
 
+// request applies a request of a host's agent with the current fencing token.
 func (g *testGroup) request(host string, requestType RequestType) Result {
 	req := &Request{Host: host, Name: host, Type: requestType}
 	if lease := g.state.leases[host]; requestType == RequestAcquire {
--- a/fleet/maintenance/model_test.go
+++ b/fleet/maintenance/model_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// actualState is what a machine really does. State learns of it only through observations and
+// actualState is the actual state of a machine. State depends on it only through observations and
 // requests.
 type actualState uint8
 
@@ -74,7 +74,8 @@
 
 // newModel returns a model with a plan in force and three serving machines.
 func newModel(t *testing.T) *model {
-	m := &model{maxInFlight: maxRequestsInFlight, now: firstGrantDelay} // firstGrantDelay has passed since the plan was loaded
+	// firstGrantDelay has passed since the plan was loaded.
+	m := &model{maxInFlight: maxRequestsInFlight, now: firstGrantDelay}
 	state := New()
 	require.NoError(t, state.Apply(&Command{LoadPlan: &LoadPlan{Version: 1, Plan: threeHostPlan}}).Err)
 	for i := range m.agents {
@@ -85,7 +86,7 @@
 	return m
 }
 
-// cloneForTest copies what commands may change.
+// cloneForTest returns a copy of the state that commands can change independently.
 func (s *State) cloneForTest() *State {
 	c := *s
 	c.zones, c.doneJobs, c.usage = maps.Clone(s.zones), maps.Clone(s.doneJobs), s.usage.clone()
@@ -183,7 +184,8 @@
 	}
 }
 
-// choiceCount returns the number of possible next steps.
+// choiceCount returns the number of possible next steps: a tick, three for each message and, below
+// maxFaults, the faults of injectFault.
 func (m *model) choiceCount() int {
 	count := 1 + 3*len(m.inFlight)
 	if m.faults < maxFaults {
@@ -192,7 +194,7 @@
 	return count
 }
 
-// step takes one of the next steps. It returns false if the step is not possible.
+// step performs one of the next steps. It returns false if the step is not possible.
 func (m *model) step(choice int, bug string) bool {
 	state := m.state.cloneForTest()
 	if choice == 0 {
@@ -213,11 +215,13 @@
 	return true
 }
 
+// injectFault injects one of three faults of a machine (numbers 0 to 8), a crash of the leader (9) or
+// a halt (10). It returns false if the fault is not possible.
 func (m *model) injectFault(state *State, fault int, bug string) bool {
 	i := fault % 3
 	m.faults++
 	switch fault / 3 {
-	case 0: // the process crashes and another starts with an empty disk; a machine that is out of service returns from its work
+	case 0: // the process crashes and another starts with an empty disk, or a machine returns from its work
 		if m.actual[i] == actuallyOut {
 			m.actual[i], m.warmAt[i] = actuallyCold, m.now+slowStartDuration
 			m.faults-- // not a fault
--- a/fleet/maintenance/observation.go
+++ b/fleet/maintenance/observation.go
@@ -114,9 +114,9 @@
 }
 
 // Diff returns the observation that updates the known fleet to the observed machines, limited to
-// maxObservationEntries; it is marked Partial if that limit cuts it. observed must list each host
-// once. The caller sets MeasuredAt, RingSize, Zones, ServedFraction, ServedUnknown and
-// NoMajorityDuration.
+// maxObservationEntries. It is marked Partial if that limit cuts it, or if the changed machines
+// alone reach the limit. observed must list each host once. The caller sets MeasuredAt, RingSize,
+// Zones, ServedFraction, ServedUnknown and NoMajorityDuration.
 func (s *State) Diff(observed []Machine) *Observation {
 	o := &Observation{Base: s.observations}
 	present := make(map[string]bool, len(observed))
--- a/fleet/maintenance/order.go
+++ b/fleet/maintenance/order.go
@@ -12,7 +12,7 @@
 const urgencyGranularity = int64(time.Minute / time.Millisecond)
 
 // firstGrantDelay is the time from the load of a plan to the first grant, so that all its hosts can
-// request a lease; the first hosts to request one are not the most urgent.
+// request a lease; the first hosts to request one need not be the most urgent.
 const firstGrantDelay = 10 * time.Second
 
 // expectedDuration returns the expected time from the start of a drain to the return to service.
@@ -25,12 +25,13 @@
 type candidate struct {
 	host         string
 	machine      *machine
-	latestStart  int64
+	latestStart  int64 // latest start time, in steps of urgencyGranularity
 	load         uint32
 	workDuration Duration
 	deadline     Timestamp
 }
 
+// newCandidate returns a candidate without its latest start, which sortCandidates computes.
 func (s *State) newCandidate(host string, work hostWork) candidate {
 	c := candidate{host: host, workDuration: work.duration, deadline: work.deadline}
 	c.machine = s.machines[host]
@@ -87,7 +88,7 @@
 }
 
 // grantLeases grants leases, in order, to all candidates that the bounds permit. It runs only after
-// an observation has been applied, when the known state of the fleet is newest.
+// an observation has been applied, when the state of the fleet has just been updated.
 func (s *State) grantLeases(result *Result) {
 	if s.plan == nil || s.Halted() || s.lastObservationPartial || s.now-s.observedAt > maxObservationAge ||
 		s.now < s.planLoadedAt+firstGrantDelay {
--- a/fleet/maintenance/plan.go
+++ b/fleet/maintenance/plan.go
@@ -29,9 +29,9 @@
 	maxJobs               = 256
 	maxAntiAffinityGroups = 256
 	maxSetSizes           = 16
-	maxSetSize            = 1024 // nodes in a customer's set
-	maxNameBytes          = 64   // length of the name of a host, job or group
-	maxDuration           = 7 * 24 * time.Hour
+	maxSetSize            = 1024               // nodes in a customer's set
+	maxNameBytes          = 64                 // length of the name of a host, job or group
+	maxDuration           = 7 * 24 * time.Hour // length of any duration in it
 )
 
 // Plan is the work plan: the hosts to take out of service, for how long and until when, and the
@@ -55,11 +55,12 @@
 	MaxZoneFraction Fraction `toml:"zone" cbor:"1,keyasint"` // fraction of a zone's edge nodes, and of its rating servers
 	MaxSetFraction  Fraction `toml:"set" cbor:"2,keyasint"`  // fraction of the edge nodes in a customer's set
 	SetSizes        []int    `toml:"sets" cbor:"3,keyasint"` // numbers of consecutive edge nodes in a customer's set
-	// MaxCapacityFraction is the fraction of the capacity that would remain after the loss of the
-	// largest zone; machines with that much capacity may be unavailable.
+	// MaxCapacityFraction is a fraction of the capacity that would remain after the loss of the
+	// largest zone; machines with that much capacity may be unavailable. It applies to edge nodes
+	// and to rating servers separately.
 	MaxCapacityFraction Fraction `toml:"warm" cbor:"4,keyasint"`
 	// AllowOne permits one unavailable machine where a zone's or a set's fraction is less than a
-	// whole machine.
+	// whole machine, if the zone or set has at least two.
 	AllowOne bool `toml:"one" cbor:"5,keyasint"`
 	// UplinkMargin is the minimum time between the expected return of a machine and the start of its
 	// zone's next uplink window.
@@ -71,20 +72,22 @@
 	MaxServedDrop         Fraction `toml:"served" cbor:"1,keyasint"` // largest permitted drop of the served fraction
 	MaxNoMajorityDuration Duration `toml:"lost" cbor:"2,keyasint"`   // longest permitted time without a majority
 	ResumeMode            string   `toml:"resume" cbor:"3,keyasint"` // ResumeAutomatically or ResumeByOperator
-	ResumeDelay           Duration `toml:"calm" cbor:"4,keyasint"`   // time without a fault before work resumes automatically
+	// ResumeDelay is the time without a fault after which work resumes automatically.
+	ResumeDelay Duration `toml:"calm" cbor:"4,keyasint"`
 }
 
 // Job is one kind of work on a list of hosts.
 type Job struct {
-	Name         string    `toml:"name" cbor:"1,keyasint"`
-	Hosts        []string  `toml:"hosts" cbor:"2,keyasint"`              // names, or ranges like "edge-[001-120]"
-	WorkDuration Duration  `toml:"length" cbor:"3,keyasint"`             // expected time out of service on each host
-	Deadline     Timestamp `toml:"deadline,omitempty" cbor:"4,keyasint"` // time by which each host is back in service; 0 means none
+	Name         string   `toml:"name" cbor:"1,keyasint"`
+	Hosts        []string `toml:"hosts" cbor:"2,keyasint"`  // names, or ranges like "edge-[001-120]"
+	WorkDuration Duration `toml:"length" cbor:"3,keyasint"` // expected time out of service on each host
+	// Deadline is the time by which each host has to be back in service; 0 means none.
+	Deadline Timestamp `toml:"deadline,omitempty" cbor:"4,keyasint"`
 }
 
 // AntiAffinityGroup is a group of hosts of which a limited number may be unavailable together, for
-// example the hosts that are spread over a hall, or two hosts with the same source. The voters of
-// the consensus group need not be listed: at most one of them may be unavailable.
+// example servers that are spread over a hall, or the two nodes from which an edge node prefetches.
+// The voters of the consensus group need not be listed: at most one of them may be unavailable.
 type AntiAffinityGroup struct {
 	Name           string   `toml:"name" cbor:"1,keyasint"`
 	Hosts          []string `toml:"hosts" cbor:"2,keyasint"`
--- a/fleet/maintenance/plan_test.go
+++ b/fleet/maintenance/plan_test.go
@@ -37,6 +37,8 @@
 most = 1
 `
 
+// A plan must be parsed to the values in its text, and keep them when it is written as TOML or
+// encoded in a command.
 func TestPlanRoundTrip(t *testing.T) {
 	plan, err := Parse([]byte(validPlan))
 	require.NoError(t, err)
@@ -98,6 +100,7 @@
 	}
 }
 
+// A text is either rejected with a one-line *PlanError, or its plan can be written and parsed again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validPlan))
 	f.Add([]byte(`jobs = [{name="x", hosts=["a-[1-9]"], length="1m"}]`))
--- a/fleet/maintenance/request.go
+++ b/fleet/maintenance/request.go
@@ -84,9 +84,9 @@
 	return err
 }
 
-// acquire applies the first request of a process. If another process of the host already holds the
-// lease, the lease continues under a new fencing token, so that requests of the other process no
-// longer take effect.
+// acquire applies a process's request for the lease. If another process of the host already holds
+// the lease, it continues under a new fencing token, so that requests of the other process no longer
+// take effect.
 func (s *State) acquire(host string, req *Request, lease *Lease) error {
 	if owner := s.machineNamed(req.Name); owner != nil && owner.Host != host {
 		return &NameTakenError{Host: host, Name: req.Name, UsedBy: owner.Host}
@@ -165,7 +165,8 @@
 		lease.UndrainConfirmed = true
 	case req.Type == RequestStartDrain && (lease.Stage == StageDraining || lease.Stage == StageDrained),
 		req.Type == RequestStartWork && lease.Stage == StageOut,
-		req.Type == RequestFinishWork && lease.Stage > StageOut, req.Type == RequestConfirmUndrain && lease.UndrainConfirmed: // repeated request
+		req.Type == RequestFinishWork && lease.Stage > StageOut, req.Type == RequestConfirmUndrain && lease.UndrainConfirmed:
+		// A repeated request changes nothing.
 	default:
 		return &OrderError{Host: lease.Host, Operation: req.Type.String(), Stage: lease.Stage}
 	}
--- a/fleet/maintenance/snapshot.go
+++ b/fleet/maintenance/snapshot.go
@@ -74,6 +74,7 @@
 	return raw, err
 }
 
+// pairs returns the keys and values of a map, sorted by key.
 func pairs(m map[string]string) (list [][2]string) {
 	for k, v := range m {
 		list = append(list, [2]string{k, v})
--- a/fleet/maintenance/state.go
+++ b/fleet/maintenance/state.go
@@ -13,7 +13,7 @@
 // Stages of a lease. It is held from StageGranted to StageWarmingUp; in the stages before StageOut
 // a halt recalls the machine.
 const (
-	StageWaiting   Stage = iota // no process requests the lease, or the last grant was given up
+	StageWaiting   Stage = iota // no process requests the lease, or it was released
 	StageRequested              // a process on the host requests the lease
 	StageGranted                // the drain may begin until the grant expires
 	StageDraining               // the drain has begun
@@ -58,7 +58,7 @@
 const (
 	maxObservationAge = time.Second // age of the last observation above which no machine may leave service
 	maxRegrantDelay   = time.Hour   // delay after unused grants before the next one
-	maxAdoptedNames   = 1024        // names adopted by operators
+	maxAdoptedNames   = 1024        // names that operators have bound to hosts
 )
 
 // State is the state that results from the commands applied so far. It is not safe for concurrent
@@ -83,10 +83,10 @@
 	usage                  usage
 }
 
-// machine is a machine with what follows from its observations and its lease.
+// machine is an observed machine, with the time of its observation and its availability.
 type machine struct {
 	Machine
-	observedAt  time.Duration // group time of its last observation, if later than State.observedAt
+	observedAt  time.Duration // group time of the last observation that lists it; State.observedAt counts if later
 	unavailable bool          // counted as unavailable in State.usage
 }
 
@@ -99,7 +99,7 @@
 // Result is the outcome of a command.
 type Result struct {
 	Response      Response  // response to a Request
-	Granted       []string  // hosts that were granted a lease; to be notified soon, as their agents poll rarely
+	Granted       []string  // hosts that were granted a lease; notify them soon, as their agents poll rarely
 	Forecast      *Forecast // set after LoadPlan
 	ForecastStale bool      // the last forecast may no longer hold
 	Err           error     // why the command had no effect; one of the package's error types
@@ -203,9 +203,9 @@
 	return s.plan.groupsByHost[host]
 }
 
-// release ends a lease whose work has not begun, and voids its fencing token. Each consecutive
-// unused grant doubles the delay before the next one, so that a host that requests a lease and
-// never drains costs the others little time.
+// release ends a held lease without counting its work as done, and voids its fencing token. unused
+// means that the host never began its drain: each consecutive unused grant doubles the delay before
+// the next one, so that a host that requests a lease and never drains delays the others little.
 func (s *State) release(lease *Lease, unused bool) {
 	lease.FencingToken, lease.Nonce, lease.UndrainConfirmed, lease.SeenGone = 0, 0, false, false
 	lease.UnusedGrants++
--- a/fleet/maintenance/status.go
+++ b/fleet/maintenance/status.go
@@ -21,7 +21,7 @@
 type LeaseStatus struct {
 	Lease
 	StageAge time.Duration // time in the current stage
-	Overrun  time.Duration // time by which the stage exceeds its planned duration
+	Overrun  time.Duration // time by which the stage exceeds its planned duration; 0 if it does not
 	Phase    Phase
 	Unlisted bool // the fleet does not list the machine
 }
--- a/fleet/maintenance/turns_test.go
+++ b/fleet/maintenance/turns_test.go
@@ -12,10 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-// A fixed seed makes each run draw the same; -rapid.seed sets another.
+// The seed is fixed so that each run checks the same cases. The flag -rapid.seed selects others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// randomFleet is a fleet in three zones, a plan for half of its hosts, and a source of commands.
+// randomFleet is a fleet in three zones, a plan for half of its hosts, and a generator of commands.
 type randomFleet struct {
 	plan     *Plan
 	machines []Machine
@@ -180,7 +180,7 @@
 		require.NoError(t, err)
 		restored, err := Restore(before)
 		require.NoError(t, err)
-		if withBug { // a zone that does not exist, as large as the largest, hides the loss of the largest zone
+		if withBug {
 			hideZoneLoss(state)
 		}
 		result := state.Apply(command)
@@ -216,6 +216,8 @@
 	return broken
 }
 
+// hideZoneLoss injects the bug into a state: it adds a zone without machines that has the capacity of
+// the largest zone, so that the loss of a real zone is not subtracted.
 func hideZoneLoss(state *State) {
 	for _, kind := range []Kind{Node, Server} {
 		delete(state.usage.zones, zoneKind{"nowhere", kind})
@@ -230,8 +232,8 @@
 }
 
 // Whatever commands are applied, a replica that is restored from a snapshot must reach the same
-// state, and no grant may violate a bound. A bug that ignores the loss of the largest zone has to
-// be detected.
+// state, and no grant may violate a bound. The test has to detect a bug that ignores the loss of the
+// largest zone.
 func TestReplicasAgreeAndGrantsKeepBounds(t *testing.T) {
 	detected := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -248,6 +250,7 @@
 	t.Logf("injected bug detected in %d runs", detected)
 }
 
+// Input that is accepted must be encoded, decoded and applied again without an error or panic.
 func FuzzDecode(f *testing.F) {
 	for _, command := range []*Command{{LoadPlan: &LoadPlan{Version: 1, Plan: threeHostPlan}},
 		{Request: &Request{Host: "a", Name: "a", Type: RequestStartWork, FencingToken: 3}},
