--- a/fleet/prefetch/calendar.go
+++ b/fleet/prefetch/calendar.go
@@ -13,7 +13,7 @@
 
 const (
 	maxSites         = 256
-	maxWindows       = 32 // of one site
+	maxWindows       = 32 // windows of one site
 	maxWindowLength  = 24 * time.Hour
 	maxPeriod        = 366 * 24 * time.Hour
 	maxYear          = 2200 // a year well before 2262, in which Unix time in ns overflows an int64
@@ -21,7 +21,7 @@
 	maxMergeSteps    = 4 * maxWindows // steps of merging overlapping windows into one outage
 )
 
-// Window is a period without the uplink of a site, either single or recurring.
+// Window is a single or recurring time without the uplink of a site.
 type Window struct {
 	FirstStart    time.Time `toml:"first"`   // start of the first occurrence
 	LengthSeconds float64   `toml:"for_s"`   // length of each occurrence, s
@@ -154,7 +154,7 @@
 	for range maxMergeSteps {
 		extended := false
 		for _, w := range s.Windows {
-			// The occurrence extends the outage if it starts by its end, plus gap, and ends later.
+			// An occurrence extends the outage if it starts at most gap after the outage's end and ends later.
 			candidate, found := w.next(next.End)
 			if found && candidate.Start <= next.End+gap && candidate.End > next.End {
 				next.End, next.Probability, extended = candidate.End, max(next.Probability, candidate.Probability), true
--- a/fleet/prefetch/choose.go
+++ b/fleet/prefetch/choose.go
@@ -10,7 +10,7 @@
 	// FetchMargin is the time before an outage by which all fetches have to be complete.
 	FetchMargin = 2 * time.Second
 
-	maxItems = 4096 // items that one call of Choose considers
+	maxItems = 4096 // items that one call of Choose considers; it skips further ones
 )
 
 // Item is a piece of data that can be fetched before an outage.
@@ -135,8 +135,9 @@
 	return &Source{bytesPerSecond: bytesPerSecond, updatedAt: now, edges: make(map[int]*queue), lastServed: -1}
 }
 
-// Enqueue adds a request, for an answer of a size in bytes, of an edge whose outage starts at outageStart.
-// It returns false if the queue is full; the edge then has to ask another source, or later.
+// Enqueue adds a request of an edge whose outage starts at outageStart. bytes is the size of the answer. It
+// returns false if the edge's queue is full or maxEdges edges wait; the edge then has to ask another source,
+// or later.
 func (s *Source) Enqueue(edge int, outageStart time.Duration, bytes int) bool {
 	q := s.edges[edge]
 	if q == nil {
@@ -156,8 +157,9 @@
 // Drop discards the requests of an edge, for example when its uplink is lost.
 func (s *Source) Drop(edge int) { delete(s.edges, edge) }
 
-// Next returns the edge to answer now, in the order of its requests. If the bandwidth is used up, edge is -1
-// and retryAt is the time at which to call again. ok is false if no edge waits.
+// Next returns the edge whose oldest request has to be answered now, and removes that request. If the
+// bandwidth is used up, edge is -1 and retryAt is the time at which to call again. ok is false if no edge
+// waits.
 func (s *Source) Next(now time.Duration) (edge int, retryAt time.Duration, ok bool) {
 	burst := max(s.bytesPerSecond/10, 1500) // the bytes of 0.1 s, but at least one datagram
 	s.tokens = min(burst, s.tokens+s.bytesPerSecond*(now-s.updatedAt).Seconds())
--- a/fleet/prefetch/clock.go
+++ b/fleet/prefetch/clock.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	maxClockDrift = 200e-6 // maximum rate error of a machine's clock in either direction, as a fraction
-	maxRoundTrip  = 2 * time.Second
+	maxClockDrift = 200e-6           // maximum rate error of a machine's clock in either direction, as a fraction
+	maxRoundTrip  = 2 * time.Second  // round trip above which a reading is discarded
 	maxReadingAge = 10 * time.Minute // age after which a new reading replaces a more precise one
 )
 
--- a/fleet/prefetch/demand.go
+++ b/fleet/prefetch/demand.go
@@ -23,7 +23,8 @@
 )
 
 // Demand estimates the tokens that tenants request at this edge, separately for each phase of the cycle
-// in which its outages recur. It holds a limited number of tenants and evicts the least recently used one.
+// in which its outages recur. It holds a limited number of tenants and evicts the least recently observed
+// one.
 type Demand struct {
 	cycle     time.Duration // 0 means no cycle: estimates use the present rate only
 	tenants   *simplelru.LRU[uint64, *tenantDemand]
--- a/fleet/prefetch/doc.go
+++ b/fleet/prefetch/doc.go
@@ -2,7 +2,8 @@
 // the rest of the fleet at known times, for example between satellite passes or outside the windows of a
 // leased line. During such an outage a node still reaches the rating servers of its own site, but not its
 // peers, the owners of tenants' token buckets, or the consensus group. It therefore fetches what it needs
-// to admit requests on its own, and reserves tokens at the owners, before the outage starts.
+// to admit requests on its own, and reserves tokens at the owners, before the outage starts. In this
+// package an edge is an edge node of such a site.
 //
 // A Calendar lists the outages of each site. A Demand estimates the tokens that tenants will request
 // during one. Choose plans what to fetch and when, and a Source divides a node's bandwidth among the
--- a/fleet/prefetch/golden_test.go
+++ b/fleet/prefetch/golden_test.go
@@ -50,7 +50,7 @@
 }
 
 // Guards against a misspelt key that is ignored silently, at each depth of the document.
-func TestCalendarRefusesUnknownKey(t *testing.T) {
+func TestCalendarRejectsUnknownKey(t *testing.T) {
 	for key, text := range map[string]string{
 		"hall-a.other":         "[hall-a]\nnodes = [\"n0\"]\nother = 1\n",
 		"hall-a.windows.other": "[hall-a]\nnodes = [\"n0\"]\n[[hall-a.windows]]\nfirst = 2026-12-01T00:00:00Z\nfor_s = 1.0\nother = 1\n",
--- a/fleet/prefetch/prefetch_test.go
+++ b/fleet/prefetch/prefetch_test.go
@@ -216,7 +216,8 @@
 			d.Observe(now, uint64(1000+now), 1)
 		}
 	}
-	// Now a slow half ends; the period begins in one minute, in the fast half, and lasts two minutes.
+	// A slow half ends now. The first period starts in one minute, in the fast half, and the second in six
+	// minutes, in the next slow half. Each lasts two minutes.
 	tokens, margin := d.Expect(6*cycle, 1, time.Minute, 2*time.Minute)
 	assert.InDelta(t, 600, tokens, 120)
 	assert.InDelta(t, marginRoots*math.Sqrt(tokens), margin, 1e-9)
--- a/fleet/prefetch/reservation.go
+++ b/fleet/prefetch/reservation.go
@@ -67,11 +67,11 @@
 	return &Account{tenant: tenant, lastClosed: make(map[int]ID), updatedAt: now}
 }
 
-// Reserve reserves at most want of the token bucket whole for an edge. deduct is the number of tokens to
-// deduct from the bucket now. A repeated ID returns the same reservation with its remaining lifetime, so
-// that a retry after a lost reply deducts nothing. The reservation expires at the owner no earlier than at
-// the edge, which counts its lifetime from before the request: the owner adds the possible clock drift.
-// The error is a *LoanError.
+// Reserve reserves at most want for an edge. whole is the tenant's present token bucket, and deduct is the
+// number of tokens to deduct from it now. A repeated ID returns the same reservation with its remaining
+// lifetime, so that a retry after a lost reply deducts nothing. The reservation expires at the owner no
+// earlier than at the edge, which counts its lifetime from before the request: the owner adds the possible
+// clock drift. The error is a *LoanError.
 func (a *Account) Reserve(now time.Duration, id ID, want Bucket, ttl time.Duration, whole Bucket) (reservation Reservation, deduct float64, err error) {
 	if i := slices.IndexFunc(a.outstanding, func(o outstandingReservation) bool { return o.ID == id }); i >= 0 {
 		o := a.outstanding[i]
@@ -289,10 +289,10 @@
 	}
 }
 
-// SizeReservation returns the share of a token bucket that an edge should reserve for an outage. Its rate is
-// the rate at which tokens are expected to be requested at the edge. Its burst is the same fraction of the
-// whole burst plus margin tokens, and it is full. So the reservation withholds from other nodes little more than
-// the edge is expected to use.
+// SizeReservation returns the share of the token bucket whole that an edge should reserve for an outage. Its
+// rate is the rate at which tokens are expected to be requested at the edge. Its burst is the same fraction of
+// the whole burst plus margin tokens, and it is full. Rate and burst are limited to maxReservedFraction. The
+// reservation thus withholds from other nodes little more than the edge is expected to use.
 func SizeReservation(expectedTokens, margin float64, whole Bucket, outage time.Duration) Bucket {
 	if outage <= 0 || !(expectedTokens > 0) || !(whole.Rate > 0) {
 		return Bucket{}
--- a/fleet/prefetch/reservation_test.go
+++ b/fleet/prefetch/reservation_test.go
@@ -21,7 +21,7 @@
 	account                       *Account
 	ownerTokens                   float64 // tokens in the owner's bucket
 	spent                         float64 // tokens spent by owner and edge since the start
-	staleSpent                    float64 // part of spent that an outdated checkpoint did not cover
+	staleSpent                    float64 // tokens of spent that an outdated checkpoint did not cover
 	seq                           uint32
 	incarnation                   uint64
 	bucket                        *LocalBucket
@@ -210,7 +210,7 @@
 		reservation, _, err := a.Reserve(requestedAt+requestDelay, ID{0, 1, 1}, Bucket{1, 1, 0}, ttl, Bucket{10, 10, 1})
 		require.NoError(t, err)
 		b := Open(reservation, requestedAt, requestedAt+requestDelay+replyDelay, 10)
-		// From the request on the edge's clock has a random drift, and the owner's runs fast.
+		// From the request on, the edge's clock has a random drift, and the owner's runs fast.
 		edgeExpiry := requestedAt + time.Duration(float64(b.expiresAt-requestedAt)*(1+edgeDrift))
 		ownerExpiry := requestedAt + requestDelay + time.Duration(float64(a.outstanding[0].expiresAt-requestedAt-requestDelay)*(1-maxClockDrift))
 		if edgeExpiry > ownerExpiry+time.Microsecond {
--- a/fleet/prefetch/uplink.go
+++ b/fleet/prefetch/uplink.go
@@ -34,12 +34,12 @@
 	lossTimeout = 1500 * time.Millisecond
 	// restoreDelay is the time of uninterrupted messages after which the link counts as up again.
 	restoreDelay = 500 * time.Millisecond
-	// settleDelay is the time after which a return is complete. It exceeds lossTimeout, so that another loss of
-	// the link is noticed before.
+	// settleDelay is the time after which a return is complete, and the minimum time in Surprised before a
+	// return. It exceeds lossTimeout, so that another loss of the link is noticed before.
 	settleDelay = 3 * time.Second
 	// returnSpread is the period over which the edges of one outage return.
 	returnSpread = time.Second
-	// stepInterval is the time between two calls of Step.
+	// stepInterval is the maximum time between two calls of Step.
 	stepInterval = 250 * time.Millisecond
 )
 
@@ -86,7 +86,7 @@
 
 // Step updates the state. fleetTime is wrong by at most maxError, and next is the outage of the calendar at
 // or after that time, if hasNext. It returns the change of state, if there is one, and the latest time for
-// the next call. Nothing more is fetched for an outage that should have started while the link stays up.
+// the next call. If an outage should have started and the link stays up, nothing more is fetched for it.
 func (u *Uplink) Step(now, fleetTime, maxError time.Duration, next Outage, hasNext bool) (change Change, changed bool, stepAt time.Duration) {
 	to, reason := u.decide(now, fleetTime, maxError, next, hasNext)
 	if to != u.state {
