--- a/fleet/subset/helpers_test.go
+++ b/fleet/subset/helpers_test.go
@@ -31,7 +31,7 @@
 	return set.Replace(list)
 }
 
-// apply applies a delta that has to be valid.
+// apply applies a valid delta.
 func apply(t testing.TB, set *Set, servers ...Server) Change {
 	t.Helper()
 	change, err := set.Apply(servers)
--- a/fleet/subset/list.go
+++ b/fleet/subset/list.go
@@ -7,8 +7,8 @@
 	set     *Set
 	index   *index
 	removed map[string]Server // entries in the state Removed, to detect contradictions
-	entries int
-	err     error
+	entries int               // entries added so far
+	err     error             // first error of Add, or a *ListUsedError; nil while the list is usable
 }
 
 // NewList returns an empty list for Add and Replace.
--- a/fleet/subset/lists_test.go
+++ b/fleet/subset/lists_test.go
@@ -8,6 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestEmptyList guards against a choice or an error from an empty list.
 func TestEmptyList(t *testing.T) {
 	set := mustNew(t, Config{})
 	require.Empty(t, set.Chosen())
@@ -18,6 +19,7 @@
 	require.Equal(t, 7.0, set.Sharers(7))
 }
 
+// TestOneServer guards against a wrong change when one server is added, repeated, changed and removed.
 func TestOneServer(t *testing.T) {
 	set := mustNew(t, Config{Node: 3})
 	server := Server{ID: "a", Endpoint: "10.0.0.1:80", Zone: "z", Model: "m", Group: 4, Capacity: 2.5, BootMS: 7}
@@ -160,6 +162,7 @@
 	require.Equal(t, 30.0, set.Sharers(30), "each node uses each server")
 }
 
+// TestRemovalOfUnknownServer guards against a change or an error when a server that is not listed is removed.
 func TestRemovalOfUnknownServer(t *testing.T) {
 	servers := newServers(8, 1000, unevenZoneWeights())
 	set := mustNew(t, Config{})
@@ -170,7 +173,8 @@
 	require.Equal(t, 1000, set.Len())
 }
 
-// TestServerMovesToAnotherZone guards against a stale zone when its only two servers move to another zone.
+// TestServerMovesToAnotherZone guards against a zone that stays listed when its only two servers move to
+// another zone.
 func TestServerMovesToAnotherZone(t *testing.T) {
 	servers := newServers(9, 300, []float64{149, 1})
 	set := mustNew(t, Config{})
--- a/fleet/subset/property_test.go
+++ b/fleet/subset/property_test.go
@@ -102,7 +102,7 @@
 }
 
 // update applies a delta to the list, unless the delta or the list would exceed the maximum number of entries.
-// It reports whether it did.
+// It reports whether it applied the delta.
 func (m *referenceModel) update(delta []Server) bool {
 	if len(delta) > m.config.MaxListed {
 		return false
@@ -213,6 +213,7 @@
 	})
 }
 
+// compareWithModel requires that the set, the reference model and the consumer's copy agree.
 func compareWithModel(t *rapid.T, set *Set, model *referenceModel, known map[string]Server) {
 	require.Equal(t, model.servers(), set.Chosen())
 	require.Equal(t, len(model.list), set.Len())
--- a/fleet/subset/server.go
+++ b/fleet/subset/server.go
@@ -24,9 +24,9 @@
 	Endpoint string // host and port; its syntax is checked by the caller
 	Zone     string
 	Model    string
-	Group    int
+	Group    int // group of the server according to discovery; not used for the choice
 	State    State
-	Capacity float64
+	Capacity float64 // capacity according to discovery; not used for the choice
 	BootMS   float64 // start of the process, Unix time in ms; 0 means unknown
 }
 
