--- a/fleet/maintenance/errors.go
+++ b/fleet/maintenance/errors.go
@@ -42,7 +42,8 @@
 }
 
 // StaleLookError reports an observation based on another state: a duplicate, an overtaken one, or
-// one of a previous leader.
+// one of a previous leader. It also reports one measured before the last one, or after the group
+// time at which it is applied.
 type StaleLookError struct{ Current, Base uint64 }
 
 func (e *StaleLookError) Error() string {
--- a/fleet/maintenance/state.go
+++ b/fleet/maintenance/state.go
@@ -10,8 +10,8 @@
 // Stage is the stage of a lease.
 type Stage uint8
 
-// Stages of a lease. It is held from StageGranted to StageWarmingUp; in the stages before StageOut
-// a halt recalls the machine.
+// Stages of a lease. It is held from StageGranted to StageWarmingUp. A halt releases a lease in
+// StageGranted, and recalls the machine in StageDraining and StageDrained.
 const (
 	StageWaiting   Stage = iota // no process requests the lease, or it was released
 	StageRequested              // a process on the host requests the lease
