--- a/fleet/maintenance/errors.go
+++ b/fleet/maintenance/errors.go
@@ -42,7 +42,8 @@
 }
 
 // StaleLookError reports an observation based on another state: a duplicate, an overtaken one, or
-// one of a previous leader.
+// one of a previous leader. It also reports one measured before the last one, or after the group
+// time at which it is applied.
 type StaleLookError struct{ Current, Base uint64 }
 
 func (e *StaleLookError) Error() string {
@@ -107,7 +108,7 @@
 	Host        string
 	Bound       Bound
 	Scope       string // machines to which the bound applies
-	Unavailable uint64 // number or capacity, including the machine itself
+	Unavailable uint64 // unavailable number or capacity, including the machine itself
 	Max         uint64 // permitted number or capacity
 }
 
