--- a/internal/node/clientbody.go
+++ b/internal/node/clientbody.go
@@ -17,7 +17,7 @@
 	minBytesPerSecond  = 16 << 10                // average rate of a message, for messageTimeout
 	clientWriteTimeout = 4 * time.Second         // time for which a client may read nothing of its response
 	discardTimeout     = 10 * time.Second        // time for which the rest of a rejected body is read and discarded
-	discardIdleTimeout = time.Second             // time without a byte of that rest
+	discardIdleTimeout = time.Second             // time without a byte while the rest of a body is discarded
 )
 
 var (
@@ -33,7 +33,7 @@
 	src        io.Reader
 	controller *http.ResponseController
 	onComplete func()      // called with mu held when the end of the body is read
-	consumed   atomic.Bool // a part of the body was streamed and is not buffered
+	consumed   atomic.Bool // an attempt has read unbuffered bytes, so the body can't be sent again
 
 	mu        sync.Mutex
 	stopped   bool
@@ -132,8 +132,8 @@
 	return newBadRequest(http.StatusBadRequest, "reading the body: %v", b.readErr)
 }
 
-// discard reads and discards what the client still sends. Closing a connection with unread data would be a reset, which
-// can destroy the response before a client reads it that sends its whole body first.
+// discard reads and discards what the client still sends. Closing a connection with unread data resets it, which can
+// destroy the response if the client sends its whole body before it reads.
 func (b *clientBody) discard(r *http.Request) {
 	b.mu.Lock()
 	// A client that waits for 100 Continue gets the final response instead and sends no body.
--- a/internal/node/clientconns.go
+++ b/internal/node/clientconns.go
@@ -19,8 +19,8 @@
 	maxRequestHeaderBytes = 16 << 10                // size of a request header
 	clientIdleTimeout     = 10 * time.Second        // time between two requests of a connection
 	requestHeaderTimeout  = 2600 * time.Millisecond // time until a request header is complete
-	clientCloseTimeout    = 250 * time.Millisecond  // time for the client to close too; less than drainWriteTime
-	newConnEvictionAge    = 250 * time.Millisecond  // minimum age for eviction without a complete header
+	clientCloseTimeout    = 250 * time.Millisecond  // time for the client to close too; less than drainWriteTimeout
+	newConnEvictionAge    = 250 * time.Millisecond  // minimum age for evicting a connection without a complete header
 )
 
 // server returns the HTTP server for the clients. Each client must get a response or a close soon after it has
@@ -341,8 +341,9 @@
 	}
 }
 
-// mayHaveContentLength reports whether the header of a chunked request contains a Content-Length too, or was not
-// recorded: it may have come in one read with the previous request, which no well-behaved client does.
+// mayHaveContentLength reports whether the header of a chunked request contains a Content-Length too. It also returns
+// true if the header was not recorded: the header may have come in one read with the previous request, which no
+// well-behaved client sends.
 func (c *clientConn) mayHaveContentLength(r *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -38,7 +38,7 @@
 	if rejected := checkFraming(r); rejected != nil {
 		return nil, rejected
 	}
-	// A server could use another one of two values than this node does.
+	// If a header had two values, a server could use another one than this node does.
 	for _, name := range singleHeaders {
 		if len(r.Header[name]) > 1 {
 			return nil, newBadRequest(http.StatusBadRequest, "%s: given twice", name)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -23,8 +23,8 @@
 	stats     *stats
 	budget    *budget
 
-	ready    atomic.Bool
-	draining atomic.Bool // /healthz responds 503
+	ready    atomic.Bool // /healthz responds 503 until this is set
+	draining atomic.Bool // /healthz responds 503 while this is set
 	closing  atomic.Bool // each response closes its connection
 
 	mu        sync.Mutex
@@ -154,9 +154,10 @@
 		select {
 		case final = <-x.answer:
 		case <-disconnected:
-			// net/http cancels the context after any failed read. A failed read of the body is reported by bodyBroken,
-			// or was stopped because the response is there. A stop at the moment of the body's last byte makes the read
-			// fail with which net/http detects disconnects.
+			// net/http cancels the context after any failed read, so the client may still be connected. A failed
+			// read of the body is reported by bodyFailed, or the read was stopped because the final response is there.
+			// If the body is stopped just as its last byte is read, the past deadline fails the read by which net/http
+			// detects a disconnect.
 			if x.streamedBody != nil && (!x.received.Load() || x.streamedBody.isStopped()) {
 				disconnected = nil
 				continue
--- a/internal/node/headers.go
+++ b/internal/node/headers.go
@@ -14,8 +14,8 @@
 	maxLoadFigure   = 1e6   // maximum of any figure in X-Backend-Load
 )
 
-// Headers of the protocol between clients, edge nodes and servers. Only this file uses the protocol's terms: in the
-// rest of the code a tariff is a plan, a weight is a number of tokens, and an allowance is a meter reading.
+// Headers of the protocol between clients, edge nodes and servers. The code has its own terms for some of them: it
+// calls a tariff a plan, a weight a number of tokens, and an allowance a meter reading.
 const (
 	headerID          = "X-Correlation-Id"
 	headerPlan        = "X-Tariff"
--- a/internal/node/serverconns.go
+++ b/internal/node/serverconns.go
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// put returns a connection to its pool.
+// put returns a connection to its pool, or closes it if the pool is retired or full.
 func (u *upstream) put(p *pool, c *serverConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	ownDescriptors          = 24                    // for the listener, discovery, log, poller and Go runtime
-	maxServerReserve        = 64                    // descriptors that clients leave to server connections
+	ownDescriptors          = 24                    // descriptors for the listener, discovery, log, poller and Go runtime
+	maxServerReserve        = 64                    // descriptors that clients leave free for connections to servers
 	descriptorRetryInterval = 20 * time.Millisecond // time between two attempts to get a descriptor for a client
 )
 
@@ -31,8 +31,8 @@
 
 	waits atomic.Int64 // times that accepting a client had to wait for a descriptor, for the log
 
-	// evictClient and evictServer close one idle connection and report whether there was one. evictServer leaves keep
-	// idle connections to servers open.
+	// evictClient and evictServer close one idle connection and report whether they did. evictServer does so only if
+	// more than keep connections to servers are idle.
 	evictClient func() bool
 	evictServer func(keep int) bool
 }
@@ -93,8 +93,8 @@
 func (s *sockets) acquire(spare int64) bool {
 	for s.openConns.Add(1) > s.limit.Load()-spare {
 		s.openConns.Add(-1)
-		// Idle clients are closed first, so that silent clients do not cost handshakes with servers. To accept a
-		// client, spare idle connections to servers stay open.
+		// Idle clients are closed first, so that silent clients do not cost handshakes with servers. When a
+		// client is accepted, up to spare idle connections to servers stay open.
 		if !s.evictClient() && !s.evictServer(int(spare)) {
 			return false
 		}
--- a/internal/node/stragglers.go
+++ b/internal/node/stragglers.go
@@ -14,8 +14,9 @@
 	lastID      uint64        // last ID assigned to an attempt
 	timerAt     time.Duration // time when the timer fires; zero means no timer
 	onStraggler []func(server uint32)
-	// onOutcome is called for attempts that ended and were no stragglers; took is below zero for one that failed.
-	onOutcome []func(server uint32, took time.Duration)
+	// onOutcome is called for attempts that were no stragglers and ended with OK or one of serverFailures. The latency
+	// of a failed attempt is -1.
+	onOutcome []func(server uint32, latency time.Duration)
 }
 
 // ensureStragglerWatch returns the loop's watch and creates it on the first call.
@@ -34,8 +35,8 @@
 	return w.lastID
 }
 
-// serverFailures contains the outcomes that count against a server. An overloaded server reports its load, and a
-// canceled attempt does not count.
+// serverFailures contains the outcomes that count against a server. Overloaded is not one of them, as an overloaded
+// server reports its load, and neither is Cancelled, as the node canceled the attempt itself.
 var serverFailures = map[control.Outcome]bool{control.Errored: true, control.TimedOut: true, control.ConnectFailed: true, control.ResetByPeer: true}
 
 // attemptEnded records the outcome of an attempt and calls the callbacks.
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -133,7 +133,7 @@
 	if a.bodyStream != nil {
 		return u.sendStreaming(c, a)
 	}
-	// A server starts processing with the last byte of a request: after an earlier failure it has not run.
+	// A server starts processing with the last byte of a request: a request that failed before that has not run.
 	if err := c.send(ctx, a); err != nil {
 		return outcome{reason: control.ConnectFailed, err: err}, false
 	}
