--- a/internal/node/clientconns_test.go
+++ b/internal/node/clientconns_test.go
@@ -74,7 +74,7 @@
 		})
 	}
 	if n := a.requestCount(); n > 0 {
-		t.Errorf("sent on: %q", a.requests())
+		t.Errorf("requests at the server: %q, want none", a.requests())
 	}
 }
 
--- a/internal/node/clientdisconnects_test.go
+++ b/internal/node/clientdisconnects_test.go
@@ -61,7 +61,8 @@
 				t.Cleanup(release)
 				r.updateList(a.target("s-1", 0))
 				c := r.dial()
-				// The node may close the connection for that before the attempt has started, which then never starts.
+				// The node closes the connection when too much is pipelined. If it does so before the attempt has
+				// started, the attempt never starts.
 				mayNotStart := k.withRequest && len(pipelined) > maxRequestHeaderBytes
 				if k.withRequest {
 					_, _ = io.WriteString(c, rawGet+pipelined)
@@ -144,8 +145,8 @@
 }
 
 // The next request may exceed the limit on pipelined bytes and arrive after the response was written but before
-// net/http stops watching for a disconnect. Then no byte of it is lost and the connection stays open; before the
-// response, the connection is closed for it.
+// net/http stops watching for a disconnect. Then no byte of it is lost and the connection stays open. If it arrives
+// before the response, the connection is closed.
 func TestLongPipelinedRequestBeforeWatchEnds(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/clientrequests_test.go
+++ b/internal/node/clientrequests_test.go
@@ -108,7 +108,7 @@
 	}{
 		"length and chunks":  {post + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
 		"chunks and length":  {post + "Transfer-Encoding: chunked\r\nContent-Length: " + strconv.Itoa(5+len(hidden)) + "\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"spaced out length":  {post + "Transfer-Encoding: chunked\r\nContent-Length:5\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"length, no space":   {post + "Transfer-Encoding: chunked\r\nContent-Length:5\r\n\r\n0\r\n\r\n" + hidden, 400},
 		"invalid chunk":      {post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n\r\n" + hidden, 400},
 		"two lengths":        {post + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + hidden, 400},
 		"negative length":    {post + "Content-Length: -1\r\n\r\n" + hidden, 400},
--- a/internal/node/longbodies_test.go
+++ b/internal/node/longbodies_test.go
@@ -131,7 +131,7 @@
 		t.Errorf("response %s, want 503", resp.Status)
 	}
 	if n := conns.Load(); n != 1 {
-		t.Errorf("sent %d times, want once", n)
+		t.Errorf("%d connections were opened for the request, want 1", n)
 	}
 	r.waitForMetric(`node_busy_total{tier="visit-update"}`, 1)
 	if n := r.readMetrics()["node_backend_calls_total"]; n != 0 {
--- a/internal/node/longresponses_test.go
+++ b/internal/node/longresponses_test.go
@@ -203,7 +203,7 @@
 	b.controller = http.NewResponseController(recorder)
 	_, _ = b.Read(make([]byte, 1))
 	if left := time.Until(recorder.read[0]); left > time.Second {
-		t.Errorf("another %v for a body whose time is over", left)
+		t.Errorf("the read deadline of a body past its timeout is in %v, want at most 1s", left)
 	}
 }
 
--- a/internal/node/resets_test.go
+++ b/internal/node/resets_test.go
@@ -136,7 +136,7 @@
 	require.Len(p.t, idleConns(p.u), 1)
 }
 
-// steppedBody returns its parts one by one; before each read but the first it calls beforeNext.
+// steppedBody returns its parts one by one. It calls beforeNext before each read of a part but the first read.
 type steppedBody struct {
 	parts      [][]byte
 	beforeNext func()
--- a/internal/node/serverconns_test.go
+++ b/internal/node/serverconns_test.go
@@ -14,12 +14,12 @@
 // Only an open connection is reused: a request on one that the server has closed while it was idle would end in a
 // reset.
 func TestOnlyOpenIdleConnectionsAreReused(t *testing.T) {
-	var hangUp bool
+	var useRawConn bool
 	var from []string
 	conns := make(map[string]net.Conn)
 	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		from = append(from, r.RemoteAddr)
-		if !hangUp {
+		if !useRawConn {
 			serveOK(w, r)
 			return
 		}
@@ -40,7 +40,7 @@
 		}
 	}
 	try()
-	hangUp = true
+	useRawConn = true
 	try()
 	if from[0] != from[1] {
 		t.Error("an open connection was not reused")
@@ -50,7 +50,7 @@
 	for end := time.Now().Add(testTimeout); idle.isQuiet() && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
-	hangUp = false
+	useRawConn = false
 	try()
 	if from[2] == from[1] {
 		t.Error("a closed connection was reused")
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -153,14 +153,14 @@
 
 // A canceled attempt closes its connection and has the outcome Cancelled.
 func TestCancelledAttempt(t *testing.T) {
-	asked := make(chan struct{})
+	received := make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
-		close(asked)
+		close(received)
 		<-r.Context().Done() // ends when the node closes the connection
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		<-asked
+		<-received
 		cancel()
 	}()
 	u := newUpstream(testTimeout, testTimeout, 1, newSockets(1024, 0), newBudget(64))
@@ -201,12 +201,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			over := make(chan struct{})
+			testEnded := make(chan struct{})
 			a := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 				_, _ = io.WriteString(hijack(w), text)
-				<-over
+				<-testEnded
 			})
-			t.Cleanup(func() { close(over) })
+			t.Cleanup(func() { close(testEnded) })
 			socks := newSockets(1024, 0)
 			u := newUpstream(testTimeout, testTimeout, 1, socks, newBudget(64))
 			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -242,9 +242,9 @@
 // later.
 func TestIdleTimeoutEndsWithItsResponse(t *testing.T) {
 	t.Parallel()
-	asked := 0
+	requestCount := 0
 	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
-		if asked++; asked > 1 {
+		if requestCount++; requestCount > 1 {
 			time.Sleep(responseIdleTimeout + responseIdleTimeout/3) // longer than the idle timeout
 		}
 		_, _ = io.WriteString(w, "o")
@@ -271,9 +271,9 @@
 func TestExtraBytesAreNotTheNextResponse(t *testing.T) {
 	const good, extra = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil"
 	first := make(chan net.Conn, 1)
-	asked := 0
+	requestCount := 0
 	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
-		if asked++; asked > 1 {
+		if requestCount++; requestCount > 1 {
 			_, _ = io.WriteString(w, "ok")
 			return
 		}
