--- a/internal/node/resets_test.go
+++ b/internal/node/resets_test.go
@@ -92,6 +92,7 @@
 	p.awaitTCPState(tcpClosed)
 }
 
+// tcpClosed is the number of the kernel's TCP state for a closed connection.
 const tcpClosed = unix.BPF_TCP_CLOSE
 
 // awaitTCPState waits until the node's end is in a state or closed.
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -179,10 +179,10 @@
 	if l := *o.loadReport(); l != (control.LoadReport{Active: 7, Waiting: 2, CPU: 0.61, AvgMS: 12.5, RPS: -1, ErrRPS: -1}) {
 		t.Errorf("load report %+v", l)
 	}
-	for _, odd := range []string{"", "x", "-1", "NaN", "1e400", "1e300", "99999", "inflight=-1,util=NaN", "queue=1e300"} {
-		o := outcome{header: http.Header{headerMeter: {odd}, headerCost: {odd}, headerLoad: {odd}}}
+	for _, invalid := range []string{"", "x", "-1", "NaN", "1e400", "1e300", "99999", "inflight=-1,util=NaN", "queue=1e300"} {
+		o := outcome{header: http.Header{headerMeter: {invalid}, headerCost: {invalid}, headerLoad: {invalid}}}
 		if o.meterReading() != 0 || o.trueCost(4) != 0 || o.loadReport() != nil {
-			t.Errorf("%q: meter reading %d, cost %g, load report %+v; want none", odd, o.meterReading(), o.trueCost(4), o.loadReport())
+			t.Errorf("%q: meter reading %d, cost %g, load report %+v; want none", invalid, o.meterReading(), o.trueCost(4), o.loadReport())
 		}
 	}
 }
