--- a/cmd/edgenode/councilplays_test.go
+++ b/cmd/edgenode/consensusfaults_test.go
@@ -24,72 +24,72 @@
 )
 
 var (
-	plays    = flag.Int("plays", 2, "plays of a council with drawn faults")
-	playSeed = flag.Uint64("playseed", 1, "of the first play")
+	faultRuns = flag.Int("plays", 2, "plays of a council with drawn faults")
+	firstSeed = flag.Uint64("playseed", 1, "of the first play")
 )
 
 // Operators publish, activate and read at any node, while processes die, stop, are cut off, lose their
 // folders and have disks that lie. More of it: go test ./cmd/edgenode -run CouncilPlays -plays 300 -timeout 3h
-func TestCouncilPlays(t *testing.T) {
+func TestCouncilRandomFaults(t *testing.T) {
 	t.Parallel()
-	for i := range *plays {
-		seed := *playSeed + uint64(i)
+	for i := range *faultRuns {
+		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			if *plays <= 4 {
+			if *faultRuns <= 4 {
 				t.Parallel()
 			}
-			councilPlay(t, seed)
+			runRandomFaults(t, seed)
 		})
 	}
 }
 
-func councilPlay(t *testing.T, seed uint64) {
+func runRandomFaults(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x636f756e))
 	voters := 3 + 2*int(seed%2)
-	f := newCouncilFleet(t, voters, voters+2)
-	h := newHistory(f)
+	f := newConsensusFleet(t, voters, voters+2)
+	h := newOperationHistory(f)
 	ctx, stop := context.WithCancel(t.Context())
-	var work sync.WaitGroup
+	var workers sync.WaitGroup
 	for i := range f.nodes {
-		work.Go(func() { f.ask(ctx, i) })
+		workers.Go(func() { f.sendRequests(ctx, i) })
 	}
 	for client := range 2 {
-		own := rand.New(rand.NewPCG(seed, uint64(client)))
-		work.Go(func() { h.operate(ctx, client, own) })
+		clientRNG := rand.New(rand.NewPCG(seed, uint64(client)))
+		workers.Go(func() { h.runOperator(ctx, client, clientRNG) })
 	}
-	f.leader(0, 1, 2, 3, 4)
+	f.waitForLeader(0, 1, 2, 3, 4)
 	for n := range 4 {
-		f.fault(rng, voters, fmt.Sprint(seed, " ", n))
+		f.injectRandomFault(rng, voters, fmt.Sprint(seed, " ", n))
 	}
 	all := make([]int, len(f.nodes))
 	for i := range all {
 		all[i] = i
 		if i < voters {
-			f.voting(i)
+			f.waitForVoter(i)
 		}
 	}
 	stop()
-	work.Wait()
-	last := f.must(0, "back", url.Values{"to": {fmt.Sprint(f.publish(len(all)-1, 1000+int(seed)))}, "kind": {"exclusive"}}, "")
+	workers.Wait()
+	last := f.callUntilOK(0, "back", url.Values{"to": {fmt.Sprint(f.publish(len(all)-1, 1000+int(seed)))}, "kind": {"exclusive"}}, "")
 	h.kinds[last] = "exclusive"
-	f.acting(last, 15*time.Second, all...)
-	s := f.status(f.leader(all...))
+	f.waitForVersion(last, 15*time.Second, all...)
+	s := f.status(f.waitForLeader(all...))
 	require.NotNil(t, s)
 	require.NotNil(t, s.Council)
 	require.Len(t, s.Council.Versions, int(s.Council.Newest))
-	got, end := map[uint64]string{}, map[string]uint64{}
+	digests, numbers := map[uint64]string{}, map[string]uint64{}
 	for _, v := range s.Council.Versions {
-		got[v.Number], end[v.Digest] = v.Digest, v.Number
+		digests[v.Number], numbers[v.Digest] = v.Digest, v.Number
 	}
 	for n, text := range h.texts {
-		assert.Equal(t, rules.DigestOf([]byte(text)).String(), got[n], "version %d, which was agreed", n)
+		assert.Equal(t, rules.DigestOf([]byte(text)).String(), digests[n], "version %d, which was agreed", n)
 	}
-	h.judge(t, end)
-	f.seen.judge(t, h.kinds)
+	h.checkLinearizable(t, numbers)
+	f.requests.checkVersionOrder(t, h.kinds)
 }
 
 // operate publishes, activates and reads, mostly reads, until ctx ends.
-func (h *history) operate(ctx context.Context, client int, rng *rand.Rand) {
+func (h *operationHistory) runOperator(ctx context.Context, client int, rng *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		at := rng.IntN(len(h.f.nodes))
 		text := fmt.Sprintf("# %d %d\n[plans.basic]\nprice = 1.5\n", client, n)
@@ -113,15 +113,15 @@
 
 // fault draws one: of the one that leads half of the time, else of any. All but those that only wait
 // are over before the next, as one disk at a time may lie.
-func (f *councilFleet) fault(rng *rand.Rand, voters int, what string) {
+func (f *consensusFleet) injectRandomFault(rng *rand.Rand, voters int, runName string) {
 	i := rng.IntN(len(f.nodes))
 	if rng.IntN(2) == 0 {
-		i = f.leader(0, 1, 2, 3, 4)
+		i = f.waitForLeader(0, 1, 2, 3, 4)
 	}
 	pause := time.Duration(200+rng.IntN(2500)) * time.Millisecond
 	kind := rng.IntN(8)
-	f.t.Logf("%s: %d at %s for %v", what, kind, f.nodes[i].name, pause)
-	disk := f.nodes[i]
+	f.t.Logf("%s: %d at %s for %v", runName, kind, f.nodes[i].name, pause)
+	node := f.nodes[i]
 	switch kind {
 	case 0:
 		f.kill(i)
@@ -132,31 +132,31 @@
 		time.Sleep(2 * pause)
 		f.signal(i, syscall.SIGCONT)
 	case 2:
-		end := f.cut(i, []faultlink.Trouble{{Drop: true}, {Drop: true, Up: true}, {Reset: true}, {Stall: true}, {Delay: pause / 4}}[rng.IntN(5)])
+		end := f.injectNetworkFault(i, []faultlink.Trouble{{Drop: true}, {Drop: true, Up: true}, {Reset: true}, {Stall: true}, {Delay: pause / 4}}[rng.IntN(5)])
 		time.Sleep(2 * pause)
 		end()
 	case 3: // the folder is gone
 		f.kill(i)
 		time.Sleep(pause)
-		require.NoError(f.t, os.RemoveAll(disk.dir))
+		require.NoError(f.t, os.RemoveAll(node.consensusDir))
 		f.start(i)
 	case 4: // a bit is turned
 		f.kill(i)
-		f.turn(rng, disk.dir)
+		f.flipBit(rng, node.consensusDir)
 		f.start(i)
 	case 5: // syncs say yes and bring nothing, and the power goes
-		require.NoError(f.t, faulty.SetFaults(disk.drive, faulty.Faults{LostFsyncs: true}))
+		require.NoError(f.t, faulty.SetFaults(node.faultDir, faulty.Faults{LostFsyncs: true}))
 		time.Sleep(pause)
 		f.kill(i)
-		_, err := faulty.SimulatePowerLoss(disk.drive, faulty.PowerLoss{})
+		_, err := faulty.SimulatePowerLoss(node.faultDir, faulty.PowerLoss{})
 		require.NoError(f.t, err)
-		require.NoError(f.t, faulty.SetFaults(disk.drive, faulty.Faults{}))
+		require.NoError(f.t, faulty.SetFaults(node.faultDir, faulty.Faults{}))
 		f.start(i)
 	case 6: // the disk fails, or stands still
 		x := []faulty.Faults{{ErrorFraction: 0.5, Seed: rng.Uint64()}, {Stalled: true}, {ReadOnly: true}, {Full: true}}[rng.IntN(4)]
-		require.NoError(f.t, faulty.SetFaults(disk.drive, x))
+		require.NoError(f.t, faulty.SetFaults(node.faultDir, x))
 		time.Sleep(2 * pause)
-		require.NoError(f.t, faulty.SetFaults(disk.drive, faulty.Faults{}))
+		require.NoError(f.t, faulty.SetFaults(node.faultDir, faulty.Faults{}))
 	case 7: // a majority, or all, at once
 		n := voters/2 + 1 + rng.IntN(voters/2+1)
 		for j := range n {
@@ -169,13 +169,13 @@
 	}
 	if i < voters || kind == 7 {
 		for j := range voters {
-			f.voting(j)
+			f.waitForVoter(j)
 		}
 	}
 }
 
 // turn turns a bit of one of a folder's files.
-func (f *councilFleet) turn(rng *rand.Rand, dir string) {
+func (f *consensusFleet) flipBit(rng *rand.Rand, dir string) {
 	var names []string
 	for _, n := range []string{"log", "meta", "snapshot", "acted"} {
 		if s, err := os.Stat(filepath.Join(dir, n)); err == nil && s.Size() > 0 {
@@ -193,18 +193,18 @@
 }
 
 // A node without [council] has nothing of it.
-func TestCouncilOff(t *testing.T) {
-	f := newCouncilFleet(t, 3, 3)
+func TestCouncilDisabled(t *testing.T) {
+	f := newConsensusFleet(t, 3, 3)
 	f.kill(0)
-	file := filepath.Join(filepath.Dir(f.nodes[0].dir), "fleet.toml")
+	file := filepath.Join(filepath.Dir(f.nodes[0].consensusDir), "fleet.toml")
 	raw, err := os.ReadFile(file)
 	require.NoError(t, err)
 	_, peers, _ := strings.Cut(string(raw), "[peers]")
 	require.NoError(t, os.WriteFile(file, []byte("[peers]"+peers), 0o600))
-	require.NoError(t, os.RemoveAll(f.nodes[0].dir))
+	require.NoError(t, os.RemoveAll(f.nodes[0].consensusDir))
 	f.start(0)
 	require.Eventually(t, func() bool {
-		resp, err := councilClient.Get("http://" + f.nodes[0].console + "/metrics")
+		resp, err := consoleClient.Get("http://" + f.nodes[0].consoleAddr + "/metrics")
 		if err == nil {
 			_ = resp.Body.Close()
 		}
@@ -212,5 +212,5 @@
 	}, 5*time.Second, 10*time.Millisecond)
 	status, _ := f.call(0, "publish", nil, "")
 	require.Equal(t, http.StatusNotFound, status)
-	require.NoDirExists(t, f.nodes[0].dir)
+	require.NoDirExists(t, f.nodes[0].consensusDir)
 }
--- a/cmd/edgenode/councilfleet_test.go
+++ b/cmd/edgenode/consensusfleet_test.go
@@ -24,7 +24,7 @@
 )
 
 // councilBin builds the program for the lab, whose disk can fail, once for all tests.
-var councilBin = sync.OnceValues(func() (string, error) {
+var buildLabEdgenode = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "council")
 	if err != nil {
 		return "", err
@@ -37,85 +37,87 @@
 })
 
 // citizen is a node of a council's fleet.
-type citizen struct {
-	name    string
-	bin     string // its program
-	dir     string // of its council's part
-	drive   string // by which its disk is driven
-	env     []string
-	listen  string // where clients come
-	console string
-	log     string
-	cmd     *exec.Cmd
-	done    chan struct{}
+type nodeProcess struct {
+	name         string
+	bin          string // its program
+	consensusDir string // of its council's part
+	faultDir     string // by which its disk is driven
+	env          []string
+	clientAddr   string // where clients come
+	consoleAddr  string
+	logFile      string
+	cmd          *exec.Cmd
+	done         chan struct{}
 }
 
 // councilFleet is nodes as processes, the first of which vote.
-type councilFleet struct {
-	t     *testing.T
-	block string // of addresses
-	nodes []*citizen
-	paths [][]*faultlink.Path // from a node to another
-	seen  *attempts
+type consensusFleet struct {
+	t             *testing.T
+	addressPrefix string // of addresses
+	nodes         []*nodeProcess
+	paths         [][]*faultlink.Path // from a node to another
+	requests      *requestLog
 }
 
 // Ports of a node at its own address, and of the ways from it to others.
 const (
-	atClients = 7000 + iota
-	atConsole
-	atPeers
-	atCouncil
-	toPeers   = 7100
-	toCouncil = 7200
+	clientPort = 7000 + iota
+	consolePort
+	peerPort
+	consensusPort
+	peerProxyPort      = 7100
+	consensusProxyPort = 7200
 )
 
 // block takes addresses of the machine that nobody else uses: 127.N.M.1 and on, by listening at the last.
-func block(t *testing.T) string {
+func reserveAddressPrefix(t *testing.T) string {
 	for {
-		at := fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256))
-		if l, err := net.Listen("tcp", at+"254:7000"); err == nil {
+		prefix := fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256))
+		if l, err := net.Listen("tcp", prefix+"254:7000"); err == nil {
 			t.Cleanup(func() { _ = l.Close() })
-			return at
+			return prefix
 		}
 	}
 }
 
-func (f *councilFleet) address(i, port int) string { return fmt.Sprint(f.block, i+1, ":", port) }
+func (f *consensusFleet) address(i, port int) string {
+	return fmt.Sprint(f.addressPrefix, i+1, ":", port)
+}
 
-func newCouncilFleet(t *testing.T, voters, nodes int, peersKeys ...string) *councilFleet {
-	bin, err := councilBin()
+func newConsensusFleet(t *testing.T, voters, nodes int, peerSettings ...string) *consensusFleet {
+	bin, err := buildLabEdgenode()
 	require.NoError(t, err)
-	f := &councilFleet{t: t, block: block(t)}
+	f := &consensusFleet{t: t, addressPrefix: reserveAddressPrefix(t)}
 	raw, err := os.ReadFile(testConfig)
 	require.NoError(t, err)
-	var votes, seeds []string
+	var voterEntries, seeds []string
 	for i := range nodes {
 		if i < voters {
-			votes = append(votes, fmt.Sprintf("{name = 'n%d', address = %q}", i, f.address(i, atCouncil)))
+			voterEntries = append(voterEntries, fmt.Sprintf("{name = 'n%d', address = %q}", i, f.address(i, consensusPort)))
 		}
-		seeds = append(seeds, fmt.Sprintf("%q", f.address(i, atPeers)))
+		seeds = append(seeds, fmt.Sprintf("%q", f.address(i, peerPort)))
 	}
-	f.seen = newAttempts(t)
+	f.requests = newRequestLog(t)
 	top := t.TempDir()
 	for i := range nodes {
-		n := &citizen{name: fmt.Sprint("n", i), bin: bin, console: f.address(i, atConsole), listen: f.address(i, atClients)}
-		at := filepath.Join(top, n.name)
-		n.dir, n.drive, n.log = filepath.Join(at, "council"), filepath.Join(at, "drive"), filepath.Join(at, "log")
-		require.NoError(t, os.MkdirAll(at, 0o700))
+		n := &nodeProcess{name: fmt.Sprint("n", i), bin: bin, consoleAddr: f.address(i, consolePort), clientAddr: f.address(i, clientPort)}
+		nodeDir := filepath.Join(top, n.name)
+		n.consensusDir, n.faultDir, n.logFile = filepath.Join(nodeDir, "council"), filepath.Join(nodeDir, "drive"), filepath.Join(nodeDir, "log")
+		require.NoError(t, os.MkdirAll(nodeDir, 0o700))
 		var cfg map[string]any
 		require.NoError(t, json.Unmarshal(raw, &cfg))
 		set := cfg["settings"].(map[string]any)
 		cfg["name"], set["self-index"], set["group-size"] = n.name, i, nodes
 		set["zone"] = []string{"z1", "z2", "z3"}[i%3]
 		set["limits"].(map[string]any)["peer-messages"] = true
-		cfg["known"] = map[string]any{"rev": 1, "all": true, "targets": []any{map[string]any{"uid": "s-1", "endpoint": f.seen.address, "az": "z1", "state": "up"}}}
+		cfg["known"] = map[string]any{"rev": 1, "all": true, "targets": []any{map[string]any{"uid": "s-1", "endpoint": f.requests.address, "az": "z1", "state": "up"}}}
 		out, err := json.Marshal(cfg)
 		require.NoError(t, err)
-		config, file := filepath.Join(at, "config.json"), filepath.Join(at, "fleet.toml")
+		config, file := filepath.Join(nodeDir, "config.json"), filepath.Join(nodeDir, "fleet.toml")
 		require.NoError(t, os.WriteFile(config, out, 0o600))
 		require.NoError(t, os.WriteFile(file, fmt.Appendf(nil, "[regions]\nr = ['z1', 'z2', 'z3']\n[council]\ndir = %q\nheader = 'X-Rules'\nvoters = [%s]\n[peers]\nlabel = 'test'\nport = %d\nseeds = [%s]\n%s\n[peers.via]\n%s",
-			n.dir, strings.Join(votes, ", "), atPeers, strings.Join(seeds, ", "), strings.Join(peersKeys, "\n"), f.ways(i, voters, nodes)), 0o600))
-		n.env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_FLEET="+file, "NODE_LISTEN="+n.listen, "NODE_CONSOLE="+n.console, faulty.EnvVariable+"="+n.drive)
+			n.consensusDir, strings.Join(voterEntries, ", "), peerPort, strings.Join(seeds, ", "), strings.Join(peerSettings, "\n"), f.startProxies(i, voters, nodes)), 0o600))
+		n.env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_FLEET="+file, "NODE_LISTEN="+n.clientAddr, "NODE_CONSOLE="+n.consoleAddr, faulty.EnvVariable+"="+n.faultDir)
 		f.nodes = append(f.nodes, n)
 		f.start(i)
 	}
@@ -130,7 +132,7 @@
 		}
 		if t.Failed() {
 			for _, n := range f.nodes {
-				log, _ := os.ReadFile(n.log)
+				log, _ := os.ReadFile(n.logFile)
 				t.Logf("%s:\n%s", n.name, log)
 			}
 		}
@@ -139,31 +141,31 @@
 }
 
 // ways puts forwarders between a node and the others, and gives the lines of its fleet file.
-func (f *councilFleet) ways(i, voters, nodes int) string {
+func (f *consensusFleet) startProxies(i, voters, nodes int) string {
 	var lines strings.Builder
-	row := make([]*faultlink.Path, nodes)
+	paths := make([]*faultlink.Path, nodes)
 	for j := range nodes {
 		if i == j {
 			continue
 		}
-		row[j] = faultlink.NewPath(i, j, 0)
+		paths[j] = faultlink.NewPath(i, j, 0)
 		forward := func(from, to string) {
-			way, err := row[j].Forward(from, to, nil)
+			proxy, err := paths[j].Forward(from, to, nil)
 			require.NoError(f.t, err)
-			f.t.Cleanup(way.Close)
-			fmt.Fprintf(&lines, "%q = %q\n", to, way.Address())
+			f.t.Cleanup(proxy.Close)
+			fmt.Fprintf(&lines, "%q = %q\n", to, proxy.Address())
 		}
-		forward(f.address(i, toPeers+j), f.address(j, atPeers))
+		forward(f.address(i, peerProxyPort+j), f.address(j, peerPort))
 		if j < voters {
-			forward(f.address(i, toCouncil+j), f.address(j, atCouncil))
+			forward(f.address(i, consensusProxyPort+j), f.address(j, consensusPort))
 		}
 	}
-	f.paths = append(f.paths, row)
+	f.paths = append(f.paths, paths)
 	return lines.String()
 }
 
 // cut puts a trouble on all ways between a node and the others, until it is ended.
-func (f *councilFleet) cut(i int, x faultlink.Trouble) (end func()) {
+func (f *consensusFleet) injectNetworkFault(i int, x faultlink.Trouble) (end func()) {
 	var ends []func()
 	for j := range f.nodes {
 		if i != j {
@@ -177,9 +179,9 @@
 	}
 }
 
-func (f *councilFleet) start(i int) {
+func (f *consensusFleet) start(i int) {
 	n := f.nodes[i]
-	log, err := os.OpenFile(n.log, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	log, err := os.OpenFile(n.logFile, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
 	require.NoError(f.t, err)
 	defer func() { _ = log.Close() }()
 	n.cmd = exec.Command(n.bin)
@@ -189,18 +191,18 @@
 	go func() { _ = n.cmd.Wait(); close(n.done) }()
 }
 
-func (f *councilFleet) signal(i int, s syscall.Signal) {
+func (f *consensusFleet) signal(i int, s syscall.Signal) {
 	require.NoError(f.t, f.nodes[i].cmd.Process.Signal(s))
 }
 
 // kill ends a node at once.
-func (f *councilFleet) kill(i int) {
+func (f *consensusFleet) kill(i int) {
 	_ = f.nodes[i].cmd.Process.Kill()
 	<-f.nodes[i].done
 }
 
 // councilStatus is what a node says.
-type councilStatus struct {
+type consensusStatus struct {
 	Version, Known uint64
 	Why, Refusal   string
 	Voter          *struct {
@@ -222,16 +224,16 @@
 	}
 }
 
-var councilClient = http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var consoleClient = http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // status asks a node; nil is no answer.
-func (f *councilFleet) status(i int) *councilStatus {
-	resp, err := councilClient.Get("http://" + f.nodes[i].console + "/council/status")
+func (f *consensusFleet) status(i int) *consensusStatus {
+	resp, err := consoleClient.Get("http://" + f.nodes[i].consoleAddr + "/council/status")
 	if err != nil {
 		return nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	s := &councilStatus{}
+	s := &consensusStatus{}
 	if json.NewDecoder(resp.Body).Decode(s) != nil {
 		return nil
 	}
@@ -239,8 +241,8 @@
 }
 
 // call has a node do an operators' call.
-func (f *councilFleet) call(i int, path string, q url.Values, body string) (status int, text string) {
-	resp, err := councilClient.Post("http://"+f.nodes[i].console+"/council/"+path+"?"+q.Encode(), "text/plain", strings.NewReader(body))
+func (f *consensusFleet) call(i int, path string, q url.Values, body string) (status int, text string) {
+	resp, err := consoleClient.Post("http://"+f.nodes[i].consoleAddr+"/council/"+path+"?"+q.Encode(), "text/plain", strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -250,10 +252,10 @@
 }
 
 // must does a call until it is answered with yes, and gives the version's number.
-func (f *councilFleet) must(i int, path string, q url.Values, body string) (number uint64) {
+func (f *consensusFleet) callUntilOK(i int, path string, q url.Values, body string) (number uint64) {
 	f.t.Helper()
 	last := ""
-	for late := time.Now().Add(15 * time.Second); time.Now().Before(late); time.Sleep(50 * time.Millisecond) {
+	for deadline := time.Now().Add(15 * time.Second); time.Now().Before(deadline); time.Sleep(50 * time.Millisecond) {
 		status, text := f.call(i, path, q, body)
 		if last = fmt.Sprint(status, " ", text); status == http.StatusOK {
 			var out struct{ Number uint64 }
@@ -269,16 +271,16 @@
 }
 
 // publish publishes a text that no other call does.
-func (f *councilFleet) publish(i, salt int) uint64 {
-	return f.must(i, "publish", nil, fmt.Sprintf("# %d\n[plans.basic]\nprice = %d.5\n", salt, salt%100))
+func (f *consensusFleet) publish(i, salt int) uint64 {
+	return f.callUntilOK(i, "publish", nil, fmt.Sprintf("# %d\n[plans.basic]\nprice = %d.5\n", salt, salt%100))
 }
 
-func (f *councilFleet) activate(i int, number uint64, kind string) {
-	f.must(i, "activate", url.Values{"number": {fmt.Sprint(number)}, "kind": {kind}}, "")
+func (f *consensusFleet) activate(i int, number uint64, kind string) {
+	f.callUntilOK(i, "activate", url.Values{"number": {fmt.Sprint(number)}, "kind": {kind}}, "")
 }
 
 // acting waits until nodes go by a version.
-func (f *councilFleet) acting(number uint64, within time.Duration, nodes ...int) (took time.Duration) {
+func (f *consensusFleet) waitForVersion(number uint64, timeout time.Duration, nodes ...int) (took time.Duration) {
 	f.t.Helper()
 	begun := time.Now()
 	for _, i := range nodes {
@@ -287,7 +289,7 @@
 			if s != nil && s.Version == number {
 				break
 			}
-			if time.Since(begun) > within {
+			if time.Since(begun) > timeout {
 				require.Fail(f.t, "not in force", "version %d at %s: %+v", number, f.nodes[i].name, s)
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -297,9 +299,9 @@
 }
 
 // leader waits until one of some nodes says who leads, and gives the voter's index.
-func (f *councilFleet) leader(nodes ...int) int {
+func (f *consensusFleet) waitForLeader(nodes ...int) int {
 	f.t.Helper()
-	for late := time.Now().Add(15 * time.Second); time.Now().Before(late); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(15 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		for _, i := range nodes {
 			if s := f.status(i); s != nil && s.Council != nil {
 				var n int
@@ -314,9 +316,9 @@
 }
 
 // voting waits until a voter votes.
-func (f *councilFleet) voting(i int) *councilStatus {
+func (f *consensusFleet) waitForVoter(i int) *consensusStatus {
 	f.t.Helper()
-	var s *councilStatus
+	var s *consensusStatus
 	require.Eventually(f.t, func() bool { s = f.status(i); return s != nil && s.Voter != nil && s.Voter.Phase == "votes" },
 		20*time.Second, 50*time.Millisecond, "%s", f.nodes[i].name)
 	return s
--- a/cmd/edgenode/disk.go
+++ b/cmd/edgenode/disk.go
@@ -4,5 +4,5 @@
 
 import "sloestile/internal/store/disk"
 
-// machineDisk is the file system under what the node keeps.
-func machineDisk() (disk.FS, error) { return disk.Local{}, nil }
+// openDisk is the file system under what the node keeps.
+func openDisk() (disk.FS, error) { return disk.Local{}, nil }
--- a/cmd/edgenode/disk_lab.go
+++ b/cmd/edgenode/disk_lab.go
@@ -9,9 +9,9 @@
 	"sloestile/internal/store/disk/faulty"
 )
 
-// machineDisk is the file system under what the node keeps; where the stand-in platform names a
+// openDisk is the file system under what the node keeps; where the stand-in platform names a
 // folder, one that fails as the platform says there.
-func machineDisk() (disk.FS, error) {
+func openDisk() (disk.FS, error) {
 	if dir := os.Getenv(faulty.EnvVariable); dir != "" {
 		return faulty.New(disk.Local{}, dir)
 	}
--- a/cmd/edgenode/disk_test.go
+++ b/cmd/edgenode/disk_test.go
@@ -14,7 +14,7 @@
 
 // The deployed program has nothing of the disk that fails: not its code, not its variable, and it
 // does nothing where that is set. The program built for the lab has it.
-func TestDeployedDiskIsTheMachines(t *testing.T) {
+func TestFaultyDiskIsOnlyInLabBuild(t *testing.T) {
 	for _, tags := range []string{"", "lab"} {
 		bin := filepath.Join(t.TempDir(), "edgenode")
 		out, err := exec.Command("go", "build", "-tags", tags, "-o", bin, ".").CombinedOutput()
--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	collectAt  = 400 // per cent by which the heap may grow: memory is there, CPU is scarce
-	memoryPart = 0.6 // of the memory limit that the heap may come to
+	gcPercent          = 400 // per cent by which the heap may grow: memory is there, CPU is scarce
+	heapMemoryFraction = 0.6 // of the memory limit that the heap may come to
 )
 
 func main() {
@@ -38,7 +38,7 @@
 	flag.Parse()
 	switch args := flag.Args(); {
 	case len(args) == 2 && args[0] == "check":
-		os.Exit(check(args[1]))
+		os.Exit(checkFleetFile(args[1]))
 	case len(args) > 0:
 		flag.Usage()
 		os.Exit(2)
@@ -50,7 +50,7 @@
 }
 
 // check tells whether a fleet file can be used, without starting.
-func check(path string) int {
+func checkFleetFile(path string) int {
 	if _, err := config.LoadFleet(path); err != nil {
 		fmt.Fprintln(os.Stderr, "edgenode:", err)
 		return 1
@@ -80,17 +80,17 @@
 	if err := cfg.FromEnvironment(os.Getenv); err != nil {
 		return err
 	}
-	if cfg.Disk, err = machineDisk(); err != nil {
+	if cfg.Disk, err = openDisk(); err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(int(math.Max(1, math.Ceil(cfg.Cores))))
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if cfg.MemoryMB > 0 {
-		part := memoryPart
+		fraction := heapMemoryFraction
 		if cfg.SocketFD > 0 { // a second process may run beside this one
-			part /= 2
+			fraction /= 2
 		}
-		debug.SetMemoryLimit(int64(part * float64(cfg.MemoryMB<<20)))
+		debug.SetMemoryLimit(int64(fraction * float64(cfg.MemoryMB<<20)))
 	}
 	n, err := node.New(cfg)
 	if err != nil {
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -18,8 +18,8 @@
 )
 
 // A start that can't be made is one clear line and exit code 1.
-func TestBadStart(t *testing.T) {
-	bin := build(t)
+func TestFailedStartExitsWithOneLine(t *testing.T) {
+	bin := edgenodeBinary(t)
 	broken := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(broken, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 }
 
 // A word that is no command is not taken for none: the node does not start.
-func TestBadArguments(t *testing.T) {
-	bin := build(t)
+func TestInvalidArgumentsExitWithUsage(t *testing.T) {
+	bin := edgenodeBinary(t)
 	for _, args := range [][]string{{"chekc", "x"}, {"check"}, {"check", "x", "y"}, {"-flet", "x"}} {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second) // of one that serves all the same
 		cmd := exec.CommandContext(ctx, bin, args...)
@@ -56,41 +56,41 @@
 
 // SIGTERM with work held: the client gets its answer on a connection that it may use for as long
 // as the node serves on, then the program ends well. A SIGHUP meanwhile is harmless.
-func TestTermWithWorkHeld(t *testing.T) {
-	app, held, finish := holding(t)
-	p := start(t, testConfig, discovery(t, "s-1", app).Listener.Addr().String())
-	answer := p.ask("id-1")
+func TestSIGTERMAnswersRequestsInFlight(t *testing.T) {
+	app, held, finish := blockingServer(t)
+	p := startProgram(t, testConfig, startDiscovery(t, "s-1", app).Listener.Addr().String())
+	answer := p.get("id-1")
 	<-held
 	p.signal(syscall.SIGTERM)
-	p.until("draining")
+	p.waitForLog("draining")
 	p.signal(syscall.SIGHUP)
-	p.until("reloading")
+	p.waitForLog("reloading")
 	finish()
 	if a := <-answer; !strings.HasPrefix(a, "200 done") {
 		t.Error(a)
 	}
-	p.until("drained")
+	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
 // A second SIGTERM changes nothing: what is held is answered, and the program ends well.
-func TestTermTwice(t *testing.T) {
-	app, held, finish := holding(t)
-	p := start(t, testConfig, discovery(t, "s-1", app).Listener.Addr().String())
-	answer := p.ask("id-1")
+func TestSecondSIGTERMChangesNothing(t *testing.T) {
+	app, held, finish := blockingServer(t)
+	p := startProgram(t, testConfig, startDiscovery(t, "s-1", app).Listener.Addr().String())
+	answer := p.get("id-1")
 	<-held
 	p.signal(syscall.SIGTERM)
-	p.until("draining")
+	p.waitForLog("draining")
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
-	p.until("reloading")
+	p.waitForLog("reloading")
 	finish()
 	if a := <-answer; !strings.HasPrefix(a, "200 done") {
 		t.Error(a)
 	}
-	p.until("drained")
+	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -98,13 +98,13 @@
 
 // SIGHUP has the program follow the discovery that the file now names, whatever the
 // environment said, and keep what it holds. A file that can't be used changes nothing.
-func TestHup(t *testing.T) {
-	app, held, finish := holding(t)
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
+	app, held, finish := blockingServer(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "other")
 	}))
 	t.Cleanup(other.Close)
-	first, second := discovery(t, "s-1", app), discovery(t, "s-2", other)
+	first, second := startDiscovery(t, "s-1", app), startDiscovery(t, "s-2", other)
 	raw, err := os.ReadFile(testConfig)
 	if err != nil {
 		t.Fatal(err)
@@ -116,23 +116,23 @@
 		}
 	}
 	write(string(raw))
-	p := start(t, config, first.Listener.Addr().String())
-	answer := p.ask("id-1")
+	p := startProgram(t, config, first.Listener.Addr().String())
+	answer := p.get("id-1")
 	<-held
 
 	write("{")
 	p.signal(syscall.SIGHUP)
-	p.until("the old configuration stays")
+	p.waitForLog("the old configuration stays")
 
 	write(strings.Replace(string(raw), "127.0.0.1:1\"", second.Listener.Addr().String()+"\"", 1))
 	p.signal(syscall.SIGHUP)
-	p.until("reloading")
+	p.waitForLog("reloading")
 	finish()
 	if a := <-answer; !strings.HasPrefix(a, "200 done") {
 		t.Errorf("what was held over the reload: %s", a)
 	}
 	for id := 2; ; id++ {
-		if a := <-p.ask(fmt.Sprint("id-", id)); a == "200 other close=false" {
+		if a := <-p.get(fmt.Sprint("id-", id)); a == "200 other close=false" {
 			break
 		} else if p.ProcessState != nil {
 			t.Fatal("the program has ended")
@@ -140,7 +140,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	p.signal(syscall.SIGTERM)
-	p.until("drained")
+	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
--- a/cmd/edgenode/otherversion_test.go
+++ b/cmd/edgenode/otherversion_test.go
@@ -22,16 +22,16 @@
 
 // other is the program of another version, built with the tag lab. Without it the tests of this file run two processes of
 // this version.
-var other = flag.String("other", "", "program of another version to run beside this one, built with -tags lab")
+var otherBinary = flag.String("other", "", "program of another version to run beside this one, built with -tags lab")
 
 // versions are this program and the other one in both orders.
-func versions(t *testing.T) map[string][2]string {
+func binaryPairs(t *testing.T) map[string][2]string {
 	t.Helper()
-	own := build(t)
-	if *other == "" {
+	own := edgenodeBinary(t)
+	if *otherBinary == "" {
 		return map[string][2]string{"one version": {own, own}}
 	}
-	return map[string][2]string{"from the other": {*other, own}, "to the other": {own, *other}}
+	return map[string][2]string{"from the other": {*otherBinary, own}, "to the other": {own, *otherBinary}}
 }
 
 // Nodes of two versions share limits and outlier reports, agree on rule versions and go by them. They have a discovery:
@@ -39,26 +39,26 @@
 func TestFleetOfTwoVersions(t *testing.T) {
 	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 	t.Cleanup(app.Close)
-	t.Setenv("NODE_DISCOVERY", discovery(t, "s-1", app).Listener.Addr().String())
-	f := newCouncilFleet(t, 3, 5, "limits = true", "verdicts = true")
-	if *other != "" {
+	t.Setenv("NODE_DISCOVERY", startDiscovery(t, "s-1", app).Listener.Addr().String())
+	f := newConsensusFleet(t, 3, 5, "limits = true", "verdicts = true")
+	if *otherBinary != "" {
 		for _, i := range []int{1, 3} {
 			f.kill(i)
-			f.nodes[i].bin = *other
+			f.nodes[i].bin = *otherBinary
 			f.start(i)
 		}
 	}
 	all := []int{0, 1, 2, 3, 4}
 	one := f.publish(4, 1)
 	f.activate(3, one, "overlap")
-	f.acting(one, 10*time.Second, all...)
+	f.waitForVersion(one, 10*time.Second, all...)
 	two := f.publish(1, 2)
 	f.activate(2, two, "exclusive")
-	f.acting(two, 10*time.Second, all...)
+	f.waitForVersion(two, 10*time.Second, all...)
 	ctx, stop := context.WithCancel(t.Context())
 	var work sync.WaitGroup
 	for i := range f.nodes {
-		work.Go(func() { f.askShared(ctx, i) })
+		work.Go(func() { f.sendSharedTenantRequests(ctx, i) })
 	}
 	time.Sleep(4 * time.Second)
 	assert.Eventually(t, func() bool {
@@ -85,9 +85,9 @@
 }
 
 // askShared sends requests of one tenant, which all nodes share, to a node until ctx ends.
-func (f *councilFleet) askShared(ctx context.Context, i int) {
+func (f *consensusFleet) sendSharedTenantRequests(ctx context.Context, i int) {
 	for n := 0; ctx.Err() == nil; n++ {
-		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.nodes[i].listen+"/roster-read?account=00000000b4d65521", nil)
+		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.nodes[i].clientAddr+"/roster-read?account=00000000b4d65521", nil)
 		if err != nil {
 			return
 		}
@@ -95,7 +95,7 @@
 			"X-Time-Left": "900m", "X-Weight": "units=1,spread=5,first=0"} {
 			req.Header.Set(k, v)
 		}
-		if resp, err := councilClient.Do(req); err == nil {
+		if resp, err := consoleClient.Do(req); err == nil {
 			_ = resp.Body.Close()
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -103,9 +103,9 @@
 }
 
 // metrics reads the metrics of a node that have no labels.
-func (f *councilFleet) metrics(i int) map[string]float64 {
+func (f *consensusFleet) metrics(i int) map[string]float64 {
 	f.t.Helper()
-	resp, err := councilClient.Get("http://" + f.nodes[i].console + "/metrics")
+	resp, err := consoleClient.Get("http://" + f.nodes[i].consoleAddr + "/metrics")
 	require.NoError(f.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(resp.Body)
@@ -123,26 +123,26 @@
 
 // A process takes over socket and state of one of another version, and both keep the quota together.
 func TestTakeoverFromAnotherVersion(t *testing.T) {
-	for name, bin := range versions(t) {
+	for name, bin := range binaryPairs(t) {
 		t.Run(name, func(t *testing.T) {
 			app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 			t.Cleanup(app.Close)
 			socket, dir := clientSocket(t), "TMPDIR="+t.TempDir()
-			list := discovery(t, "s-1", app).Listener.Addr().String()
+			list := startDiscovery(t, "s-1", app).Listener.Addr().String()
 			begun := time.Now()
-			before := startWith(t, bin[0], testConfig, list, socket, dir)
-			granted := before.granted("before-", 20)
-			after := startWith(t, bin[1], testConfig, list, socket, dir)
-			require.Contains(t, strings.Join(after.seen, "\n"), "taken over")
+			before := startBinary(t, bin[0], testConfig, list, socket, dir)
+			granted := before.countServed("before-", 20)
+			after := startBinary(t, bin[1], testConfig, list, socket, dir)
+			require.Contains(t, strings.Join(after.logged, "\n"), "taken over")
 			before.signal(syscall.SIGTERM)
-			before.until("drained")
+			before.waitForLog("drained")
 			require.NoError(t, before.Wait())
-			granted += after.granted("after-", 30)
+			granted += after.countServed("after-", 30)
 			most := 8 + int(time.Since(begun).Seconds()/2) + 1
 			require.Positive(t, granted)
 			require.LessOrEqual(t, granted, most, "a burst of 8 and half a token a second over both processes")
 			after.signal(syscall.SIGTERM)
-			after.until("drained")
+			after.waitForLog("drained")
 			require.NoError(t, after.Wait())
 		})
 	}
@@ -150,17 +150,17 @@
 
 // A process restores the state folder of one of another version that was killed.
 func TestStateFolderOfAnotherVersion(t *testing.T) {
-	for name, bin := range versions(t) {
+	for name, bin := range binaryPairs(t) {
 		t.Run(name, func(t *testing.T) {
 			app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 			t.Cleanup(app.Close)
-			list := discovery(t, "s-1", app).Listener.Addr().String()
+			list := startDiscovery(t, "s-1", app).Listener.Addr().String()
 			dir := t.TempDir()
 			fleet := filepath.Join(dir, "fleet.toml")
 			require.NoError(t, os.WriteFile(fleet, fmt.Appendf(nil, "[state]\ndir = %q\n", filepath.Join(dir, "state")), 0o600))
 			begun := time.Now()
-			before := startWith(t, bin[0], testConfig, list, nil, "NODE_FLEET="+fleet)
-			granted := before.granted("before-", 20)
+			before := startBinary(t, bin[0], testConfig, list, nil, "NODE_FLEET="+fleet)
+			granted := before.countServed("before-", 20)
 			require.Eventually(t, func() bool {
 				info, err := os.Stat(filepath.Join(dir, "state", "state"))
 				return err == nil && info.Size() > 0
@@ -168,13 +168,13 @@
 			time.Sleep(time.Second) // two of its writes
 			require.NoError(t, before.Process.Kill())
 			_ = before.Wait()
-			after := startWith(t, bin[1], testConfig, list, nil, "NODE_FLEET="+fleet)
-			log := strings.Join(after.seen, "\n")
+			after := startBinary(t, bin[1], testConfig, list, nil, "NODE_FLEET="+fleet)
+			log := strings.Join(after.logged, "\n")
 			require.True(t, strings.Contains(log, "state: restored") || strings.Contains(log, "state: taken"), log)
-			granted += after.granted("after-", 20)
+			granted += after.countServed("after-", 20)
 			require.LessOrEqual(t, granted, 8+int(time.Since(begun).Seconds()/2)+1, "a burst of 8 and half a token a second over both processes")
 			after.signal(syscall.SIGTERM)
-			after.until("drained")
+			after.waitForLog("drained")
 			require.NoError(t, after.Wait())
 		})
 	}
--- a/cmd/edgenode/program_test.go
+++ b/cmd/edgenode/program_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-func build(t *testing.T) string {
+func edgenodeBinary(t *testing.T) string {
 	t.Helper()
-	bin, err := built()
+	bin, err := buildEdgenode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,8 +26,8 @@
 }
 
 // built builds the program once, in a folder that TestMain removes.
-var built = sync.OnceValues(func() (string, error) {
-	bin := filepath.Join(folder, "edgenode")
+var buildEdgenode = sync.OnceValues(func() (string, error) {
+	bin := filepath.Join(buildDir, "edgenode")
 	out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
@@ -35,36 +35,36 @@
 	return bin, err
 })
 
-var folder string
+var buildDir string
 
 func TestMain(m *testing.M) {
 	var err error
-	if folder, err = os.MkdirTemp("", "edgenode"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "edgenode"); err != nil {
 		panic(err)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(folder)
+	_ = os.RemoveAll(buildDir)
 	os.Exit(code)
 }
 
 // program is a running edgenode.
 type program struct {
 	*exec.Cmd
-	t     *testing.T
-	lines *bufio.Scanner // its log
-	addr  string         // where it takes clients
-	seen  []string       // of the log
+	t        *testing.T
+	logLines *bufio.Scanner // its log
+	addr     string         // where it takes clients
+	logged   []string       // of the log
 }
 
 // start starts the program and waits until it is ready. Without a discovery in the
 // environment that of the file counts.
-func start(t *testing.T, config, discovery string) *program {
+func startProgram(t *testing.T, config, discovery string) *program {
 	t.Helper()
-	return startWith(t, build(t), config, discovery, nil)
+	return startBinary(t, edgenodeBinary(t), config, discovery, nil)
 }
 
 // startWith starts a built program, with the clients' socket if there is one.
-func startWith(t *testing.T, bin, config, discovery string, socket *os.File, env ...string) *program {
+func startBinary(t *testing.T, bin, config, discovery string, socket *os.File, env ...string) *program {
 	t.Helper()
 	p := &program{Cmd: exec.Command(bin), t: t}
 	p.Env = append(os.Environ(), "NODE_CONFIG="+config, "NODE_LISTEN=127.0.0.1:0", "NODE_DISCOVERY="+discovery)
@@ -81,10 +81,10 @@
 		t.Fatal(err)
 	}
 	// Ends the program where it hangs, and with it all waiting for it.
-	late := time.AfterFunc(time.Minute, func() { _ = p.Process.Kill() })
-	t.Cleanup(func() { late.Stop(); _ = p.Process.Kill() })
-	p.lines = bufio.NewScanner(log)
-	_, p.addr, _ = strings.Cut(p.until("listen="), "listen=")
+	killTimer := time.AfterFunc(time.Minute, func() { _ = p.Process.Kill() })
+	t.Cleanup(func() { killTimer.Stop(); _ = p.Process.Kill() })
+	p.logLines = bufio.NewScanner(log)
+	_, p.addr, _ = strings.Cut(p.waitForLog("listen="), "listen=")
 	for {
 		resp, err := http.Get("http://" + p.addr + "/healthz")
 		if err != nil {
@@ -99,15 +99,15 @@
 }
 
 // until reads the log up to a line with a word in it.
-func (p *program) until(word string) string {
+func (p *program) waitForLog(text string) string {
 	p.t.Helper()
-	for p.lines.Scan() {
-		p.seen = append(p.seen, p.lines.Text())
-		if strings.Contains(p.lines.Text(), word) {
-			return p.lines.Text()
+	for p.logLines.Scan() {
+		p.logged = append(p.logged, p.logLines.Text())
+		if strings.Contains(p.logLines.Text(), text) {
+			return p.logLines.Text()
 		}
 	}
-	p.t.Fatalf("the program ended before it logged %q", word)
+	p.t.Fatalf("the program ended before it logged %q", text)
 	return ""
 }
 
@@ -119,23 +119,23 @@
 }
 
 // ask sends a request and gives what came of it.
-func (p *program) ask(id string) <-chan string {
+func (p *program) get(id string) <-chan string {
 	p.t.Helper()
-	return p.askOf("enterprise", id)
+	return p.getWithPlan("enterprise", id)
 }
 
 // granted tells how many of n requests of a plan with little quota are served.
-func (p *program) granted(prefix string, n int) (granted int) {
+func (p *program) countServed(prefix string, n int) (granted int) {
 	p.t.Helper()
 	for i := range n {
-		if strings.HasPrefix(<-p.askOf("basic", fmt.Sprint(prefix, i)), "200 ") {
+		if strings.HasPrefix(<-p.getWithPlan("basic", fmt.Sprint(prefix, i)), "200 ") {
 			granted++
 		}
 	}
 	return granted
 }
 
-func (p *program) askOf(plan, id string) <-chan string {
+func (p *program) getWithPlan(plan, id string) <-chan string {
 	p.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.addr+"/roster-read?account=00000000b4d65521", nil)
 	if err != nil {
@@ -159,32 +159,32 @@
 }
 
 // discovery lists one app server and keeps its watches open.
-func discovery(t *testing.T, uid string, app *httptest.Server) *httptest.Server {
-	over := make(chan struct{})
+func startDiscovery(t *testing.T, uid string, server *httptest.Server) *httptest.Server {
+	stopped := make(chan struct{})
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"rev":9,"all":true,"targets":[{"uid":%q,"endpoint":%q,"az":"z1","state":"up"}]}`+"\n",
-			uid, app.Listener.Addr())
+			uid, server.Listener.Addr())
 		w.(http.Flusher).Flush()
 		select {
 		case <-r.Context().Done():
-		case <-over:
+		case <-stopped:
 		}
 	}))
-	t.Cleanup(func() { close(over); d.Close() })
+	t.Cleanup(func() { close(stopped); d.Close() })
 	return d
 }
 
 // holding is an app server that answers when it is let.
-func holding(t *testing.T) (app *httptest.Server, held chan struct{}, finish func()) {
-	held, let := make(chan struct{}), make(chan struct{})
-	finish = sync.OnceFunc(func() { close(let) })
-	app = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		close(held)
-		<-let
+func blockingServer(t *testing.T) (server *httptest.Server, received chan struct{}, release func()) {
+	received, released := make(chan struct{}), make(chan struct{})
+	release = sync.OnceFunc(func() { close(released) })
+	server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		close(received)
+		<-released
 		_, _ = io.WriteString(w, "done")
 	}))
-	t.Cleanup(func() { finish(); app.Close() })
-	return app, held, finish
+	t.Cleanup(func() { release(); server.Close() })
+	return server, received, release
 }
 
 const testConfig = "../../internal/node/testdata/config.json"
--- a/cmd/edgenode/subsetfleet_test.go
+++ b/cmd/edgenode/subsetservers_test.go
@@ -19,26 +19,26 @@
 
 // listSource is a discovery that counts versions: a call without a version has the whole list, one with a
 // version the changes since; then the watch has each change as it is made.
-type listSource struct {
+type discoveryServer struct {
 	*httptest.Server
-	mu      sync.Mutex
-	targets []listwatch.Target
-	changes []listwatch.Update // since firstRev
-	changed chan struct{}      // closed at the next change
-	queries []string           // of all calls
-	drained map[string]time.Time
-	over    chan struct{}
+	mu           sync.Mutex
+	targets      []listwatch.Target
+	changes      []listwatch.Update // since firstRev
+	changed      chan struct{}      // closed at the next change
+	requestURIs  []string           // of all calls
+	drainedSince map[string]time.Time
+	stopped      chan struct{}
 }
 
-func newListSource(t *testing.T, targets []listwatch.Target) *listSource {
-	s := &listSource{targets: targets, changed: make(chan struct{}), drained: map[string]time.Time{}, over: make(chan struct{})}
+func newDiscoveryServer(t *testing.T, targets []listwatch.Target) *discoveryServer {
+	s := &discoveryServer{targets: targets, changed: make(chan struct{}), drainedSince: map[string]time.Time{}, stopped: make(chan struct{})}
 	s.Server = httptest.NewServer(http.HandlerFunc(s.watch))
-	t.Cleanup(func() { close(s.over); s.Close() })
+	t.Cleanup(func() { close(s.stopped); s.Close() })
 	return s
 }
 
 // set changes the states of servers, as one new version.
-func (s *listSource) set(state string, uids ...string) {
+func (s *discoveryServer) setState(state string, uids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	u := listwatch.Update{Rev: firstRev + 1 + int64(len(s.changes))}
@@ -47,9 +47,9 @@
 			if s.targets[i].UID == uid {
 				s.targets[i].State = state
 				u.Targets = append(u.Targets, s.targets[i])
-				delete(s.drained, uid)
+				delete(s.drainedSince, uid)
 				if state != "up" {
-					s.drained[uid] = time.Now()
+					s.drainedSince[uid] = time.Now()
 				}
 			}
 		}
@@ -60,21 +60,21 @@
 }
 
 // drainedAt gives when a server was last told to drain or removed; false is that it is up.
-func (s *listSource) drainedAt(uid string) (time.Time, bool) {
+func (s *discoveryServer) drainedAt(uid string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	at, ok := s.drained[uid]
+	at, ok := s.drainedSince[uid]
 	return at, ok
 }
 
-func (s *listSource) calls() []string {
+func (s *discoveryServer) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.queries...)
+	return append([]string(nil), s.requestURIs...)
 }
 
 // list gives the entries of the list as it is.
-func (s *listSource) list() (all []listwatch.Target) {
+func (s *discoveryServer) list() (all []listwatch.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.targets {
@@ -85,24 +85,24 @@
 	return all
 }
 
-func (s *listSource) watch(w http.ResponseWriter, r *http.Request) {
+func (s *discoveryServer) watch(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	s.queries = append(s.queries, r.URL.RequestURI())
+	s.requestURIs = append(s.requestURIs, r.URL.RequestURI())
 	rev := firstRev + int64(len(s.changes))
 	s.mu.Unlock()
 	if from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64); err == nil && from >= firstRev && from <= rev {
 		rev = from
 	} else {
-		send(w, listwatch.Update{Rev: rev, All: true, Targets: s.list()})
+		writeUpdate(w, listwatch.Update{Rev: rev, All: true, Targets: s.list()})
 	}
 	heartbeat := time.NewTicker(time.Second)
 	defer heartbeat.Stop()
 	for {
 		s.mu.Lock()
-		news, changed := s.changes[rev-firstRev:], s.changed
+		updates, changed := s.changes[rev-firstRev:], s.changed
 		s.mu.Unlock()
-		for _, u := range news {
-			send(w, u)
+		for _, u := range updates {
+			writeUpdate(w, u)
 			rev = u.Rev
 		}
 		select {
@@ -112,13 +112,13 @@
 			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
-		case <-s.over:
+		case <-s.stopped:
 			return
 		}
 	}
 }
 
-func send(w http.ResponseWriter, u listwatch.Update) {
+func writeUpdate(w http.ResponseWriter, u listwatch.Update) {
 	raw, err := json.Marshal(u)
 	if err != nil {
 		panic(err)
@@ -128,21 +128,21 @@
 }
 
 // serverFleet is rating servers that record what they get.
-type serverFleet struct {
-	mu  sync.Mutex
-	got map[string][]time.Time // by server
-	ran map[string]int         // by request
+type ratingServers struct {
+	mu            sync.Mutex
+	receivedAt    map[string][]time.Time // by server
+	requestCounts map[string]int         // by request
 }
 
-func newServerFleet(t *testing.T, n int) (*serverFleet, []listwatch.Target) {
-	f := &serverFleet{got: map[string][]time.Time{}, ran: map[string]int{}}
+func newRatingServers(t *testing.T, n int) (*ratingServers, []listwatch.Target) {
+	f := &ratingServers{receivedAt: map[string][]time.Time{}, requestCounts: map[string]int{}}
 	var targets []listwatch.Target
 	for i := range n {
 		uid := fmt.Sprintf("s-%02d", i)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			f.mu.Lock()
-			f.got[uid] = append(f.got[uid], time.Now())
-			f.ran[r.Header.Get("X-Correlation-Id")]++
+			f.receivedAt[uid] = append(f.receivedAt[uid], time.Now())
+			f.requestCounts[r.Header.Get("X-Correlation-Id")]++
 			f.mu.Unlock()
 			_, _ = io.WriteString(w, "done")
 		}))
@@ -154,11 +154,11 @@
 }
 
 // since gives the servers that got something after a time, and when the last came to each.
-func (f *serverFleet) since(at time.Time) map[string]time.Time {
+func (f *ratingServers) lastReceivedSince(at time.Time) map[string]time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	last := map[string]time.Time{}
-	for uid, got := range f.got {
+	for uid, got := range f.receivedAt {
 		if x := got[len(got)-1]; x.After(at) {
 			last[uid] = x
 		}
--- a/cmd/edgenode/replaced_test.go
+++ b/cmd/edgenode/takeover_test.go
@@ -34,13 +34,13 @@
 
 // Two processes share the clients' socket: at SIGTERM the old one answers what it took, lets its
 // kept connections go on an answer and leaves early; the socket stays good for the other.
-func TestReplaced(t *testing.T) {
+func TestProcessTakesOverClientSocket(t *testing.T) {
 	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 	t.Cleanup(app.Close)
 	socket := clientSocket(t)
-	bin, list, dir := build(t), discovery(t, "s-1", app).Listener.Addr().String(), "TMPDIR="+t.TempDir()
-	old := startWith(t, bin, testConfig, list, socket, dir)
-	c, err := net.Dial("tcp", old.addr)
+	bin, list, dir := edgenodeBinary(t), startDiscovery(t, "s-1", app).Listener.Addr().String(), "TMPDIR="+t.TempDir()
+	previous := startBinary(t, bin, testConfig, list, socket, dir)
+	c, err := net.Dial("tcp", previous.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,68 +62,68 @@
 		t.Fatalf("%s, closes %v", resp.Status, resp.Close)
 	}
 	started := time.Now()
-	granted := old.granted("before-", 20)
-	fresh := startWith(t, bin, testConfig, list, socket, dir)
-	if !slices.ContainsFunc(fresh.seen, func(l string) bool { return strings.Contains(l, "taken over") }) {
-		t.Errorf("nothing was taken over: %q", fresh.seen)
+	granted := previous.countServed("before-", 20)
+	successor := startBinary(t, bin, testConfig, list, socket, dir)
+	if !slices.ContainsFunc(successor.logged, func(l string) bool { return strings.Contains(l, "taken over") }) {
+		t.Errorf("nothing was taken over: %q", successor.logged)
 	}
 	begun := time.Now()
-	old.signal(syscall.SIGTERM)
-	old.until("draining")
+	previous.signal(syscall.SIGTERM)
+	previous.waitForLog("draining")
 	if resp := ask("id-2"); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%s, closes %v", resp.Status, resp.Close)
 	}
-	old.until("drained")
+	previous.waitForLog("drained")
 	if took := time.Since(begun); took > 2*time.Second {
 		t.Errorf("an empty process left after %v", took)
 	}
-	if err := old.Wait(); err != nil {
+	if err := previous.Wait(); err != nil {
 		t.Error(err)
 	}
-	if a := <-fresh.ask("id-3"); !strings.HasPrefix(a, "200 done") {
+	if a := <-successor.get("id-3"); !strings.HasPrefix(a, "200 done") {
 		t.Error(a)
 	}
 	// A burst of 8 units and half a unit a second, over both processes.
-	granted += fresh.granted("after-", 20)
+	granted += successor.countServed("after-", 20)
 	if most := 8 + int(time.Since(started).Seconds()/2) + 1; granted < 1 || granted > most {
 		t.Errorf("%d units were granted, at most %d are due", granted, most)
 	}
-	fresh.signal(syscall.SIGTERM)
-	fresh.until("drained")
-	if err := fresh.Wait(); err != nil {
+	successor.signal(syscall.SIGTERM)
+	successor.waitForLog("drained")
+	if err := successor.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
 // A handover that is spoilt, or never comes, leaves the process as from nothing.
-func TestSpoiltHandover(t *testing.T) {
-	bin := build(t)
+func TestInvalidHandoverStartsWithoutState(t *testing.T) {
+	bin := edgenodeBinary(t)
 	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 	t.Cleanup(app.Close)
-	list := discovery(t, "s-1", app).Listener.Addr().String()
-	for name, says := range map[string]string{"garbage": "\x00\x00\x00\x04\x01\x02\x03\x04what", "silent": "", "cut off": "\x00\x00\x00\x04\x01",
+	list := startDiscovery(t, "s-1", app).Listener.Addr().String()
+	for name, reply := range map[string]string{"garbage": "\x00\x00\x00\x04\x01\x02\x03\x04what", "silent": "", "cut off": "\x00\x00\x00\x04\x01",
 		"huge": "\xff\xff\xff\xff\x01\x02\x03\x04"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			before, err := net.Listen("unix", filepath.Join(dir, "handover.sock"))
+			previous, err := net.Listen("unix", filepath.Join(dir, "handover.sock"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer func() { _ = before.Close() }()
+			defer func() { _ = previous.Close() }()
 			go func() {
-				if c, err := before.Accept(); err == nil {
-					_, _ = io.WriteString(c, says)
-					if says != "" {
+				if c, err := previous.Accept(); err == nil {
+					_, _ = io.WriteString(c, reply)
+					if reply != "" {
 						_ = c.Close()
 					}
 				}
 			}()
 			socket := clientSocket(t)
-			p := startWith(t, bin, testConfig, list, socket, "TMPDIR="+dir)
-			if !slices.ContainsFunc(p.seen, func(l string) bool { return strings.Contains(l, "starting without the state of the previous process") }) {
-				t.Errorf("%q", p.seen)
+			p := startBinary(t, bin, testConfig, list, socket, "TMPDIR="+dir)
+			if !slices.ContainsFunc(p.logged, func(l string) bool { return strings.Contains(l, "starting without the state of the previous process") }) {
+				t.Errorf("%q", p.logged)
 			}
-			if a := <-p.ask("id-1"); !strings.HasPrefix(a, "200 done") {
+			if a := <-p.get("id-1"); !strings.HasPrefix(a, "200 done") {
 				t.Error(a)
 			}
 		})
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -25,7 +25,7 @@
 func run(in io.Reader, out io.Writer) error {
 	dec := simwire.NewDecoder(in)
 	w := bufio.NewWriterSize(out, 1<<16)
-	hosted := make(map[int]*control.Controller)
+	instances := make(map[int]*control.Controller)
 	var buf []byte
 	for {
 		batch, err := dec.Next()
@@ -37,7 +37,7 @@
 		}
 		buf = buf[:0]
 		for _, in := range batch.Inputs {
-			buf = step(buf, hosted, batch.Now, in)
+			buf = handleInput(buf, instances, batch.Now, in)
 		}
 		if _, err := w.Write(simwire.AppendEnd(buf)); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
@@ -50,7 +50,7 @@
 
 // step hands one input to its instance and appends what the instance wants.
 // A panic of the module becomes a bail_out of that instance.
-func step(buf []byte, hosted map[int]*control.Controller, now time.Duration, in simwire.Input) (res []byte) {
+func handleInput(buf []byte, instances map[int]*control.Controller, now time.Duration, in simwire.Input) (res []byte) {
 	res = buf
 	defer func() {
 		if p := recover(); p != nil {
@@ -59,16 +59,16 @@
 	}()
 	switch {
 	case in.Open != nil:
-		delete(hosted, in.Who)
+		delete(instances, in.Who)
 		c, err := control.New(in.Open.Settings, in.Open.Seed)
 		if err != nil {
 			return simwire.AppendBailOut(res, in.Who, err.Error())
 		}
-		hosted[in.Who] = c
+		instances[in.Who] = c
 	case in.PowerOff:
-		delete(hosted, in.Who)
+		delete(instances, in.Who)
 	default:
-		c := hosted[in.Who]
+		c := instances[in.Who]
 		if c == nil {
 			return res
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	"sloestile/control"
 )
 
-func TestConfig(t *testing.T) {
+func TestLoadReadsConfiguration(t *testing.T) {
 	c, err := Load("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -39,12 +39,12 @@
 	}
 }
 
-func TestBadConfigIsNamed(t *testing.T) {
+func TestLoadNamesTheInvalidKey(t *testing.T) {
 	good, err := os.ReadFile("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, tc := range map[string]struct{ old, new, tells string }{
+	for name, tc := range map[string]struct{ old, new, want string }{
 		"not JSON":     {`{"name"`, `{name`, "invalid"},
 		"no address":   {`"127.0.0.1:0"`, `""`, "listen"},
 		"no port":      {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
@@ -62,10 +62,10 @@
 				t.Fatal(err)
 			}
 			_, err := Load(path)
-			var wrong *FileError
-			require.ErrorAs(t, err, &wrong)
-			assert.Equal(t, path, wrong.File)
-			assert.Contains(t, err.Error(), tc.tells)
+			var fileErr *FileError
+			require.ErrorAs(t, err, &fileErr)
+			assert.Equal(t, path, fileErr.File)
+			assert.Contains(t, err.Error(), tc.want)
 		})
 	}
 	_, err = Load(filepath.Join(t.TempDir(), "none"))
@@ -73,7 +73,7 @@
 }
 
 // The environment goes before the file; what it says wrong is named.
-func TestEnvironment(t *testing.T) {
+func TestEnvironmentOverridesFile(t *testing.T) {
 	env := map[string]string{"NODE_CONSOLE": "127.0.0.1:9", "NODE_SOCKET_FD": "5"}
 	c, err := Load("testdata/config.json")
 	if err != nil {
@@ -89,8 +89,8 @@
 			}
 			return ""
 		})
-		var wrong *EnvironmentError
-		require.ErrorAs(t, err, &wrong, "%s=%s", name, value)
-		assert.Equal(t, name, wrong.Variable)
+		var envErr *EnvironmentError
+		require.ErrorAs(t, err, &envErr, "%s=%s", name, value)
+		assert.Equal(t, name, envErr.Variable)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -40,11 +40,11 @@
 }
 
 func (e *FleetFileError) Error() string {
-	at := e.File
+	place := e.File
 	if e.Line > 0 {
-		at = fmt.Sprintf("%s: line %d", at, e.Line)
+		place = fmt.Sprintf("%s: line %d", place, e.Line)
 	}
-	return fmt.Sprintf("fleet file %s: %s; mend it and try it with edgenode check", at, withKey(e.Key, e.Err))
+	return fmt.Sprintf("fleet file %s: %s; mend it and try it with edgenode check", place, withKey(e.Key, e.Err))
 }
 
 func (e *FleetFileError) Unwrap() error { return e.Err }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -31,14 +31,14 @@
 	}
 	f := &Fleet{}
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(f); err != nil {
-		wrong := &FleetFileError{File: path, Err: err}
+		fileErr := &FleetFileError{File: path, Err: err}
 		if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
-			wrong.Line, _ = strict.Errors[0].Position()
-			wrong.Err = fmt.Errorf("unknown key %s", strings.Join(strict.Errors[0].Key(), "."))
-		} else if at, ok := errors.AsType[*toml.DecodeError](err); ok {
-			wrong.Line, _ = at.Position()
+			fileErr.Line, _ = strict.Errors[0].Position()
+			fileErr.Err = fmt.Errorf("unknown key %s", strings.Join(strict.Errors[0].Key(), "."))
+		} else if decodeErr, ok := errors.AsType[*toml.DecodeError](err); ok {
+			fileErr.Line, _ = decodeErr.Position()
 		}
-		return nil, wrong
+		return nil, fileErr
 	}
 	if key, err := f.check(); err != nil {
 		return nil, &FleetFileError{File: path, Key: key, Err: err}
@@ -48,13 +48,13 @@
 
 // check returns the first key with an invalid value, and why it is invalid.
 func (f *Fleet) check() (key string, err error) {
-	of := map[string]string{}
+	regionOf := map[string]string{}
 	for region, zones := range f.Regions {
 		for _, z := range zones {
-			if of[z] != "" {
-				return "regions", fmt.Errorf("zone %s is in %s and %s", z, of[z], region)
+			if regionOf[z] != "" {
+				return "regions", fmt.Errorf("zone %s is in %s and %s", z, regionOf[z], region)
 			}
-			of[z] = region
+			regionOf[z] = region
 		}
 	}
 	if f.State != nil && !filepath.IsAbs(f.State.Dir) {
@@ -76,13 +76,13 @@
 	return f.Peers.check()
 }
 
-func checkAddress(a string) error {
-	host, port, err := net.SplitHostPort(a)
+func checkAddress(addr string) error {
+	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 || host == "" {
-		return fmt.Errorf("%q is no address", a)
+		return fmt.Errorf("%q is no address", addr)
 	}
 	return nil
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBadFleetFilesAreNamedInOneLine(t *testing.T) {
+func TestLoadFleetNamesInvalidKeyOnOneLine(t *testing.T) {
 	good := "[peers]\nlabel = \"x\"\nport = 7946\nseeds = [\"127.0.0.1:7946\"]\n"
 	for text, want := range map[string]string{
 		"":                                   "",
@@ -46,8 +46,8 @@
 			assert.NoError(t, err, text)
 			continue
 		}
-		var wrong *FleetFileError
-		require.ErrorAs(t, err, &wrong, text)
+		var fileErr *FleetFileError
+		require.ErrorAs(t, err, &fileErr, text)
 		assert.Contains(t, err.Error(), want)
 		assert.NotContains(t, err.Error(), "\n")
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // A configuration and a fleet file with every key are read as recorded.
-func TestFilesAreReadAsRecorded(t *testing.T) {
+func TestFilesWithEveryKeyMatchGolden(t *testing.T) {
 	c, err := Load("testdata/every-key.json")
 	require.NoError(t, err)
 	golden.CheckText(t, "every-key-config", golden.Values(c))
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -37,9 +37,9 @@
 			return fmt.Sprintf("peers.seeds: %d", i), err
 		}
 	}
-	for a, b := range p.DialAddresses {
-		if err := errors.Join(checkAddress(a), checkAddress(b)); err != nil {
-			return "peers.via: " + a, err
+	for published, dialed := range p.DialAddresses {
+		if err := errors.Join(checkAddress(published), checkAddress(dialed)); err != nil {
+			return "peers.via: " + published, err
 		}
 	}
 	return "", nil
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,10 +10,10 @@
 )
 
 // milliseconds reads a duration of the settings, or returns the default where it is not given.
-func milliseconds(paths map[string]string, path string, byDefault time.Duration) (time.Duration, error) {
+func milliseconds(paths map[string]string, path string, defaultValue time.Duration) (time.Duration, error) {
 	text, ok := paths[path]
 	if !ok {
-		return byDefault, nil
+		return defaultValue, nil
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0 && v < 1e9) {
@@ -42,17 +42,17 @@
 			flattenInto(paths, strings.TrimPrefix(prefix+"."+k, "."), item)
 		}
 	case []any:
-		var plain []string
+		var scalars []string
 		for i, item := range v {
 			if _, ok := item.(map[string]any); ok {
 				flattenInto(paths, prefix+"."+strconv.Itoa(i), item)
 			} else {
-				plain = append(plain, fmt.Sprint(item))
+				scalars = append(scalars, fmt.Sprint(item))
 			}
 		}
 		paths[prefix+".count"] = strconv.Itoa(len(v))
-		if plain != nil {
-			paths[prefix] = strings.Join(plain, ",")
+		if scalars != nil {
+			paths[prefix] = strings.Join(scalars, ",")
 		}
 	case nil:
 	default:
--- a/internal/config/subset.go
+++ b/internal/config/subset.go
@@ -20,19 +20,19 @@
 // check returns the first key with an invalid value, and why it is invalid.
 func (c *Subset) check() (key string, err error) {
 	for _, k := range []struct {
-		name  string
-		value *int
-		least int
+		name     string
+		value    *int
+		minValue int
 	}{{"subset.servers", c.MaxServers, 1}, {"subset.zone_least", c.MinPerZone, 0}, {"subset.list_most", c.MaxListed, 1}} {
-		if k.value != nil && *k.value < k.least {
-			return k.name, fmt.Errorf("%d is below %d", *k.value, k.least)
+		if k.value != nil && *k.value < k.minValue {
+			return k.name, fmt.Errorf("%d is below %d", *k.value, k.minValue)
 		}
 	}
-	var wrong *subset.ConfigError
-	if !errors.As(c.config(0).Validate(), &wrong) {
+	var configErr *subset.ConfigError
+	if !errors.As(c.config(0).Validate(), &configErr) {
 		return "", nil
 	}
-	return subsetFileKeys[wrong.Key], fmt.Errorf("%d is not in %d to %d", wrong.Have, wrong.Least, wrong.Most)
+	return subsetFileKeys[configErr.Key], fmt.Errorf("%d is not in %d to %d", configErr.Have, configErr.Least, configErr.Most)
 }
 
 func (c *Subset) config(node int) subset.Config {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -55,11 +55,11 @@
 	raw, err := encode(value)
 	require.NoError(t, err)
 	Check(t, name, raw)
-	back, err := decode(raw)
+	decoded, err := decode(raw)
 	require.NoError(t, err)
-	again, err := encode(back)
+	reencoded, err := encode(decoded)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(raw, again), "%s is written back differently", name)
+	require.True(t, bytes.Equal(raw, reencoded), "%s is written back differently", name)
 }
 
 // Fill sets each field that a value holds, at any depth, to a value of its own: numbers count up, slices get two
@@ -119,26 +119,26 @@
 // Values lists all that a value holds, at any depth and in order, without the names of fields.
 func Values(value any) string {
 	var out strings.Builder
-	list(&out, reflect.ValueOf(value), "")
+	writeValues(&out, reflect.ValueOf(value), "")
 	return out.String()
 }
 
-func list(out *strings.Builder, v reflect.Value, indent string) {
+func writeValues(out *strings.Builder, v reflect.Value, indent string) {
 	switch v.Kind() {
 	case reflect.Invalid:
 		fmt.Fprintln(out, indent+"none")
 	case reflect.Pointer, reflect.Interface:
-		list(out, v.Elem(), indent)
+		writeValues(out, v.Elem(), indent)
 	case reflect.Struct:
 		fmt.Fprintln(out, indent+"{")
 		for i := range v.NumField() {
-			list(out, v.Field(i), indent+" ")
+			writeValues(out, v.Field(i), indent+" ")
 		}
 		fmt.Fprintln(out, indent+"}")
 	case reflect.Slice, reflect.Array:
 		fmt.Fprintf(out, "%s[%d]\n", indent, v.Len())
 		for i := range v.Len() {
-			list(out, v.Index(i), indent+" ")
+			writeValues(out, v.Index(i), indent+" ")
 		}
 	case reflect.Map:
 		fmt.Fprintf(out, "%smap[%d]\n", indent, v.Len())
@@ -146,7 +146,7 @@
 		slices.SortFunc(keys, func(a, b reflect.Value) int { return cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
 		for _, key := range keys {
 			fmt.Fprintf(out, "%s %v:\n", indent, key)
-			list(out, v.MapIndex(key), indent+"  ")
+			writeValues(out, v.MapIndex(key), indent+"  ")
 		}
 	default:
 		fmt.Fprintf(out, "%s%v\n", indent, v)
--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -18,7 +18,7 @@
 
 // What the node's program names in text that others go by: metrics, the console's calls, variables of the
 // environment and headers of requests.
-var names = map[string]*regexp.Regexp{
+var namePatterns = map[string]*regexp.Regexp{
 	"metrics":     regexp.MustCompile(`^node_[a-z_]+$`),
 	"calls":       regexp.MustCompile(`^/[a-z]+(/[a-z]+)?/?$`),
 	"environment": regexp.MustCompile(`^(NODE_[A-Z_]+|TMPDIR)$`),
@@ -26,9 +26,9 @@
 }
 
 // The names that operators, other processes and the platform go by are as recorded.
-func TestNamesAreAsRecorded(t *testing.T) {
+func TestExternalNamesMatchGolden(t *testing.T) {
 	found := map[string]map[string]bool{}
-	for kind := range names {
+	for kind := range namePatterns {
 		found[kind] = map[string]bool{}
 	}
 	for _, top := range []string{"control", "fleet", "internal", "cmd/edgenode"} {
@@ -42,9 +42,9 @@
 			if !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 				return nil
 			}
-			return literals(path, func(text string) {
-				for kind, form := range names {
-					if form.MatchString(text) {
+			return visitStringLiterals(path, func(text string) {
+				for kind, pattern := range namePatterns {
+					if pattern.MatchString(text) {
 						found[kind][text] = true
 					}
 				}
@@ -62,7 +62,7 @@
 }
 
 // literals calls visit for each string literal of a file, but for the paths of imports and the tags of fields.
-func literals(path string, visit func(string)) error {
+func visitStringLiterals(path string, visit func(string)) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 
 // Packages whose text others go by: the words of the simulator's wire, and those of the lab's scenarios, figures,
 // benches and reports.
-var wordsOf = map[string]string{
+var wordPackages = map[string]string{
 	"simwire":     "internal/simwire",
 	"scenario":    "internal/testbed/scenario",
 	"judge":       "internal/testbed/judge",
@@ -100,13 +100,13 @@
 // word is a text without blanks within and with a letter or digit, such as a key, a value or a beginning. A verb of
 // package fmt is none.
 var (
-	word = regexp.MustCompile(`^[ \n]?[!-~]*[A-Za-z0-9][!-~]*[ \n]?$`)
-	verb = regexp.MustCompile(`%[0-9]*[a-z]`)
+	wordPattern = regexp.MustCompile(`^[ \n]?[!-~]*[A-Za-z0-9][!-~]*[ \n]?$`)
+	verbPattern = regexp.MustCompile(`%[0-9]*[a-z]`)
 )
 
 // The words that stand in these packages are as recorded. Their texts of several words, such as messages, are free.
-func TestWordsAreAsRecorded(t *testing.T) {
-	for name, dir := range wordsOf {
+func TestExternalWordsMatchGolden(t *testing.T) {
+	for name, dir := range wordPackages {
 		files, err := filepath.Glob(filepath.Join("..", "..", dir, "*.go"))
 		require.NoError(t, err)
 		words := map[string]bool{}
@@ -114,8 +114,8 @@
 			if strings.HasSuffix(path, "_test.go") {
 				continue
 			}
-			require.NoError(t, literals(path, func(text string) {
-				if word.MatchString(verb.ReplaceAllString(text, "")) {
+			require.NoError(t, visitStringLiterals(path, func(text string) {
+				if wordPattern.MatchString(verbPattern.ReplaceAllString(text, "")) {
 					words[strconv.Quote(text)] = true
 				}
 			}))
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -11,15 +11,15 @@
 )
 
 // most is how many tests may be listed.
-const most = 3
+const maxListed = 3
 
 // entry is one line of the list: a test of a package, and why it fails.
-type entry struct{ pkg, test, why string }
+type entry struct{ pkg, test, cause string }
 
-var line = regexp.MustCompile(`^([^\s:]+)\.(Test\w*): (\S.*) \(issue \d+\)$`)
+var linePattern = regexp.MustCompile(`^([^\s:]+)\.(Test\w*): (\S.*) \(issue \d+\)$`)
 
 // read reads the list; where there is no file nothing is listed.
-func read(path string) ([]entry, error) {
+func readList(path string) ([]entry, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -29,7 +29,7 @@
 	}
 	var list []entry
 	for i, l := range strings.Split(strings.TrimSuffix(string(raw), "\n"), "\n") {
-		m := line.FindStringSubmatch(l)
+		m := linePattern.FindStringSubmatch(l)
 		if m == nil {
 			return nil, fmt.Errorf("%s: line %d: not PACKAGE.TestName: cause (issue N)", path, i+1)
 		}
@@ -39,8 +39,8 @@
 		}
 		list = append(list, e)
 	}
-	if len(list) > most {
-		return nil, fmt.Errorf("%s: %d tests, %d are allowed", path, len(list), most)
+	if len(list) > maxListed {
+		return nil, fmt.Errorf("%s: %d tests, %d are allowed", path, len(list), maxListed)
 	}
 	return list, nil
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-const file = "KNOWN-RED.txt"
+const listFile = "KNOWN-RED.txt"
 
 func main() {
 	if err := run(".", os.Args[1:], os.Stdout); err != nil {
@@ -30,46 +30,46 @@
 	if len(command) < 2 || command[0] != "go" || command[1] != "test" {
 		return fmt.Errorf("%q: not a go test command", strings.Join(command, " "))
 	}
-	list, err := read(dir + "/" + file)
+	list, err := readList(dir + "/" + listFile)
 	if err != nil {
 		return err
 	}
-	r := &reading{list: list, out: out, said: map[test]string{}, outcome: map[test]string{}}
-	failed := r.tests(dir, command[2:])
+	r := &testRun{list: list, out: out, output: map[test]string{}, outcomes: map[test]string{}}
+	testErr := r.runTests(dir, command[2:])
 	for _, e := range list {
-		o := r.outcome[test{e.pkg, e.test}]
-		if o == "" {
-			r.other = append(r.other, fmt.Sprintf("%s lists %s.%s, and there is no such test", file, e.pkg, e.test))
-			o = "not found"
+		outcome := r.outcomes[test{e.pkg, e.test}]
+		if outcome == "" {
+			r.otherFailures = append(r.otherFailures, fmt.Sprintf("%s lists %s.%s, and there is no such test", listFile, e.pkg, e.test))
+			outcome = "not found"
 		}
-		fmt.Fprintf(out, "known red: %s.%s: %s: %s\n", e.pkg, e.test, o, e.why)
+		fmt.Fprintf(out, "known red: %s.%s: %s: %s\n", e.pkg, e.test, outcome, e.cause)
 	}
 	switch {
-	case len(r.other) > 0:
-		return errors.New(strings.Join(r.other, "; "))
-	case failed != nil && len(r.red) == 0: // for a reason that no event tells
-		return failed
+	case len(r.otherFailures) > 0:
+		return errors.New(strings.Join(r.otherFailures, "; "))
+	case testErr != nil && len(r.failedPackages) == 0: // for a reason that no event tells
+		return testErr
 	}
-	return r.rest(dir)
+	return r.rerunWithoutListed(dir)
 }
 
 type test struct{ pkg, name string }
 
 // reading is what the events of a run come to.
-type reading struct {
-	list    []entry
-	out     io.Writer
-	said    map[test]string // what a test that has not ended has printed
-	outcome map[test]string // of each test that has ended
-	red     []string        // packages with listed tests that failed
-	other   []string        // what else failed
+type testRun struct {
+	list           []entry
+	out            io.Writer
+	output         map[test]string // what a test that has not ended has printed
+	outcomes       map[test]string // of each test that has ended
+	failedPackages []string        // packages with listed tests that failed
+	otherFailures  []string        // what else failed
 }
 
 // event is one of those of go doc test2json.
 type event struct{ Action, Package, ImportPath, Test, Output string }
 
 // tests runs the tests and prints what go test does without -json.
-func (r *reading) tests(dir string, args []string) error {
+func (r *testRun) runTests(dir string, args []string) error {
 	c := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	c.Dir, c.Stderr = dir, os.Stderr
 	pipe, err := c.StdoutPipe()
@@ -82,7 +82,7 @@
 	for in := bufio.NewReader(pipe); ; {
 		l, err := in.ReadString('\n')
 		if l != "" {
-			r.take(l)
+			r.handleEvent(l)
 		}
 		if err != nil {
 			return c.Wait()
@@ -90,11 +90,11 @@
 	}
 }
 
-func (r *reading) take(l string) {
+func (r *testRun) handleEvent(line string) {
 	var e event
-	if json.Unmarshal([]byte(l), &e) != nil {
-		fmt.Fprint(r.out, l)
-		r.other = append(r.other, fmt.Sprintf("go test printed %q", strings.TrimSpace(l)))
+	if json.Unmarshal([]byte(line), &e) != nil {
+		fmt.Fprint(r.out, line)
+		r.otherFailures = append(r.otherFailures, fmt.Sprintf("go test printed %q", strings.TrimSpace(line)))
 		return
 	}
 	t := test{e.Package, e.Test}
@@ -102,42 +102,42 @@
 	case "build-output":
 		fmt.Fprint(r.out, e.Output)
 	case "build-fail":
-		r.other = append(r.other, e.ImportPath+" does not build")
+		r.otherFailures = append(r.otherFailures, e.ImportPath+" does not build")
 	case "output":
 		if e.Test != "" && !strings.HasPrefix(e.Output, "=== ") { // that it runs, waits or goes on
-			r.said[t] += e.Output
+			r.output[t] += e.Output
 		} else if e.Test == "" && e.Output != "PASS\n" {
 			fmt.Fprint(r.out, e.Output)
 		}
 	case "pass", "skip", "fail":
 		if e.Action == "fail" {
-			fmt.Fprint(r.out, r.said[t])
-			r.fail(t)
+			fmt.Fprint(r.out, r.output[t])
+			r.addFailure(t)
 		}
-		delete(r.said, t)
-		r.outcome[t] = e.Action
+		delete(r.output, t)
+		r.outcomes[t] = e.Action
 	}
 }
 
 // fail takes the failure of a test, or of a package, which has one where it has a test that failed.
-func (r *reading) fail(t test) {
+func (r *testRun) addFailure(t test) {
 	top, _, _ := strings.Cut(t.name, "/")
 	switch {
 	case slices.ContainsFunc(r.list, func(e entry) bool { return e.pkg == t.pkg && e.test == top }):
-		if !slices.Contains(r.red, t.pkg) {
-			r.red = append(r.red, t.pkg)
+		if !slices.Contains(r.failedPackages, t.pkg) {
+			r.failedPackages = append(r.failedPackages, t.pkg)
 		}
 	case t.name != "":
-		r.other = append(r.other, t.pkg+"."+t.name+" fails")
-	case !slices.Contains(r.red, t.pkg):
-		r.other = append(r.other, t.pkg+" fails")
+		r.otherFailures = append(r.otherFailures, t.pkg+"."+t.name+" fails")
+	case !slices.Contains(r.failedPackages, t.pkg):
+		r.otherFailures = append(r.otherFailures, t.pkg+" fails")
 	}
 }
 
 // rest runs anew, without the listed tests, the packages in which one failed: it may have ended its
 // package before others ran, and no event tells whether the package fails by more than its tests.
-func (r *reading) rest(dir string) error {
-	for _, p := range r.red {
+func (r *testRun) rerunWithoutListed(dir string) error {
+	for _, p := range r.failedPackages {
 		var names []string
 		for _, e := range r.list {
 			if e.pkg == p {
--- a/internal/oncall/oncall.go
+++ b/internal/oncall/oncall.go
@@ -25,23 +25,23 @@
 // Check walks all exported types of errors of the package whose test calls it. Each needs an example,
 // which are pointers with each field set in one of them; what they wrap is ErrCause.
 func Check(t *testing.T, examples ...error) {
-	types, err := declared(".")
+	types, err := errorTypes(".")
 	require.NoError(t, err)
-	rows, err := documented()
+	rows, err := documentedErrors()
 	require.NoError(t, err)
-	set := map[string]bool{}
+	covered := map[string]bool{}
 	for _, err := range examples {
 		v := reflect.ValueOf(err).Elem()
 		name := v.Type().String()
-		_, short, _ := strings.Cut(name, ".")
-		assert.Contains(t, types, short, "%s is no type of this package", name)
+		_, typeName, _ := strings.Cut(name, ".")
+		assert.Contains(t, types, typeName, "%s is no type of this package", name)
 		assert.Contains(t, rows, name, "no row in docs/oncall.md")
-		assert.NoError(t, fit(err))
-		set[short] = true
+		assert.NoError(t, checkText(err))
+		covered[typeName] = true
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
-			key := short + "." + f.Name
-			set[key] = set[key] || !v.Field(i).IsZero()
+			key := typeName + "." + f.Name
+			covered[key] = covered[key] || !v.Field(i).IsZero()
 			if v.Field(i).IsZero() {
 				continue
 			}
@@ -54,31 +54,31 @@
 			}
 		}
 	}
-	for short, fields := range types {
-		assert.True(t, set[short], "%s has no example", short)
+	for typeName, fields := range types {
+		assert.True(t, covered[typeName], "%s has no example", typeName)
 		for _, f := range fields {
-			assert.True(t, !set[short] || set[short+"."+f], "%s of %s is set in no example", f, short)
+			assert.True(t, !covered[typeName] || covered[typeName+"."+f], "%s of %s is set in no example", f, typeName)
 		}
 	}
 }
 
 // fit tells what in an error's text is not as it has to be.
-func fit(err error) error {
+func checkText(err error) error {
 	text := err.Error()
-	at := strings.LastIndex(text, "; ")
+	hintAt := strings.LastIndex(text, "; ")
 	switch {
 	case strings.ContainsAny(text, "\r\n"):
 		return fmt.Errorf("a line break in %q", text)
-	case at < 0 || len(strings.Fields(text[at+2:])) < 2:
+	case hintAt < 0 || len(strings.Fields(text[hintAt+2:])) < 2:
 		return fmt.Errorf("%q says nothing to do", text)
-	case !strings.Contains(text[:at], ": "):
+	case !strings.Contains(text[:hintAt], ": "):
 		return fmt.Errorf("%q does not say where", text)
 	}
 	return nil
 }
 
 // declared gives the exported types of errors in a folder's sources, with their fields.
-func declared(dir string) (map[string][]string, error) {
+func errorTypes(dir string) (map[string][]string, error) {
 	types := map[string][]string{}
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -100,14 +100,14 @@
 // addErrorTypes adds the exported error types that a file declares, each with the names of its fields.
 func addErrorTypes(f *ast.File, types map[string][]string) {
 	for _, d := range f.Decls {
-		g, ok := d.(*ast.GenDecl)
+		genDecl, ok := d.(*ast.GenDecl)
 		if !ok {
 			continue
 		}
-		for _, s := range g.Specs {
-			t, ok := s.(*ast.TypeSpec)
-			if ok && t.Name.IsExported() && strings.HasSuffix(t.Name.Name, "Error") {
-				types[t.Name.Name] = fieldNames(t)
+		for _, s := range genDecl.Specs {
+			typeSpec, ok := s.(*ast.TypeSpec)
+			if ok && typeSpec.Name.IsExported() && strings.HasSuffix(typeSpec.Name.Name, "Error") {
+				types[typeSpec.Name.Name] = fieldNames(typeSpec)
 			}
 		}
 	}
@@ -116,11 +116,11 @@
 // fieldNames returns the names of a struct type's fields, and none for another type.
 func fieldNames(t *ast.TypeSpec) []string {
 	names := []string{}
-	x, ok := t.Type.(*ast.StructType)
+	structType, ok := t.Type.(*ast.StructType)
 	if !ok {
 		return names
 	}
-	for _, field := range x.Fields.List {
+	for _, field := range structType.Fields.List {
 		for _, n := range field.Names {
 			names = append(names, n.Name)
 		}
@@ -129,8 +129,8 @@
 }
 
 // documented gives the errors that have a row with a meaning and something to do.
-func documented() (rows map[string]bool, err error) {
-	raw, err := os.ReadFile(filepath.Join(root(), "docs", "oncall.md"))
+func documentedErrors() (rows map[string]bool, err error) {
+	raw, err := os.ReadFile(filepath.Join(moduleRoot(), "docs", "oncall.md"))
 	rows = map[string]bool{}
 	for line := range strings.Lines(string(raw)) {
 		cells := strings.Split(strings.TrimSpace(line), "|")
@@ -145,7 +145,7 @@
 }
 
 // root is the module's folder: the first above a test's that has a go.mod.
-func root() string {
+func moduleRoot() string {
 	dir := "."
 	for range 10 {
 		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
--- a/internal/oncall/oncall_test.go
+++ b/internal/oncall/oncall_test.go
@@ -14,29 +14,29 @@
 
 // Each package of the node that raises errors of its own has a test that checks them, and each row
 // of docs/oncall.md is of an error that there is. The stand-in platform is no part of the node.
-func TestEachPackageIsChecked(t *testing.T) {
-	rows, err := documented()
+func TestEveryErrorTypeIsCheckedAndDocumented(t *testing.T) {
+	rows, err := documentedErrors()
 	require.NoError(t, err)
 	for _, top := range []string{"cmd/edgenode", "control", "fleet", "internal"} {
-		require.NoError(t, filepath.WalkDir(filepath.Join(root(), top), func(dir string, d fs.DirEntry, err error) error {
+		require.NoError(t, filepath.WalkDir(filepath.Join(moduleRoot(), top), func(dir string, d fs.DirEntry, err error) error {
 			if err != nil || !d.IsDir() {
 				return err
 			}
 			if d.Name() == "testbed" {
 				return filepath.SkipDir
 			}
-			types, err := declared(dir)
-			for short := range types {
-				delete(rows, d.Name()+"."+short)
+			types, err := errorTypes(dir)
+			for typeName := range types {
+				delete(rows, d.Name()+"."+typeName)
 			}
-			assert.True(t, len(types) == 0 || checks(t, dir), "%s: none of its tests calls oncall.Check", dir)
+			assert.True(t, len(types) == 0 || callsCheck(t, dir), "%s: none of its tests calls oncall.Check", dir)
 			return err
 		}))
 	}
 	assert.Empty(t, rows, "docs/oncall.md has rows for errors that there are not")
 }
 
-func checks(t *testing.T, dir string) bool {
+func callsCheck(t *testing.T, dir string) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	require.NoError(t, err)
 	for _, path := range files {
@@ -49,9 +49,9 @@
 	return false
 }
 
-func TestUnfitErrors(t *testing.T) {
+func TestCheckTextRejectsIncompleteErrors(t *testing.T) {
 	for _, text := range []string{"state: full", "state: full; ", "state: full\n; remove some", "full; remove some"} {
-		assert.Error(t, fit(errors.New(text)), text)
+		assert.Error(t, checkText(errors.New(text)), text)
 	}
-	assert.NoError(t, fit(errors.New("state: full; remove some")))
+	assert.NoError(t, checkText(errors.New("state: full; remove some")))
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -15,64 +15,64 @@
 
 // AppendBailOut appends the report that an instance's decisions have failed.
 func AppendBailOut(b []byte, who int, text string) []byte {
-	return appendText(begin(b, "bail_out", who), text)
+	return appendText(appendHeader(b, "bail_out", who), text)
 }
 
 // AppendAction appends one action of an instance.
 func AppendAction(b []byte, who int, a control.Action) []byte {
 	switch a := a.(type) {
 	case control.Send:
-		b = pair(begin(b, "call_out", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "call_out", who), " xid=", a.ID)
 		b = strconv.AppendUint(append(b, " server="...), uint64(a.Server), 10)
 		if a.Timeout != 0 {
 			b = appendMS(append(b, " within="...), a.Timeout)
 		}
 	case control.CancelAttempt:
-		b = pair(begin(b, "withdraw", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "withdraw", who), " xid=", a.ID)
 		b = strconv.AppendInt(append(b, " n="...), int64(a.Attempt), 10)
 	case control.Reject:
-		b = pair(begin(b, "busy", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "busy", who), " xid=", a.ID)
 		if a.RetryAfter > 0 {
 			b = appendMS(append(b, " backoff="...), a.RetryAfter)
 		}
 	case control.Fail:
-		b = pair(begin(b, "finish_error", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "finish_error", who), " xid=", a.ID)
 	case control.SetTimer:
-		b = appendMS(append(begin(b, "arm", who), " offset="...), a.After)
+		b = appendMS(append(appendHeader(b, "arm", who), " offset="...), a.After)
 		b = strconv.AppendUint(append(b, " label="...), a.Label, 10)
 	case control.HealthCheck:
-		b = strconv.AppendUint(append(begin(b, "poll", who), " server="...), uint64(a.Server), 10)
+		b = strconv.AppendUint(append(appendHeader(b, "poll", who), " server="...), uint64(a.Server), 10)
 	case control.Disconnect:
-		b = strconv.AppendUint(append(begin(b, "disconnect", who), " server="...), uint64(a.Server), 10)
+		b = strconv.AppendUint(append(appendHeader(b, "disconnect", who), " server="...), uint64(a.Server), 10)
 	case control.Watch:
-		b = pair(begin(b, "follow", who), " active=", map[bool]string{true: "1", false: "0"}[a.Active])
+		b = appendPair(appendHeader(b, "follow", who), " active=", map[bool]string{true: "1", false: "0"}[a.Active])
 	case control.FetchList:
-		b = begin(b, "snapshot", who)
+		b = appendHeader(b, "snapshot", who)
 	case control.SendToPeer:
-		b = append(begin(b, "say", who), " neighbour-id="...)
+		b = append(appendHeader(b, "say", who), " neighbour-id="...)
 		if a.To < 0 {
 			b = append(b, "all"...)
 		} else {
 			b = strconv.AppendInt(b, int64(a.To), 10)
 		}
-		b = pair(b, " raw=", hexOrDash(a.Raw))
+		b = appendPair(b, " raw=", hexOrDash(a.Raw))
 	case control.AddToCounter:
-		b = strconv.AppendUint(append(begin(b, "incr", who), " cname="...), a.Name, 10)
+		b = strconv.AppendUint(append(appendHeader(b, "incr", who), " cname="...), a.Name, 10)
 		b = strconv.AppendFloat(append(b, " by="...), a.Add, 'f', -1, 64)
 		b = appendMS(append(b, " expire-in="...), a.TTL)
 	case control.LogLine:
-		return appendText(begin(b, "remark", who), a.Text)
+		return appendText(appendHeader(b, "remark", who), a.Text)
 	default:
 		panic(fmt.Sprintf("wire: no text for action %T", a))
 	}
 	return append(b, '\n')
 }
 
-func begin(b []byte, name string, who int) []byte {
+func appendHeader(b []byte, name string, who int) []byte {
 	return strconv.AppendInt(append(append(b, name...), " who="...), int64(who), 10)
 }
 
-func pair(b []byte, key, value string) []byte { return append(append(b, key...), value...) }
+func appendPair(b []byte, key, value string) []byte { return append(append(b, key...), value...) }
 
 func appendMS(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64(d/time.Microsecond)/1000, 'f', -1, 64)
@@ -85,7 +85,7 @@
 		}
 		return r
 	}, text)
-	return append(pair(b, " body-text=", text), '\n')
+	return append(appendPair(b, " body-text=", text), '\n')
 }
 
 func hexOrDash(raw []byte) string {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // Batches with every event, every field of each and every key of the settings are read as recorded.
-func TestEveryEventIsReadAsRecorded(t *testing.T) {
+func TestDecodingEveryEventMatchesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-event.txt"))
 	require.NoError(t, err)
 	d := NewDecoder(strings.NewReader(string(text)))
@@ -27,7 +27,7 @@
 }
 
 // How an attempt may end has the recorded numbers on the wire.
-func TestOutcomesAreAsRecorded(t *testing.T) {
+func TestOutcomeNumbersMatchGolden(t *testing.T) {
 	golden.CheckText(t, "outcomes", golden.Values([]control.Outcome{control.OK, control.Errored, control.Overloaded, control.TimedOut,
 		control.ConnectFailed, control.ResetByPeer, control.Cancelled, control.NeverSent}))
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -47,7 +47,7 @@
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: bufio.NewReaderSize(r, 1<<20)} }
 
 // next reads a line without its end; io.EOF only where no text was left.
-func (d *Decoder) next() (string, error) {
+func (d *Decoder) nextLine() (string, error) {
 	s, err := d.r.ReadString('\n')
 	if err != nil && (err != io.EOF || s == "") {
 		return "", err
@@ -56,31 +56,31 @@
 	return strings.TrimRight(s, "\r\n"), nil
 }
 
-func (d *Decoder) fail(name string, err error) error {
+func (d *Decoder) lineError(name string, err error) error {
 	return fmt.Errorf("line %d: %s: %w", d.line, name, err)
 }
 
 // Next reads one batch. It gives io.EOF where the input ends between batches.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
-	s, err := d.next()
+	s, err := d.nextLine()
 	for err == nil && s == "" {
-		s, err = d.next()
+		s, err = d.nextLine()
 	}
 	if err != nil {
 		return b, err
 	}
 	name, rest, _ := strings.Cut(s, " ")
 	if name != "clock" {
-		return b, d.fail(name, fmt.Errorf("a batch begins with clock"))
+		return b, d.lineError(name, fmt.Errorf("a batch begins with clock"))
 	}
 	f := parse(rest)
 	b.Now = f.ms("ts", true)
 	if f.err != nil {
-		return b, d.fail(name, f.err)
+		return b, d.lineError(name, f.err)
 	}
 	for {
-		if s, err = d.next(); errors.Is(err, io.EOF) {
+		if s, err = d.nextLine(); errors.Is(err, io.EOF) {
 			return b, fmt.Errorf("line %d: input ended inside a batch", d.line)
 		} else if err != nil {
 			return b, err
@@ -89,7 +89,7 @@
 		if name == "end" {
 			return b, nil
 		}
-		in, known, err := d.event(name, rest)
+		in, known, err := d.input(name, rest)
 		if err != nil {
 			return b, err
 		}
@@ -100,7 +100,7 @@
 }
 
 // event reads one event line; a name that is not known is skipped.
-func (d *Decoder) event(name, rest string) (in Input, known bool, err error) {
+func (d *Decoder) input(name, rest string) (in Input, known bool, err error) {
 	if name == "open_instance" {
 		in, err = d.open(rest)
 		return in, true, err
@@ -114,10 +114,10 @@
 		count := f.integer("members", false)
 		kind := listKind(f)
 		if f.err != nil {
-			return in, true, d.fail(name, f.err)
+			return in, true, d.lineError(name, f.err)
 		}
-		members, err := d.members(count)
-		in.Event = control.EndpointUpdate{Kind: kind, Endpoints: members}
+		endpoints, err := d.endpoints(count)
+		in.Event = control.EndpointUpdate{Kind: kind, Endpoints: endpoints}
 		return in, true, err
 	case "request":
 		in.Event = request(f)
@@ -132,7 +132,7 @@
 		in.Event = control.Timer{Label: f.unsigned("label", true)}
 	case "ping_result":
 		in.Event = control.HealthCheckResult{Server: f.server(), Outcome: control.Outcome(f.integer("reason", true)),
-			Latency: f.ms("delay-seen", false), LoadReport: load(f)}
+			Latency: f.ms("delay-seen", false), LoadReport: loadReport(f)}
 	case "peer":
 		in.Event = control.PeerMessage{From: int(f.integer("src", true)), Raw: f.bytes("raw")}
 	case "reckoned":
@@ -143,7 +143,7 @@
 	}
 	in.Who = int(f.integer("who", true))
 	if f.err != nil {
-		return in, true, d.fail(name, f.err)
+		return in, true, d.lineError(name, f.err)
 	}
 	return in, true, nil
 }
@@ -166,7 +166,7 @@
 	return control.AttemptEnded{ID: f.text("xid", true), Attempt: int(f.integer("n", false)), Server: f.server(),
 		Outcome: control.Outcome(f.integer("reason", true)), Done: f.boolean("no-more"),
 		Latency: f.ms("delay-seen", false), Tokens: f.number("cost", false),
-		MeterReading: int(f.integer("use-pct", false)), LoadReport: load(f)}
+		MeterReading: int(f.integer("use-pct", false)), LoadReport: loadReport(f)}
 }
 
 func listKind(f *fields) control.UpdateKind {
@@ -180,70 +180,70 @@
 	case "broken":
 		return control.Failed
 	default:
-		f.bad("kind", fmt.Errorf("unknown value %q", k))
+		f.setError("kind", fmt.Errorf("unknown value %q", k))
 		return control.Failed
 	}
 }
 
 // members reads the item lines of a discovery event.
-func (d *Decoder) members(count int64) ([]control.Endpoint, error) {
+func (d *Decoder) endpoints(count int64) ([]control.Endpoint, error) {
 	var list []control.Endpoint
 	for ; count > 0; count-- {
-		s, err := d.next()
+		s, err := d.nextLine()
 		if err != nil {
 			return nil, fmt.Errorf("line %d: input ended inside a list", d.line)
 		}
 		name, rest, _ := strings.Cut(s, " ")
 		if name != "item" {
-			return nil, d.fail(name, fmt.Errorf("an item was expected"))
+			return nil, d.lineError(name, fmt.Errorf("an item was expected"))
 		}
 		f := parse(rest)
-		m := control.Endpoint{Server: f.server(), Zone: f.text("area", false), Flavor: f.text("flavor", false),
+		endpoint := control.Endpoint{Server: f.server(), Zone: f.text("area", false), Flavor: f.text("flavor", false),
 			Cell: int(f.integer("unit-group", false)), Size: f.number("size", false), StartedAt: f.ms("came-up", false)}
-		m.HasStartedAt = m.StartedAt != 0
+		endpoint.HasStartedAt = endpoint.StartedAt != 0
 		switch c := f.text("condition", true); c {
 		case "on":
-			m.Condition = control.Active
+			endpoint.Condition = control.Active
 		case "fading":
-			m.Condition = control.Draining
+			endpoint.Condition = control.Draining
 		case "off":
-			m.Condition = control.Removed
+			endpoint.Condition = control.Removed
 		default:
-			f.bad("condition", fmt.Errorf("unknown value %q", c))
+			f.setError("condition", fmt.Errorf("unknown value %q", c))
 		}
 		if f.err != nil {
-			return nil, d.fail("item", f.err)
+			return nil, d.lineError("item", f.err)
 		}
-		list = append(list, m)
+		list = append(list, endpoint)
 	}
 	return list, nil
 }
 
 // load reads the report of a server; names that are not known are skipped.
-func load(f *fields) *control.LoadReport {
+func loadReport(f *fields) *control.LoadReport {
 	s := f.text("pressure", false)
 	if s == "" {
 		return nil
 	}
-	l := &control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
-	into := map[string]*float64{"active": &l.Active, "waiting": &l.Waiting, "cpu": &l.CPU,
-		"avg_ms": &l.AvgMS, "rps": &l.RPS, "err_rps": &l.ErrRPS}
+	report := &control.LoadReport{Active: -1, Waiting: -1, CPU: -1, AvgMS: -1, RPS: -1, ErrRPS: -1}
+	destinations := map[string]*float64{"active": &report.Active, "waiting": &report.Waiting, "cpu": &report.CPU,
+		"avg_ms": &report.AvgMS, "rps": &report.RPS, "err_rps": &report.ErrRPS}
 	for s != "" {
 		var pair string
 		pair, s, _ = strings.Cut(s, ",")
 		name, value, _ := strings.Cut(pair, ":")
-		p := into[name]
+		p := destinations[name]
 		if p == nil {
 			continue
 		}
-		v, err := number(value)
+		v, err := parseFinite(value)
 		if err != nil {
-			f.bad("pressure", err)
+			f.setError("pressure", err)
 			return nil
 		}
 		*p = v
 	}
-	return l
+	return report
 }
 
 // fields holds the pairs of one line and the first thing wrong with them.
@@ -262,7 +262,7 @@
 		}
 		k, v, found := strings.Cut(pair, "=")
 		if !found {
-			f.bad(k, fmt.Errorf("has no value"))
+			f.setError(k, fmt.Errorf("has no value"))
 			continue
 		}
 		f.keys, f.values = append(f.keys, k), append(f.values, v)
@@ -270,7 +270,7 @@
 	return f
 }
 
-func (f *fields) bad(key string, err error) {
+func (f *fields) setError(key string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", key, err)
 	}
@@ -285,19 +285,19 @@
 	return false
 }
 
-func (f *fields) text(key string, needed bool) string {
+func (f *fields) text(key string, required bool) string {
 	for i, k := range f.keys {
 		if k == key {
 			return f.values[i]
 		}
 	}
-	if needed {
-		f.bad(key, fmt.Errorf("is missing"))
+	if required {
+		f.setError(key, fmt.Errorf("is missing"))
 	}
 	return ""
 }
 
-func number(s string) (float64, error) {
+func parseFinite(s string) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err == nil && (math.IsNaN(v) || math.IsInf(v, 0)) {
 		err = fmt.Errorf("%q is not finite", s)
@@ -305,51 +305,51 @@
 	return v, err
 }
 
-func (f *fields) number(key string, needed bool) float64 {
-	s := f.text(key, needed)
+func (f *fields) number(key string, required bool) float64 {
+	s := f.text(key, required)
 	if s == "" {
 		return 0
 	}
-	v, err := number(s)
+	v, err := parseFinite(s)
 	if err != nil {
-		f.bad(key, err)
+		f.setError(key, err)
 	}
 	return v
 }
 
-func (f *fields) ms(key string, needed bool) time.Duration {
-	v := f.number(key, needed)
+func (f *fields) ms(key string, required bool) time.Duration {
+	v := f.number(key, required)
 	if math.Abs(v) > 1e12 {
-		f.bad(key, fmt.Errorf("%g ms is out of range", v))
+		f.setError(key, fmt.Errorf("%g ms is out of range", v))
 		return 0
 	}
-	return millis(v)
+	return milliseconds(v)
 }
 
-func millis(v float64) time.Duration {
+func milliseconds(v float64) time.Duration {
 	return time.Duration(math.Round(v*1000)) * time.Microsecond
 }
 
-func (f *fields) integer(key string, needed bool) int64 {
-	s := f.text(key, needed)
+func (f *fields) integer(key string, required bool) int64 {
+	s := f.text(key, required)
 	if s == "" {
 		return 0
 	}
 	v, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.bad(key, err)
+		f.setError(key, err)
 	}
 	return v
 }
 
-func (f *fields) unsigned(key string, needed bool) uint64 {
-	s := f.text(key, needed)
+func (f *fields) unsigned(key string, required bool) uint64 {
+	s := f.text(key, required)
 	if s == "" {
 		return 0
 	}
 	v, err := strconv.ParseUint(s, 10, 64)
 	if err != nil {
-		f.bad(key, err)
+		f.setError(key, err)
 	}
 	return v
 }
@@ -357,7 +357,7 @@
 func (f *fields) server() uint32 {
 	v := f.unsigned("server", true)
 	if v > math.MaxUint32 {
-		f.bad("server", fmt.Errorf("%d is out of range", v))
+		f.setError("server", fmt.Errorf("%d is out of range", v))
 	}
 	return uint32(v)
 }
@@ -369,7 +369,7 @@
 	case "", "0", "false":
 		return false
 	default:
-		f.bad(key, fmt.Errorf("%q is no bool", s))
+		f.setError(key, fmt.Errorf("%q is no bool", s))
 		return false
 	}
 }
@@ -381,7 +381,7 @@
 	}
 	b, err := hex.DecodeString(s)
 	if err != nil {
-		f.bad(key, err)
+		f.setError(key, err)
 	}
 	return b
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -10,7 +10,7 @@
 	"sloestile/control"
 )
 
-const opening = "open_instance who=3 salt=77 classes.count=1 classes.0.aim=4000.0 classes.0.deadline=10000.0 " +
+const openInstanceLine = "open_instance who=3 salt=77 classes.count=1 classes.0.aim=4000.0 classes.0.deadline=10000.0 " +
 	"classes.0.effect=guarded classes.0.key-scope=cell classes.0.name=submit classes.0.repeat-window=5000.0 " +
 	"classes.0.stream=false classes.0.worth=1.0 contract.cold=18000.0 contract.fall-multiple=2.5 " +
 	"discovery=on_request domain.cost-after=true domain.meter-period=1000.0 group-size=2 self-index=1 " +
@@ -28,8 +28,8 @@
 	return b
 }
 
-func TestSettings(t *testing.T) {
-	b := decode(t, batch(opening))
+func TestDecodeSettings(t *testing.T) {
+	b := decode(t, batch(openInstanceLine))
 	s := b.Inputs[0].Open.Settings
 	if b.Now != 10250*time.Microsecond || b.Inputs[0].Who != 3 || b.Inputs[0].Open.Seed != 77 {
 		t.Errorf("%+v", b)
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestEvents(t *testing.T) {
+func TestDecodeEvents(t *testing.T) {
 	b := decode(t, batch("discovery who=3 kind=stale_copy serial=41 members=2\n"+
 		"item condition=on area=z1 size=1 server=51 unit-group=0 flavor=a\n"+
 		"item condition=fading area=z1 came-up=6100.0 size=1.5 server=74 unit-group=2 flavor=b\n"+
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestMalformedLinesAreNamed(t *testing.T) {
+func TestErrorsNameTheMalformedLineAndField(t *testing.T) {
 	for text, wants := range map[string][]string{
 		"hello\n":           {"line 1", "clock"},
 		"clock ts=x\nend\n": {"line 1", "ts"},
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestActions(t *testing.T) {
+func TestAppendAction(t *testing.T) {
 	for want, a := range map[string]control.Action{
 		"call_out who=3 xid=0a server=51 within=80\n": control.Send{ID: "0a", Server: 51, Timeout: 80 * time.Millisecond},
 		"call_out who=3 xid=0a server=51\n":           control.Send{ID: "0a", Server: 51},
@@ -137,7 +137,7 @@
 }
 
 func FuzzDecoder(f *testing.F) {
-	f.Add(batch(opening))
+	f.Add(batch(openInstanceLine))
 	f.Add(batch("request who=3 xid=0a class=submit terms=start client-id=9f ttl=240.0 weight=2 spread=3\n"))
 	f.Add(batch("discovery who=3 kind=patch serial=4 members=1\nitem condition=on server=5\n"))
 	f.Add(batch("response who=3 xid=0a server=51 reason=100 pressure=cpu:0.6,rps:1\n"))
