--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads what an edge node is started with: the configuration file, the environment variables that go
-// before it, and the fleet file that switches parts on. It maps the themed keys of these files to the field's terms by
-// struct tags.
+// Package config reads the configuration of an edge node: the configuration file (Load), the environment variables that
+// override it (Config.FromEnvironment), and the fleet file that enables optional parts (LoadFleet). Where a key of these
+// files differs from the name in the code, a struct tag holds the key.
 package config
 
 import (
@@ -17,36 +17,36 @@
 	"sloestile/internal/store/disk"
 )
 
-// Config is what an edge node is started with.
+// Config is the configuration with which an edge node starts.
 type Config struct {
-	File      string // that it was read from
-	Name      string // of the node
-	Listen    string // host:port on which clients connect
+	File      string // path of the configuration file
+	Name      string // name of the node
+	Listen    string // host:port on which the node accepts clients
 	Discovery string // host:port of service discovery
-	Console   string // host:port of the operators' console; "" is none
+	Console   string // host:port of the operators' console; "" disables it
 
-	// SocketFD is the descriptor of the clients' listening socket where it is inherited; 0 is none.
+	// SocketFD is the descriptor of an inherited listening socket for clients; 0 means that the node opens its own.
 	SocketFD int
-	// HandoverDir is the folder by which a process takes over from the one before it; "" is none.
+	// HandoverDir is the folder through which a process takes over the state of its predecessor; "" disables that.
 	HandoverDir string
 
-	Seed       uint64  // of all random draws
+	Seed       uint64  // seed of all random draws
 	Cores      float64 // CPUs that the node may use
-	MemoryMB   int     // memory limit in MB; 0 is none
-	MaxSockets int     // descriptors for connections; 0 is no limit
+	MemoryMB   int     // memory limit in MB; 0 means no limit
+	MaxSockets int     // maximum number of descriptors for connections; 0 means no limit
 
-	// KnownServers is the endpoint list that is used as a cached one until discovery answers.
+	// KnownServers is the endpoint list that the node uses, as a cached one, until discovery answers.
 	KnownServers discovery.Update
 	Settings     control.Settings
 
-	ServerKeepalive      time.Duration // for which an idle connection to a server is kept; default 15 s
-	ServerConnectTimeout time.Duration // for which a connection to a server may take to open; default 250 ms
+	ServerKeepalive      time.Duration // how long an idle connection to a server stays open; default 15 s
+	ServerConnectTimeout time.Duration // how long opening a connection to a server may take; default 250 ms
 
-	Fleet *Fleet  // what a fleet file switches on; nil is nothing
-	Disk  disk.FS // under what the node stores; nil is the machine's own
+	Fleet *Fleet  // contents of the fleet file; nil means that all optional parts are off
+	Disk  disk.FS // file system of the node's stores; nil means the local one
 }
 
-// Load reads the configuration file, in JSON, at path. Its error is a *FileError.
+// Load reads the JSON configuration file at path. Its error is a *FileError.
 func Load(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return c, nil
 }
 
-// parseConfig reads a configuration. key names the setting that err is about.
+// parseConfig decodes and validates a configuration. key names the setting that err is about; "" means the whole file.
 func parseConfig(raw []byte) (c Config, key string, err error) {
 	var file struct {
 		Name, Listen, Discovery, Console, Seed string
@@ -78,7 +78,7 @@
 	c = Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Console: file.Console, KnownServers: file.Known,
 		Cores: file.Limits.Cores, MemoryMB: file.Limits.MemoryMB, MaxSockets: file.Limits.Sockets}
 	if c.Listen == "" || c.Discovery == "" {
-		return c, "listen and discovery", errors.New("both must be given")
+		return c, "listen and discovery", errors.New("both are required")
 	}
 	if key, err := c.checkAddresses(); err != nil {
 		return c, key, err
@@ -101,7 +101,8 @@
 	defaultServerConnectTimeout = 250 * time.Millisecond
 )
 
-// readSettings reads the settings of the decision module and the two that are the node's own.
+// readSettings reads the settings of the decision module and the node's own two, keepalive and connect timeout. key names
+// the setting that err is about.
 func (c *Config) readSettings(raw json.RawMessage) (key string, err error) {
 	paths, err := flatten(raw)
 	if err != nil {
@@ -126,7 +127,7 @@
 	return "", nil
 }
 
-// checkAddresses returns the key of the first address that is not host:port.
+// checkAddresses returns the key of the first address that is not host:port, and the reason.
 func (c *Config) checkAddresses() (key string, err error) {
 	addrs := []struct{ name, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery}, {"console", c.Console}}
 	for _, a := range addrs {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -22,10 +22,10 @@
 	s := c.Settings
 	if c.Seed != 0x8c1f30d27a5be964 || c.MaxSockets != 1024 || c.MemoryMB != 192 || c.KnownServers.Rev != 7 ||
 		c.ServerKeepalive != 15*time.Second || c.ServerConnectTimeout != 250*time.Millisecond {
-		t.Errorf("%+v", c)
+		t.Errorf("configuration: %+v", c)
 	}
 	if small := maxTenants(32); s.MaxTenants != maxTenants(192) || small < 1500 || small*tenantBytes > 32<<20/4 {
-		t.Errorf("%d customers in 192 MB, %d in 32", s.MaxTenants, small)
+		t.Errorf("at most %d tenants with 192 MB, %d with 32 MB", s.MaxTenants, small)
 	}
 	if s.FleetSize != 2 || !s.ResponsesReportTokens || !s.ClientsMarkRetries || s.MaxAttempts != 6 || s.SlowStartDuration != 15*time.Second ||
 		len(s.Classes) != 2 || len(s.Plans) != 2 {
@@ -45,16 +45,16 @@
 		t.Fatal(err)
 	}
 	for name, tc := range map[string]struct{ old, new, want string }{
-		"not JSON":     {`{"name"`, `{name`, "invalid"},
-		"no address":   {`"127.0.0.1:0"`, `""`, "listen"},
-		"no port":      {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
-		"odd seed":     {"8c1f30d27a5be964", "xyz", "seed"},
-		"odd figure":   {`"aim": 2000.0`, `"aim": "soon"`, "aim"},
-		"odd effect":   {`"guarded"`, `"maybe"`, "effect"},
-		"odd span":     {`"keepalive": 15000.0`, `"keepalive": -1`, "keepalive"},
-		"odd known":    {`"targets": []`, `"targets": [{"state": "up"}]`, "known"},
-		"no settings":  {`"settings"`, `"unsettled"`, "settings"},
-		"wrong nature": {`"cores": 1.0`, `"cores": "many"`, "Cores"},
+		"not JSON":            {`{"name"`, `{name`, "invalid"},
+		"no address":          {`"127.0.0.1:0"`, `""`, "listen"},
+		"no port":             {`"127.0.0.1:1"`, `"127.0.0.1"`, "discovery"},
+		"invalid seed":        {"8c1f30d27a5be964", "xyz", "seed"},
+		"invalid number":      {`"aim": 2000.0`, `"aim": "soon"`, "aim"},
+		"unknown idempotency": {`"guarded"`, `"maybe"`, "effect"},
+		"negative duration":   {`"keepalive": 15000.0`, `"keepalive": -1`, "keepalive"},
+		"invalid server list": {`"targets": []`, `"targets": [{"state": "up"}]`, "known"},
+		"no settings":         {`"settings"`, `"unsettled"`, "settings"},
+		"wrong type":          {`"cores": 1.0`, `"cores": "many"`, "Cores"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -72,7 +72,7 @@
 	assert.ErrorIs(t, err, fs.ErrNotExist)
 }
 
-// The environment goes before the file; what it says wrong is named.
+// Environment variables override the file, and an error names the variable with an invalid value.
 func TestEnvironmentOverridesFile(t *testing.T) {
 	env := map[string]string{"NODE_CONSOLE": "127.0.0.1:9", "NODE_SOCKET_FD": "5"}
 	c, err := Load("testdata/config.json")
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	if err := c.FromEnvironment(func(n string) string { return env[n] }); err != nil || c.Console != "127.0.0.1:9" || c.SocketFD != 5 {
-		t.Errorf("%v, console %q, descriptor %d", err, c.Console, c.SocketFD)
+		t.Errorf("error %v, console %q, descriptor %d", err, c.Console, c.SocketFD)
 	}
 	for name, value := range map[string]string{"NODE_CONSOLE": "nowhere", "NODE_SOCKET_FD": "five", "NODE_LISTEN": "x"} {
 		err := c.FromEnvironment(func(n string) string {
--- a/internal/config/environment.go
+++ b/internal/config/environment.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// FromEnvironment takes over what the environment variables set; they go before the file. Its error is an
-// *EnvironmentError.
+// FromEnvironment overrides fields of c with the values of environment variables that lookup returns; "" means that a
+// variable is not set. Its error is an *EnvironmentError.
 func (c *Config) FromEnvironment(lookup func(string) string) error {
 	if v := lookup("TMPDIR"); v != "" {
 		c.HandoverDir = v
@@ -26,7 +26,7 @@
 	if v := lookup("NODE_SOCKET_FD"); v != "" {
 		fd, err := strconv.Atoi(v)
 		if err != nil || fd <= 2 {
-			return &EnvironmentError{"NODE_SOCKET_FD", fmt.Errorf("%q is no descriptor", v)}
+			return &EnvironmentError{"NODE_SOCKET_FD", fmt.Errorf("%q is not a descriptor above 2", v)}
 		}
 		c.SocketFD = fd
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,17 +13,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Fleet is what a fleet file, in TOML, switches on. A part that is nil is off, and without a fleet file all are.
+// Fleet is the contents of a fleet file, in TOML. Each section enables a part of the node; a nil section leaves it off.
 type Fleet struct {
 	Peers     *Peers
-	Regions   map[string][]string // the zones of each region
+	Regions   map[string][]string // zones of each region
 	State     *State
 	Zones     *Zones
 	Consensus *Consensus `toml:"council"`
 	Subset    *Subset
 }
 
-// LoadFleet reads a fleet file. Its error is a *FleetFileError.
+// LoadFleet reads and validates the fleet file at path. Its error is a *FleetFileError.
 func LoadFleet(path string) (*Fleet, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return f, nil
 }
 
-// check returns the first key with an invalid value, and why it is invalid.
+// check returns the first key with an invalid value, and the reason.
 func (f *Fleet) check() (key string, err error) {
 	regionOf := map[string]string{}
 	for region, zones := range f.Regions {
@@ -58,10 +58,10 @@
 		}
 	}
 	if f.State != nil && !filepath.IsAbs(f.State.Dir) {
-		return "state.dir", fmt.Errorf("%q is no whole path", f.State.Dir)
+		return "state.dir", fmt.Errorf("%q is not an absolute path", f.State.Dir)
 	}
 	if f.Zones != nil && f.Zones.Evacuate && len(f.Regions) == 0 {
-		return "zones.leave", errors.New("regions name no zones")
+		return "zones.leave", errors.New("evacuating zones requires [regions]")
 	}
 	if f.Consensus != nil {
 		if key, err := f.Consensus.check(f); err != nil {
@@ -76,18 +76,19 @@
 	return f.Peers.check()
 }
 
+// checkAddress returns an error if addr is not host:port with a host and a port from 1 to 65535.
 func checkAddress(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 || host == "" {
-		return fmt.Errorf("%q is no address", addr)
+		return fmt.Errorf("%q is not an address with a host and a port from 1 to 65535", addr)
 	}
 	return nil
 }
 
-// Region returns the region of a zone, or "".
+// Region returns the region of a zone, or "" if the zone is in none.
 func (f *Fleet) Region(zone string) string {
 	for region, zones := range f.Regions {
 		for _, z := range zones {
@@ -99,12 +100,12 @@
 	return ""
 }
 
-// State switches on that the node persists what it has learned.
+// State enables the checkpoint in which the node persists its learned state.
 type State struct {
-	Dir string // the node's own folder, on a disk that outlives the process
+	Dir string // absolute path of the node's own folder, on a disk that outlives the process
 }
 
-// Zones switches on what the node does about zones beyond the cost of crossing into them.
+// Zones enables handling of failing zones. The cost of crossing zones applies without it.
 type Zones struct {
-	Evacuate bool `toml:"leave"` // leave a zone that fails, and return to it by a recovery ramp
+	Evacuate bool `toml:"leave"` // stop sending to a failing zone, and return to it with a recovery ramp
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// Peers switches on messages between this node and others.
+// Peers enables messages between this node and its peers.
 type Peers struct {
-	Label string // of the fleet; nodes with another label are not joined
+	Label string // label of the fleet; a node does not join nodes with another label
 
-	// OutlierReports switches on reports of servers that are far slower than usual.
+	// OutlierReports enables reports of servers that are far slower than usual.
 	OutlierReports bool `toml:"verdicts"`
-	// Port is the TCP and UDP port, on the address where clients connect.
+	// Port is the TCP and UDP port for peers, on the address where clients connect.
 	Port int
-	// Seeds are addresses, host:port, of nodes by which the fleet is joined.
+	// Seeds are the addresses, host:port, of nodes through which this node joins the fleet.
 	Seeds []string
-	// SharedLimits switches on that the nodes share tenants' token buckets.
+	// SharedLimits enables sharing of the tenants' token buckets between nodes.
 	SharedLimits bool `toml:"limits"`
-	// DialAddresses maps an address that a node publishes to the one by which this node reaches it, where they differ.
+	// DialAddresses maps the address that a peer publishes to the address that this node dials, where they differ.
 	DialAddresses map[string]string `toml:"via"`
 }
 
-// check returns the first key with an invalid value, and why it is invalid.
+// check returns the first key with an invalid value, and the reason. A nil p is valid.
 func (p *Peers) check() (key string, err error) {
 	if p == nil {
 		return "", nil
 	}
 	if p.Label == "" {
-		return "peers.label", errors.New("there is none")
+		return "peers.label", errors.New("it is required")
 	}
 	if p.Port < 1 || p.Port > 65535 {
-		return "peers.port", fmt.Errorf("%d is no port", p.Port)
+		return "peers.port", fmt.Errorf("%d is not a port from 1 to 65535", p.Port)
 	}
 	for i, s := range p.Seeds {
 		if err := checkAddress(s); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// milliseconds reads a duration of the settings, or returns the default where it is not given.
+// milliseconds returns the duration in milliseconds that is set at path, or defaultValue if none is set.
 func milliseconds(paths map[string]string, path string, defaultValue time.Duration) (time.Duration, error) {
 	text, ok := paths[path]
 	if !ok {
@@ -17,12 +17,12 @@
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v > 0 && v < 1e9) {
-		return 0, fmt.Errorf("%q is no span in milliseconds", text)
+		return 0, fmt.Errorf("%q is not a duration in milliseconds above 0", text)
 	}
 	return time.Duration(v * float64(time.Millisecond)), nil
 }
 
-// flatten turns nested JSON into the dotted paths that package simwire reads.
+// flatten converts nested JSON into values by dotted path, the form that simwire.Settings reads.
 func flatten(raw json.RawMessage) (map[string]string, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -35,6 +35,8 @@
 	return paths, nil
 }
 
+// flattenInto adds the values in v to paths. A list gets its length under prefix.count, its objects under prefix.0,
+// prefix.1 and so on, and its other items under prefix, separated by commas.
 func flattenInto(paths map[string]string, prefix string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/config/subset.go
+++ b/internal/config/subset.go
@@ -7,17 +7,17 @@
 	"sloestile/fleet/subset"
 )
 
-// Subset switches on that the node uses a subset of a long endpoint list. A nil field has its default: see subset.Config.
+// Subset enables the use of a subset of a long endpoint list. A nil field means the default of subset.Config.
 type Subset struct {
-	MaxServers *int `toml:"servers"`    // in the subset; a shorter list is used whole
-	MinPerZone *int `toml:"zone_least"` // servers of each zone, where the zone has as many; 0 is no floor
-	MaxListed  *int `toml:"list_most"`  // entries of a list; a longer list is dropped
+	MaxServers *int `toml:"servers"`    // maximum number of servers in the subset; a shorter list is used whole
+	MinPerZone *int `toml:"zone_least"` // minimum number of servers of each zone that has as many; 0 means no minimum
+	MaxListed  *int `toml:"list_most"`  // maximum number of entries in an endpoint list; a longer list is dropped
 }
 
-// subsetFileKeys maps the keys of a subset.ConfigError to those of the fleet file.
+// subsetFileKeys maps the keys of a subset.ConfigError to the keys of the fleet file.
 var subsetFileKeys = map[string]string{"most": "subset.servers", "zone least": "subset.zone_least", "list most": "subset.list_most"}
 
-// check returns the first key with an invalid value, and why it is invalid.
+// check returns the first key with an invalid value, and the reason.
 func (c *Subset) check() (key string, err error) {
 	for _, k := range []struct {
 		name     string
@@ -35,6 +35,7 @@
 	return subsetFileKeys[configErr.Key], fmt.Errorf("%d is not in %d to %d", configErr.Have, configErr.Least, configErr.Most)
 }
 
+// config returns the subset configuration of the node with an index, with defaults for nil fields.
 func (c *Subset) config(node int) subset.Config {
 	s := subset.Config{Node: node, Most: subset.DefaultMost, ZoneLeast: subset.DefaultZoneLeast, ListMost: subset.DefaultListMost}
 	if c.MaxServers != nil {
@@ -52,7 +53,7 @@
 	return s
 }
 
-// SubsetOf returns how the node with an index chooses its subset of the endpoint list; nil means the whole list.
+// SubsetOf returns the subset configuration of the node with an index; nil means that it uses the whole list.
 func (f *Fleet) SubsetOf(node int) *subset.Config {
 	if f == nil || f.Subset == nil {
 		return nil
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden holds in tests what is stored or sent against bytes that are recorded under testdata, so that
-// a rename or a change of layout does not reach another process, version or disk unseen.
+// Package golden compares, in tests, data that is stored or sent with bytes recorded under testdata. It catches a rename or
+// a change of layout that would break compatibility with other processes, versions or stored data.
 package golden
 
 import (
@@ -18,16 +18,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// write makes the recorded bytes anew; only for a form that is meant to change.
-var write = flag.Bool("golden.write", false, "write the recorded bytes under testdata anew")
+// write overwrites the recorded files. It is only for a format that is meant to change.
+var write = flag.Bool("golden.write", false, "overwrite the recorded files under testdata")
 
-// Check compares got with testdata/NAME.golden, which holds a dump in hexadecimal.
+// Check compares got with testdata/NAME.golden, which holds a hexadecimal dump.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	CheckText(t, name, hex.Dump(got))
 }
 
-// CheckText compares a text with testdata/NAME.golden.
+// CheckText compares the text got with testdata/NAME.golden.
 func CheckText(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -37,11 +37,11 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(want), got, "%s differs from what is recorded", name)
+	require.Equal(t, string(want), got, "%s differs from the golden file", name)
 }
 
-// RoundTrip fills a value, encodes it, compares the bytes with those recorded, decodes them, and encodes the
-// decoded value to the same bytes.
+// RoundTrip fills a value with Fill, encodes it and compares the bytes with the recorded ones. It then decodes them and
+// requires that the decoded value encodes to the same bytes.
 func RoundTrip[T any](t *testing.T, name string, encode func(*T) ([]byte, error), decode func([]byte) (*T, error)) {
 	t.Helper()
 	value := new(T)
@@ -49,7 +49,7 @@
 	RoundTripOf(t, name, value, encode, decode)
 }
 
-// RoundTripOf is RoundTrip for a value that the caller made.
+// RoundTripOf does the same as RoundTrip with a value of the caller.
 func RoundTripOf[T any](t *testing.T, name string, value *T, encode func(*T) ([]byte, error), decode func([]byte) (*T, error)) {
 	t.Helper()
 	raw, err := encode(value)
@@ -59,16 +59,17 @@
 	require.NoError(t, err)
 	reencoded, err := encode(decoded)
 	require.NoError(t, err)
-	require.True(t, bytes.Equal(raw, reencoded), "%s is written back differently", name)
+	require.True(t, bytes.Equal(raw, reencoded), "%s encodes differently after decoding", name)
 }
 
-// Fill sets each field that a value holds, at any depth, to a value of its own: numbers count up, slices get two
-// elements and maps one. Fields that are not exported stay as they are.
+// Fill sets every exported field of the struct that value points to, at any depth. Numbers and texts count up, so that
+// fields differ; slices get two elements and maps one.
 func Fill(value any) {
 	next := 0
 	fill(reflect.ValueOf(value).Elem(), &next)
 }
 
+// fill sets v and advances next, the counter from which values are made.
 func fill(v reflect.Value, next *int) {
 	if !v.CanSet() {
 		return
@@ -116,7 +117,8 @@
 	v.SetMapIndex(key, element)
 }
 
-// Values lists all that a value holds, at any depth and in order, without the names of fields.
+// Values returns all values in value, at any depth and in order, one per line. Names of fields are left out, so that
+// renames in the code do not change the text.
 func Values(value any) string {
 	var out strings.Builder
 	writeValues(&out, reflect.ValueOf(value), "")
--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -16,8 +16,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What the node's program names in text that others go by: metrics, the console's calls, variables of the
-// environment and headers of requests.
+// namePatterns match the names in the node's string literals that others depend on: metrics, paths of the console,
+// environment variables and request headers.
 var namePatterns = map[string]*regexp.Regexp{
 	"metrics":     regexp.MustCompile(`^node_[a-z_]+$`),
 	"calls":       regexp.MustCompile(`^/[a-z]+(/[a-z]+)?/?$`),
@@ -25,7 +25,7 @@
 	"headers":     regexp.MustCompile(`^X-[A-Za-z-]+$`),
 }
 
-// The names that operators, other processes and the platform go by are as recorded.
+// The names that operators, other processes and the platform depend on are as recorded.
 func TestExternalNamesMatchGolden(t *testing.T) {
 	found := map[string]map[string]bool{}
 	for kind := range namePatterns {
@@ -61,7 +61,7 @@
 	}
 }
 
-// literals calls visit for each string literal of a file, but for the paths of imports and the tags of fields.
+// visitStringLiterals calls visit for each string literal of a file, except import paths and struct tags.
 func visitStringLiterals(path string, visit func(string)) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// Packages whose text others go by: the words of the simulator's wire, and those of the lab's scenarios, figures,
-// benches and reports.
+// wordPackages are the packages whose words appear in external formats, by golden file: the simulator's protocol, and the
+// lab's scenarios, figures, benchmarks and reports.
 var wordPackages = map[string]string{
 	"simwire":     "internal/simwire",
 	"scenario":    "internal/testbed/scenario",
@@ -97,14 +97,15 @@
 	"maintenance": "internal/testbed/maintenanceday",
 }
 
-// word is a text without blanks within and with a letter or digit, such as a key, a value or a beginning. A verb of
-// package fmt is none.
+// wordPattern matches a text with a letter or digit and without inner blanks, such as a key, a value or a prefix.
+// verbPattern matches formatting verbs of package fmt, which don't count as letters.
 var (
 	wordPattern = regexp.MustCompile(`^[ \n]?[!-~]*[A-Za-z0-9][!-~]*[ \n]?$`)
 	verbPattern = regexp.MustCompile(`%[0-9]*[a-z]`)
 )
 
-// The words that stand in these packages are as recorded. Their texts of several words, such as messages, are free.
+// The single words in string literals of these packages are as recorded. Texts of several words, such as messages, may
+// change.
 func TestExternalWordsMatchGolden(t *testing.T) {
 	for name, dir := range wordPackages {
 		files, err := filepath.Glob(filepath.Join("..", "..", dir, "*.go"))
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -13,12 +13,12 @@
 // most is how many tests may be listed.
 const maxListed = 3
 
-// entry is one line of the list: a test of a package, and why it fails.
+// entry is one line of the list: a test of a package, and the cause of its failure.
 type entry struct{ pkg, test, cause string }
 
 var linePattern = regexp.MustCompile(`^([^\s:]+)\.(Test\w*): (\S.*) \(issue \d+\)$`)
 
-// read reads the list; where there is no file nothing is listed.
+// readList reads and validates the list at path. A missing file is an empty list.
 func readList(path string) ([]entry, error) {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -31,7 +31,7 @@
 	for i, l := range strings.Split(strings.TrimSuffix(string(raw), "\n"), "\n") {
 		m := linePattern.FindStringSubmatch(l)
 		if m == nil {
-			return nil, fmt.Errorf("%s: line %d: not PACKAGE.TestName: cause (issue N)", path, i+1)
+			return nil, fmt.Errorf("%s: line %d: not in the form PACKAGE.TestName: cause (issue N)", path, i+1)
 		}
 		e := entry{m[1], m[2], m[3]}
 		if slices.ContainsFunc(list, func(o entry) bool { return o.pkg == e.pkg && o.test == e.test }) {
@@ -40,7 +40,7 @@
 		list = append(list, e)
 	}
 	if len(list) > maxListed {
-		return nil, fmt.Errorf("%s: %d tests, %d are allowed", path, len(list), maxListed)
+		return nil, fmt.Errorf("%s: %d tests listed, %d are allowed", path, len(list), maxListed)
 	}
 	return list, nil
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,7 +1,7 @@
-// Command knownred runs a go test command and passes over the failures of the tests that KNOWN-RED.txt
-// lists in the folder it is started in, of these alone: a line each, PACKAGE.TestName: cause (issue N),
-// PACKAGE being an import path. It prints each with its outcome. It fails on any other failure, on
-// more than three lines, on one it cannot read, and on a test that there is not.
+// Command knownred runs a go test command and ignores the failures of tests that are known to fail. They are listed in
+// KNOWN-RED.txt in the working directory, one per line in the form PACKAGE.TestName: cause (issue N), where PACKAGE is an
+// import path. The command prints each listed test with its outcome. It fails on any other failure, on a list of more than
+// three lines, on a malformed line, and on a listed test that does not exist.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// run runs a command that begins with "go test" in a folder.
+// run runs command, which begins with "go test", in dir and writes the output of the tests to out.
 func run(dir string, command []string, out io.Writer) error {
 	if len(command) < 2 || command[0] != "go" || command[1] != "test" {
 		return fmt.Errorf("%q: not a go test command", strings.Join(command, " "))
@@ -39,7 +39,7 @@
 	for _, e := range list {
 		outcome := r.outcomes[test{e.pkg, e.test}]
 		if outcome == "" {
-			r.otherFailures = append(r.otherFailures, fmt.Sprintf("%s lists %s.%s, and there is no such test", listFile, e.pkg, e.test))
+			r.otherFailures = append(r.otherFailures, fmt.Sprintf("%s lists %s.%s: no such test", listFile, e.pkg, e.test))
 			outcome = "not found"
 		}
 		fmt.Fprintf(out, "known red: %s.%s: %s: %s\n", e.pkg, e.test, outcome, e.cause)
@@ -47,7 +47,7 @@
 	switch {
 	case len(r.otherFailures) > 0:
 		return errors.New(strings.Join(r.otherFailures, "; "))
-	case testErr != nil && len(r.failedPackages) == 0: // for a reason that no event tells
+	case testErr != nil && len(r.failedPackages) == 0: // go test failed without an event that reports why
 		return testErr
 	}
 	return r.rerunWithoutListed(dir)
@@ -59,13 +59,13 @@
 type testRun struct {
 	list           []entry
 	out            io.Writer
-	output         map[test]string // what a test that has not ended has printed
-	outcomes       map[test]string // of each test that has ended
-	failedPackages []string        // packages with listed tests that failed
-	otherFailures  []string        // what else failed
+	output         map[test]string // output so far of each test that has not ended
+	outcomes       map[test]string // action that ended each test: pass, skip or fail
+	failedPackages []string        // packages in which a listed test failed
+	otherFailures  []string        // messages about all other failures
 }
 
-// event is one of those of go doc test2json.
+// event is an event in the output of go test -json; see go doc test2json.
 type event struct{ Action, Package, ImportPath, Test, Output string }
 
 // tests runs the tests and prints what go test does without -json.
@@ -90,6 +90,7 @@
 	}
 }
 
+// handleEvent handles one line of the output of go test -json.
 func (r *testRun) handleEvent(line string) {
 	var e event
 	if json.Unmarshal([]byte(line), &e) != nil {
@@ -104,7 +105,7 @@
 	case "build-fail":
 		r.otherFailures = append(r.otherFailures, e.ImportPath+" does not build")
 	case "output":
-		if e.Test != "" && !strings.HasPrefix(e.Output, "=== ") { // that it runs, waits or goes on
+		if e.Test != "" && !strings.HasPrefix(e.Output, "=== ") { // skips RUN, PAUSE and CONT lines
 			r.output[t] += e.Output
 		} else if e.Test == "" && e.Output != "PASS\n" {
 			fmt.Fprint(r.out, e.Output)
@@ -134,8 +135,8 @@
 	}
 }
 
-// rest runs anew, without the listed tests, the packages in which one failed: it may have ended its
-// package before others ran, and no event tells whether the package fails by more than its tests.
+// rerunWithoutListed runs the packages in which a listed test failed again, without the listed tests. The listed test may
+// have ended the process before other tests ran, and no event reports whether the package fails for another reason too.
 func (r *testRun) rerunWithoutListed(dir string) error {
 	for _, p := range r.failedPackages {
 		var names []string
--- a/internal/oncall/oncall.go
+++ b/internal/oncall/oncall.go
@@ -1,6 +1,5 @@
-// Package oncall holds the errors of a package, in its tests, against what staff are owed: one line
-// that says what failed, where, and after the last semicolon what they can do; and a row in
-// docs/oncall.md.
+// Package oncall checks, in the tests of a package, that its errors are usable by on-call staff: the text is one line that
+// says where and what failed and, after the last semicolon, what to do, and docs/oncall.md has a row for the error type.
 package oncall
 
 import (
@@ -19,11 +18,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ErrCause is what examples have for an error that they wrap.
+// ErrCause is the error that the examples passed to Check wrap. Its text has a line break, which they must remove.
 var ErrCause = errors.New("made up\nin two lines")
 
-// Check walks all exported types of errors of the package whose test calls it. Each needs an example,
-// which are pointers with each field set in one of them; what they wrap is ErrCause.
+// Check checks all exported error types of the package whose test calls it. Examples are pointers; each type needs at
+// least one, each of its fields must be set in one of them, and a wrapped error must be ErrCause. The text of an example
+// must contain each string field and the wrapped error.
 func Check(t *testing.T, examples ...error) {
 	types, err := errorTypes(".")
 	require.NoError(t, err)
@@ -34,8 +34,8 @@
 		v := reflect.ValueOf(err).Elem()
 		name := v.Type().String()
 		_, typeName, _ := strings.Cut(name, ".")
-		assert.Contains(t, types, typeName, "%s is no type of this package", name)
-		assert.Contains(t, rows, name, "no row in docs/oncall.md")
+		assert.Contains(t, types, typeName, "%s is not an exported error type of this package", name)
+		assert.Contains(t, rows, name, "docs/oncall.md has no row for it")
 		assert.NoError(t, checkText(err))
 		covered[typeName] = true
 		for i := range v.NumField() {
@@ -46,18 +46,18 @@
 				continue
 			}
 			if f.Type.Kind() == reflect.String {
-				assert.Contains(t, err.Error(), v.Field(i).String(), "%s does not tell its %s", name, f.Name)
+				assert.Contains(t, err.Error(), v.Field(i).String(), "the text of %s does not contain its %s", name, f.Name)
 			}
 			if f.Type == reflect.TypeFor[error]() {
-				assert.Contains(t, err.Error(), "made up", "%s does not tell its %s", name, f.Name)
-				assert.ErrorIs(t, err, ErrCause, "%s hides its %s", name, f.Name)
+				assert.Contains(t, err.Error(), "made up", "the text of %s does not contain its %s", name, f.Name)
+				assert.ErrorIs(t, err, ErrCause, "%s does not unwrap to its %s", name, f.Name)
 			}
 		}
 	}
 	for typeName, fields := range types {
 		assert.True(t, covered[typeName], "%s has no example", typeName)
 		for _, f := range fields {
-			assert.True(t, !covered[typeName] || covered[typeName+"."+f], "%s of %s is set in no example", f, typeName)
+			assert.True(t, !covered[typeName] || covered[typeName+"."+f], "no example sets %s of %s", f, typeName)
 		}
 	}
 }
@@ -70,9 +70,9 @@
 	case strings.ContainsAny(text, "\r\n"):
 		return fmt.Errorf("a line break in %q", text)
 	case hintAt < 0 || len(strings.Fields(text[hintAt+2:])) < 2:
-		return fmt.Errorf("%q says nothing to do", text)
+		return fmt.Errorf("%q has no hint of two words or more after a semicolon", text)
 	case !strings.Contains(text[:hintAt], ": "):
-		return fmt.Errorf("%q does not say where", text)
+		return fmt.Errorf("%q has no place before a colon", text)
 	}
 	return nil
 }
@@ -144,7 +144,7 @@
 	return rows, err
 }
 
-// root is the module's folder: the first above a test's that has a go.mod.
+// moduleRoot returns the path of the module's folder: the nearest parent of the test's folder with a go.mod.
 func moduleRoot() string {
 	dir := "."
 	for range 10 {
--- a/internal/oncall/oncall_test.go
+++ b/internal/oncall/oncall_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each package of the node that raises errors of its own has a test that checks them, and each row
-// of docs/oncall.md is of an error that there is. The stand-in platform is no part of the node.
+// Each package of the node that declares error types has a test that calls Check, and each row of docs/oncall.md is for an
+// existing type. The stand-in of the platform, internal/testbed, is not part of the node.
 func TestEveryErrorTypeIsCheckedAndDocumented(t *testing.T) {
 	rows, err := documentedErrors()
 	require.NoError(t, err)
@@ -33,9 +33,10 @@
 			return err
 		}))
 	}
-	assert.Empty(t, rows, "docs/oncall.md has rows for errors that there are not")
+	assert.Empty(t, rows, "docs/oncall.md has rows for error types that do not exist")
 }
 
+// callsCheck reports whether a test in dir calls Check.
 func callsCheck(t *testing.T, dir string) bool {
 	files, err := filepath.Glob(filepath.Join(dir, "*_test.go"))
 	require.NoError(t, err)
--- a/internal/oneline/oneline.go
+++ b/internal/oneline/oneline.go
@@ -1,4 +1,4 @@
-// Package oneline gives the text of an error as a part of another's one line.
+// Package oneline formats an error for use within the one-line text of another error.
 package oneline
 
 import (
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Of gives the text of a cause without line breaks, and without the place where it is one of the
-// standard library's that tells it: who wraps it names the place.
+// Of returns the text of err on one line. It leaves out the file or address of an outermost *fs.PathError, *os.LinkError
+// or *net.OpError, because the error that wraps it names the place.
 func Of(err error) string {
 	switch e := err.(type) { //nolint:errorlint // only the outermost error may lose its place; inner ones stay whole
 	case *fs.PathError:
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,15 +10,15 @@
 	"sloestile/control"
 )
 
-// AppendEnd appends the end of a reply.
+// AppendEnd appends the line that ends a reply.
 func AppendEnd(b []byte) []byte { return append(b, "yield\n"...) }
 
-// AppendBailOut appends the report that an instance's decisions have failed.
+// AppendBailOut appends the line that reports the failure of instance who, with the reason in text.
 func AppendBailOut(b []byte, who int, text string) []byte {
 	return appendText(appendHeader(b, "bail_out", who), text)
 }
 
-// AppendAction appends one action of an instance.
+// AppendAction appends the line for one action of instance who. It panics on an action of an unknown type.
 func AppendAction(b []byte, who int, a control.Action) []byte {
 	switch a := a.(type) {
 	case control.Send:
@@ -63,21 +63,24 @@
 	case control.LogLine:
 		return appendText(appendHeader(b, "remark", who), a.Text)
 	default:
-		panic(fmt.Sprintf("wire: no text for action %T", a))
+		panic(fmt.Sprintf("simwire: unknown action type %T", a))
 	}
 	return append(b, '\n')
 }
 
+// appendHeader appends the name of a line and the instance that it is for.
 func appendHeader(b []byte, name string, who int) []byte {
 	return strconv.AppendInt(append(append(b, name...), " who="...), int64(who), 10)
 }
 
 func appendPair(b []byte, key, value string) []byte { return append(append(b, key...), value...) }
 
+// appendMS appends d in milliseconds, truncated to whole microseconds.
 func appendMS(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(b, float64(d/time.Microsecond)/1000, 'f', -1, 64)
 }
 
+// appendText appends free text and the end of the line. Control characters in the text become blanks.
 func appendText(b []byte, text string) []byte {
 	text = strings.Map(func(r rune) rune {
 		if r < ' ' {
@@ -88,6 +91,7 @@
 	return append(appendPair(b, " body-text=", text), '\n')
 }
 
+// hexOrDash returns raw in hexadecimal, or "-" if it is empty.
 func hexOrDash(raw []byte) string {
 	if len(raw) == 0 {
 		return "-"
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -12,7 +12,8 @@
 	"sloestile/internal/golden"
 )
 
-// Batches with every event, every field of each and every key of the settings are read as recorded.
+// Batches with every event, every field of each and every key of the settings are decoded as recorded, so that a rename
+// in the code does not change the protocol.
 func TestDecodingEveryEventMatchesGolden(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "every-event.txt"))
 	require.NoError(t, err)
@@ -26,7 +27,7 @@
 	golden.CheckText(t, "every-event", out.String())
 }
 
-// How an attempt may end has the recorded numbers on the wire.
+// The outcomes of an attempt have the recorded numbers in the protocol.
 func TestOutcomeNumbersMatchGolden(t *testing.T) {
 	golden.CheckText(t, "outcomes", golden.Values([]control.Outcome{control.OK, control.Errored, control.Overloaded, control.TimedOut,
 		control.ConnectFailed, control.ResetByPeer, control.Cancelled, control.NeverSent}))
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -7,8 +7,7 @@
 	"sloestile/control"
 )
 
-// open reads the start of an instance. Settings keys that are not known are
-// skipped; what the settings mean is for control.New to judge.
+// open reads an open_instance line. It skips unknown keys of the settings; control.New validates the values.
 func (d *Decoder) open(rest string) (Input, error) {
 	f := parse(rest)
 	paths := make(map[string]string, len(f.keys))
@@ -27,8 +26,8 @@
 	return in, nil
 }
 
-// Settings reads settings given as text by their dotted paths: the length of a
-// list of objects under .count, its items under .0, .1 and onward.
+// Settings decodes the settings in paths, which maps dotted paths to values as text. A list of objects has its length
+// under .count and its items under .0, .1 and so on. Unknown paths are ignored.
 func Settings(paths map[string]string) (control.Settings, error) {
 	r := &settingsReader{fields: &fields{}, paths: paths}
 	for k, v := range paths {
@@ -38,18 +37,19 @@
 	return s, r.err
 }
 
-// facts reads settings by their path.
+// settingsReader reads settings by their dotted path and keeps the first error.
 type settingsReader struct {
 	*fields
 	paths map[string]string
 }
 
+// float returns the number at key, and 0 where none is set.
 func (r *settingsReader) float(key string) float64 {
 	s, ok := r.paths[key]
 	if !ok || s == "" {
 		return 0
 	}
-	v, err := strconv.ParseFloat(s, 64) // a figure that is not finite is for control.New to name
+	v, err := strconv.ParseFloat(s, 64) // control.New rejects a number that is not finite
 	if err != nil {
 		r.setError(key, err)
 	}
@@ -83,11 +83,12 @@
 	return s
 }
 
-// count reads the length of a list and holds it to what the settings could hold.
+// count returns the length of a list. It rejects a length above the number of keys, so that a corrupt count can't cause a
+// huge allocation.
 func (r *settingsReader) count(list string) int {
 	n := r.float(list + ".count")
 	if !(n >= 0 && n <= float64(len(r.keys))) {
-		r.setError(list+".count", fmt.Errorf("%g items cannot be in these settings", n))
+		r.setError(list+".count", fmt.Errorf("%g is not a possible number of items", n))
 		return 0
 	}
 	return int(n)
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package simwire turns the operators' wire text into the types of package
-// control and back. It decides nothing.
+// Package simwire converts between the text protocol of the operators' simulator and the types of package control. A
+// Decoder reads batches of events; AppendAction, AppendBailOut and AppendEnd write the replies.
 package simwire
 
 import (
@@ -16,34 +16,33 @@
 	"sloestile/control"
 )
 
-// Open is the start of an instance.
+// Open starts an instance. An instance is one controller that the simulator runs.
 type Open struct {
 	Seed     uint64
 	Settings control.Settings
 }
 
-// Input is one event of a batch for one instance: exactly one of Open,
-// PowerOff and Event is set.
+// Input is one event of a batch for one instance. Exactly one of Open, PowerOff and Event is set.
 type Input struct {
-	Who      int
+	Who      int // number of the instance
 	Open     *Open
-	PowerOff bool
+	PowerOff bool // the instance ends without a shutdown
 	Event    control.Event
 }
 
-// Batch is what happened at one moment.
+// Batch is the events of one instant.
 type Batch struct {
-	Now    time.Duration
+	Now    time.Duration // simulated time
 	Inputs []Input
 }
 
-// Decoder reads batches.
+// Decoder reads batches and counts lines for its errors.
 type Decoder struct {
 	r    *bufio.Reader
 	line int
 }
 
-// NewDecoder reads batches from r.
+// NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: bufio.NewReaderSize(r, 1<<20)} }
 
 // next reads a line without its end; io.EOF only where no text was left.
@@ -60,7 +59,7 @@
 	return fmt.Errorf("line %d: %s: %w", d.line, name, err)
 }
 
-// Next reads one batch. It gives io.EOF where the input ends between batches.
+// Next reads one batch. It returns io.EOF if the input ends between batches.
 func (d *Decoder) Next() (Batch, error) {
 	var b Batch
 	s, err := d.nextLine()
@@ -72,7 +71,7 @@
 	}
 	name, rest, _ := strings.Cut(s, " ")
 	if name != "clock" {
-		return b, d.lineError(name, fmt.Errorf("a batch begins with clock"))
+		return b, d.lineError(name, fmt.Errorf("a batch must begin with clock"))
 	}
 	f := parse(rest)
 	b.Now = f.ms("ts", true)
@@ -195,7 +194,7 @@
 		}
 		name, rest, _ := strings.Cut(s, " ")
 		if name != "item" {
-			return nil, d.lineError(name, fmt.Errorf("an item was expected"))
+			return nil, d.lineError(name, fmt.Errorf("an item line was expected"))
 		}
 		f := parse(rest)
 		endpoint := control.Endpoint{Server: f.server(), Zone: f.text("area", false), Flavor: f.text("flavor", false),
@@ -219,7 +218,8 @@
 	return list, nil
 }
 
-// load reads the report of a server; names that are not known are skipped.
+// loadReport decodes the load report of a server; nil means that it sent none. Absent values are -1, and unknown names
+// are skipped.
 func loadReport(f *fields) *control.LoadReport {
 	s := f.text("pressure", false)
 	if s == "" {
@@ -246,12 +246,13 @@
 	return report
 }
 
-// fields holds the pairs of one line and the first thing wrong with them.
+// fields holds the keys and values of one line, and the first error in decoding them.
 type fields struct {
 	keys, values []string
 	err          error
 }
 
+// parse splits the part of a line after its name into pairs KEY=VALUE.
 func parse(s string) *fields {
 	f := &fields{keys: make([]string, 0, 16), values: make([]string, 0, 16)}
 	for s != "" {
@@ -270,6 +271,7 @@
 	return f
 }
 
+// setError records an error about a key, unless there already is one.
 func (f *fields) setError(key string, err error) {
 	if f.err == nil {
 		f.err = fmt.Errorf("field %s: %w", key, err)
@@ -285,6 +287,7 @@
 	return false
 }
 
+// text returns the value of a key, or "". A missing key is an error if required is set, here and in the methods below.
 func (f *fields) text(key string, required bool) string {
 	for i, k := range f.keys {
 		if k == key {
@@ -369,11 +372,12 @@
 	case "", "0", "false":
 		return false
 	default:
-		f.setError(key, fmt.Errorf("%q is no bool", s))
+		f.setError(key, fmt.Errorf("%q is not a boolean", s))
 		return false
 	}
 }
 
+// bytes decodes a hexadecimal value; "-" means none.
 func (f *fields) bytes(key string) []byte {
 	s := f.text(key, false)
 	if s == "" || s == "-" {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -32,7 +32,7 @@
 	b := decode(t, batch(openInstanceLine))
 	s := b.Inputs[0].Open.Settings
 	if b.Now != 10250*time.Microsecond || b.Inputs[0].Who != 3 || b.Inputs[0].Open.Seed != 77 {
-		t.Errorf("%+v", b)
+		t.Errorf("batch %+v", b)
 	}
 	k := s.Classes[0]
 	if k.Idempotency != control.IdempotentByKey || k.KeyScope != control.KeyScopeCell || k.IdempotencyWindow != 5*time.Second {
@@ -62,7 +62,7 @@
 		"started who=3 xid=0a n=0 server=51 delay-seen=9.25\n"+
 		"power_off who=3\n"))
 	if len(b.Inputs) != 10 {
-		t.Fatalf("%d inputs", len(b.Inputs))
+		t.Fatalf("%d inputs, want 10", len(b.Inputs))
 	}
 	l := b.Inputs[0].Event.(control.EndpointUpdate)
 	if l.Kind != control.Cached || len(l.Endpoints) != 2 || l.Endpoints[1].Condition != control.Draining ||
@@ -99,17 +99,17 @@
 	} {
 		_, err := NewDecoder(strings.NewReader(text)).Next()
 		if err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("no error for %q", text)
 			continue
 		}
 		for _, w := range wants {
 			if !strings.Contains(err.Error(), w) {
-				t.Errorf("%q: %v does not tell %q", text, err, w)
+				t.Errorf("%q: error %q does not contain %q", text, err, w)
 			}
 		}
 	}
 	if _, err := NewDecoder(strings.NewReader("")).Next(); !errors.Is(err, io.EOF) {
-		t.Errorf("empty input: %v", err)
+		t.Errorf("empty input: error %v, want io.EOF", err)
 	}
 }
 
@@ -131,7 +131,7 @@
 		"remark who=3 body-text=two servers known\n":  control.LogLine{Text: "two\nservers known"},
 	} {
 		if got := string(AppendAction(nil, 3, a)); got != want {
-			t.Errorf("%#v: %q, not %q", a, got, want)
+			t.Errorf("%#v: got %q, want %q", a, got, want)
 		}
 	}
 }
