--- a/cmd/edgenode/consensuscheck_test.go
+++ b/cmd/edgenode/consensuscheck_test.go
@@ -19,16 +19,17 @@
 	"sloestile/fleet/rules"
 )
 
-// attempts is the app server of a council's fleet: it notes by which version each request came.
+// requestLog is the server of a consensusFleet. It records the rule version in the header of each request.
 type requestLog struct {
 	address   string
 	startedAt time.Time
 	mu        sync.Mutex
 	received  []forwardedRequest
-	inFlight  map[string]forwardedRequest // requests on their way
+	inFlight  map[string]forwardedRequest // requests that are sent and not yet received, by ID
 }
 
-// attempted is a request that a node began after sent and sent on before came.
+// forwardedRequest is a request that a node received after sentAt and forwarded before receivedAt, both since the start of
+// the test.
 type forwardedRequest struct {
 	node               int
 	version            uint64
@@ -53,7 +54,7 @@
 	return l
 }
 
-// ask sends requests to a node until ctx ends.
+// sendRequests sends requests to node i until ctx ends.
 func (f *consensusFleet) sendRequests(ctx context.Context, i int) {
 	client := http.Client{Timeout: time.Second}
 	defer client.CloseIdleConnections()
@@ -79,8 +80,9 @@
 	}
 }
 
-// judge goes by what came alone: no request begins by a version once another was sent on by a later
-// exclusive one; by a later overlapping one, for no longer than a second after; and no node goes back.
+// checkVersionOrder checks the versions of the received requests. After the first request with a version that was activated
+// as exclusive, no request may start with an earlier one. After a version that was activated as overlapping, earlier ones
+// may be used for one more second. No node may return to an earlier version. kinds are the activations by version.
 func (l *requestLog) checkVersionOrder(t *testing.T, kinds map[uint64]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,11 +100,11 @@
 		}
 		for v, at := range firstReceivedAt {
 			if v > x.version && kinds[v] == "exclusive" && x.sentAt > at {
-				assert.Fail(t, "two versions at once", "node %d began by %d at %v, exclusive %d was acted by at %v", x.node, x.version, x.sentAt, v, at)
+				assert.Fail(t, "two versions in force at once", "node %d used version %d at %v, exclusive version %d was in force at %v", x.node, x.version, x.sentAt, v, at)
 				return
 			}
 			if v > x.version && x.sentAt > at+1100*time.Millisecond {
-				assert.Fail(t, "two versions for long", "node %d began by %d at %v, %d was acted by at %v", x.node, x.version, x.sentAt, v, at)
+				assert.Fail(t, "versions overlapped for too long", "node %d used version %d at %v, version %d was in force at %v", x.node, x.version, x.sentAt, v, at)
 				return
 			}
 		}
@@ -111,28 +113,29 @@
 				break
 			}
 			if y.node == x.node && y.version > x.version {
-				assert.Fail(t, "a node goes back", "node %d began by %d at %v after %d at %v", x.node, x.version, x.sentAt, y.version, y.receivedAt)
+				assert.Fail(t, "a node returned to an earlier version", "node %d used version %d at %v after version %d at %v", x.node, x.version, x.sentAt, y.version, y.receivedAt)
 				return
 			}
 		}
 	}
-	t.Logf("%d requests, %d versions acted by", len(l.received), len(firstReceivedAt))
+	t.Logf("%d requests with %d versions", len(l.received), len(firstReceivedAt))
 }
 
-// registryOp is what an operator has done: published a text, or read.
+// ruleSetOperation is an operator's call: the publication of a text, or a read.
 type ruleSetOperation struct {
-	text string // "" is a read
+	text string // published text; "" means a read
 }
 
-// registryView is what a read gave, or the number of a text.
+// ruleSetState is the result of a read, or the version number of a published text.
 type ruleSetState struct {
-	noReply bool // nothing came back
+	noReply bool // the call had no answer, so it may or may not have taken effect
 	number  uint64
-	digests string // of all versions, in order
+	digests string // digests of all versions, in order
 	active  uint64
 }
 
-// registryModel is a list of texts that only grows, and the number of the active one, which does too.
+// ruleSetModel models the published rule sets: a list of texts that only grows, and the number of the active version, which
+// never falls.
 var ruleSetModel = porcupine.Model{
 	Init: func() any { return ruleSetState{} },
 	Step: func(state, in, out any) (bool, any) {
@@ -149,7 +152,7 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history is what operators have done and seen.
+// operationHistory records the operators' calls and their results.
 type operationHistory struct {
 	f         *consensusFleet
 	startedAt time.Time
@@ -163,17 +166,18 @@
 	return &operationHistory{f: f, startedAt: time.Now(), kinds: map[uint64]string{}, texts: map[uint64]string{}}
 }
 
+// record adds a call that began at calledAt and has just returned.
 func (h *operationHistory) record(client int, op ruleSetOperation, calledAt time.Time, result ruleSetState) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	returnedAt := int64(time.Since(h.startedAt))
 	if result.noReply {
-		returnedAt = 1 << 62 // it may come about at any later time, or never
+		returnedAt = 1 << 62 // it may take effect at any later time
 	}
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Call: int64(calledAt.Sub(h.startedAt)), Output: result, Return: returnedAt})
 }
 
-// publish has a text published at a node; 0 is that it was refused, or nothing is known of it.
+// publish publishes a text at node i and returns its version; 0 means that it was rejected or that the outcome is unknown.
 func (h *operationHistory) publish(client, i int, text string) uint64 {
 	call := time.Now()
 	status, body := h.f.call(i, "publish", nil, text)
@@ -188,13 +192,13 @@
 		h.mu.Unlock()
 		return n
 	case http.StatusServiceUnavailable:
-		return 0 // it came to no leader
+		return 0 // the call did not reach a leader, so it had no effect
 	}
 	h.record(client, ruleSetOperation{text}, call, ruleSetState{noReply: true})
 	return 0
 }
 
-// read reads the registry at a node.
+// read reads all versions at node i. It records nothing if the node does not answer with the complete list.
 func (h *operationHistory) read(client, i int) {
 	call := time.Now()
 	s := h.f.status(i)
@@ -209,8 +213,8 @@
 	h.record(client, ruleSetOperation{}, call, view)
 }
 
-// judge tells whether all that was seen is as of one list to which texts were added one by one. What
-// came of a publication of which nothing came back is told by the list at the end.
+// checkLinearizable checks that all results are those of one list to which texts are appended one at a time. numbers are the
+// versions by digest at the end of the test; they decide the outcome of a publication that had no answer.
 func (h *operationHistory) checkLinearizable(t *testing.T, numbers map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/cmd/edgenode/consensusfaults_test.go
+++ b/cmd/edgenode/consensusfaults_test.go
@@ -24,12 +24,13 @@
 )
 
 var (
-	faultRuns = flag.Int("plays", 2, "plays of a council with drawn faults")
-	firstSeed = flag.Uint64("playseed", 1, "of the first play")
+	faultRuns = flag.Int("plays", 2, "number of runs of the consensus group with random faults")
+	firstSeed = flag.Uint64("playseed", 1, "seed of the first run")
 )
 
-// Operators publish, activate and read at any node, while processes die, stop, are cut off, lose their
-// folders and have disks that lie. More of it: go test ./cmd/edgenode -run CouncilPlays -plays 300 -timeout 3h
+// Operators publish, activate and read rule versions at any node, while random faults occur: processes are killed, paused or
+// partitioned, folders are lost or corrupt, and disks lose fsyncs, fail or stall. For more runs:
+// go test ./cmd/edgenode -run CouncilRandomFaults -plays 300 -timeout 3h
 func TestCouncilRandomFaults(t *testing.T) {
 	t.Parallel()
 	for i := range *faultRuns {
@@ -43,6 +44,7 @@
 	}
 }
 
+// runRandomFaults does one run: load, operators and four random faults, then checks of versions and calls.
 func runRandomFaults(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 0x636f756e))
 	voters := 3 + 2*int(seed%2)
@@ -82,18 +84,18 @@
 		digests[v.Number], numbers[v.Digest] = v.Digest, v.Number
 	}
 	for n, text := range h.texts {
-		assert.Equal(t, rules.DigestOf([]byte(text)).String(), digests[n], "version %d, which was agreed", n)
+		assert.Equal(t, rules.DigestOf([]byte(text)).String(), digests[n], "published version %d changed or is missing", n)
 	}
 	h.checkLinearizable(t, numbers)
 	f.requests.checkVersionOrder(t, h.kinds)
 }
 
-// operate publishes, activates and reads, mostly reads, until ctx ends.
+// runOperator publishes, activates and mostly reads at random nodes until ctx ends.
 func (h *operationHistory) runOperator(ctx context.Context, client int, rng *rand.Rand) {
 	for n := 0; ctx.Err() == nil; n++ {
 		at := rng.IntN(len(h.f.nodes))
 		text := fmt.Sprintf("# %d %d\n[plans.basic]\nprice = 1.5\n", client, n)
-		if n < 80 && rng.IntN(3) == 0 { // the status shows 100 versions
+		if n < 80 && rng.IntN(3) == 0 { // stays below 100 versions, the maximum in a status
 			if number := h.publish(client, at, text); number != 0 {
 				kind := []string{"overlap", "exclusive"}[rng.IntN(2)]
 				h.mu.Lock()
@@ -111,8 +113,8 @@
 	}
 }
 
-// fault draws one: of the one that leads half of the time, else of any. All but those that only wait
-// are over before the next, as one disk at a time may lie.
+// injectRandomFault injects one random fault, half of the time at the leader, else at any node. It returns after the fault
+// has ended and all voters vote again if a voter was hit, because the consensus group tolerates one lying disk at a time.
 func (f *consensusFleet) injectRandomFault(rng *rand.Rand, voters int, runName string) {
 	i := rng.IntN(len(f.nodes))
 	if rng.IntN(2) == 0 {
@@ -120,31 +122,31 @@
 	}
 	pause := time.Duration(200+rng.IntN(2500)) * time.Millisecond
 	kind := rng.IntN(8)
-	f.t.Logf("%s: %d at %s for %v", runName, kind, f.nodes[i].name, pause)
+	f.t.Logf("%s: fault %d at %s for %v", runName, kind, f.nodes[i].name, pause)
 	node := f.nodes[i]
 	switch kind {
-	case 0:
+	case 0: // crash
 		f.kill(i)
 		time.Sleep(pause)
 		f.start(i)
-	case 1:
+	case 1: // pause
 		f.signal(i, syscall.SIGSTOP)
 		time.Sleep(2 * pause)
 		f.signal(i, syscall.SIGCONT)
-	case 2:
+	case 2: // network fault
 		end := f.injectNetworkFault(i, []faultlink.Trouble{{Drop: true}, {Drop: true, Up: true}, {Reset: true}, {Stall: true}, {Delay: pause / 4}}[rng.IntN(5)])
 		time.Sleep(2 * pause)
 		end()
-	case 3: // the folder is gone
+	case 3: // crash with loss of the folder
 		f.kill(i)
 		time.Sleep(pause)
 		require.NoError(f.t, os.RemoveAll(node.consensusDir))
 		f.start(i)
-	case 4: // a bit is turned
+	case 4: // crash with a flipped bit in a file
 		f.kill(i)
 		f.flipBit(rng, node.consensusDir)
 		f.start(i)
-	case 5: // syncs say yes and bring nothing, and the power goes
+	case 5: // lost fsyncs, then a power loss
 		require.NoError(f.t, faulty.SetFaults(node.faultDir, faulty.Faults{LostFsyncs: true}))
 		time.Sleep(pause)
 		f.kill(i)
@@ -152,12 +154,12 @@
 		require.NoError(f.t, err)
 		require.NoError(f.t, faulty.SetFaults(node.faultDir, faulty.Faults{}))
 		f.start(i)
-	case 6: // the disk fails, or stands still
+	case 6: // errors of the disk, or a stall
 		x := []faulty.Faults{{ErrorFraction: 0.5, Seed: rng.Uint64()}, {Stalled: true}, {ReadOnly: true}, {Full: true}}[rng.IntN(4)]
 		require.NoError(f.t, faulty.SetFaults(node.faultDir, x))
 		time.Sleep(2 * pause)
 		require.NoError(f.t, faulty.SetFaults(node.faultDir, faulty.Faults{}))
-	case 7: // a majority, or all, at once
+	case 7: // crash of a majority of the voters, or of all
 		n := voters/2 + 1 + rng.IntN(voters/2+1)
 		for j := range n {
 			f.kill(j)
@@ -174,7 +176,7 @@
 	}
 }
 
-// turn turns a bit of one of a folder's files.
+// flipBit flips a random bit in one of the files in dir.
 func (f *consensusFleet) flipBit(rng *rand.Rand, dir string) {
 	var names []string
 	for _, n := range []string{"log", "meta", "snapshot", "acted"} {
@@ -192,7 +194,7 @@
 	require.NoError(f.t, os.WriteFile(name, raw, 0o600))
 }
 
-// A node without [council] has nothing of it.
+// A node without [council] in its fleet file has no consensus calls on its console and no consensus folder.
 func TestCouncilDisabled(t *testing.T) {
 	f := newConsensusFleet(t, 3, 3)
 	f.kill(0)
--- a/cmd/edgenode/consensusfleet_test.go
+++ b/cmd/edgenode/consensusfleet_test.go
@@ -23,7 +23,7 @@
 	"sloestile/internal/testbed/faultlink"
 )
 
-// councilBin builds the program for the lab, whose disk can fail, once for all tests.
+// buildLabEdgenode builds the program with the tag lab, which adds the faulty disk, once for all tests.
 var buildLabEdgenode = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "council")
 	if err != nil {
@@ -36,30 +36,30 @@
 	return bin, nil
 })
 
-// citizen is a node of a council's fleet.
+// nodeProcess is one node of a consensusFleet.
 type nodeProcess struct {
 	name         string
-	bin          string // its program
-	consensusDir string // of its council's part
-	faultDir     string // by which its disk is driven
+	bin          string // path of its program
+	consensusDir string // folder of its consensus state
+	faultDir     string // folder in which the test sets the faults of its disk
 	env          []string
-	clientAddr   string // where clients come
+	clientAddr   string // host:port for clients
 	consoleAddr  string
 	logFile      string
 	cmd          *exec.Cmd
 	done         chan struct{}
 }
 
-// councilFleet is nodes as processes, the first of which vote.
+// consensusFleet is a fleet of node processes, of which the first are the voters of the consensus group.
 type consensusFleet struct {
 	t             *testing.T
-	addressPrefix string // of addresses
+	addressPrefix string // start of all nodes' addresses, such as "127.70.3."
 	nodes         []*nodeProcess
-	paths         [][]*faultlink.Path // from a node to another
+	paths         [][]*faultlink.Path // network paths by sender and receiver
 	requests      *requestLog
 }
 
-// Ports of a node at its own address, and of the ways from it to others.
+// Ports of a node at its own address. Those of its proxies to peers and voters start at the last two.
 const (
 	clientPort = 7000 + iota
 	consolePort
@@ -69,7 +69,8 @@
 	consensusProxyPort = 7200
 )
 
-// block takes addresses of the machine that nobody else uses: 127.N.M.1 and on, by listening at the last.
+// reserveAddressPrefix reserves a range of loopback addresses, 127.N.M.1 to .254, by listening on the last one, and returns
+// its prefix.
 func reserveAddressPrefix(t *testing.T) string {
 	for {
 		prefix := fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256))
@@ -80,10 +81,13 @@
 	}
 }
 
+// address returns host:port of node i.
 func (f *consensusFleet) address(i, port int) string {
 	return fmt.Sprint(f.addressPrefix, i+1, ":", port)
 }
 
+// newConsensusFleet starts a fleet. peerSettings are lines for the section [peers] of the fleet file. If the test fails, the
+// cleanup prints the logs and stacks of all nodes.
 func newConsensusFleet(t *testing.T, voters, nodes int, peerSettings ...string) *consensusFleet {
 	bin, err := buildLabEdgenode()
 	require.NoError(t, err)
@@ -123,7 +127,7 @@
 	}
 	t.Cleanup(func() {
 		for i := range f.nodes {
-			if t.Failed() { // their stacks come to the log
+			if t.Failed() { // SIGQUIT writes the stacks to the log
 				_ = f.nodes[i].cmd.Process.Signal(syscall.SIGQUIT)
 				_ = f.nodes[i].cmd.Process.Signal(syscall.SIGCONT)
 				<-f.nodes[i].done
@@ -140,7 +144,7 @@
 	return f
 }
 
-// ways puts forwarders between a node and the others, and gives the lines of its fleet file.
+// startProxies starts proxies from node i to all others and returns the lines for [peers.via] in its fleet file.
 func (f *consensusFleet) startProxies(i, voters, nodes int) string {
 	var lines strings.Builder
 	paths := make([]*faultlink.Path, nodes)
@@ -164,7 +168,7 @@
 	return lines.String()
 }
 
-// cut puts a trouble on all ways between a node and the others, until it is ended.
+// injectNetworkFault applies a fault to all paths between node i and the others until end is called.
 func (f *consensusFleet) injectNetworkFault(i int, x faultlink.Trouble) (end func()) {
 	var ends []func()
 	for j := range f.nodes {
@@ -195,13 +199,13 @@
 	require.NoError(f.t, f.nodes[i].cmd.Process.Signal(s))
 }
 
-// kill ends a node at once.
+// kill kills a node and waits for its exit.
 func (f *consensusFleet) kill(i int) {
 	_ = f.nodes[i].cmd.Process.Kill()
 	<-f.nodes[i].done
 }
 
-// councilStatus is what a node says.
+// consensusStatus is a node's answer to /council/status.
 type consensusStatus struct {
 	Version, Known uint64
 	Why, Refusal   string
@@ -226,7 +230,7 @@
 
 var consoleClient = http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// status asks a node; nil is no answer.
+// status returns the consensus status of node i; nil means that it did not answer.
 func (f *consensusFleet) status(i int) *consensusStatus {
 	resp, err := consoleClient.Get("http://" + f.nodes[i].consoleAddr + "/council/status")
 	if err != nil {
@@ -240,7 +244,7 @@
 	return s
 }
 
-// call has a node do an operators' call.
+// call sends an operator's call to the console of node i; status 0 means that there was no answer.
 func (f *consensusFleet) call(i int, path string, q url.Values, body string) (status int, text string) {
 	resp, err := consoleClient.Post("http://"+f.nodes[i].consoleAddr+"/council/"+path+"?"+q.Encode(), "text/plain", strings.NewReader(body))
 	if err != nil {
@@ -251,7 +255,7 @@
 	return resp.StatusCode, string(raw)
 }
 
-// must does a call until it is answered with yes, and gives the version's number.
+// callUntilOK retries a call until it succeeds and returns the version number in the answer.
 func (f *consensusFleet) callUntilOK(i int, path string, q url.Values, body string) (number uint64) {
 	f.t.Helper()
 	last := ""
@@ -266,11 +270,11 @@
 			break
 		}
 	}
-	require.Fail(f.t, "refused", "%s: %s", path, last)
+	require.Fail(f.t, "call failed", "%s: %s", path, last)
 	return 0
 }
 
-// publish publishes a text that no other call does.
+// publish publishes a rule set at node i and returns its version. Each salt makes a different text.
 func (f *consensusFleet) publish(i, salt int) uint64 {
 	return f.callUntilOK(i, "publish", nil, fmt.Sprintf("# %d\n[plans.basic]\nprice = %d.5\n", salt, salt%100))
 }
@@ -279,26 +283,26 @@
 	f.callUntilOK(i, "activate", url.Values{"number": {fmt.Sprint(number)}, "kind": {kind}}, "")
 }
 
-// acting waits until nodes go by a version.
+// waitForVersion waits until a version is in force at nodes.
 func (f *consensusFleet) waitForVersion(number uint64, timeout time.Duration, nodes ...int) (took time.Duration) {
 	f.t.Helper()
-	begun := time.Now()
+	startedAt := time.Now()
 	for _, i := range nodes {
 		for {
 			s := f.status(i)
 			if s != nil && s.Version == number {
 				break
 			}
-			if time.Since(begun) > timeout {
+			if time.Since(startedAt) > timeout {
 				require.Fail(f.t, "not in force", "version %d at %s: %+v", number, f.nodes[i].name, s)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	return time.Since(begun)
+	return time.Since(startedAt)
 }
 
-// leader waits until one of some nodes says who leads, and gives the voter's index.
+// waitForLeader waits until one of nodes reports the leader and returns the leader's index.
 func (f *consensusFleet) waitForLeader(nodes ...int) int {
 	f.t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -311,15 +315,15 @@
 			}
 		}
 	}
-	require.Fail(f.t, "nobody leads")
+	require.Fail(f.t, "no leader")
 	return 0
 }
 
-// voting waits until a voter votes.
+// waitForVoter waits until node i takes part in votes.
 func (f *consensusFleet) waitForVoter(i int) *consensusStatus {
 	f.t.Helper()
 	var s *consensusStatus
 	require.Eventually(f.t, func() bool { s = f.status(i); return s != nil && s.Voter != nil && s.Voter.Phase == "votes" },
-		20*time.Second, 50*time.Millisecond, "%s", f.nodes[i].name)
+		20*time.Second, 50*time.Millisecond, "%s does not vote", f.nodes[i].name)
 	return s
 }
--- a/cmd/edgenode/disk.go
+++ b/cmd/edgenode/disk.go
@@ -4,5 +4,5 @@
 
 import "sloestile/internal/store/disk"
 
-// openDisk is the file system under what the node keeps.
+// openDisk returns the file system of the node's stores.
 func openDisk() (disk.FS, error) { return disk.Local{}, nil }
--- a/cmd/edgenode/disk_lab.go
+++ b/cmd/edgenode/disk_lab.go
@@ -9,8 +9,8 @@
 	"sloestile/internal/store/disk/faulty"
 )
 
-// openDisk is the file system under what the node keeps; where the stand-in platform names a
-// folder, one that fails as the platform says there.
+// openDisk returns the file system of the node's stores. If the stand-in of the platform names a folder, it is a faulty
+// disk with the faults that the stand-in sets in that folder.
 func openDisk() (disk.FS, error) {
 	if dir := os.Getenv(faulty.EnvVariable); dir != "" {
 		return faulty.New(disk.Local{}, dir)
--- a/cmd/edgenode/disk_test.go
+++ b/cmd/edgenode/disk_test.go
@@ -12,8 +12,8 @@
 	"sloestile/internal/store/disk/faulty"
 )
 
-// The deployed program has nothing of the disk that fails: not its code, not its variable, and it
-// does nothing where that is set. The program built for the lab has it.
+// The deployed program contains neither the code of the faulty disk nor its environment variable, and ignores the variable
+// if it is set. The program built with the tag lab has both.
 func TestFaultyDiskIsOnlyInLabBuild(t *testing.T) {
 	for _, tags := range []string{"", "lab"} {
 		bin := filepath.Join(t.TempDir(), "edgenode")
@@ -24,14 +24,14 @@
 		symbols, err := exec.Command("go", "tool", "nm", bin).CombinedOutput()
 		require.NoError(t, err)
 		dir := filepath.Join(t.TempDir(), "drive")
-		cmd := exec.Command(bin) // it comes to the disk and ends at the socket, which is none
+		cmd := exec.Command(bin) // it opens the disk, then fails at the socket, since descriptor 99 is not open
 		cmd.Env = append(os.Environ(), "NODE_CONFIG="+testConfig, "NODE_SOCKET_FD=99", faulty.EnvVariable+"="+dir)
 		require.Error(t, cmd.Run())
 		lab := tags == "lab"
 		require.Equal(t, lab, bytes.Contains(symbols, []byte("disk/faulty")), "symbols with tags %q", tags)
-		require.Equal(t, lab, bytes.Contains(raw, []byte(faulty.EnvVariable)), "the variable with tags %q", tags)
-		require.Equal(t, lab, bytes.Contains(raw, []byte("disk/faulty")), "paths with tags %q", tags)
+		require.Equal(t, lab, bytes.Contains(raw, []byte(faulty.EnvVariable)), "environment variable with tags %q", tags)
+		require.Equal(t, lab, bytes.Contains(raw, []byte("disk/faulty")), "package path with tags %q", tags)
 		_, err = os.Stat(dir)
-		require.Equal(t, lab, err == nil, "the folder with tags %q: %v", tags, err)
+		require.Equal(t, lab, err == nil, "folder of the faulty disk with tags %q: %v", tags, err)
 	}
 }
--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -1,5 +1,5 @@
-// Command edgenode is one edge node: it takes requests from clients and passes
-// them on to app servers as the control module decides.
+// Command edgenode is one edge node: it accepts requests from clients and forwards them to rating servers. Package control
+// makes the decisions.
 package main
 
 import (
@@ -20,20 +20,19 @@
 )
 
 const (
-	gcPercent          = 400 // per cent by which the heap may grow: memory is there, CPU is scarce
-	heapMemoryFraction = 0.6 // of the memory limit that the heap may come to
+	gcPercent          = 400 // heap growth in percent between collections; high because CPU is scarcer than memory
+	heapMemoryFraction = 0.6 // fraction of the memory limit that the Go runtime may use
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Guards against a SIGHUP that ends the program: it is never left to its default, also
-	// not while the node starts or drains.
+	// The default action of SIGHUP ends the program, so it is caught at all times, also while the node starts or drains.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	fleet := flag.String("fleet", os.Getenv("NODE_FLEET"), "fleet file; none is everything off")
+	fleet := flag.String("fleet", os.Getenv("NODE_FLEET"), "fleet file, which enables optional parts; without one all are off")
 	flag.Usage = func() {
-		fmt.Fprint(flag.CommandLine.Output(), "edgenode [-fleet FILE]: serve as NODE_CONFIG says\nedgenode check FILE: tell whether a fleet file can be used\n")
+		fmt.Fprint(flag.CommandLine.Output(), "edgenode [-fleet FILE]: serve with the configuration file named by NODE_CONFIG\nedgenode check FILE: validate a fleet file\n")
 	}
 	flag.Parse()
 	switch args := flag.Args(); {
@@ -49,7 +48,7 @@
 	}
 }
 
-// check tells whether a fleet file can be used, without starting.
+// checkFleetFile validates a fleet file without starting a node and returns the exit code.
 func checkFleetFile(path string) int {
 	if _, err := config.LoadFleet(path); err != nil {
 		fmt.Fprintln(os.Stderr, "edgenode:", err)
@@ -59,7 +58,7 @@
 	return 0
 }
 
-// load reads the node's configuration and, where one is named, its fleet file.
+// load reads the node's configuration file and its fleet file; fleet is "" if there is none.
 func load(path, fleet string) (config.Config, error) {
 	cfg, err := config.Load(path)
 	if err == nil && fleet != "" {
@@ -71,7 +70,7 @@
 func run(ctx context.Context, hup <-chan os.Signal, fleet string) error {
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
-		return &config.EnvironmentError{Variable: "NODE_CONFIG", Err: errors.New("it names no configuration file")}
+		return &config.EnvironmentError{Variable: "NODE_CONFIG", Err: errors.New("it must name the configuration file")}
 	}
 	cfg, err := load(path, fleet)
 	if err != nil {
@@ -87,7 +86,7 @@
 	debug.SetGCPercent(gcPercent)
 	if cfg.MemoryMB > 0 {
 		fraction := heapMemoryFraction
-		if cfg.SocketFD > 0 { // a second process may run beside this one
+		if cfg.SocketFD > 0 { // during a handover a second process shares the memory limit
 			fraction /= 2
 		}
 		debug.SetMemoryLimit(int64(fraction * float64(cfg.MemoryMB<<20)))
@@ -104,8 +103,8 @@
 	return n.Run(ctx)
 }
 
-// reload reads the configuration again. Once it was read anew the file goes before the
-// environment; a file that can't be used changes nothing.
+// reload reads the configuration again for a SIGHUP. Unlike at the start, the environment does not override the file. An
+// invalid file changes nothing.
 func reload(n *node.Node, path, fleet string) {
 	cfg, err := load(path, fleet)
 	if err != nil {
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -17,34 +17,35 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// A start that can't be made is one clear line and exit code 1.
+// A start with an invalid environment or configuration prints one line and exits with code 1.
 func TestFailedStartExitsWithOneLine(t *testing.T) {
 	bin := edgenodeBinary(t)
 	broken := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(broken, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for name, env := range map[string][]string{"none named": {"NODE_CONFIG="}, "missing": {"NODE_CONFIG=" + broken + ".no"},
-		"broken": {"NODE_CONFIG=" + broken}, "no console": {"NODE_CONFIG=" + testConfig, "NODE_CONSOLE=nowhere"},
-		"console of others": {"NODE_CONFIG=" + testConfig, "NODE_CONSOLE=192.0.2.1:9"},
-		"no descriptor":     {"NODE_CONFIG=" + testConfig, "NODE_SOCKET_FD=99"},
-		"no socket":         {"NODE_CONFIG=" + testConfig, "NODE_SOCKET_FD=x"}} {
+	for name, env := range map[string][]string{"no configuration named": {"NODE_CONFIG="}, "missing file": {"NODE_CONFIG=" + broken + ".no"},
+		"malformed file": {"NODE_CONFIG=" + broken}, "invalid console address": {"NODE_CONFIG=" + testConfig, "NODE_CONSOLE=nowhere"},
+		"console address of another machine": {"NODE_CONFIG=" + testConfig, "NODE_CONSOLE=192.0.2.1:9"},
+		"closed descriptor":                  {"NODE_CONFIG=" + testConfig, "NODE_SOCKET_FD=99"},
+		"invalid descriptor":                 {"NODE_CONFIG=" + testConfig, "NODE_SOCKET_FD=x"}} {
 		t.Run(name, func(t *testing.T) {
 			cmd := exec.Command(bin)
 			cmd.Env = append(os.Environ(), env...)
 			out, err := cmd.CombinedOutput()
 			if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 {
-				t.Errorf("%v: %s", err, out)
+				t.Errorf("want exit code 1 and one line, got %v: %s", err, out)
 			}
 		})
 	}
 }
 
-// A word that is no command is not taken for none: the node does not start.
+// Unknown commands and flags, and a wrong number of arguments, print the usage and exit with code 2. A mistyped command must
+// not start a node.
 func TestInvalidArgumentsExitWithUsage(t *testing.T) {
 	bin := edgenodeBinary(t)
 	for _, args := range [][]string{{"chekc", "x"}, {"check"}, {"check", "x", "y"}, {"-flet", "x"}} {
-		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second) // of one that serves all the same
+		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second) // ends a program that serves in spite of the arguments
 		cmd := exec.CommandContext(ctx, bin, args...)
 		cmd.Env = append(os.Environ(), "NODE_CONFIG="+testConfig)
 		out, _ := cmd.CombinedOutput()
@@ -54,18 +55,18 @@
 	}
 }
 
-// SIGTERM with work held: the client gets its answer on a connection that it may use for as long
-// as the node serves on, then the program ends well. A SIGHUP meanwhile is harmless.
+// At SIGTERM with a request in flight the node drains: the client gets its answer, on a connection that it may use until
+// the node stops serving, then the program exits with code 0. A SIGHUP while it drains does not end it.
 func TestSIGTERMAnswersRequestsInFlight(t *testing.T) {
-	app, held, finish := blockingServer(t)
-	p := startProgram(t, testConfig, startDiscovery(t, "s-1", app).Listener.Addr().String())
+	server, received, release := blockingServer(t)
+	p := startProgram(t, testConfig, startDiscovery(t, "s-1", server).Listener.Addr().String())
 	answer := p.get("id-1")
-	<-held
+	<-received
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("draining")
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("reloading")
-	finish()
+	release()
 	if a := <-answer; !strings.HasPrefix(a, "200 done") {
 		t.Error(a)
 	}
@@ -75,18 +76,19 @@
 	}
 }
 
-// A second SIGTERM changes nothing: what is held is answered, and the program ends well.
+// A second SIGTERM while the node drains changes nothing: the request in flight is answered, and the program exits with
+// code 0.
 func TestSecondSIGTERMChangesNothing(t *testing.T) {
-	app, held, finish := blockingServer(t)
-	p := startProgram(t, testConfig, startDiscovery(t, "s-1", app).Listener.Addr().String())
+	server, received, release := blockingServer(t)
+	p := startProgram(t, testConfig, startDiscovery(t, "s-1", server).Listener.Addr().String())
 	answer := p.get("id-1")
-	<-held
+	<-received
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("draining")
 	p.signal(syscall.SIGTERM)
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("reloading")
-	finish()
+	release()
 	if a := <-answer; !strings.HasPrefix(a, "200 done") {
 		t.Error(a)
 	}
@@ -96,15 +98,15 @@
 	}
 }
 
-// SIGHUP has the program follow the discovery that the file now names, whatever the
-// environment said, and keep what it holds. A file that can't be used changes nothing.
+// At SIGHUP the program uses the discovery address of the changed file, not that of the environment, and keeps the request
+// in flight. An invalid file changes nothing.
 func TestSIGHUPReloadsConfiguration(t *testing.T) {
-	app, held, finish := blockingServer(t)
+	server, received, release := blockingServer(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, "other")
 	}))
 	t.Cleanup(other.Close)
-	first, second := startDiscovery(t, "s-1", app), startDiscovery(t, "s-2", other)
+	first, second := startDiscovery(t, "s-1", server), startDiscovery(t, "s-2", other)
 	raw, err := os.ReadFile(testConfig)
 	if err != nil {
 		t.Fatal(err)
@@ -118,7 +120,7 @@
 	write(string(raw))
 	p := startProgram(t, config, first.Listener.Addr().String())
 	answer := p.get("id-1")
-	<-held
+	<-received
 
 	write("{")
 	p.signal(syscall.SIGHUP)
@@ -127,15 +129,15 @@
 	write(strings.Replace(string(raw), "127.0.0.1:1\"", second.Listener.Addr().String()+"\"", 1))
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("reloading")
-	finish()
+	release()
 	if a := <-answer; !strings.HasPrefix(a, "200 done") {
-		t.Errorf("what was held over the reload: %s", a)
+		t.Errorf("request in flight during the reload: %s", a)
 	}
 	for id := 2; ; id++ {
 		if a := <-p.get(fmt.Sprint("id-", id)); a == "200 other close=false" {
 			break
 		} else if p.ProcessState != nil {
-			t.Fatal("the program has ended")
+			t.Fatal("the program has exited")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/cmd/edgenode/otherversion_test.go
+++ b/cmd/edgenode/otherversion_test.go
@@ -20,11 +20,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// other is the program of another version, built with the tag lab. Without it the tests of this file run two processes of
-// this version.
-var otherBinary = flag.String("other", "", "program of another version to run beside this one, built with -tags lab")
+// otherBinary is the path of another version of the program, built with the tag lab. If it is "", the tests of this file run
+// processes of this version only.
+var otherBinary = flag.String("other", "", "path of another version of the program, built with -tags lab, to run together with this one")
 
-// versions are this program and the other one in both orders.
+// binaryPairs returns pairs of programs, the first to start and the second, with both versions in both orders.
 func binaryPairs(t *testing.T) map[string][2]string {
 	t.Helper()
 	own := edgenodeBinary(t)
@@ -34,12 +34,12 @@
 	return map[string][2]string{"from the other": {*otherBinary, own}, "to the other": {own, *otherBinary}}
 }
 
-// Nodes of two versions share limits and outlier reports, agree on rule versions and go by them. They have a discovery:
-// without one they send to no server once their list is stale, 6 s after the start.
+// Nodes of two versions form one fleet: they share limits and outlier reports, agree on rule versions and activate them.
+// They need a service discovery: without one their endpoint list is stale 6 s after the start, and they stop sending.
 func TestFleetOfTwoVersions(t *testing.T) {
-	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
-	t.Cleanup(app.Close)
-	t.Setenv("NODE_DISCOVERY", startDiscovery(t, "s-1", app).Listener.Addr().String())
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+	t.Cleanup(server.Close)
+	t.Setenv("NODE_DISCOVERY", startDiscovery(t, "s-1", server).Listener.Addr().String())
 	f := newConsensusFleet(t, 3, 5, "limits = true", "verdicts = true")
 	if *otherBinary != "" {
 		for _, i := range []int{1, 3} {
@@ -68,7 +68,7 @@
 			}
 		}
 		return true
-	}, 20*time.Second, 100*time.Millisecond, "a node knows no shared bucket")
+	}, 20*time.Second, 100*time.Millisecond, "a node has received no shared token bucket")
 	stop()
 	work.Wait()
 	for i, n := range f.nodes {
@@ -84,7 +84,7 @@
 	}
 }
 
-// askShared sends requests of one tenant, which all nodes share, to a node until ctx ends.
+// sendSharedTenantRequests sends requests to node i until ctx ends, of a tenant whose quota all nodes share.
 func (f *consensusFleet) sendSharedTenantRequests(ctx context.Context, i int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.nodes[i].clientAddr+"/roster-read?account=00000000b4d65521", nil)
@@ -102,7 +102,7 @@
 	}
 }
 
-// metrics reads the metrics of a node that have no labels.
+// metrics returns the values of a node's metrics without labels.
 func (f *consensusFleet) metrics(i int) map[string]float64 {
 	f.t.Helper()
 	resp, err := consoleClient.Get("http://" + f.nodes[i].consoleAddr + "/metrics")
@@ -121,26 +121,26 @@
 	return values
 }
 
-// A process takes over socket and state of one of another version, and both keep the quota together.
+// A process takes over the socket and the state of a process of another version, and both together stay within the quota.
 func TestTakeoverFromAnotherVersion(t *testing.T) {
 	for name, bin := range binaryPairs(t) {
 		t.Run(name, func(t *testing.T) {
-			app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
-			t.Cleanup(app.Close)
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+			t.Cleanup(server.Close)
 			socket, dir := clientSocket(t), "TMPDIR="+t.TempDir()
-			list := startDiscovery(t, "s-1", app).Listener.Addr().String()
-			begun := time.Now()
+			list := startDiscovery(t, "s-1", server).Listener.Addr().String()
+			startedAt := time.Now()
 			before := startBinary(t, bin[0], testConfig, list, socket, dir)
-			granted := before.countServed("before-", 20)
+			served := before.countServed("before-", 20)
 			after := startBinary(t, bin[1], testConfig, list, socket, dir)
 			require.Contains(t, strings.Join(after.logged, "\n"), "taken over")
 			before.signal(syscall.SIGTERM)
 			before.waitForLog("drained")
 			require.NoError(t, before.Wait())
-			granted += after.countServed("after-", 30)
-			most := 8 + int(time.Since(begun).Seconds()/2) + 1
-			require.Positive(t, granted)
-			require.LessOrEqual(t, granted, most, "a burst of 8 and half a token a second over both processes")
+			served += after.countServed("after-", 30)
+			maxServed := 8 + int(time.Since(startedAt).Seconds()/2) + 1
+			require.Positive(t, served)
+			require.LessOrEqual(t, served, maxServed, "more than a burst of 8 tokens and half a token per second for both processes")
 			after.signal(syscall.SIGTERM)
 			after.waitForLog("drained")
 			require.NoError(t, after.Wait())
@@ -148,31 +148,31 @@
 	}
 }
 
-// A process restores the state folder of one of another version that was killed.
+// A process restores the state folder of a killed process of another version.
 func TestStateFolderOfAnotherVersion(t *testing.T) {
 	for name, bin := range binaryPairs(t) {
 		t.Run(name, func(t *testing.T) {
-			app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
-			t.Cleanup(app.Close)
-			list := startDiscovery(t, "s-1", app).Listener.Addr().String()
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+			t.Cleanup(server.Close)
+			list := startDiscovery(t, "s-1", server).Listener.Addr().String()
 			dir := t.TempDir()
 			fleet := filepath.Join(dir, "fleet.toml")
 			require.NoError(t, os.WriteFile(fleet, fmt.Appendf(nil, "[state]\ndir = %q\n", filepath.Join(dir, "state")), 0o600))
-			begun := time.Now()
+			startedAt := time.Now()
 			before := startBinary(t, bin[0], testConfig, list, nil, "NODE_FLEET="+fleet)
-			granted := before.countServed("before-", 20)
+			served := before.countServed("before-", 20)
 			require.Eventually(t, func() bool {
 				info, err := os.Stat(filepath.Join(dir, "state", "state"))
 				return err == nil && info.Size() > 0
 			}, 5*time.Second, 10*time.Millisecond)
-			time.Sleep(time.Second) // two of its writes
+			time.Sleep(time.Second) // time for two writes of the state
 			require.NoError(t, before.Process.Kill())
 			_ = before.Wait()
 			after := startBinary(t, bin[1], testConfig, list, nil, "NODE_FLEET="+fleet)
 			log := strings.Join(after.logged, "\n")
 			require.True(t, strings.Contains(log, "state: restored") || strings.Contains(log, "state: taken"), log)
-			granted += after.countServed("after-", 20)
-			require.LessOrEqual(t, granted, 8+int(time.Since(begun).Seconds()/2)+1, "a burst of 8 and half a token a second over both processes")
+			served += after.countServed("after-", 20)
+			require.LessOrEqual(t, served, 8+int(time.Since(startedAt).Seconds()/2)+1, "more than a burst of 8 tokens and half a token per second for both processes")
 			after.signal(syscall.SIGTERM)
 			after.waitForLog("drained")
 			require.NoError(t, after.Wait())
--- a/cmd/edgenode/program_test.go
+++ b/cmd/edgenode/program_test.go
@@ -16,6 +16,7 @@
 	"time"
 )
 
+// edgenodeBinary returns the path of the program, built without tags.
 func edgenodeBinary(t *testing.T) string {
 	t.Helper()
 	bin, err := buildEdgenode()
@@ -25,7 +26,7 @@
 	return bin
 }
 
-// built builds the program once, in a folder that TestMain removes.
+// buildEdgenode builds the program once for all tests, in a folder that TestMain removes.
 var buildEdgenode = sync.OnceValues(func() (string, error) {
 	bin := filepath.Join(buildDir, "edgenode")
 	out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput()
@@ -47,23 +48,24 @@
 	os.Exit(code)
 }
 
-// program is a running edgenode.
+// program is a running process of edgenode.
 type program struct {
 	*exec.Cmd
 	t        *testing.T
-	logLines *bufio.Scanner // its log
-	addr     string         // where it takes clients
-	logged   []string       // of the log
+	logLines *bufio.Scanner // log on standard error
+	addr     string         // host:port where it accepts clients
+	logged   []string       // log lines read so far
 }
 
-// start starts the program and waits until it is ready. Without a discovery in the
-// environment that of the file counts.
+// startProgram starts the program with a configuration file and waits until it is ready. If discovery is "", the address
+// in the file applies.
 func startProgram(t *testing.T, config, discovery string) *program {
 	t.Helper()
 	return startBinary(t, edgenodeBinary(t), config, discovery, nil)
 }
 
-// startWith starts a built program, with the clients' socket if there is one.
+// startBinary starts the program bin and waits until it is ready. socket is a listening socket for clients to inherit; nil
+// lets the program open its own.
 func startBinary(t *testing.T, bin, config, discovery string, socket *os.File, env ...string) *program {
 	t.Helper()
 	p := &program{Cmd: exec.Command(bin), t: t}
@@ -80,7 +82,7 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	// Ends the program where it hangs, and with it all waiting for it.
+	// Kills a program that hangs, so that waiting for its log or its exit ends.
 	killTimer := time.AfterFunc(time.Minute, func() { _ = p.Process.Kill() })
 	t.Cleanup(func() { killTimer.Stop(); _ = p.Process.Kill() })
 	p.logLines = bufio.NewScanner(log)
@@ -98,7 +100,7 @@
 	}
 }
 
-// until reads the log up to a line with a word in it.
+// waitForLog reads the log up to a line that contains text and returns that line.
 func (p *program) waitForLog(text string) string {
 	p.t.Helper()
 	for p.logLines.Scan() {
@@ -107,7 +109,7 @@
 			return p.logLines.Text()
 		}
 	}
-	p.t.Fatalf("the program ended before it logged %q", text)
+	p.t.Fatalf("the program exited before it logged %q", text)
 	return ""
 }
 
@@ -118,23 +120,25 @@
 	}
 }
 
-// ask sends a request and gives what came of it.
+// get sends a request of plan enterprise and delivers the result, see getWithPlan.
 func (p *program) get(id string) <-chan string {
 	p.t.Helper()
 	return p.getWithPlan("enterprise", id)
 }
 
-// granted tells how many of n requests of a plan with little quota are served.
-func (p *program) countServed(prefix string, n int) (granted int) {
+// countServed sends n requests of plan basic, which has a small quota, and returns how many were served.
+func (p *program) countServed(prefix string, n int) (served int) {
 	p.t.Helper()
 	for i := range n {
 		if strings.HasPrefix(<-p.getWithPlan("basic", fmt.Sprint(prefix, i)), "200 ") {
-			granted++
+			served++
 		}
 	}
-	return granted
+	return served
 }
 
+// getWithPlan sends a request and delivers one result: status, body and whether the node closes the connection, or the text
+// of the error.
 func (p *program) getWithPlan(plan, id string) <-chan string {
 	p.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.addr+"/roster-read?account=00000000b4d65521", nil)
@@ -158,7 +162,7 @@
 	return answer
 }
 
-// discovery lists one app server and keeps its watches open.
+// startDiscovery starts a service discovery that lists one server and keeps watches open.
 func startDiscovery(t *testing.T, uid string, server *httptest.Server) *httptest.Server {
 	stopped := make(chan struct{})
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -174,7 +178,7 @@
 	return d
 }
 
-// holding is an app server that answers when it is let.
+// blockingServer starts a server for one request. It closes received when the request arrives and answers after release.
 func blockingServer(t *testing.T) (server *httptest.Server, received chan struct{}, release func()) {
 	received, released := make(chan struct{}), make(chan struct{})
 	release = sync.OnceFunc(func() { close(released) })
--- a/cmd/edgenode/subset_test.go
+++ b/cmd/edgenode/subset_test.go
@@ -19,7 +19,7 @@
 	listwatch "sloestile/internal/discovery"
 )
 
-// drainWithin is the platform's grace: nothing comes to a server later than this after it was told to drain.
+// drainGrace is the maximum time for which a server may get requests after the discovery lists it as draining.
 const drainGrace = 2 * time.Second
 
 const subsetFleetFile = `[subset]
@@ -30,7 +30,7 @@
 dir = %q
 `
 
-// subsetOf gives the servers that node 0 uses of a list, in order.
+// expectedSubset returns the IDs of the servers that node 0 uses of a list, in order.
 func expectedSubset(t *testing.T, list []listwatch.Target) (uids []string) {
 	t.Helper()
 	set, err := subset.New(subset.Config{Most: 6, ZoneLeast: 2, ListMost: 100})
@@ -53,10 +53,10 @@
 	return uids
 }
 
-// clientPause is between two requests of a client.
+// clientInterval is the time between two requests of a client.
 const clientInterval = 20 * time.Millisecond
 
-// clients ask a program in turn, and note what came of each request.
+// requestClients send requests to a program and record the result of each.
 type requestClients struct {
 	p         *program
 	prefix    string
@@ -65,17 +65,17 @@
 	done      sync.WaitGroup
 	sentCount atomic.Int64
 	mu        sync.Mutex
-	answers   map[string][]string // by request
+	answers   map[string][]string // results by request ID
 }
 
-// broken tells whether a request's connection broke before its answer.
+// connectionBroken reports whether a request's connection broke before its answer.
 func connectionBroken(answer string) bool { return !strings.Contains(answer, " close=") }
 
-// startClients has eight clients send to a program until end, or its connections break.
+// startClients starts eight clients, which send until they are stopped or their connections break.
 func startClients(t *testing.T, p *program, prefix string) *requestClients {
 	c := &requestClients{p: p, prefix: prefix, stop: make(chan struct{}), answers: map[string][]string{}}
 	t.Cleanup(c.stopAndWait)
-	go func() { // else the program stands still when its log is full
+	go func() { // reads the log, because the program blocks when the pipe is full
 		for p.logLines.Scan() {
 		}
 	}()
@@ -85,7 +85,7 @@
 				select {
 				case <-c.stop:
 					return
-				case <-time.After(clientInterval): // together within the quota of their one customer
+				case <-time.After(clientInterval): // keeps the clients together within the quota of their one tenant
 				}
 				id := fmt.Sprint(prefix, c.sentCount.Add(1))
 				answer := <-p.get(id)
@@ -93,7 +93,7 @@
 				c.answers[id] = append(c.answers[id], answer)
 				c.mu.Unlock()
 				if connectionBroken(answer) {
-					return // the process has ended, or the test has failed
+					return // the process has exited, or the test has failed
 				}
 			}
 		})
@@ -101,52 +101,52 @@
 	return c
 }
 
-// more waits until n more requests have been answered.
+// waitForRequests waits until n more requests have been answered, besides one in flight for each client.
 func (c *requestClients) waitForRequests(t *testing.T, n int64) {
 	t.Helper()
 	until := c.sentCount.Load() + n + 8
 	require.Eventually(t, func() bool { return c.sentCount.Load() >= until }, 20*time.Second, time.Millisecond)
 }
 
-// halt ends the clients.
+// stopAndWait stops the clients and waits for their last results.
 func (c *requestClients) stopAndWait() {
 	c.once.Do(func() { close(c.stop) })
 	c.done.Wait()
 }
 
-// end stops the clients and requires one final answer of each request: served, but for those that a killed
-// process held, whose connections broke.
+// stopAndCheck stops the clients and requires exactly one result of each request: a served one or, if the process was
+// killed, a broken connection.
 func (c *requestClients) stopAndCheck(t *testing.T, killed bool) {
 	t.Helper()
 	c.stopAndWait()
 	brokenCount := 0
-	for id, ends := range c.answers {
-		require.Len(t, ends, 1, "answers of %s", id)
-		if strings.HasPrefix(ends[0], "200 ") {
+	for id, results := range c.answers {
+		require.Len(t, results, 1, "results of %s", id)
+		if strings.HasPrefix(results[0], "200 ") {
 			continue
 		}
-		require.True(t, killed && connectionBroken(ends[0]), "%s: %s", id, ends[0])
+		require.True(t, killed && connectionBroken(results[0]), "%s: %s", id, results[0])
 		brokenCount++
 	}
-	t.Logf("%s: %d requests, %d broken off", c.prefix, len(c.answers), brokenCount)
+	t.Logf("%s: %d requests, %d with a broken connection", c.prefix, len(c.answers), brokenCount)
 	require.Greater(t, len(c.answers), 100)
 }
 
-// A node with a subset of a list serves through drains of chosen servers and a kill while the list changes:
-// each request has one final answer, nothing comes to a server later than 2 s after its node was told that
-// it drains, and the next process uses the subset that the list makes, as every later one.
+// A node that uses a subset of the endpoint list keeps serving while servers of the subset drain and while the process is
+// killed and the list changes. Each request has one result, a server gets no request later than 2 s after it is listed as
+// draining, and each later process uses the subset that the current list determines.
 func TestSubsetSurvivesDrainsAndKills(t *testing.T) {
 	servers, targets := newRatingServers(t, 40)
 	source := newDiscoveryServer(t, targets)
 	file := filepath.Join(t.TempDir(), "fleet.toml")
 	require.NoError(t, os.WriteFile(file, []byte(fmt.Sprintf(subsetFleetFile, filepath.Join(t.TempDir(), "state"))), 0o600))
-	var firstRequests []int // of each process
+	var firstRequests []int // index of each process's first request to the discovery
 	startNode := func() (*program, time.Time) {
 		at := time.Now()
 		firstRequests = append(firstRequests, len(source.requests()))
 		return startBinary(t, edgenodeBinary(t), testConfig, source.Listener.Addr().String(), nil, "NODE_FLEET="+file), at
 	}
-	// used has a running program send until all of its subset have got something, and nobody else.
+	// waitForSubset waits until all servers of the expected subset, and no others, have got requests since from.
 	waitForSubset := func(c *requestClients, from time.Time) []string {
 		want := expectedSubset(t, source.list())
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); c.waitForRequests(t, 20) {
@@ -159,14 +159,14 @@
 		require.Equal(t, want, slices.Sorted(maps.Keys(servers.lastReceivedSince(from))))
 		return want
 	}
-	// calm has it send until long after servers were told to drain, and judges what came to these.
+	// checkDrained sends until well after drainedAt and checks that the servers uids got no request after the grace period.
 	checkDrained := func(c *requestClients, drainedAt time.Time, uids ...string) {
 		for time.Since(drainedAt) < drainGrace+time.Second {
 			c.waitForRequests(t, 20)
 		}
 		for uid, last := range servers.lastReceivedSince(drainedAt) {
 			if slices.Contains(uids, uid) {
-				require.LessOrEqual(t, last.Sub(drainedAt), drainGrace, "%s got a request after it was told to drain", uid)
+				require.LessOrEqual(t, last.Sub(drainedAt), drainGrace, "%s got a request later than the grace period after it was listed as draining", uid)
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 
 	source.setState("draining", second[0])
 	a.signal(syscall.SIGKILL)
-	source.setState("removed", second[1]) // while no process is there
+	source.setState("removed", second[1]) // while no process runs
 	source.setState("up", chosen[1])
 	_ = a.Wait()
 	first.stopAndCheck(t, true)
@@ -200,9 +200,9 @@
 	c, started := startNode()
 	last := startClients(t, c, "c")
 	checkDrained(last, started, second[0], second[1], chosen[0], chosen[2])
-	require.Equal(t, third, waitForSubset(last, started), "another subset after the restart")
+	require.Equal(t, third, waitForSubset(last, started), "the subset changed with the restart")
 	last.stopAndCheck(t, false)
 	for _, call := range firstRequests[1:] {
-		require.Equal(t, "/v1/servers?watch=1", source.requests()[call], "a process that begins with a subset asks for changes only")
+		require.Equal(t, "/v1/servers?watch=1", source.requests()[call], "a restarted process requested something other than the whole list")
 	}
 }
--- a/cmd/edgenode/subsetservers_test.go
+++ b/cmd/edgenode/subsetservers_test.go
@@ -14,18 +14,18 @@
 	listwatch "sloestile/internal/discovery"
 )
 
-// firstRev is the version that a listSource begins with, after what the programs' configuration knows.
+// firstRev is the first version of a discoveryServer's list, above the version in the programs' configuration.
 const firstRev = 100
 
-// listSource is a discovery that counts versions: a call without a version has the whole list, one with a
-// version the changes since; then the watch has each change as it is made.
+// discoveryServer is a service discovery with versions. A watch without a version gets the complete list, one with a version
+// gets the changes since; both then get each change as it is made.
 type discoveryServer struct {
 	*httptest.Server
 	mu           sync.Mutex
 	targets      []listwatch.Target
-	changes      []listwatch.Update // since firstRev
-	changed      chan struct{}      // closed at the next change
-	requestURIs  []string           // of all calls
+	changes      []listwatch.Update // deltas since firstRev
+	changed      chan struct{}      // closed and replaced at each change
+	requestURIs  []string           // request URIs in order of arrival
 	drainedSince map[string]time.Time
 	stopped      chan struct{}
 }
@@ -37,7 +37,7 @@
 	return s
 }
 
-// set changes the states of servers, as one new version.
+// setState changes the state of servers in one new version of the list.
 func (s *discoveryServer) setState(state string, uids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +59,7 @@
 	s.changed = make(chan struct{})
 }
 
-// drainedAt gives when a server was last told to drain or removed; false is that it is up.
+// drainedAt returns when a server was last listed as draining or removed; false means that it is up.
 func (s *discoveryServer) drainedAt(uid string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,13 +67,14 @@
 	return at, ok
 }
 
+// requests returns the URIs of all requests so far.
 func (s *discoveryServer) requests() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.requestURIs...)
 }
 
-// list gives the entries of the list as it is.
+// list returns the current entries, without removed ones.
 func (s *discoveryServer) list() (all []listwatch.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,6 +86,7 @@
 	return all
 }
 
+// watch serves a watch, with a heartbeat of an empty line every second.
 func (s *discoveryServer) watch(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.requestURIs = append(s.requestURIs, r.URL.RequestURI())
@@ -127,11 +129,11 @@
 	w.(http.Flusher).Flush()
 }
 
-// serverFleet is rating servers that record what they get.
+// ratingServers are servers that record the requests they get.
 type ratingServers struct {
 	mu            sync.Mutex
-	receivedAt    map[string][]time.Time // by server
-	requestCounts map[string]int         // by request
+	receivedAt    map[string][]time.Time // arrivals by server ID
+	requestCounts map[string]int         // number of arrivals by request ID
 }
 
 func newRatingServers(t *testing.T, n int) (*ratingServers, []listwatch.Target) {
@@ -153,7 +155,7 @@
 	return f, targets
 }
 
-// since gives the servers that got something after a time, and when the last came to each.
+// lastReceivedSince returns the time of the last request of each server that got one after at.
 func (f *ratingServers) lastReceivedSince(at time.Time) map[string]time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/cmd/edgenode/takeover_test.go
+++ b/cmd/edgenode/takeover_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// clientSocket is a listening socket as the platform holds it for the processes of a node.
+// clientSocket returns a listening socket for clients, as the platform passes it to the processes of a node.
 func clientSocket(t *testing.T) *os.File {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,13 +32,14 @@
 	return socket
 }
 
-// Two processes share the clients' socket: at SIGTERM the old one answers what it took, lets its
-// kept connections go on an answer and leaves early; the socket stays good for the other.
+// Two processes share the listening socket, and the second takes over the first one's state. At SIGTERM the first answers
+// its requests, closes client connections with their next answer and exits early; the second serves on the same socket
+// and both together stay within the quota.
 func TestProcessTakesOverClientSocket(t *testing.T) {
-	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
-	t.Cleanup(app.Close)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+	t.Cleanup(server.Close)
 	socket := clientSocket(t)
-	bin, list, dir := edgenodeBinary(t), startDiscovery(t, "s-1", app).Listener.Addr().String(), "TMPDIR="+t.TempDir()
+	bin, list, dir := edgenodeBinary(t), startDiscovery(t, "s-1", server).Listener.Addr().String(), "TMPDIR="+t.TempDir()
 	previous := startBinary(t, bin, testConfig, list, socket, dir)
 	c, err := net.Dial("tcp", previous.addr)
 	if err != nil {
@@ -59,23 +60,23 @@
 		return resp
 	}
 	if resp := ask("id-1"); resp.StatusCode != 200 || resp.Close {
-		t.Fatalf("%s, closes %v", resp.Status, resp.Close)
+		t.Fatalf("before SIGTERM: status %s, closes %v", resp.Status, resp.Close)
 	}
-	started := time.Now()
-	granted := previous.countServed("before-", 20)
+	startedAt := time.Now()
+	served := previous.countServed("before-", 20)
 	successor := startBinary(t, bin, testConfig, list, socket, dir)
 	if !slices.ContainsFunc(successor.logged, func(l string) bool { return strings.Contains(l, "taken over") }) {
-		t.Errorf("nothing was taken over: %q", successor.logged)
+		t.Errorf("no log line about the state that was taken over: %q", successor.logged)
 	}
-	begun := time.Now()
+	signalledAt := time.Now()
 	previous.signal(syscall.SIGTERM)
 	previous.waitForLog("draining")
 	if resp := ask("id-2"); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("%s, closes %v", resp.Status, resp.Close)
+		t.Errorf("after SIGTERM: status %s, closes %v", resp.Status, resp.Close)
 	}
 	previous.waitForLog("drained")
-	if took := time.Since(begun); took > 2*time.Second {
-		t.Errorf("an empty process left after %v", took)
+	if took := time.Since(signalledAt); took > 2*time.Second {
+		t.Errorf("a process without requests took %v to exit", took)
 	}
 	if err := previous.Wait(); err != nil {
 		t.Error(err)
@@ -83,10 +84,10 @@
 	if a := <-successor.get("id-3"); !strings.HasPrefix(a, "200 done") {
 		t.Error(a)
 	}
-	// A burst of 8 units and half a unit a second, over both processes.
-	granted += successor.countServed("after-", 20)
-	if most := 8 + int(time.Since(started).Seconds()/2) + 1; granted < 1 || granted > most {
-		t.Errorf("%d units were granted, at most %d are due", granted, most)
+	// The plan has a burst of 8 tokens and a rate of half a token per second, for both processes together.
+	served += successor.countServed("after-", 20)
+	if maxServed := 8 + int(time.Since(startedAt).Seconds()/2) + 1; served < 1 || served > maxServed {
+		t.Errorf("%d requests were served, want 1 to %d", served, maxServed)
 	}
 	successor.signal(syscall.SIGTERM)
 	successor.waitForLog("drained")
@@ -95,14 +96,14 @@
 	}
 }
 
-// A handover that is spoilt, or never comes, leaves the process as from nothing.
+// A process whose predecessor sends an invalid handover, or none, starts without its state and serves.
 func TestInvalidHandoverStartsWithoutState(t *testing.T) {
 	bin := edgenodeBinary(t)
-	app := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
-	t.Cleanup(app.Close)
-	list := startDiscovery(t, "s-1", app).Listener.Addr().String()
-	for name, reply := range map[string]string{"garbage": "\x00\x00\x00\x04\x01\x02\x03\x04what", "silent": "", "cut off": "\x00\x00\x00\x04\x01",
-		"huge": "\xff\xff\xff\xff\x01\x02\x03\x04"} {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
+	t.Cleanup(server.Close)
+	list := startDiscovery(t, "s-1", server).Listener.Addr().String()
+	for name, reply := range map[string]string{"wrong checksum": "\x00\x00\x00\x04\x01\x02\x03\x04what", "nothing sent": "", "truncated": "\x00\x00\x00\x04\x01",
+		"length too large": "\xff\xff\xff\xff\x01\x02\x03\x04"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			previous, err := net.Listen("unix", filepath.Join(dir, "handover.sock"))
@@ -121,7 +122,7 @@
 			socket := clientSocket(t)
 			p := startBinary(t, bin, testConfig, list, socket, "TMPDIR="+dir)
 			if !slices.ContainsFunc(p.logged, func(l string) bool { return strings.Contains(l, "starting without the state of the previous process") }) {
-				t.Errorf("%q", p.logged)
+				t.Errorf("no log line about starting without state: %q", p.logged)
 			}
 			if a := <-p.get("id-1"); !strings.HasPrefix(a, "200 done") {
 				t.Error(a)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts many instances of the control module and speaks the
-// wire text on standard input and output. It decides nothing.
+// Command simhost runs instances of package control for the operators' simulator. It reads events from standard input and
+// writes the instances' actions to standard output, in the text protocol of package simwire.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	dec := simwire.NewDecoder(in)
 	w := bufio.NewWriterSize(out, 1<<16)
@@ -48,8 +48,8 @@
 	}
 }
 
-// step hands one input to its instance and appends what the instance wants.
-// A panic of the module becomes a bail_out of that instance.
+// handleInput passes one input to its instance and appends the instance's actions to buf. A panic of package control is
+// reported as a bail_out of that instance. Inputs for an instance that was not started are ignored.
 func handleInput(buf []byte, instances map[int]*control.Controller, now time.Duration, in simwire.Input) (res []byte) {
 	res = buf
 	defer func() {
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// most is how many tests may be listed.
+// maxListed is the maximum number of tests on the list.
 const maxListed = 3
 
 // entry is one line of the list: a test of a package, and the cause of its failure.
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -55,7 +55,7 @@
 
 type test struct{ pkg, name string }
 
-// reading is what the events of a run come to.
+// testRun collects the events of a go test run.
 type testRun struct {
 	list           []entry
 	out            io.Writer
@@ -68,7 +68,7 @@
 // event is an event in the output of go test -json; see go doc test2json.
 type event struct{ Action, Package, ImportPath, Test, Output string }
 
-// tests runs the tests and prints what go test does without -json.
+// runTests runs go test -json with args and prints what go test prints without -json.
 func (r *testRun) runTests(dir string, args []string) error {
 	c := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	c.Dir, c.Stderr = dir, os.Stderr
@@ -120,7 +120,8 @@
 	}
 }
 
-// fail takes the failure of a test, or of a package, which has one where it has a test that failed.
+// addFailure records the failure of a test, or of a package if t has no name. A package fails whenever one of its tests
+// does, so its own failure counts only if none of its listed tests failed.
 func (r *testRun) addFailure(t test) {
 	top, _, _ := strings.Cut(t.name, "/")
 	switch {
--- a/internal/oncall/oncall.go
+++ b/internal/oncall/oncall.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// fit tells what in an error's text is not as it has to be.
+// checkText returns an error if the text of err has a line break, lacks the place or lacks the hint.
 func checkText(err error) error {
 	text := err.Error()
 	hintAt := strings.LastIndex(text, "; ")
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// declared gives the exported types of errors in a folder's sources, with their fields.
+// errorTypes returns the exported error types declared in a folder's sources, each with the names of its fields.
 func errorTypes(dir string) (map[string][]string, error) {
 	types := map[string][]string{}
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
@@ -128,7 +128,8 @@
 	return names
 }
 
-// documented gives the errors that have a row with a meaning and something to do.
+// documentedErrors returns the error types, as package.Type, with a complete row in docs/oncall.md: a meaning and an
+// action.
 func documentedErrors() (rows map[string]bool, err error) {
 	raw, err := os.ReadFile(filepath.Join(moduleRoot(), "docs", "oncall.md"))
 	rows = map[string]bool{}
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -45,7 +45,7 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: bufio.NewReaderSize(r, 1<<20)} }
 
-// next reads a line without its end; io.EOF only where no text was left.
+// nextLine returns the next line without its line break. It returns io.EOF only if no text was left.
 func (d *Decoder) nextLine() (string, error) {
 	s, err := d.r.ReadString('\n')
 	if err != nil && (err != io.EOF || s == "") {
@@ -98,7 +98,7 @@
 	}
 }
 
-// event reads one event line; a name that is not known is skipped.
+// input decodes one line of a batch. known is false for a line with an unknown name, which the caller skips.
 func (d *Decoder) input(name, rest string) (in Input, known bool, err error) {
 	if name == "open_instance" {
 		in, err = d.open(rest)
@@ -184,7 +184,7 @@
 	}
 }
 
-// members reads the item lines of a discovery event.
+// endpoints reads the item lines that follow a discovery event, one for each endpoint.
 func (d *Decoder) endpoints(count int64) ([]control.Endpoint, error) {
 	var list []control.Endpoint
 	for ; count > 0; count-- {
