--- a/cmd/edgenode/consensus_test.go
+++ b/cmd/edgenode/consensus_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// In a fleet of three voters and two learners both kinds of activation reach all nodes, whichever node the operator calls.
-// No version is lost when the leader is killed and returns with an empty folder.
+// In a fleet of three voters and two learners both kinds of activation reach all nodes, whichever node the operator
+// calls. No version is lost when the leader is killed and returns with an empty folder.
 func TestCouncil(t *testing.T) {
 	t.Parallel()
 	f := newConsensusFleet(t, 3, 5)
--- a/cmd/edgenode/consensuscheck_test.go
+++ b/cmd/edgenode/consensuscheck_test.go
@@ -28,8 +28,8 @@
 	inFlight  map[string]forwardedRequest // requests that are sent and not yet received, by ID
 }
 
-// forwardedRequest is a request that a node received after sentAt and forwarded before receivedAt, both since the start of
-// the test.
+// forwardedRequest is a request that a node received after sentAt and forwarded before receivedAt, both since the start
+// of the test.
 type forwardedRequest struct {
 	node               int
 	version            uint64
@@ -80,9 +80,10 @@
 	}
 }
 
-// checkVersionOrder checks the versions of the received requests. After the first request with a version that was activated
-// as exclusive, no request may start with an earlier one. After a version that was activated as overlapping, earlier ones
-// may be used for one more second. No node may return to an earlier version. kinds are the activations by version.
+// checkVersionOrder checks the versions of the received requests. After the first request with a version that was
+// activated as exclusive, no request may start with an earlier one. After a version that was activated as overlapping,
+// earlier ones may be used for one more second. No node may return to an earlier version. kinds are the activations by
+// version.
 func (l *requestLog) checkVersionOrder(t *testing.T, kinds map[uint64]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,8 +135,8 @@
 	active  uint64
 }
 
-// ruleSetModel models the published rule sets: a list of texts that only grows, and the number of the active version, which
-// never falls.
+// ruleSetModel models the published rule sets: a list of texts that only grows, and the number of the active version,
+// which never falls.
 var ruleSetModel = porcupine.Model{
 	Init: func() any { return ruleSetState{} },
 	Step: func(state, in, out any) (bool, any) {
@@ -177,7 +178,8 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: op, Call: int64(calledAt.Sub(h.startedAt)), Output: result, Return: returnedAt})
 }
 
-// publish publishes a text at node i and returns its version; 0 means that it was rejected or that the outcome is unknown.
+// publish publishes a text at node i and returns its version; 0 means that it was rejected or that the outcome is
+// unknown.
 func (h *operationHistory) publish(client, i int, text string) uint64 {
 	call := time.Now()
 	status, body := h.f.call(i, "publish", nil, text)
@@ -213,8 +215,8 @@
 	h.record(client, ruleSetOperation{}, call, view)
 }
 
-// checkLinearizable checks that all results are those of one list to which texts are appended one at a time. numbers are the
-// versions by digest at the end of the test; they decide the outcome of a publication that had no answer.
+// checkLinearizable checks that all results are those of one list to which texts are appended one at a time. numbers
+// are the versions by digest at the end of the test; they decide the outcome of a publication that had no answer.
 func (h *operationHistory) checkLinearizable(t *testing.T, numbers map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/cmd/edgenode/consensusfaults_test.go
+++ b/cmd/edgenode/consensusfaults_test.go
@@ -28,9 +28,9 @@
 	firstSeed = flag.Uint64("playseed", 1, "seed of the first run")
 )
 
-// Operators publish, activate and read rule versions at any node, while random faults occur: processes are killed, paused or
-// partitioned, folders are lost or corrupt, and disks lose fsyncs, fail or stall. For more runs:
-// go test ./cmd/edgenode -run CouncilRandomFaults -plays 300 -timeout 3h
+// Operators publish, activate and read rule versions at any node, while random faults occur: processes are killed,
+// paused or partitioned, folders are lost or corrupt, and disks lose fsyncs, fail or stall. For more runs: go test
+// ./cmd/edgenode -run CouncilRandomFaults -plays 300 -timeout 3h
 func TestCouncilRandomFaults(t *testing.T) {
 	t.Parallel()
 	for i := range *faultRuns {
@@ -113,8 +113,9 @@
 	}
 }
 
-// injectRandomFault injects one random fault, half of the time at the leader, else at any node. It returns after the fault
-// has ended and all voters vote again if a voter was hit, because the consensus group tolerates one lying disk at a time.
+// injectRandomFault injects one random fault, half of the time at the leader, else at any node. It returns after the
+// fault has ended and all voters vote again if a voter was hit, because the consensus group tolerates one lying disk at
+// a time.
 func (f *consensusFleet) injectRandomFault(rng *rand.Rand, voters int, runName string) {
 	i := rng.IntN(len(f.nodes))
 	if rng.IntN(2) == 0 {
--- a/cmd/edgenode/consensusfleet_test.go
+++ b/cmd/edgenode/consensusfleet_test.go
@@ -69,8 +69,8 @@
 	consensusProxyPort = 7200
 )
 
-// reserveAddressPrefix reserves a range of loopback addresses, 127.N.M.1 to .254, by listening on the last one, and returns
-// its prefix.
+// reserveAddressPrefix reserves a range of loopback addresses, 127.N.M.1 to .254, by listening on the last one, and
+// returns its prefix.
 func reserveAddressPrefix(t *testing.T) string {
 	for {
 		prefix := fmt.Sprintf("127.%d.%d.", 64+rand.IntN(128), rand.IntN(256))
@@ -86,8 +86,8 @@
 	return fmt.Sprint(f.addressPrefix, i+1, ":", port)
 }
 
-// newConsensusFleet starts a fleet. peerSettings are lines for the section [peers] of the fleet file. If the test fails, the
-// cleanup prints the logs and stacks of all nodes.
+// newConsensusFleet starts a fleet. peerSettings are lines for the section [peers] of the fleet file. If the test
+// fails, the cleanup prints the logs and stacks of all nodes.
 func newConsensusFleet(t *testing.T, voters, nodes int, peerSettings ...string) *consensusFleet {
 	bin, err := buildLabEdgenode()
 	require.NoError(t, err)
--- a/cmd/edgenode/disk_test.go
+++ b/cmd/edgenode/disk_test.go
@@ -12,8 +12,8 @@
 	"sloestile/internal/store/disk/faulty"
 )
 
-// The deployed program contains neither the code of the faulty disk nor its environment variable, and ignores the variable
-// if it is set. The program built with the tag lab has both.
+// The deployed program contains neither the code of the faulty disk nor its environment variable, and ignores the
+// variable if it is set. The program built with the tag lab has both.
 func TestFaultyDiskIsOnlyInLabBuild(t *testing.T) {
 	for _, tags := range []string{"", "lab"} {
 		bin := filepath.Join(t.TempDir(), "edgenode")
--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -1,5 +1,5 @@
-// Command edgenode is one edge node: it accepts requests from clients and forwards them to rating servers. Package control
-// makes the decisions.
+// Command edgenode is one edge node: it accepts requests from clients and forwards them to rating servers. Package
+// control makes the decisions.
 package main
 
 import (
@@ -27,7 +27,8 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// The default action of SIGHUP ends the program, so it is caught at all times, also while the node starts or drains.
+	// The default action of SIGHUP ends the program, so it is caught at all times, also while the node starts or
+	// drains.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	fleet := flag.String("fleet", os.Getenv("NODE_FLEET"), "fleet file, which enables optional parts; without one all are off")
@@ -103,8 +104,8 @@
 	return n.Run(ctx)
 }
 
-// reload reads the configuration again for a SIGHUP. Unlike at the start, the environment does not override the file. An
-// invalid file changes nothing.
+// reload reads the configuration again for a SIGHUP. Unlike at the start, the environment does not override the file.
+// An invalid file changes nothing.
 func reload(n *node.Node, path, fleet string) {
 	cfg, err := load(path, fleet)
 	if err != nil {
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Unknown commands and flags, and a wrong number of arguments, print the usage and exit with code 2. A mistyped command must
-// not start a node.
+// Unknown commands and flags, and a wrong number of arguments, print the usage and exit with code 2. A mistyped command
+// must not start a node.
 func TestInvalidArgumentsExitWithUsage(t *testing.T) {
 	bin := edgenodeBinary(t)
 	for _, args := range [][]string{{"chekc", "x"}, {"check"}, {"check", "x", "y"}, {"-flet", "x"}} {
@@ -55,8 +55,8 @@
 	}
 }
 
-// At SIGTERM with a request in flight the node drains: the client gets its answer, on a connection that it may use until
-// the node stops serving, then the program exits with code 0. A SIGHUP while it drains does not end it.
+// At SIGTERM with a request in flight the node drains: the client gets its answer, on a connection that it may use
+// until the node stops serving, then the program exits with code 0. A SIGHUP while it drains does not end it.
 func TestSIGTERMAnswersRequestsInFlight(t *testing.T) {
 	server, received, release := blockingServer(t)
 	p := startProgram(t, testConfig, startDiscovery(t, "s-1", server).Listener.Addr().String())
@@ -98,8 +98,8 @@
 	}
 }
 
-// At SIGHUP the program uses the discovery address of the changed file, not that of the environment, and keeps the request
-// in flight. An invalid file changes nothing.
+// At SIGHUP the program uses the discovery address of the changed file, not that of the environment, and keeps the
+// request in flight. An invalid file changes nothing.
 func TestSIGHUPReloadsConfiguration(t *testing.T) {
 	server, received, release := blockingServer(t)
 	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/edgenode/otherversion_test.go
+++ b/cmd/edgenode/otherversion_test.go
@@ -20,8 +20,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// otherBinary is the path of another version of the program, built with the tag lab. If it is "", the tests of this file run
-// processes of this version only.
+// otherBinary is the path of another version of the program, built with the tag lab. If it is "", the tests of this
+// file run processes of this version only.
 var otherBinary = flag.String("other", "", "path of another version of the program, built with -tags lab, to run together with this one")
 
 // binaryPairs returns pairs of programs, the first to start and the second, with both versions in both orders.
@@ -34,8 +34,9 @@
 	return map[string][2]string{"from the other": {*otherBinary, own}, "to the other": {own, *otherBinary}}
 }
 
-// Nodes of two versions form one fleet: they share limits and outlier reports, agree on rule versions and activate them.
-// They need a service discovery: without one their endpoint list is stale 6 s after the start, and they stop sending.
+// Nodes of two versions form one fleet: they share limits and outlier reports, agree on rule versions and activate
+// them. They need a service discovery: without one their endpoint list is stale 6 s after the start, and they stop
+// sending.
 func TestFleetOfTwoVersions(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 	t.Cleanup(server.Close)
@@ -121,7 +122,8 @@
 	return values
 }
 
-// A process takes over the socket and the state of a process of another version, and both together stay within the quota.
+// A process takes over the socket and the state of a process of another version, and both together stay within the
+// quota.
 func TestTakeoverFromAnotherVersion(t *testing.T) {
 	for name, bin := range binaryPairs(t) {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/edgenode/program_test.go
+++ b/cmd/edgenode/program_test.go
@@ -57,15 +57,15 @@
 	logged   []string       // log lines read so far
 }
 
-// startProgram starts the program with a configuration file and waits until it is ready. If discovery is "", the address
-// in the file applies.
+// startProgram starts the program with a configuration file and waits until it is ready. If discovery is "", the
+// address in the file applies.
 func startProgram(t *testing.T, config, discovery string) *program {
 	t.Helper()
 	return startBinary(t, edgenodeBinary(t), config, discovery, nil)
 }
 
-// startBinary starts the program bin and waits until it is ready. socket is a listening socket for clients to inherit; nil
-// lets the program open its own.
+// startBinary starts the program bin and waits until it is ready. socket is a listening socket for clients to inherit;
+// nil lets the program open its own.
 func startBinary(t *testing.T, bin, config, discovery string, socket *os.File, env ...string) *program {
 	t.Helper()
 	p := &program{Cmd: exec.Command(bin), t: t}
@@ -137,8 +137,8 @@
 	return served
 }
 
-// getWithPlan sends a request and delivers one result: status, body and whether the node closes the connection, or the text
-// of the error.
+// getWithPlan sends a request and delivers one result: status, body and whether the node closes the connection, or the
+// text of the error.
 func (p *program) getWithPlan(plan, id string) <-chan string {
 	p.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+p.addr+"/roster-read?account=00000000b4d65521", nil)
@@ -178,7 +178,8 @@
 	return d
 }
 
-// blockingServer starts a server for one request. It closes received when the request arrives and answers after release.
+// blockingServer starts a server for one request. It closes received when the request arrives and answers after
+// release.
 func blockingServer(t *testing.T) (server *httptest.Server, received chan struct{}, release func()) {
 	received, released := make(chan struct{}), make(chan struct{})
 	release = sync.OnceFunc(func() { close(released) })
--- a/cmd/edgenode/subset_test.go
+++ b/cmd/edgenode/subset_test.go
@@ -132,9 +132,9 @@
 	require.Greater(t, len(c.answers), 100)
 }
 
-// A node that uses a subset of the endpoint list keeps serving while servers of the subset drain and while the process is
-// killed and the list changes. Each request has one result, a server gets no request later than 2 s after it is listed as
-// draining, and each later process uses the subset that the current list determines.
+// A node that uses a subset of the endpoint list keeps serving while servers of the subset drain and while the process
+// is killed and the list changes. Each request has one result, a server gets no request later than 2 s after it is
+// listed as draining, and each later process uses the subset that the current list determines.
 func TestSubsetSurvivesDrainsAndKills(t *testing.T) {
 	servers, targets := newRatingServers(t, 40)
 	source := newDiscoveryServer(t, targets)
@@ -159,7 +159,8 @@
 		require.Equal(t, want, slices.Sorted(maps.Keys(servers.lastReceivedSince(from))))
 		return want
 	}
-	// checkDrained sends until well after drainedAt and checks that the servers uids got no request after the grace period.
+	// checkDrained sends until well after drainedAt and checks that the servers uids got no request after the grace
+	// period.
 	checkDrained := func(c *requestClients, drainedAt time.Time, uids ...string) {
 		for time.Since(drainedAt) < drainGrace+time.Second {
 			c.waitForRequests(t, 20)
--- a/cmd/edgenode/subsetservers_test.go
+++ b/cmd/edgenode/subsetservers_test.go
@@ -17,8 +17,8 @@
 // firstRev is the first version of a discoveryServer's list, above the version in the programs' configuration.
 const firstRev = 100
 
-// discoveryServer is a service discovery with versions. A watch without a version gets the complete list, one with a version
-// gets the changes since; both then get each change as it is made.
+// discoveryServer is a service discovery with versions. A watch without a version gets the complete list, one with a
+// version gets the changes since; both then get each change as it is made.
 type discoveryServer struct {
 	*httptest.Server
 	mu           sync.Mutex
--- a/cmd/edgenode/takeover_test.go
+++ b/cmd/edgenode/takeover_test.go
@@ -32,9 +32,9 @@
 	return socket
 }
 
-// Two processes share the listening socket, and the second takes over the first one's state. At SIGTERM the first answers
-// its requests, closes client connections with their next answer and exits early; the second serves on the same socket
-// and both together stay within the quota.
+// Two processes share the listening socket, and the second takes over the first one's state. At SIGTERM the first
+// answers its requests, closes client connections with their next answer and exits early; the second serves on the same
+// socket and both together stay within the quota.
 func TestProcessTakesOverClientSocket(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 	t.Cleanup(server.Close)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost runs instances of package control for the operators' simulator. It reads events from standard input and
-// writes the instances' actions to standard output, in the text protocol of package simwire.
+// Command simhost runs instances of package control for the operators' simulator. It reads events from standard input
+// and writes the instances' actions to standard output, in the text protocol of package simwire.
 package main
 
 import (
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads the configuration of an edge node: the configuration file (Load), the environment variables that
-// override it (Config.FromEnvironment), and the fleet file that enables optional parts (LoadFleet). Where a key of these
-// files differs from the name in the code, a struct tag holds the key.
+// override it (Config.FromEnvironment), and the fleet file that enables optional parts (LoadFleet). Where a key of
+// these files differs from the name in the code, a struct tag holds the key.
 package config
 
 import (
@@ -101,8 +101,8 @@
 	defaultServerConnectTimeout = 250 * time.Millisecond
 )
 
-// readSettings reads the settings of the decision module and the node's own two, keepalive and connect timeout. key names
-// the setting that err is about.
+// readSettings reads the settings of the decision module and the node's own two, keepalive and connect timeout. key
+// names the setting that err is about.
 func (c *Config) readSettings(raw json.RawMessage) (key string, err error) {
 	paths, err := flatten(raw)
 	if err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -8,8 +8,8 @@
 	"sloestile/internal/golden"
 )
 
-// A configuration file and a fleet file that set every key are decoded as recorded, so that a rename in the code does not
-// change a key of the files.
+// A configuration file and a fleet file that set every key are decoded as recorded, so that a rename in the code does
+// not change a key of the files.
 func TestFilesWithEveryKeyMatchGolden(t *testing.T) {
 	c, err := Load("testdata/every-key.json")
 	require.NoError(t, err)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -7,8 +7,8 @@
 	tenantMemoryFraction = 1.0 / 6 // fraction of the memory limit that all tenants together may use
 )
 
-// maxTenants returns how many tenants the decision module may hold under a memory limit in MB. Without a limit it returns
-// 0, for which the decision module has a default.
+// maxTenants returns how many tenants the decision module may hold under a memory limit in MB. Without a limit it
+// returns 0, for which the decision module has a default.
 func maxTenants(memoryMB int) int {
 	return int(tenantMemoryFraction * float64(memoryMB<<20) / tenantBytes)
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares, in tests, data that is stored or sent with bytes recorded under testdata. It catches a rename or
-// a change of layout that would break compatibility with other processes, versions or stored data.
+// Package golden compares, in tests, data that is stored or sent with bytes recorded under testdata. It catches a
+// rename or a change of layout that would break compatibility with other processes, versions or stored data.
 package golden
 
 import (
--- a/internal/golden/names_test.go
+++ b/internal/golden/names_test.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// wordPackages are the packages whose words appear in external formats, by golden file: the simulator's protocol, and the
-// lab's scenarios, figures, benchmarks and reports.
+// wordPackages are the packages whose words appear in external formats, by golden file: the simulator's protocol, and
+// the lab's scenarios, figures, benchmarks and reports.
 var wordPackages = map[string]string{
 	"simwire":     "internal/simwire",
 	"scenario":    "internal/testbed/scenario",
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,7 +1,7 @@
 // Command knownred runs a go test command and ignores the failures of tests that are known to fail. They are listed in
-// KNOWN-RED.txt in the working directory, one per line in the form PACKAGE.TestName: cause (issue N), where PACKAGE is an
-// import path. The command prints each listed test with its outcome. It fails on any other failure, on a list of more than
-// three lines, on a malformed line, and on a listed test that does not exist.
+// KNOWN-RED.txt in the working directory, one per line in the form PACKAGE.TestName: cause (issue N), where PACKAGE is
+// an import path. The command prints each listed test with its outcome. It fails on any other failure, on a list of
+// more than three lines, on a malformed line, and on a listed test that does not exist.
 package main
 
 import (
@@ -136,8 +136,9 @@
 	}
 }
 
-// rerunWithoutListed runs the packages in which a listed test failed again, without the listed tests. The listed test may
-// have ended the process before other tests ran, and no event reports whether the package fails for another reason too.
+// rerunWithoutListed runs the packages in which a listed test failed again, without the listed tests. The listed test
+// may have ended the process before other tests ran, and no event reports whether the package fails for another reason
+// too.
 func (r *testRun) rerunWithoutListed(dir string) error {
 	for _, p := range r.failedPackages {
 		var names []string
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -23,7 +23,8 @@
 	return dir
 }
 
-// testFile returns the source of a test file of package pkg. bodies alternate between a function's signature and its body.
+// testFile returns the source of a test file of package pkg. bodies alternate between a function's signature and its
+// body.
 func testFile(pkg string, bodies ...string) string {
 	text := "package " + pkg + "\n\nimport (\n\t\"os\"\n\t\"testing\"\n)\n\nvar _ = os.Exit\n\n"
 	for i := 0; i < len(bodies); i += 2 {
--- a/internal/oncall/oncall.go
+++ b/internal/oncall/oncall.go
@@ -1,5 +1,6 @@
-// Package oncall checks, in the tests of a package, that its errors are usable by on-call staff: the text is one line that
-// says where and what failed and, after the last semicolon, what to do, and docs/oncall.md has a row for the error type.
+// Package oncall checks, in the tests of a package, that its errors are usable by on-call staff: the text is one line
+// that says where and what failed and, after the last semicolon, what to do, and docs/oncall.md has a row for the error
+// type.
 package oncall
 
 import (
@@ -22,8 +23,8 @@
 var ErrCause = errors.New("made up\nin two lines")
 
 // Check checks all exported error types of the package whose test calls it. Examples are pointers; each type needs at
-// least one, each of its fields must be set in one of them, and a wrapped error must be ErrCause. The text of an example
-// must contain each string field and the wrapped error.
+// least one, each of its fields must be set in one of them, and a wrapped error must be ErrCause. The text of an
+// example must contain each string field and the wrapped error.
 func Check(t *testing.T, examples ...error) {
 	types, err := errorTypes(".")
 	require.NoError(t, err)
--- a/internal/oncall/oncall_test.go
+++ b/internal/oncall/oncall_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Each package of the node that declares error types has a test that calls Check, and each row of docs/oncall.md is for an
-// existing type. The stand-in of the platform, internal/testbed, is not part of the node.
+// Each package of the node that declares error types has a test that calls Check, and each row of docs/oncall.md is for
+// an existing type. The stand-in of the platform, internal/testbed, is not part of the node.
 func TestEveryErrorTypeIsCheckedAndDocumented(t *testing.T) {
 	rows, err := documentedErrors()
 	require.NoError(t, err)
--- a/internal/oneline/oneline.go
+++ b/internal/oneline/oneline.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Of returns the text of err on one line. It leaves out the file or address of an outermost *fs.PathError, *os.LinkError
-// or *net.OpError, because the error that wraps it names the place.
+// Of returns the text of err on one line. It leaves out the file or address of an outermost *fs.PathError,
+// *os.LinkError or *net.OpError, because the error that wraps it names the place.
 func Of(err error) string {
 	switch e := err.(type) { //nolint:errorlint // only the outermost error may lose its place; inner ones stay whole
 	case *fs.PathError:
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -83,8 +83,8 @@
 	return s
 }
 
-// count returns the length of a list. It rejects a length above the number of keys, so that a corrupt count can't cause a
-// huge allocation.
+// count returns the length of a list. It rejects a length above the number of keys, so that a corrupt count can't cause
+// a huge allocation.
 func (r *settingsReader) count(list string) int {
 	n := r.float(list + ".count")
 	if !(n >= 0 && n <= float64(len(r.keys))) {
