--- a/cmd/edgenode/consensusfaults_test.go
+++ b/cmd/edgenode/consensusfaults_test.go
@@ -29,8 +29,9 @@
 )
 
 // Operators publish, activate and read rule versions at any node, while random faults occur: processes are killed,
-// paused or partitioned, folders are lost or corrupt, and disks lose fsyncs, fail or stall. For more runs: go test
-// ./cmd/edgenode -run CouncilRandomFaults -plays 300 -timeout 3h
+// paused or partitioned, folders are lost or corrupt, and disks lose fsyncs, fail or stall. For more runs:
+//
+//	go test ./cmd/edgenode -run CouncilRandomFaults -plays 300 -timeout 3h
 func TestCouncilRandomFaults(t *testing.T) {
 	t.Parallel()
 	for i := range *faultRuns {
