--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts many instances of the control module and speaks the
-// wire text on standard input and output. It decides nothing.
+// Command simhost runs instances of package control for the operators' simulator. It reads events from standard input
+// and writes the instances' actions to standard output, in the text protocol of package simwire.
 package main
 
 import (
@@ -21,11 +21,11 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	dec := simwire.NewDecoder(in)
 	w := bufio.NewWriterSize(out, 1<<16)
-	hosted := make(map[int]*control.Controller)
+	instances := make(map[int]*control.Controller)
 	var buf []byte
 	for {
 		batch, err := dec.Next()
@@ -37,7 +37,7 @@
 		}
 		buf = buf[:0]
 		for _, in := range batch.Inputs {
-			buf = step(buf, hosted, batch.Now, in)
+			buf = handleInput(buf, instances, batch.Now, in)
 		}
 		if _, err := w.Write(simwire.AppendEnd(buf)); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
@@ -48,9 +48,9 @@
 	}
 }
 
-// step hands one input to its instance and appends what the instance wants.
-// A panic of the module becomes a bail_out of that instance.
-func step(buf []byte, hosted map[int]*control.Controller, now time.Duration, in simwire.Input) (res []byte) {
+// handleInput passes one input to its instance and appends the instance's actions to buf. A panic of package control is
+// reported as a bail_out of that instance. Inputs for an instance that was not started are ignored.
+func handleInput(buf []byte, instances map[int]*control.Controller, now time.Duration, in simwire.Input) (res []byte) {
 	res = buf
 	defer func() {
 		if p := recover(); p != nil {
@@ -59,16 +59,16 @@
 	}()
 	switch {
 	case in.Open != nil:
-		delete(hosted, in.Who)
+		delete(instances, in.Who)
 		c, err := control.New(in.Open.Settings, in.Open.Seed)
 		if err != nil {
 			return simwire.AppendBailOut(res, in.Who, err.Error())
 		}
-		hosted[in.Who] = c
+		instances[in.Who] = c
 	case in.PowerOff:
-		delete(hosted, in.Who)
+		delete(instances, in.Who)
 	default:
-		c := hosted[in.Who]
+		c := instances[in.Who]
 		if c == nil {
 			return res
 		}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,17 +13,17 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Fleet is what a fleet file, in TOML, switches on. A part that is nil is off, and without a fleet file all are.
+// Fleet is the contents of a fleet file, in TOML. Each section enables a part of the node; a nil section leaves it off.
 type Fleet struct {
 	Peers     *Peers
-	Regions   map[string][]string // the zones of each region
+	Regions   map[string][]string // zones of each region
 	State     *State
 	Zones     *Zones
 	Consensus *Consensus `toml:"council"`
 	Subset    *Subset
 }
 
-// LoadFleet reads a fleet file. Its error is a *FleetFileError.
+// LoadFleet reads and validates the fleet file at path. Its error is a *FleetFileError.
 func LoadFleet(path string) (*Fleet, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -31,14 +31,14 @@
 	}
 	f := &Fleet{}
 	if err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(f); err != nil {
-		wrong := &FleetFileError{File: path, Err: err}
+		fileErr := &FleetFileError{File: path, Err: err}
 		if strict, ok := errors.AsType[*toml.StrictMissingError](err); ok {
-			wrong.Line, _ = strict.Errors[0].Position()
-			wrong.Err = fmt.Errorf("unknown key %s", strings.Join(strict.Errors[0].Key(), "."))
-		} else if at, ok := errors.AsType[*toml.DecodeError](err); ok {
-			wrong.Line, _ = at.Position()
+			fileErr.Line, _ = strict.Errors[0].Position()
+			fileErr.Err = fmt.Errorf("unknown key %s", strings.Join(strict.Errors[0].Key(), "."))
+		} else if decodeErr, ok := errors.AsType[*toml.DecodeError](err); ok {
+			fileErr.Line, _ = decodeErr.Position()
 		}
-		return nil, wrong
+		return nil, fileErr
 	}
 	if key, err := f.check(); err != nil {
 		return nil, &FleetFileError{File: path, Key: key, Err: err}
@@ -46,22 +46,22 @@
 	return f, nil
 }
 
-// check returns the first key with an invalid value, and why it is invalid.
+// check returns the first key with an invalid value, and the reason.
 func (f *Fleet) check() (key string, err error) {
-	of := map[string]string{}
+	regionOf := map[string]string{}
 	for region, zones := range f.Regions {
 		for _, z := range zones {
-			if of[z] != "" {
-				return "regions", fmt.Errorf("zone %s is in %s and %s", z, of[z], region)
+			if regionOf[z] != "" {
+				return "regions", fmt.Errorf("zone %s is in %s and %s", z, regionOf[z], region)
 			}
-			of[z] = region
+			regionOf[z] = region
 		}
 	}
 	if f.State != nil && !filepath.IsAbs(f.State.Dir) {
-		return "state.dir", fmt.Errorf("%q is no whole path", f.State.Dir)
+		return "state.dir", fmt.Errorf("%q is not an absolute path", f.State.Dir)
 	}
 	if f.Zones != nil && f.Zones.Evacuate && len(f.Regions) == 0 {
-		return "zones.leave", errors.New("regions name no zones")
+		return "zones.leave", errors.New("evacuating zones requires [regions]")
 	}
 	if f.Consensus != nil {
 		if key, err := f.Consensus.check(f); err != nil {
@@ -76,18 +76,19 @@
 	return f.Peers.check()
 }
 
-func checkAddress(a string) error {
-	host, port, err := net.SplitHostPort(a)
+// checkAddress returns an error if addr is not host:port with a host and a port from 1 to 65535.
+func checkAddress(addr string) error {
+	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
 	}
 	if n, err := strconv.Atoi(port); err != nil || n < 1 || n > 65535 || host == "" {
-		return fmt.Errorf("%q is no address", a)
+		return fmt.Errorf("%q is not an address with a host and a port from 1 to 65535", addr)
 	}
 	return nil
 }
 
-// Region returns the region of a zone, or "".
+// Region returns the region of a zone, or "" if the zone is in none.
 func (f *Fleet) Region(zone string) string {
 	for region, zones := range f.Regions {
 		for _, z := range zones {
@@ -99,12 +100,12 @@
 	return ""
 }
 
-// State switches on that the node persists what it has learned.
+// State enables the checkpoint in which the node persists its learned state.
 type State struct {
-	Dir string // the node's own folder, on a disk that outlives the process
+	Dir string // absolute path of the node's own folder, on a disk that outlives the process
 }
 
-// Zones switches on what the node does about zones beyond the cost of crossing into them.
+// Zones enables handling of failing zones. The cost of crossing zones applies without it.
 type Zones struct {
-	Evacuate bool `toml:"leave"` // leave a zone that fails, and return to it by a recovery ramp
+	Evacuate bool `toml:"leave"` // stop sending to a failing zone, and return to it with a recovery ramp
 }
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,7 +1,7 @@
-// Command knownred runs a go test command and passes over the failures of the tests that KNOWN-RED.txt
-// lists in the folder it is started in, of these alone: a line each, PACKAGE.TestName: cause (issue N),
-// PACKAGE being an import path. It prints each with its outcome. It fails on any other failure, on
-// more than three lines, on one it cannot read, and on a test that there is not.
+// Command knownred runs a go test command and ignores the failures of tests that are known to fail. They are listed in
+// KNOWN-RED.txt in the working directory, one per line in the form PACKAGE.TestName: cause (issue N), where PACKAGE is
+// an import path. The command prints each listed test with its outcome. It fails on any other failure, on a list of
+// more than three lines, on a malformed line, and on a listed test that does not exist.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"strings"
 )
 
-const file = "KNOWN-RED.txt"
+const listFile = "KNOWN-RED.txt"
 
 func main() {
 	if err := run(".", os.Args[1:], os.Stdout); err != nil {
@@ -25,51 +25,51 @@
 	}
 }
 
-// run runs a command that begins with "go test" in a folder.
+// run runs command, which begins with "go test", in dir and writes the output of the tests to out.
 func run(dir string, command []string, out io.Writer) error {
 	if len(command) < 2 || command[0] != "go" || command[1] != "test" {
 		return fmt.Errorf("%q: not a go test command", strings.Join(command, " "))
 	}
-	list, err := read(dir + "/" + file)
+	list, err := readList(dir + "/" + listFile)
 	if err != nil {
 		return err
 	}
-	r := &reading{list: list, out: out, said: map[test]string{}, outcome: map[test]string{}}
-	failed := r.tests(dir, command[2:])
+	r := &testRun{list: list, out: out, output: map[test]string{}, outcomes: map[test]string{}}
+	testErr := r.runTests(dir, command[2:])
 	for _, e := range list {
-		o := r.outcome[test{e.pkg, e.test}]
-		if o == "" {
-			r.other = append(r.other, fmt.Sprintf("%s lists %s.%s, and there is no such test", file, e.pkg, e.test))
-			o = "not found"
+		outcome := r.outcomes[test{e.pkg, e.test}]
+		if outcome == "" {
+			r.otherFailures = append(r.otherFailures, fmt.Sprintf("%s lists %s.%s: no such test", listFile, e.pkg, e.test))
+			outcome = "not found"
 		}
-		fmt.Fprintf(out, "known red: %s.%s: %s: %s\n", e.pkg, e.test, o, e.why)
+		fmt.Fprintf(out, "known red: %s.%s: %s: %s\n", e.pkg, e.test, outcome, e.cause)
 	}
 	switch {
-	case len(r.other) > 0:
-		return errors.New(strings.Join(r.other, "; "))
-	case failed != nil && len(r.red) == 0: // for a reason that no event tells
-		return failed
+	case len(r.otherFailures) > 0:
+		return errors.New(strings.Join(r.otherFailures, "; "))
+	case testErr != nil && len(r.failedPackages) == 0: // go test failed without an event that reports why
+		return testErr
 	}
-	return r.rest(dir)
+	return r.rerunWithoutListed(dir)
 }
 
 type test struct{ pkg, name string }
 
-// reading is what the events of a run come to.
-type reading struct {
-	list    []entry
-	out     io.Writer
-	said    map[test]string // what a test that has not ended has printed
-	outcome map[test]string // of each test that has ended
-	red     []string        // packages with listed tests that failed
-	other   []string        // what else failed
+// testRun collects the events of a go test run.
+type testRun struct {
+	list           []entry
+	out            io.Writer
+	output         map[test]string // output so far of each test that has not ended
+	outcomes       map[test]string // action that ended each test: pass, skip or fail
+	failedPackages []string        // packages in which a listed test failed
+	otherFailures  []string        // messages about all other failures
 }
 
-// event is one of those of go doc test2json.
+// event is an event in the output of go test -json; see go doc test2json.
 type event struct{ Action, Package, ImportPath, Test, Output string }
 
-// tests runs the tests and prints what go test does without -json.
-func (r *reading) tests(dir string, args []string) error {
+// runTests runs go test -json with args and prints what go test prints without -json.
+func (r *testRun) runTests(dir string, args []string) error {
 	c := exec.Command("go", append([]string{"test", "-json"}, args...)...)
 	c.Dir, c.Stderr = dir, os.Stderr
 	pipe, err := c.StdoutPipe()
@@ -82,7 +82,7 @@
 	for in := bufio.NewReader(pipe); ; {
 		l, err := in.ReadString('\n')
 		if l != "" {
-			r.take(l)
+			r.handleEvent(l)
 		}
 		if err != nil {
 			return c.Wait()
@@ -90,11 +90,12 @@
 	}
 }
 
-func (r *reading) take(l string) {
+// handleEvent handles one line of the output of go test -json.
+func (r *testRun) handleEvent(line string) {
 	var e event
-	if json.Unmarshal([]byte(l), &e) != nil {
-		fmt.Fprint(r.out, l)
-		r.other = append(r.other, fmt.Sprintf("go test printed %q", strings.TrimSpace(l)))
+	if json.Unmarshal([]byte(line), &e) != nil {
+		fmt.Fprint(r.out, line)
+		r.otherFailures = append(r.otherFailures, fmt.Sprintf("go test printed %q", strings.TrimSpace(line)))
 		return
 	}
 	t := test{e.Package, e.Test}
@@ -102,42 +103,44 @@
 	case "build-output":
 		fmt.Fprint(r.out, e.Output)
 	case "build-fail":
-		r.other = append(r.other, e.ImportPath+" does not build")
+		r.otherFailures = append(r.otherFailures, e.ImportPath+" does not build")
 	case "output":
-		if e.Test != "" && !strings.HasPrefix(e.Output, "=== ") { // that it runs, waits or goes on
-			r.said[t] += e.Output
+		if e.Test != "" && !strings.HasPrefix(e.Output, "=== ") { // skips RUN, PAUSE and CONT lines
+			r.output[t] += e.Output
 		} else if e.Test == "" && e.Output != "PASS\n" {
 			fmt.Fprint(r.out, e.Output)
 		}
 	case "pass", "skip", "fail":
 		if e.Action == "fail" {
-			fmt.Fprint(r.out, r.said[t])
-			r.fail(t)
+			fmt.Fprint(r.out, r.output[t])
+			r.addFailure(t)
 		}
-		delete(r.said, t)
-		r.outcome[t] = e.Action
+		delete(r.output, t)
+		r.outcomes[t] = e.Action
 	}
 }
 
-// fail takes the failure of a test, or of a package, which has one where it has a test that failed.
-func (r *reading) fail(t test) {
+// addFailure records the failure of a test, or of a package if t has no name. A package fails whenever one of its tests
+// does, so its own failure counts only if none of its listed tests failed.
+func (r *testRun) addFailure(t test) {
 	top, _, _ := strings.Cut(t.name, "/")
 	switch {
 	case slices.ContainsFunc(r.list, func(e entry) bool { return e.pkg == t.pkg && e.test == top }):
-		if !slices.Contains(r.red, t.pkg) {
-			r.red = append(r.red, t.pkg)
+		if !slices.Contains(r.failedPackages, t.pkg) {
+			r.failedPackages = append(r.failedPackages, t.pkg)
 		}
 	case t.name != "":
-		r.other = append(r.other, t.pkg+"."+t.name+" fails")
-	case !slices.Contains(r.red, t.pkg):
-		r.other = append(r.other, t.pkg+" fails")
+		r.otherFailures = append(r.otherFailures, t.pkg+"."+t.name+" fails")
+	case !slices.Contains(r.failedPackages, t.pkg):
+		r.otherFailures = append(r.otherFailures, t.pkg+" fails")
 	}
 }
 
-// rest runs anew, without the listed tests, the packages in which one failed: it may have ended its
-// package before others ran, and no event tells whether the package fails by more than its tests.
-func (r *reading) rest(dir string) error {
-	for _, p := range r.red {
+// rerunWithoutListed runs the packages in which a listed test failed again, without the listed tests. The listed test
+// may have ended the process before other tests ran, and no event reports whether the package fails for another reason
+// too.
+func (r *testRun) rerunWithoutListed(dir string) error {
+	for _, p := range r.failedPackages {
 		var names []string
 		for _, e := range r.list {
 			if e.pkg == p {
--- a/internal/oncall/oncall.go
+++ b/internal/oncall/oncall.go
@@ -1,6 +1,6 @@
-// Package oncall holds the errors of a package, in its tests, against what staff are owed: one line
-// that says what failed, where, and after the last semicolon what they can do; and a row in
-// docs/oncall.md.
+// Package oncall checks, in the tests of a package, that its errors are usable by on-call staff: the text is one line
+// that says where and what failed and, after the last semicolon, what to do, and docs/oncall.md has a row for the error
+// type.
 package oncall
 
 import (
@@ -19,66 +19,67 @@
 	"github.com/stretchr/testify/require"
 )
 
-// ErrCause is what examples have for an error that they wrap.
+// ErrCause is the error that the examples passed to Check wrap. Its text has a line break, which they must remove.
 var ErrCause = errors.New("made up\nin two lines")
 
-// Check walks all exported types of errors of the package whose test calls it. Each needs an example,
-// which are pointers with each field set in one of them; what they wrap is ErrCause.
+// Check checks all exported error types of the package whose test calls it. Examples are pointers; each type needs at
+// least one, each of its fields must be set in one of them, and a wrapped error must be ErrCause. The text of an
+// example must contain each string field and the wrapped error.
 func Check(t *testing.T, examples ...error) {
-	types, err := declared(".")
+	types, err := errorTypes(".")
 	require.NoError(t, err)
-	rows, err := documented()
+	rows, err := documentedErrors()
 	require.NoError(t, err)
-	set := map[string]bool{}
+	covered := map[string]bool{}
 	for _, err := range examples {
 		v := reflect.ValueOf(err).Elem()
 		name := v.Type().String()
-		_, short, _ := strings.Cut(name, ".")
-		assert.Contains(t, types, short, "%s is no type of this package", name)
-		assert.Contains(t, rows, name, "no row in docs/oncall.md")
-		assert.NoError(t, fit(err))
-		set[short] = true
+		_, typeName, _ := strings.Cut(name, ".")
+		assert.Contains(t, types, typeName, "%s is not an exported error type of this package", name)
+		assert.Contains(t, rows, name, "docs/oncall.md has no row for it")
+		assert.NoError(t, checkText(err))
+		covered[typeName] = true
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
-			key := short + "." + f.Name
-			set[key] = set[key] || !v.Field(i).IsZero()
+			key := typeName + "." + f.Name
+			covered[key] = covered[key] || !v.Field(i).IsZero()
 			if v.Field(i).IsZero() {
 				continue
 			}
 			if f.Type.Kind() == reflect.String {
-				assert.Contains(t, err.Error(), v.Field(i).String(), "%s does not tell its %s", name, f.Name)
+				assert.Contains(t, err.Error(), v.Field(i).String(), "the text of %s does not contain its %s", name, f.Name)
 			}
 			if f.Type == reflect.TypeFor[error]() {
-				assert.Contains(t, err.Error(), "made up", "%s does not tell its %s", name, f.Name)
-				assert.ErrorIs(t, err, ErrCause, "%s hides its %s", name, f.Name)
+				assert.Contains(t, err.Error(), "made up", "the text of %s does not contain its %s", name, f.Name)
+				assert.ErrorIs(t, err, ErrCause, "%s does not unwrap to its %s", name, f.Name)
 			}
 		}
 	}
-	for short, fields := range types {
-		assert.True(t, set[short], "%s has no example", short)
+	for typeName, fields := range types {
+		assert.True(t, covered[typeName], "%s has no example", typeName)
 		for _, f := range fields {
-			assert.True(t, !set[short] || set[short+"."+f], "%s of %s is set in no example", f, short)
+			assert.True(t, !covered[typeName] || covered[typeName+"."+f], "no example sets %s of %s", f, typeName)
 		}
 	}
 }
 
-// fit tells what in an error's text is not as it has to be.
-func fit(err error) error {
+// checkText returns an error if the text of err has a line break, lacks the place or lacks the hint.
+func checkText(err error) error {
 	text := err.Error()
-	at := strings.LastIndex(text, "; ")
+	hintAt := strings.LastIndex(text, "; ")
 	switch {
 	case strings.ContainsAny(text, "\r\n"):
 		return fmt.Errorf("a line break in %q", text)
-	case at < 0 || len(strings.Fields(text[at+2:])) < 2:
-		return fmt.Errorf("%q says nothing to do", text)
-	case !strings.Contains(text[:at], ": "):
-		return fmt.Errorf("%q does not say where", text)
+	case hintAt < 0 || len(strings.Fields(text[hintAt+2:])) < 2:
+		return fmt.Errorf("%q has no hint of two words or more after a semicolon", text)
+	case !strings.Contains(text[:hintAt], ": "):
+		return fmt.Errorf("%q has no place before a colon", text)
 	}
 	return nil
 }
 
-// declared gives the exported types of errors in a folder's sources, with their fields.
-func declared(dir string) (map[string][]string, error) {
+// errorTypes returns the exported error types declared in a folder's sources, each with the names of its fields.
+func errorTypes(dir string) (map[string][]string, error) {
 	types := map[string][]string{}
 	files, err := filepath.Glob(filepath.Join(dir, "*.go"))
 	if err != nil {
@@ -100,14 +101,14 @@
 // addErrorTypes adds the exported error types that a file declares, each with the names of its fields.
 func addErrorTypes(f *ast.File, types map[string][]string) {
 	for _, d := range f.Decls {
-		g, ok := d.(*ast.GenDecl)
+		genDecl, ok := d.(*ast.GenDecl)
 		if !ok {
 			continue
 		}
-		for _, s := range g.Specs {
-			t, ok := s.(*ast.TypeSpec)
-			if ok && t.Name.IsExported() && strings.HasSuffix(t.Name.Name, "Error") {
-				types[t.Name.Name] = fieldNames(t)
+		for _, s := range genDecl.Specs {
+			typeSpec, ok := s.(*ast.TypeSpec)
+			if ok && typeSpec.Name.IsExported() && strings.HasSuffix(typeSpec.Name.Name, "Error") {
+				types[typeSpec.Name.Name] = fieldNames(typeSpec)
 			}
 		}
 	}
@@ -116,11 +117,11 @@
 // fieldNames returns the names of a struct type's fields, and none for another type.
 func fieldNames(t *ast.TypeSpec) []string {
 	names := []string{}
-	x, ok := t.Type.(*ast.StructType)
+	structType, ok := t.Type.(*ast.StructType)
 	if !ok {
 		return names
 	}
-	for _, field := range x.Fields.List {
+	for _, field := range structType.Fields.List {
 		for _, n := range field.Names {
 			names = append(names, n.Name)
 		}
@@ -128,9 +129,10 @@
 	return names
 }
 
-// documented gives the errors that have a row with a meaning and something to do.
-func documented() (rows map[string]bool, err error) {
-	raw, err := os.ReadFile(filepath.Join(root(), "docs", "oncall.md"))
+// documentedErrors returns the error types, as package.Type, with a complete row in docs/oncall.md: a meaning and an
+// action.
+func documentedErrors() (rows map[string]bool, err error) {
+	raw, err := os.ReadFile(filepath.Join(moduleRoot(), "docs", "oncall.md"))
 	rows = map[string]bool{}
 	for line := range strings.Lines(string(raw)) {
 		cells := strings.Split(strings.TrimSpace(line), "|")
@@ -144,8 +146,8 @@
 	return rows, err
 }
 
-// root is the module's folder: the first above a test's that has a go.mod.
-func root() string {
+// moduleRoot returns the path of the module's folder: the nearest parent of the test's folder with a go.mod.
+func moduleRoot() string {
 	dir := "."
 	for range 10 {
 		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
