--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -59,18 +59,18 @@
 
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// VersionError reports a delta whose version Got is older than the version Have of the cached list. The watch requests
-// the whole list next.
+// VersionError reports a delta whose revision Got is older than the revision Have of the cached list. The watch then
+// requests the whole list.
 type VersionError struct{ Have, Got int64 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("discovery: version went back to %d from %d; check whether discovery was restarted", e.Got, e.Have)
+	return fmt.Sprintf("discovery: revision went back to %d from %d; check whether discovery was restarted", e.Got, e.Have)
 }
 
-// PartialError reports a delta of version Rev that arrived before the whole list, while only a subset of the list is
+// PartialError reports a delta of revision Rev that arrived before the whole list, while only a subset of the list is
 // cached.
 type PartialError struct{ Rev int64 }
 
 func (e *PartialError) Error() string {
-	return fmt.Sprintf("discovery: changes of version %d arrived before the whole list; check whether discovery answers calls without from= with the whole list", e.Rev)
+	return fmt.Sprintf("discovery: changes of revision %d arrived before the whole list; check whether discovery answers calls without from= with the whole list", e.Rev)
 }
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -9,7 +9,7 @@
 	moveTimeout     = 4 * time.Second // time from a change of address to the progress deadline
 	stallTimeout    = 3 * time.Second // time without a heartbeat after which a watch is stalled; they come every 2 s
 
-	answerTimeout     = 1500 * time.Millisecond // before the deadline, time after which another call is made in parallel
+	answerTimeout     = 1500 * time.Millisecond // before the deadline, time without an answer until a parallel call
 	lateAnswerTimeout = 3 * time.Second         // the same time after the deadline, and the dial timeout
 
 	initialBackoff = 100 * time.Millisecond
@@ -19,7 +19,7 @@
 	callTimePerNode = 100 * time.Millisecond // time reserved at discovery for one call of each node of such a fleet
 	maxSpread       = 4 * time.Second
 	minCallInterval = time.Second            // interval of each node's calls before the deadline in such a fleet
-	callSpread      = 750 * time.Millisecond // part of the interval over which calls are spread; the rest is for answers
+	callSpread      = 750 * time.Millisecond // part of minCallInterval in which calls start; the rest is for answers
 	maxFirstDelay   = time.Second            // maximum delay before the first call of a new process
 )
 
@@ -31,8 +31,8 @@
 	// jitter returns a random duration from 0 to limit.
 	jitter func(limit time.Duration) time.Duration
 
-	deadline    time.Time     // progress deadline: an update missed now counts as received then
-	receivedBy  time.Time     // the same for updates of any address since the last progress; a move does not defer it
+	deadline    time.Time     // progress deadline at the current address
+	staleAt     time.Time     // time at which missed updates count as received; a move may advance but not defer it
 	nextBackoff time.Duration // next backoff; 0 restarts it
 }
 
@@ -47,14 +47,14 @@
 // recordProgress records an update or a heartbeat.
 func (p *pace) recordProgress(now time.Time) {
 	p.deadline, p.nextBackoff = now.Add(progressTimeout), 0
-	p.receivedBy = p.deadline
+	p.staleAt = p.deadline
 }
 
 // recordMove records a change of discovery's address.
 func (p *pace) recordMove(now time.Time) {
 	p.deadline, p.nextBackoff = now.Add(moveTimeout), 0
-	if p.deadline.Before(p.receivedBy) {
-		p.receivedBy = p.deadline
+	if p.deadline.Before(p.staleAt) {
+		p.staleAt = p.deadline
 	}
 }
 
--- a/internal/discovery/progress_test.go
+++ b/internal/discovery/progress_test.go
@@ -80,7 +80,7 @@
 			require.True(t, is[*StalledError](err), "%v", err)
 			require.GreaterOrEqual(t, took, ProgressInterval)
 			require.Less(t, took, answerTimeout, "the message was not cancelled by its progress deadline")
-			require.Eventually(t, func() bool { return calls.Load() > 1 }, patience, time.Millisecond)
+			require.Eventually(t, func() bool { return calls.Load() > 1 }, testTimeout, time.Millisecond)
 			require.Empty(t, s.updates)
 		})
 	}
@@ -106,7 +106,7 @@
 func TestProgressWithinMessageDefersNoDeadline(t *testing.T) {
 	w := newWatcher("127.0.0.1:9", Update{}, 2, time.Second, 1, func(Update) {})
 	w.pace.recordProgress(time.Now().Add(-4 * time.Second))
-	deadline, receivedBy := w.pace.deadline, w.pace.receivedBy
+	deadline, staleAt := w.pace.deadline, w.pace.staleAt
 	s := newSession(t.Context(), w, time.Hour)
 	older, newer := &call{cancel: func(error) {}}, &call{cancel: func(error) {}}
 	s.openCalls, s.latest = []*call{older, newer}, newer
@@ -114,9 +114,9 @@
 	s.handle(event{call: newer, progress: true})
 	require.Equal(t, []*call{newer}, s.openCalls)
 	require.Equal(t, deadline, w.pace.deadline)
-	require.Equal(t, receivedBy, w.pace.receivedBy)
+	require.Equal(t, staleAt, w.pace.staleAt)
 	require.True(t, w.unusable)
 	s.handle(event{call: newer})
-	require.True(t, w.pace.receivedBy.After(receivedBy))
+	require.True(t, w.pace.staleAt.After(staleAt))
 	require.False(t, w.unusable)
 }
--- a/internal/discovery/selection_test.go
+++ b/internal/discovery/selection_test.go
@@ -138,7 +138,7 @@
 	require.Contains(t, next(t, d.Asked), "from=7")
 	require.Equal(t, before.uids(), long.uids(), "the servers in use are not the subset of the cached list")
 	d.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "")
-	require.Eventually(t, func() bool { return long.Counts().Listed.Load() == 61 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return long.Counts().Listed.Load() == 61 }, testTimeout, time.Millisecond)
 }
 
 // A long unusable list is requested again only after a delay. A truncated or stalled one adds no delay.
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -31,7 +31,7 @@
 func newSession(ctx context.Context, w *Watcher, firstDelay time.Duration) *session {
 	w.rejected = false
 	return &session{Watcher: w, ctx: ctx, events: make(chan event), callTimer: time.NewTimer(firstDelay),
-		degradedTimer: time.NewTimer(time.Until(w.pace.receivedBy))}
+		degradedTimer: time.NewTimer(time.Until(w.pace.staleAt))}
 }
 
 // run watches until the session's context ends, and waits for the end of its calls.
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -10,9 +10,9 @@
 const maxBootMS = 9e12
 
 // Update is one message of discovery: a complete update with the whole server list, or a delta with the changes of one
-// version.
+// revision.
 type Update struct {
-	Rev     int64    `json:"rev"`     // version of the list after this message
+	Rev     int64    `json:"rev"`     // revision of the list after this message
 	All     bool     `json:"all"`     // Targets is the whole list
 	Targets []Target `json:"targets"` // nil if the message has no such field
 
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -36,7 +36,7 @@
 type Watcher struct {
 	client *http.Client
 	url    string
-	rev    int64 // version of the cached list; noRev if there is none
+	rev    int64 // revision of the cached list; noRev if there is none
 	// follow makes one watch request, as followWatch does.
 	follow     func(context.Context, *http.Client, string, context.CancelCauseFunc, func(event) bool) error
 	selection  *selection // nil if whole lists are used
@@ -56,7 +56,7 @@
 	endSession  context.CancelFunc // ends the session at the current address
 }
 
-// noRev stands for the version of a list that is not cached or not usable as a base for changes.
+// noRev stands for the revision of a list that is not cached or not usable as a base for changes.
 const noRev = -1
 
 // watchRNGStream separates the watch's random numbers from those of dispatch decisions, which use the same seed.
@@ -133,7 +133,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.nextAddress != "" {
-		// Versions of one discovery can't be compared with those of another: the new one is asked for its whole list.
+		// Revisions of one discovery can't be compared with those of another: request the new one's whole list.
 		w.url, w.rev, w.nextAddress = watchURL(w.nextAddress), noRev, ""
 		w.pace.recordMove(time.Now())
 	}
@@ -157,13 +157,13 @@
 }
 
 // updateDegraded calls onDegraded when the cached list has become stale or is current again. Updates that were missed
-// count as received at pace.receivedBy. But if lists are pushed, a discovery that stays silent counts as having
+// count as received at pace.staleAt. But if lists are pushed, a discovery that stays silent counts as having
 // nothing to send, except for what it may have had when it last answered without a usable update.
 func (w *Watcher) updateDegraded() {
-	degraded := (w.unusable || w.rejected || w.polled) && !time.Now().Before(w.pace.receivedBy)
+	degraded := (w.unusable || w.rejected || w.polled) && !time.Now().Before(w.pace.staleAt)
 	if degraded != w.degraded {
 		w.degraded = degraded
-		slog.Warn("discovery: degraded, the cached list is stale", "on", degraded, "rev", w.rev, "rejected", w.rejected)
+		slog.Warn("discovery: degraded state changed", "on", degraded, "rev", w.rev, "rejected", w.rejected)
 		w.onDegraded(degraded)
 	}
 }
@@ -184,7 +184,7 @@
 }
 
 // apply checks an update and passes it to onUpdate. After an unusable one, a new watch requests the changes since the
-// last version that was applied, or the whole list.
+// last revision that was applied, or the whole list.
 func (w *Watcher) apply(u Update, list *subset.List) error {
 	if err := u.Check(); err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -194,7 +194,7 @@
 		return fmt.Errorf("discovery: rev %d: a whole list without targets", u.Rev)
 	}
 	if !u.All && u.Rev < w.rev {
-		// Discovery has restarted its version numbers: its changes don't apply to the cached list.
+		// Discovery has restarted its revision numbers: its changes don't apply to the cached list.
 		err := &VersionError{Have: w.rev, Got: u.Rev}
 		w.rev = noRev
 		return err
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -15,7 +15,7 @@
 )
 
 // patience is the maximum time that a test waits for an event. Tests are expected to need far less.
-const patience = 30 * time.Second
+const testTimeout = 30 * time.Second
 
 func newWatcher(addr string, cached Update, fleetSize int, drainGrace time.Duration, seed uint64, onUpdate func(Update)) *Watcher {
 	w, err := New(Config{Address: addr, FleetSize: fleetSize, DrainGrace: drainGrace, Seed: seed, OnUpdate: onUpdate, OnDegraded: func(bool) {}})
@@ -31,7 +31,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("timed out waiting for a value from the channel")
 		panic("unreachable")
 	}
--- a/internal/membership/errors.go
+++ b/internal/membership/errors.go
@@ -66,7 +66,7 @@
 
 func (e *LeaveError) Unwrap() error { return e.Err }
 
-// MemberError reports that no reachable member has an index.
+// MemberError reports that no member with an index can be reached.
 type MemberError struct{ Index int }
 
 func (e *MemberError) Error() string {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -15,21 +15,21 @@
 	Zone, Region  string
 	Program       string // version of the program
 	MetaVersion   int    // version of the state messages that it supports; see MetaVersion
-	TakesKinds    bool   // it accepts messages whose first byte is their kind, below KindLimit
+	SupportsKinds bool   // whether it accepts messages whose first byte is their kind, below KindLimit
 	Incarnation   uint64 // incarnation of its process: its start in ms of Unix time
 }
 
 // meta is the metadata that a member publishes, encoded as CBOR with the integer keys in the tags, in at most 512
 // bytes. Unknown fields are skipped.
 type meta struct {
-	Zone        string `cbor:"1,keyasint,omitempty"`
-	Region      string `cbor:"2,keyasint,omitempty"`
-	Program     string `cbor:"3,keyasint,omitempty"`
-	Version     int    `cbor:"4,keyasint"`
-	Incarnation uint64 `cbor:"5,keyasint"`
-	Leaving     bool   `cbor:"6,keyasint,omitempty"`
-	Index       int    `cbor:"7,keyasint"`
-	TakesKinds  bool   `cbor:"8,keyasint,omitempty"`
+	Zone          string `cbor:"1,keyasint,omitempty"`
+	Region        string `cbor:"2,keyasint,omitempty"`
+	Program       string `cbor:"3,keyasint,omitempty"`
+	Version       int    `cbor:"4,keyasint"`
+	Incarnation   uint64 `cbor:"5,keyasint"`
+	Leaving       bool   `cbor:"6,keyasint,omitempty"`
+	Index         int    `cbor:"7,keyasint"`
+	SupportsKinds bool   `cbor:"8,keyasint,omitempty"`
 }
 
 // readMeta decodes the metadata of a node. Corrupt metadata is counted, and leaves the metadata of the member empty.
@@ -42,7 +42,7 @@
 		return m, false
 	}
 	m.Zone, m.Region, m.Program, m.MetaVersion, m.Incarnation = published.Zone, published.Region, published.Program, published.Version, published.Incarnation
-	m.Index, m.TakesKinds = published.Index, published.TakesKinds
+	m.Index, m.SupportsKinds = published.Index, published.SupportsKinds
 	return m, published.Leaving
 }
 
@@ -77,7 +77,7 @@
 // LocalState returns nil: nothing is added to an exchange of member lists.
 func (p *Peers) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState ignores what other members add to such an exchange.
+// MergeRemoteState ignores the state that other members add to an exchange of member lists.
 func (p *Peers) MergeRemoteState([]byte, bool) {}
 
 // NotifyAlive rejects a new member with a *TooManyMembersError when maxMembers are live.
@@ -114,7 +114,7 @@
 	}
 	p.mu.Lock()
 	p.live[n.Name] = m
-	if to := *n; m.MetaVersion >= MetaVersion || m.TakesKinds {
+	if to := *n; m.MetaVersion >= MetaVersion || m.SupportsKinds {
 		p.reachable[m.Index] = &to
 	}
 	p.epoch++
--- a/internal/membership/peer.go
+++ b/internal/membership/peer.go
@@ -40,7 +40,7 @@
 	initialJoinBackoff = 375 * time.Millisecond // first backoff between attempts to join while no other member is live
 	maxJoinBackoff     = 3 * time.Second
 	rejoinInterval     = 11 * time.Second // interval of attempts to join seeds that are not live, after a partition
-	joinJitter         = 1. / 3           // fraction by which these vary, so that nodes don't join at the same time
+	joinJitter         = 1. / 3           // fraction by which these delays vary, so that nodes don't join all at once
 	nameReclaimTimeout = 5 * time.Second  // time after a death until its name may be used from another address
 	leaveTimeout       = time.Second      // timeout of sending a graceful leave
 	streamTimeout      = 3 * time.Second  // timeout of a peer's stream; bad input must lead to a close within 3 s
@@ -125,7 +125,7 @@
 // startMemberlist opens the sockets and starts memberlist.
 func (p *Peers) startMemberlist(host string, port int) error {
 	stdLog := log.New(&logWriter{p.log, &p.Counts}, "", 0)
-	// memberlist does not return the cause of a failed bind.
+	// memberlist does not return the cause of a failed bind, so a probe listens first.
 	probe, err := net.Listen("tcp", p.cfg.Bind)
 	if err != nil {
 		return &BindError{p.cfg.Bind, err}
@@ -225,8 +225,8 @@
 	return &LeaveError{p.cfg.Name, err}
 }
 
-// Leave ends the membership and must follow AnnounceLeave: other members can't tell memberlist's own leave from a
-// death.
+// Leave ends the membership and must follow AnnounceLeave: other members can't distinguish memberlist's own leave from
+// a death.
 func (p *Peers) Leave() error {
 	return p.leaveError(errors.Join(p.list.Leave(leaveTimeout), p.Close()))
 }
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -16,7 +16,7 @@
 )
 
 // patience is the maximum time that a test waits for a condition.
-const patience = 60 * time.Second
+const testTimeout = 60 * time.Second
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -39,7 +39,7 @@
 // waitFor waits until the membership has reached a state. memberlist's timers determine how long that takes.
 func waitFor(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	require.Eventually(t, reached, patience, 20*time.Millisecond, "timed out waiting for %s", what)
+	require.Eventually(t, reached, testTimeout, 20*time.Millisecond, "timed out waiting for %s", what)
 }
 
 // hasLive returns a condition: p sees n other live members.
@@ -110,7 +110,7 @@
 	}
 	defer func() { _ = s.Close() }()
 	from := time.Now()
-	_ = s.SetReadDeadline(from.Add(patience))
+	_ = s.SetReadDeadline(from.Add(testTimeout))
 	if _, err := s.Read(make([]byte, 1)); err == nil || time.Since(from) > streamTimeout+time.Second {
 		t.Errorf("a silent stream was closed after %v: %v", time.Since(from), err)
 	}
@@ -162,7 +162,7 @@
 	a.mu.Unlock()
 	select {
 	case <-seeds:
-	case <-time.After(patience / 6):
+	case <-time.After(testTimeout / 6):
 		t.Fatal("seedsToJoin and memberlist are deadlocked")
 	}
 	waitFor(t, "the new member", hasLive(a, 1))
--- a/internal/node/consensus.go
+++ b/internal/node/consensus.go
@@ -52,9 +52,9 @@
 	voter          *agreement.Voter  // nil if this node is not a voter
 	registry       *learner.Registry // nil if this node is not a voter
 	learner        *learner.Learner
-	transport      *transport.Transport // transport for calls to voters; nil at a voter
-	self           agreement.Peer
-	settings       rules.Settings
+	transport      *transport.Transport             // transport for calls to voters; nil at a voter
+	self           agreement.Peer                   // this voter; zero if this node is not a voter
+	settings       rules.Settings                   // settings by which rule sets are checked
 	peers          atomic.Pointer[membership.Peers] // nil until the membership has started
 	appliedVersion uint64                           // version in the decision module; owned by the event loop
 }
@@ -152,7 +152,7 @@
 	var members []learner.Member
 	live, _ := p.Live()
 	for _, m := range live {
-		if m.TakesKinds {
+		if m.SupportsKinds {
 			members = append(members, learner.Member{Index: m.Index, Name: m.Name, Zone: m.Zone})
 		}
 	}
@@ -167,7 +167,8 @@
 	return &membership.MemberError{Index: to}
 }
 
-// introduce makes the membership contact the node with an index. It fails until the membership has started.
+// introduce makes the membership exchange member lists with the node that has an index. It fails until the membership
+// has started.
 func (c *consensusMember) introduce(to int) error {
 	if p := c.peers.Load(); p != nil {
 		return p.Introduce(to)
@@ -210,14 +211,14 @@
 		registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
 	counts := &c.learner.Counts
-	for name, of := range map[string]*atomic.Int64{
+	for name, counter := range map[string]*atomic.Int64{
 		"node_rules_sent_total": &counts.MessagesSent, "node_rules_unsent_total": &counts.SendErrors, "node_rules_spoilt_total": &counts.MessagesCorrupt,
 		"node_rules_dropped_total": &counts.MessagesDropped, "node_rules_fetched_total": &counts.TextsFetched, "node_rules_fetched_bytes_total": &counts.TextBytesFetched,
 		"node_rules_served_total": &counts.PartsSent, "node_rules_refused_total": &counts.VersionsUnusable, "node_rules_marks_total": &counts.VersionsPersisted,
 		"node_rules_activations_total": &counts.Activations, "node_rules_gaps_total": &counts.Fallbacks,
 	} {
 		registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: name, Help: "See docs/oncall.md."},
-			func() float64 { return float64(of.Load()) }))
+			func() float64 { return float64(counter.Load()) }))
 	}
 	gauge("node_rules_version", "Version that requests go by; 0 is the settings alone.", func() float64 { return float64(c.learner.EffectiveVersion().Number) })
 	gauge("node_rules_known_version", "Version in force, as this node has heard.", func() float64 { return float64(c.learner.State().Active.Number) })
@@ -230,8 +231,8 @@
 	if c.voter == nil {
 		return
 	}
-	status := func(of func(s agreement.Status) float64) func() float64 {
-		return func() float64 { return of(c.voter.Status()) }
+	status := func(value func(s agreement.Status) float64) func() float64 {
+		return func() float64 { return value(c.voter.Status()) }
 	}
 	gauge("node_council_term", "Term of the agreement.", status(func(s agreement.Status) float64 { return float64(s.Term) }))
 	gauge("node_council_commit", "Records agreed.", status(func(s agreement.Status) float64 { return float64(s.CommitIndex) }))
--- a/internal/node/consensuscalls.go
+++ b/internal/node/consensuscalls.go
@@ -143,11 +143,12 @@
 	return &ConsensusCallError{call, "kind", r.FormValue("kind"), "overlap or exclusive"}
 }
 
-// ConsensusCallError reports that a parameter of a call for the consensus group is not valid.
+// ConsensusCallError reports that a parameter of a call for the consensus group is not valid. Have is the value of the
+// parameter Key, or the error with which it could not be read; Want describes a valid value.
 type ConsensusCallError struct{ Call, Key, Have, Want string }
 
 func (e *ConsensusCallError) Error() string {
-	return fmt.Sprintf("console: council/%s: %s: not by %q; give %s", e.Call, e.Key, e.Have, e.Want)
+	return fmt.Sprintf("console: council/%s: %s: %q is not valid; give %s", e.Call, e.Key, e.Have, e.Want)
 }
 
 // handleOrder sends an order to the leader and writes the leader's answer. It answers with Retry-After on failure.
@@ -296,14 +297,14 @@
 	}
 	outcome, ok := result.(learner.Outcome)
 	if !ok {
-		return outcome, fmt.Errorf("council: the registry answered %T", result)
+		return outcome, fmt.Errorf("council: executing a command: the registry returned %T instead of an outcome", result)
 	}
 	return outcome, outcome.Err
 }
 
 // command returns the registry's command for an order. It also checks a rule set against the leader's settings.
 func (c *consensusMember) command(o order) (cmd rules.Command, err error) {
-	newest := func() uint64 {
+	parentNumber := func() uint64 {
 		if o.Parent >= 0 {
 			return uint64(o.Parent)
 		}
@@ -318,11 +319,11 @@
 		if err != nil {
 			return cmd, err
 		}
-		cmd.Publish = &rules.Publish{Parent: newest(), Author: o.Author, Text: o.Text}
+		cmd.Publish = &rules.Publish{Parent: parentNumber(), Author: o.Author, Text: o.Text}
 	case "activate":
 		cmd.Activate = &rules.Activate{Number: o.Number, Kind: rules.ActivationKind(o.Kind), At: o.At, Author: o.Author}
 	case "back":
-		cmd.Rollback = &rules.Rollback{Parent: newest(), Target: o.Number, Kind: rules.ActivationKind(o.Kind), Author: o.Author}
+		cmd.Rollback = &rules.Rollback{Parent: parentNumber(), Target: o.Number, Kind: rules.ActivationKind(o.Kind), Author: o.Author}
 	case "cancel":
 		cmd.Cancel = &rules.Cancel{Number: o.Number, Author: o.Author}
 	default:
--- a/internal/node/consensusstatus.go
+++ b/internal/node/consensusstatus.go
@@ -14,7 +14,7 @@
 	Number       uint64 `json:"number"`
 	Digest       string `json:"digest"`
 	Parent       uint64 `json:"parent"`
-	RestoredFrom uint64 `json:"of,omitempty"`
+	RestoredFrom uint64 `json:"of,omitempty"` // version whose text a rollback restored; 0 if published with a text
 	Author       string `json:"by,omitempty"`
 	LastAuthor   string `json:"by_last,omitempty"`
 	Status       string `json:"fate"`
@@ -27,20 +27,20 @@
 type leaderStatus struct {
 	Leader       string           `json:"leader"`
 	Term         uint64           `json:"term"`
-	Revision     uint64           `json:"step"`
+	Revision     uint64           `json:"step"` // revision of the registry's version state
 	Newest       uint64           `json:"newest"`
 	Active       uint64           `json:"active"`
-	Prepared     uint64           `json:"next,omitempty"`
+	Prepared     uint64           `json:"next,omitempty"` // version that is activated next; 0 if none is prepared
 	PreparedKind string           `json:"next_kind,omitempty"`
 	Voters       []string         `json:"voters"`
 	Versions     []versionStatus  `json:"versions"`
 	Nodes        []versionNodes   `json:"nodes"`
-	Unusable     int              `json:"refusing"`
+	Unusable     int              `json:"refusing"` // number of nodes that can't use a version
 	Failures     []versionFailure `json:"troubles,omitempty"`
 }
 
-// versionNodes is the number of nodes that apply a version. Version 0 stands for nodes without a version; Reason says
-// why.
+// versionNodes is the number of nodes that apply a version. Version 0 stands for nodes without a version, and Reason is
+// set only then.
 type versionNodes struct {
 	Version uint64 `json:"version"`
 	Reason  string `json:"why,omitempty"`
@@ -58,11 +58,11 @@
 	Node           string          `json:"node"`
 	Version        uint64          `json:"version"`
 	LeaseMS        int64           `json:"lease_ms"`
-	Reason         string          `json:"why,omitempty"`
-	Known          uint64          `json:"known"`
-	UnusableReason string          `json:"refusal,omitempty"`
+	Reason         string          `json:"why,omitempty"`     // why Version is 0; empty otherwise
+	Known          uint64          `json:"known"`             // active version, as far as this node knows
+	UnusableReason string          `json:"refusal,omitempty"` // why this node can't use the active or prepared version
 	Voter          *voterStatus    `json:"voter,omitempty"`
-	Leader         json.RawMessage `json:"council,omitempty"`
+	Leader         json.RawMessage `json:"council,omitempty"` // leaderStatus; empty if the leader was not reached
 	LeaderError    string          `json:"council_error,omitempty"`
 }
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -15,7 +15,7 @@
 	Run(ctx context.Context)
 	Move(addr string)
 	Address() string
-	Adopt(held discovery.Update, current bool) discovery.Update
+	Adopt(cached discovery.Update, current bool) discovery.Update
 }
 
 // watchEndpoints creates the watch of the endpoint list, whose updates go to the loop. Run starts it.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -24,7 +24,7 @@
 	maxDrainDeadline  = 3 * time.Second         // maximum class deadline that a drain waits for
 	drainMargin       = 300 * time.Millisecond  // time after that deadline at which open requests get 502
 	drainClosePeriod  = 1200 * time.Millisecond // last period of a drain, in which answers close their connections
-	drainIdleDelay    = 200 * time.Millisecond  // time from its begin until idle connections are closed, and none accepted
+	drainIdleDelay    = 200 * time.Millisecond  // time within it until idle connections are closed and none accepted
 	drainListenPeriod = 400 * time.Millisecond  // minimum time for which new connections are accepted, set by the protocol
 	drainWriteTimeout = 300 * time.Millisecond  // timeout for writing the last answers
 	drainPollInterval = 20 * time.Millisecond   // interval of checks whether all connections are closed
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -69,7 +69,7 @@
 	if len(e.Allowed) == 0 {
 		return fmt.Sprintf("console: %q: no such call; see the table of calls in docs/oncall.md", e.Path)
 	}
-	return fmt.Sprintf("console: %s: not by %q; call it by %s", e.Path, e.Method, strings.Join(e.Allowed, " or "))
+	return fmt.Sprintf("console: %s: method %q is not allowed; call it by %s", e.Path, e.Method, strings.Join(e.Allowed, " or "))
 }
 
 // Status returns the HTTP status of the answer.
@@ -93,7 +93,7 @@
 // ZoneError reports an order for a zone that the fleet file does not name.
 type ZoneError struct {
 	Zone  string
-	Known []string
+	Known []string // names of the zones in the fleet file
 }
 
 func (e *ZoneError) Error() string {
@@ -110,7 +110,7 @@
 }
 
 func (e *BusyError) Error() string {
-	return fmt.Sprintf("console: %s: not taken within %v, it may still be; look what holds, then call again", e.Call, e.Timeout)
+	return fmt.Sprintf("console: %s: not executed within %v, it may still be executed later; check the current state, then call again", e.Call, e.Timeout)
 }
 
 // Status returns the HTTP status of the answer.
--- a/internal/node/limitsharing.go
+++ b/internal/node/limitsharing.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	maxOutgoingMessages = 256  // maximum of messages to send; further ones are dropped and resent later
-	maxQueuedMessages   = 128  // maximum of received messages for the loop; further ones are dropped
+	maxOutgoingMessages = 256  // maximum number of messages queued for sending; others are dropped and resent later
+	maxQueuedMessages   = 128  // maximum number of received messages queued for the loop; further ones are dropped
 	defaultMaxTenants   = 1024 // maximum number of tenants if the settings have no MaxTenants
 )
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -106,7 +106,7 @@
 }
 
 // post queues a function for the loop's goroutine. It blocks while the queue is full. It returns false if the loop has
-// ended, and the function is not called then.
+// ended, and the function is not called then. Nor is a queued function called if the loop ends first.
 func (l *loop) post(event func()) bool {
 	select {
 	case l.events <- event:
@@ -213,8 +213,8 @@
 	l.handle(x.req)
 }
 
-// bodyReceived handles the end of a long body, whose last byte was received at a time. The client's deadline counts
-// from then.
+// bodyReceived handles the end of a long body. at is the time at which the body's last byte was received; the client's
+// deadline counts from then.
 func (l *loop) bodyReceived(x *exchange, at time.Time) {
 	x.deadline = at.Add(x.timeLeft)
 	for _, t := range x.attempts {
@@ -247,8 +247,8 @@
 	l.release(x)
 }
 
-// release removes a finished request once none of its attempts is in flight. Removed earlier, its ID could be reused
-// while outcomes of its attempts still arrive.
+// release removes a finished request once none of its attempts is in flight. If it were removed earlier, its ID could
+// be reused while outcomes of its attempts still arrive.
 func (l *loop) release(x *exchange) {
 	if x.done && x.inFlight == 0 {
 		delete(l.exchanges, x.req.ID)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// Run serves until ctx ends, and then drains. It returns an error only if the node itself failed. All goroutines that
-// it started have ended when it returns.
+// Run serves until ctx ends, and then drains. It returns an error only if the node itself failed. Before it returns it
+// waits for the node's services to end, but not for calls that a stalled disk or voter blocks.
 func (n *Node) Run(ctx context.Context) error {
 	runCtx, endRun := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/internal/node/peering.go
+++ b/internal/node/peering.go
@@ -103,7 +103,7 @@
 	}, nil
 }
 
-// joinPeers retries to start the membership until it has started, and returns it. It returns nil if ctx ends before.
+// joinPeers retries to start the membership until it has started, and returns it. It returns nil if ctx ends first.
 func (n *Node) joinPeers(ctx context.Context) *membership.Peers {
 	for n.peers.Load() == nil {
 		select {
@@ -135,7 +135,7 @@
 			n.loop.post(n.loop.limitSharing.leave)
 		}
 		if err := p.AnnounceLeave(); err != nil {
-			slog.Warn("peers: leaving failed", "error", err)
+			slog.Warn("peers: announcing the leave failed", "error", err)
 		}
 		end = p.Leave
 		<-runCtx.Done()
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -46,7 +46,7 @@
 	statesWritten, writeErrors, bytesWritten prometheus.Counter
 	writeSeconds                             prometheus.Histogram
 	restoredTenants, droppedParts            prometheus.Counter
-	uncoveredGrants                          atomic.Int64
+	uncoveredGrants                          atomic.Int64 // admitted requests that no checkpoint on disk covers
 	lastWrittenAt                            atomic.Int64 // time of the last written state in ms of Unix time; 0 if none
 }
 
@@ -151,7 +151,8 @@
 	}
 }
 
-// startPersister starts the persister. Its states extend the stored one; nil means that there is none.
+// startPersister starts the persister. Its states extend the stored one; nil means that there is none. A state may thus
+// hold checkpoints of twice the maximum number of tenants.
 func (p *persistence) startPersister(folder *store.Dir, stored *store.State) {
 	maxTenants := p.settings.MaxTenants
 	if maxTenants <= 0 {
