--- a/internal/discovery/progress_test.go
+++ b/internal/discovery/progress_test.go
@@ -86,16 +86,16 @@
 	}
 }
 
-// The heartbeats of hours before and between messages do not count towards the maximum size of an entry.
+// Heartbeats before and between messages, however many, do not count towards the maximum size of an entry.
 func TestHeartbeatsDoNotCountTowardsEntrySize(t *testing.T) {
-	a := discoverytest.NewAgent(t)
+	a := discoverytest.NewServer(t)
 	s := startSubset(t, a.Addr(), smallSubset, Update{})
 	for range 3 {
-		a.Tell <- strings.Repeat("\n", 2*maxEntryBytes)
+		a.Chunks <- strings.Repeat("\n", 2*maxEntryBytes)
 	}
-	a.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(30)}, "  ")
+	a.Chunks <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(30)}, "  ")
 	s.next(t)
-	a.Tell <- strings.Repeat("\n", 2*maxEntryBytes) + encodeUpdate(t, Update{Rev: 8, All: true, Targets: servers(5)}, "")
+	a.Chunks <- strings.Repeat("\n", 2*maxEntryBytes) + encodeUpdate(t, Update{Rev: 8, All: true, Targets: servers(5)}, "")
 	require.Equal(t, int64(8), s.next(t).Rev)
 	require.Equal(t, 5, len(s.inUse))
 	require.Empty(t, s.dropped)
--- a/internal/discovery/selection_test.go
+++ b/internal/discovery/selection_test.go
@@ -14,6 +14,7 @@
 	"sloestile/internal/oncall"
 )
 
+// TestErrorsStateARemedy guards against an error without a hint for the operator.
 func TestErrorsStateARemedy(t *testing.T) {
 	oncall.Check(t,
 		&ListError{Address: "127.0.0.1:9", Entries: 3, Err: oncall.ErrCause},
@@ -76,18 +77,18 @@
 // A list no longer than the subset is used whole and passed on unchanged. Growth beyond the subset's size and the way
 // back are passed on as deltas.
 func TestShortListIsPassedOnUnchanged(t *testing.T) {
-	a := discoverytest.NewAgent(t)
+	a := discoverytest.NewServer(t)
 	s := startSubset(t, a.Addr(), smallSubset, Update{})
 	all := servers(25)
 	initial := all[:19]
 	initial[4].State, initial[5].State = "paused", "removed" // "paused" is a state that this program does not know
-	a.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: initial}, "")
+	a.Chunks <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: initial}, "")
 	require.Equal(t, Update{Rev: 7, All: true, Targets: initial}, s.next(t))
-	a.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: all[20:22]}, "")
+	a.Chunks <- encodeUpdate(t, Update{Rev: 8, Targets: all[20:22]}, "")
 	require.Equal(t, Update{Rev: 8, Targets: all[20:22]}, s.next(t))
-	a.Tell <- encodeUpdate(t, Update{Rev: 9, Targets: []Target{}}, "")
+	a.Chunks <- encodeUpdate(t, Update{Rev: 9, Targets: []Target{}}, "")
 	require.Equal(t, Update{Rev: 9, Targets: []Target{}}, s.next(t))
-	a.Tell <- encodeUpdate(t, Update{Rev: 10, Targets: all[22:]}, "") // 23 servers for a subset of 20
+	a.Chunks <- encodeUpdate(t, Update{Rev: 10, Targets: all[22:]}, "") // 23 servers for a subset of 20
 	u := s.next(t)
 	require.False(t, u.All)
 	require.Positive(t, u.NodesPerServer)
@@ -96,11 +97,11 @@
 	for i := range removed {
 		removed[i].State = "removed"
 	}
-	a.Tell <- encodeUpdate(t, Update{Rev: 11, Targets: removed}, "")
+	a.Chunks <- encodeUpdate(t, Update{Rev: 11, Targets: removed}, "")
 	s.next(t)
 	require.Len(t, s.inUse, 14)
 	require.Zero(t, s.lastUpdate.NodesPerServer)
-	a.Tell <- encodeUpdate(t, Update{Rev: 12, Targets: removed[:1]}, "")
+	a.Chunks <- encodeUpdate(t, Update{Rev: 12, Targets: removed[:1]}, "")
 	require.Equal(t, Update{Rev: 12, Targets: removed[:1]}, s.next(t))
 }
 
@@ -108,36 +109,36 @@
 // starts with a cached complete list requests changes.
 func TestStartsWithCachedList(t *testing.T) {
 	cfg := subset.Config{MaxServers: 20, MinPerZone: subset.NoZoneMinimum, MaxListed: 100}
-	a := discoverytest.NewAgent(t)
+	a := discoverytest.NewServer(t)
 	before := startSubset(t, a.Addr(), cfg, Update{})
-	a.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(60)}, "")
+	a.Chunks <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(60)}, "")
 	before.next(t)
 	cached := Update{Rev: 7, All: true, NodesPerServer: before.lastUpdate.NodesPerServer}
 	for _, x := range before.inUse {
 		cached.Targets = append(cached.Targets, x)
 	}
 
-	b := discoverytest.NewAgent(t)
+	b := discoverytest.NewServer(t)
 	after := startSubset(t, b.Addr(), cfg, cached)
 	require.Equal(t, before.uids(), after.uids(), "the cached subset is not in use")
 	require.Equal(t, cached.NodesPerServer, after.lastUpdate.NodesPerServer)
-	require.NotContains(t, next(t, b.Asked), "from=")
-	b.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "") // a delta to a list that the process does not have
+	require.NotContains(t, next(t, b.Requests), "from=")
+	b.Chunks <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "") // a delta to a list that the process does not have
 	require.True(t, is[*PartialError](next(t, after.dropped)))
-	require.NotContains(t, next(t, b.Asked), "from=")
-	b.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(60)}, "")
+	require.NotContains(t, next(t, b.Requests), "from=")
+	b.Chunks <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(60)}, "")
 	require.True(t, after.next(t).All, "a delta would keep a server that has been removed in the meantime")
 	require.Equal(t, before.uids(), after.uids())
 
-	c := discoverytest.NewAgent(t)
+	c := discoverytest.NewServer(t)
 	short := startSubset(t, c.Addr(), cfg, Update{Rev: 7, All: true, Targets: servers(15)})
-	require.Contains(t, next(t, c.Asked), "from=7")
+	require.Contains(t, next(t, c.Requests), "from=7")
 	require.Len(t, short.inUse, 15)
-	d := discoverytest.NewAgent(t)
+	d := discoverytest.NewServer(t)
 	long := startSubset(t, d.Addr(), cfg, Update{Rev: 7, All: true, Targets: servers(60)})
-	require.Contains(t, next(t, d.Asked), "from=7")
+	require.Contains(t, next(t, d.Requests), "from=7")
 	require.Equal(t, before.uids(), long.uids(), "the servers in use are not the subset of the cached list")
-	d.Tell <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "")
+	d.Chunks <- encodeUpdate(t, Update{Rev: 8, Targets: servers(61)[60:]}, "")
 	require.Eventually(t, func() bool { return long.Counts().Listed.Load() == 61 }, testTimeout, time.Millisecond)
 }
 
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -163,10 +163,11 @@
 	}
 }
 
+// statusOf returns the status of a target that is not addressable.
 func statusOf(t Target) Status { return t.Status() }
 
-// A server set of 85,000 entries, with the watcher's other data, uses less than 16 MB of the heap. The memory budget
-// of a node is 128 MB, of which an eighth is for the server set.
+// The list of 85,000 servers, with the watcher's other data, uses less than 16 MB of the heap. The memory budget of a
+// node is 128 MB, of which an eighth is for the list.
 func TestHeapOfTheWholeList(t *testing.T) {
 	cfg := subset.Config{MaxServers: 200, MinPerZone: 2, MaxListed: 131072}
 	server := &chunkServer{}
@@ -185,6 +186,7 @@
 	runtime.KeepAlive(s)
 }
 
+// heapBytes returns the size of the live heap after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -203,9 +205,9 @@
 		`{"all":true,"more":{"a":[1,2]},"targets":` + entries + `,"rev":7}`,
 		`{"Rev":7,"TARGETS":` + entries + `,"x":null,"All":true}`,
 	} {
-		a := discoverytest.NewAgent(t)
+		a := discoverytest.NewServer(t)
 		s := startSubset(t, a.Addr(), smallSubset, Update{})
-		a.Tell <- "\n\n" + text + "\n"
+		a.Chunks <- "\n\n" + text + "\n"
 		u := s.next(t)
 		require.Equal(t, int64(7), u.Rev)
 		require.Len(t, s.inUse, 20)
@@ -242,28 +244,28 @@
 		"duplicate field":      {`{"rev":8,"rev":9}`, is[*MalformedError]},
 		"no targets":           {`{"rev":8,"all":true}`, is[error]},
 		"targets not an array": {`{"rev":8,"all":true,"targets":7}`, is[*MalformedError]},
-		"older version":        {`{"rev":3,"targets":[]}`, is[*VersionError]},
+		"older revision":       {`{"rev":3,"targets":[]}`, is[*VersionError]},
 		"unbounded field":      {`{"rev":8,"x":"` + strings.Repeat("y", 3*maxEntryBytes), is[*EntrySizeError]},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			a := discoverytest.NewAgent(t)
+			a := discoverytest.NewServer(t)
 			s := startSubset(t, a.Addr(), smallSubset, Update{})
-			next(t, a.Asked)
-			a.Tell <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(40)}, "")
+			next(t, a.Requests)
+			a.Chunks <- encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(40)}, "")
 			s.next(t)
 			require.Equal(t, chosenUIDs(t, smallSubset, servers(40)), s.uids())
-			a.Tell <- x.message
-			a.Tell <- "" // closes the connection
+			a.Chunks <- x.message
+			a.Chunks <- "" // closes the connection
 			err := error(next(t, s.dropped))
 			require.True(t, x.isExpected(err), "%v", err)
 			require.NotContains(t, err.Error(), "\n")
 			require.Empty(t, s.dropped)
 			require.Equal(t, int64(40), s.Counts().Listed.Load(), "the previous list is no longer in use")
-			q := next(t, a.Asked)
-			require.Equal(t, name == "older version", !strings.Contains(q, "from=7"), "requested %s", q)
+			q := next(t, a.Requests)
+			require.Equal(t, name == "older revision", !strings.Contains(q, "from=7"), "requested %s", q)
 			all := servers(45)
-			a.Tell <- encodeUpdate(t, Update{Rev: 9, All: true, Targets: all}, " ")
+			a.Chunks <- encodeUpdate(t, Update{Rev: 9, All: true, Targets: all}, " ")
 			s.next(t)
 			require.Equal(t, chosenUIDs(t, smallSubset, all), s.uids())
 			require.Equal(t, int64(45), s.Counts().Listed.Load())
@@ -271,6 +273,7 @@
 	}
 }
 
+// is reports whether err is or wraps an error of type E.
 func is[E error](err error) bool {
 	_, ok := errors.AsType[E](err)
 	return ok
@@ -279,10 +282,11 @@
 // chunkServer is a discovery that sends chunks of a response body to its callers.
 type chunkServer struct {
 	mu     sync.Mutex
-	calls  int
+	calls  int // number of calls received
 	chunks chan string
 }
 
+// start starts the server and returns its address.
 func (c *chunkServer) start(t *testing.T) (addr string) {
 	c.chunks = make(chan string, 10)
 	done := make(chan struct{})
@@ -307,8 +311,10 @@
 	return srv.Listener.Addr().String()
 }
 
+// send queues a chunk for the next caller that is ready to receive it.
 func (c *chunkServer) send(text string) { c.chunks <- text }
 
+// called reports whether the server has received a call.
 func (c *chunkServer) called() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -14,9 +14,10 @@
 	"sloestile/internal/discovery/discoverytest"
 )
 
-// patience is the maximum time that a test waits for an event. Tests are expected to need far less.
+// testTimeout is the maximum time that a test waits for an event. Tests are expected to need far less.
 const testTimeout = 30 * time.Second
 
+// newWatcher returns a watcher without a subset that starts with a cached list.
 func newWatcher(addr string, cached Update, fleetSize int, drainGrace time.Duration, seed uint64, onUpdate func(Update)) *Watcher {
 	w, err := New(Config{Address: addr, FleetSize: fleetSize, DrainGrace: drainGrace, Seed: seed, OnUpdate: onUpdate, OnDegraded: func(bool) {}})
 	if err != nil {
@@ -26,6 +27,7 @@
 	return w
 }
 
+// next returns the next value of a channel and fails the test after testTimeout.
 func next[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
@@ -37,7 +39,8 @@
 	}
 }
 
-func startWatch(t *testing.T, a *discoverytest.Agent, rev int64) (<-chan Update, *Watcher) {
+// startWatch starts a watcher whose cached list has revision rev. The channel receives its updates.
+func startWatch(t *testing.T, a *discoverytest.Server, rev int64) (<-chan Update, *Watcher) {
 	updates := make(chan Update, 100)
 	w := newWatcher(a.Addr(), Update{Rev: rev}, 2, time.Second, 1, func(u Update) { updates <- u })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,44 +50,45 @@
 	return updates, w
 }
 
+// oneTargetUpdate is a delta of revision 43 with one server.
 const oneTargetUpdate = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
 
-// However a watch breaks, the next one requests the changes since the last complete version, or the whole list if
-// discovery has restarted its version numbers.
+// However a watch breaks, the next one requests the changes since the last complete revision, or the whole list if
+// discovery has restarted its revision numbers.
 func TestWatchReconnectsFromLastCompleteRevision(t *testing.T) {
 	for name, tc := range map[string]struct{ sent, wantQuery string }{
-		"ended":              {"", "from=43"},
-		"truncated":          {`{"rev":44,"all":fal`, "from=43"},
-		"not JSON":           {"<html>\n", "from=43"},
-		"no uid":             {`{"rev":44,"targets":[{"endpoint":"127.0.0.1:9","state":"up"}]}` + "\n", "from=43"},
-		"no endpoint":        {`{"rev":44,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
-		"no targets":         {`{"rev":44,"all":true}` + "\n", "from=43"},
-		"time too large":     {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "1e300", 1), "from=43"},
-		"negative time":      {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "-5", 1), "from=43"},
-		"incomplete":         {`{"rev":` + "\n", "from=43"},
-		"versions restarted": {`{"rev":3,"targets":[]}` + "\n", ""},
+		"ended":               {"", "from=43"},
+		"truncated":           {`{"rev":44,"all":fal`, "from=43"},
+		"not JSON":            {"<html>\n", "from=43"},
+		"no uid":              {`{"rev":44,"targets":[{"endpoint":"127.0.0.1:9","state":"up"}]}` + "\n", "from=43"},
+		"no endpoint":         {`{"rev":44,"targets":[{"uid":"s-2","state":"up"}]}` + "\n", "from=43"},
+		"no targets":          {`{"rev":44,"all":true}` + "\n", "from=43"},
+		"time too large":      {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "1e300", 1), "from=43"},
+		"negative time":       {strings.Replace(strings.Replace(oneTargetUpdate, "43", "44", 1), "1700000000000", "-5", 1), "from=43"},
+		"incomplete":          {`{"rev":` + "\n", "from=43"},
+		"revisions restarted": {`{"rev":3,"targets":[]}` + "\n", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := discoverytest.NewAgent(t)
+			a := discoverytest.NewServer(t)
 			updates, _ := startWatch(t, a, 41)
-			if q := next(t, a.Asked); !strings.Contains(q, "watch=1&from=41") {
+			if q := next(t, a.Requests); !strings.Contains(q, "watch=1&from=41") {
 				t.Errorf("unexpected request %s", q)
 			}
-			a.Tell <- "\n" // a heartbeat
-			a.Tell <- oneTargetUpdate
+			a.Chunks <- "\n" // a heartbeat
+			a.Chunks <- oneTargetUpdate
 			if u := next(t, updates); u.Rev != 43 || u.All || u.Targets[0].Group != 3 || u.Targets[0].BootMS != 1700000000000 {
 				t.Errorf("unexpected update %+v", u)
 			}
-			a.Tell <- tc.sent
+			a.Chunks <- tc.sent
 			if tc.sent != "" && name != "incomplete" {
-				a.Tell <- ""
+				a.Chunks <- ""
 			}
-			q := next(t, a.Asked)
+			q := next(t, a.Requests)
 			if tc.wantQuery == "" && strings.Contains(q, "from") || !strings.Contains(q, tc.wantQuery) {
 				t.Errorf("unexpected request %s", q)
 			}
 			// Lists may be indented.
-			a.Tell <- "\n" + strings.NewReplacer("43", "45", "{", "{\n  ", ",", ",\n  ").Replace(oneTargetUpdate)
+			a.Chunks <- "\n" + strings.NewReplacer("43", "45", "{", "{\n  ", ",", ",\n  ").Replace(oneTargetUpdate)
 			if u := next(t, updates); u.Rev != 45 {
 				t.Errorf("unexpected update %+v", u)
 			}
@@ -92,40 +96,40 @@
 	}
 }
 
-// After a move the watch requests the whole list from the new discovery at once, whatever version the old one had, even
+// After a move the watch requests the whole list from the new discovery at once, whatever revision the old one had, even
 // if the old one is unreachable and a delay is pending.
 func TestWatchMoves(t *testing.T) {
-	old, other := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
+	old, other := discoverytest.NewServer(t), discoverytest.NewServer(t)
 	updates, w := startWatch(t, old, 41)
-	next(t, old.Asked)
+	next(t, old.Requests)
 	w.Move(other.Addr())
-	if q := next(t, other.Asked); strings.Contains(q, "from") {
+	if q := next(t, other.Requests); strings.Contains(q, "from") {
 		t.Errorf("unexpected request %s", q)
 	}
-	other.Tell <- `{"rev":2,"all":true,"targets":[]}` + "\n"
+	other.Chunks <- `{"rev":2,"all":true,"targets":[]}` + "\n"
 	if u := next(t, updates); u.Rev != 2 || !u.All {
 		t.Errorf("unexpected update %+v", u)
 	}
 	w.Move("127.0.0.1:1") // nothing listens there
 	w.Move(old.Addr())
-	if q := next(t, old.Asked); strings.Contains(q, "from") {
+	if q := next(t, old.Requests); strings.Contains(q, "from") {
 		t.Errorf("unexpected request %s", q)
 	}
 }
 
-// A node with a cached list requests the changes since its version, also if that is 0. A node without one requests the
+// A node with a cached list requests the changes since its revision, also if that is 0. A node without one requests the
 // whole list.
 func TestWatchRequestsChangesSinceCachedList(t *testing.T) {
 	for wantQuery, cached := range map[string]Update{
 		"from=0":  {Targets: []Target{{UID: "s-1", Endpoint: "127.0.0.1:9", State: "up"}}},
 		"watch=1": {},
 	} {
-		a := discoverytest.NewAgent(t)
+		a := discoverytest.NewServer(t)
 		w := newWatcher(a.Addr(), cached, 2, time.Second, 1, func(Update) {})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); w.Run(ctx) }()
-		if q := next(t, a.Asked); !strings.HasSuffix(q, wantQuery) {
+		if q := next(t, a.Requests); !strings.HasSuffix(q, wantQuery) {
 			t.Errorf("requested %s, want suffix %s", q, wantQuery)
 		}
 		cancel()
--- a/internal/membership/peer_test.go
+++ b/internal/membership/peer_test.go
@@ -15,12 +15,12 @@
 	"sloestile/internal/testbed/faultlink"
 )
 
-// patience is the maximum time that a test waits for a condition.
+// testTimeout is the maximum time that a test waits for a condition.
 const testTimeout = 60 * time.Second
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// start starts a member with defaults for an empty label and bind address.
+// start starts a member. An empty label or bind address gets a default.
 func start(t *testing.T, cfg Config) *Peers {
 	t.Helper()
 	if cfg.Label == "" {
--- a/internal/node/clientconns_test.go
+++ b/internal/node/clientconns_test.go
@@ -164,7 +164,7 @@
 	r.node.upstream.sockets.limit.Store(maxConns)
 	a := newTestServer(t, serveOK)
 	r.updateList(a.target("s-1", 0))
-	receive(t, r.discovery.Asked)
+	receive(t, r.discovery.Requests)
 	var last net.Conn
 	for id := range 3 * maxConns {
 		last = r.dial()
@@ -181,8 +181,8 @@
 	r.waitForMetric("node_backend_calls_total", 3*maxConns)
 	b := newTestServer(t, serveOK)
 	r.updateList(b.target("s-2", 1)) // update on the open watch
-	r.discovery.Tell <- ""           // ends the watch
-	receive(t, r.discovery.Asked)
+	r.discovery.Chunks <- ""         // ends the watch
+	receive(t, r.discovery.Requests)
 	// A request on a kept-alive connection is served while all descriptors are in use, even if it needs a new
 	// connection to a server.
 	r.node.upstream.closeIdleWhere(func(*serverConn) bool { return true })
--- a/internal/node/errors_test.go
+++ b/internal/node/errors_test.go
@@ -7,6 +7,7 @@
 	"sloestile/internal/oncall"
 )
 
+// TestErrorsSayWhatToDo guards against an error without a hint for the operator.
 func TestErrorsSayWhatToDo(t *testing.T) {
 	oncall.Check(t,
 		&BusyError{Call: "zones", Timeout: time.Second},
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -13,6 +13,7 @@
 	"sloestile/internal/membership"
 )
 
+// decodeJSON and encodeJSON are the codecs of the golden files in JSON.
 func decodeJSON[T any](raw []byte) (*T, error) {
 	v := new(T)
 	return v, json.Unmarshal(raw, v)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// awaitFile waits until a file exists.
+// waitForFile waits until a file exists.
 func waitForFile(t *testing.T, path string) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -65,7 +65,7 @@
 
 	successor := newTestNodeWith(t, configure)
 	successor.waitUntil("server IDs of the predecessor", func() bool { return successor.node.loop.serverIDs["s-1"] == 2 && successor.node.loop.lastServerID == 2 })
-	if q := receive(t, successor.discovery.Asked); q != "/v1/servers?watch=1" { // the discovery addresses differ
+	if q := receive(t, successor.discovery.Requests); q != "/v1/servers?watch=1" { // the discovery addresses differ
 		t.Errorf("watch requested as %s", q)
 	}
 	if s, _, _ := successor.callConsole(http.MethodGet, "/ready"); s == 200 {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -39,7 +39,7 @@
 // testNode is a running node with a discovery service. Tests start servers with newTestServer.
 type testNode struct {
 	t         *testing.T
-	discovery *discoverytest.Agent
+	discovery *discoverytest.Server
 	node      *Node
 	stop      context.CancelFunc
 	ended     chan error // receives the result of Run
@@ -80,7 +80,7 @@
 // newTestNodeWith starts a node. Before that, change may change its configuration and configure the node itself. The
 // node is stopped at the end of the test.
 func newTestNodeWith(t *testing.T, change func(*config.Config), configure ...func(*Node)) *testNode {
-	r := &testNode{t: t, discovery: discoverytest.NewAgent(t), ended: make(chan error, 1), applied: make(chan int64, 100), revision: 7}
+	r := &testNode{t: t, discovery: discoverytest.NewServer(t), ended: make(chan error, 1), applied: make(chan int64, 100), revision: 7}
 	cfg, err := config.Load("testdata/config.json")
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	r.discovery.Tell <- string(line) + "\n"
+	r.discovery.Chunks <- string(line) + "\n"
 	for receive(r.t, r.applied) != int64(r.revision) {
 	}
 }
--- a/internal/node/limitsharing_test.go
+++ b/internal/node/limitsharing_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// Measures the loop's additional work per request with shared limits and a known bucket.
+// BenchmarkLimitSharing measures the loop's additional work per request with shared limits and a known bucket.
 func BenchmarkLimitSharing(b *testing.B) {
 	q := &control.Request{Plan: "basic", Tenant: "x", TenantNodes: 3, Tokens: 1}
 	s := newLimitSharing(&control.Settings{FleetSize: 3}, config.Peers{SharedLimits: true}, &loop{start: time.Now(), ended: make(chan struct{})})
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -44,6 +44,7 @@
 	return file
 }
 
+// hundredClasses returns the settings of a hundred valid classes.
 func hundredClasses() (all []any) {
 	for i := range 100 {
 		all = append(all, map[string]any{"name": fmt.Sprint("class-", i), "aim": 100, "deadline": 200,
@@ -140,7 +141,7 @@
 			require.Positive(t, cfg.ServerConnectTimeout)
 			require.Positive(t, n.upstream.maxIdleAge)
 			require.Positive(t, n.drainTimeout)
-			// The values must be in the range from which TestPausesOfAnySettingsArePositive of package discovery draws.
+			// The values must be in the ranges that TestDelaysAreNeverNegative of package discovery covers.
 			require.GreaterOrEqual(t, cfg.Settings.DrainGrace, time.Duration(0))
 			require.Positive(t, cfg.Settings.FleetSize)
 		})
--- a/internal/node/subset_test.go
+++ b/internal/node/subset_test.go
@@ -66,7 +66,7 @@
 	r.t.Helper()
 	line, err := json.Marshal(u)
 	require.NoError(r.t, err)
-	r.discovery.Tell <- string(line) + "\n"
+	r.discovery.Chunks <- string(line) + "\n"
 	receive(r.t, r.applied)
 }
 
@@ -156,9 +156,9 @@
 	r.waitForMetric("node_hosts_listed", 6)
 	metrics := r.readMetrics()
 	require.Equal(t, []float64{40, 6, 0}, []float64{metrics["node_subset_listed"], metrics["node_subset_chosen"], metrics["node_subset_dropped_total"]})
-	r.discovery.Tell <- `{"rev":9,"all":true,"targets":[{"uid":"s-1"}]}` + "\n"
-	receive(t, r.discovery.Asked)
-	receive(t, r.discovery.Asked)
+	r.discovery.Chunks <- `{"rev":9,"all":true,"targets":[{"uid":"s-1"}]}` + "\n"
+	receive(t, r.discovery.Requests)
+	receive(t, r.discovery.Requests)
 	require.Equal(t, 1.0, r.readMetrics()["node_subset_dropped_total"])
 	require.Len(t, r.serversInUse(), 6, "a dropped update must not change the list")
 
@@ -187,7 +187,7 @@
 			}
 			completeList := discovery.Update{Rev: 8, All: true, Targets: manyTargets(a, 40)}
 			predecessor := newTestNodeWith(t, configure)
-			receive(t, predecessor.discovery.Asked)
+			receive(t, predecessor.discovery.Requests)
 			predecessor.sendUpdate(completeList)
 			before := predecessor.serversInUse()
 			require.Len(t, before, 6)
@@ -196,7 +196,7 @@
 				predecessor.stopAndWait()
 			}
 			successor := newTestNodeWith(t, configure)
-			require.Equal(t, "/v1/servers?watch=1", receive(t, successor.discovery.Asked), "the successor does not request the complete list")
+			require.Equal(t, "/v1/servers?watch=1", receive(t, successor.discovery.Requests), "the successor does not request the complete list")
 			require.Equal(t, before, successor.serversInUse(), "the successor does not start with the subset of its predecessor")
 			successor.waitUntil("nodes per server", func() bool { return successor.node.loop.nodesPerServer == 6.0/40 })
 			successor.sendUpdate(completeList)
