--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -19,7 +19,8 @@
 	idlePollInterval       = 50 * time.Millisecond  // interval at which idle connections are closed
 )
 
-// Durations of the drain at shutdown. The platform kills a node 0.7 s after the longest deadline of its classes.
+// Durations of the drain at shutdown. The platform kills a node 0.7 s after the longest deadline of its classes, of which
+// it counts at most 3 s.
 const (
 	maxDrainDeadline  = 3 * time.Second         // maximum class deadline that a drain waits for
 	drainMargin       = 300 * time.Millisecond  // time after that deadline at which open requests get 502
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -72,7 +72,8 @@
 	r.ended <- nil
 }
 
-// A drain must end before the platform kills the node, 0.7 s after the longest deadline, but not much earlier.
+// A drain must end before the platform kills the node, but not much earlier. The kill follows 0.7 s after the longest
+// deadline of the classes, of which at most 3 s count.
 func TestDrainEndsBeforeThePlatformKills(t *testing.T) {
 	for _, k := range []struct{ deadline, killAfter time.Duration }{
 		{2 * time.Second, 2700 * time.Millisecond}, {6 * time.Second, 3700 * time.Millisecond}} {
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -23,14 +23,14 @@
 	body            []byte          // whole body, or the part before streamedBody
 	streamedBody    *clientBody     // remainder of a long body, which is streamed; nil if the body is not streamed
 	bodyLength      int64           // length of the body in bytes; negative if unknown
-	timeLeft        time.Duration   // client's time limit, which counts from the last byte of the request
+	timeLeft        time.Duration   // client's time limit less answerMargin; it counts from the last byte of the request
 	bodyReservation *reservation    // memory reserved for the body
 	answer          chan answer     // receives exactly one final answer
 	stats           *stats
 	received        atomic.Bool // whether the last byte of the request has been received
 
 	// The fields below are owned by the event loop once beginExchange has been called.
-	deadline     time.Time // client's deadline; zero until the last byte has been received
+	deadline     time.Time // client's deadline less answerMargin; zero until the last byte has been received
 	done         bool      // whether the request is answered or the client has left
 	attempts     []*exchangeAttempt
 	inFlight     int // number of attempts without an outcome
@@ -77,7 +77,7 @@
 	x.answer <- a
 }
 
-// newAttemptRequest returns the request for an attempt that is sent now, with the client's remaining time.
+// newAttemptRequest returns the request for an attempt that is sent now, with the time left until x.deadline.
 func (x *exchange) newAttemptRequest() *http.Request {
 	req := *x.upstreamReq
 	req.Header = maps.Clone(req.Header)
