--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -54,26 +54,26 @@
 	res = buf
 	defer func() {
 		if p := recover(); p != nil {
-			res = simwire.AppendBailOut(buf, in.Who, fmt.Sprint("panic: ", p))
+			res = simwire.AppendBailOut(buf, in.Instance, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch {
 	case in.Open != nil:
-		delete(instances, in.Who)
+		delete(instances, in.Instance)
 		c, err := control.New(in.Open.Settings, in.Open.Seed)
 		if err != nil {
-			return simwire.AppendBailOut(res, in.Who, err.Error())
+			return simwire.AppendBailOut(res, in.Instance, err.Error())
 		}
-		instances[in.Who] = c
+		instances[in.Instance] = c
 	case in.PowerOff:
-		delete(instances, in.Who)
+		delete(instances, in.Instance)
 	default:
-		c := instances[in.Who]
+		c := instances[in.Instance]
 		if c == nil {
 			return res
 		}
 		for _, a := range c.Handle(now, in.Event) {
-			res = simwire.AppendAction(res, in.Who, a)
+			res = simwire.AppendAction(res, in.Instance, a)
 		}
 	}
 	return res
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -14,42 +14,42 @@
 func AppendEnd(b []byte) []byte { return append(b, "yield\n"...) }
 
 // AppendBailOut appends the line that reports the failure of instance who, with the reason in text.
-func AppendBailOut(b []byte, who int, text string) []byte {
-	return appendText(appendHeader(b, "bail_out", who), text)
+func AppendBailOut(b []byte, instance int, text string) []byte {
+	return appendText(appendHeader(b, "bail_out", instance), text)
 }
 
 // AppendAction appends the line for one action of instance who. It panics on an action of an unknown type.
-func AppendAction(b []byte, who int, a control.Action) []byte {
+func AppendAction(b []byte, instance int, a control.Action) []byte {
 	switch a := a.(type) {
 	case control.Send:
-		b = appendPair(appendHeader(b, "call_out", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "call_out", instance), " xid=", a.ID)
 		b = strconv.AppendUint(append(b, " server="...), uint64(a.Server), 10)
 		if a.Timeout != 0 {
 			b = appendMS(append(b, " within="...), a.Timeout)
 		}
 	case control.CancelAttempt:
-		b = appendPair(appendHeader(b, "withdraw", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "withdraw", instance), " xid=", a.ID)
 		b = strconv.AppendInt(append(b, " n="...), int64(a.Attempt), 10)
 	case control.Reject:
-		b = appendPair(appendHeader(b, "busy", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "busy", instance), " xid=", a.ID)
 		if a.RetryAfter > 0 {
 			b = appendMS(append(b, " backoff="...), a.RetryAfter)
 		}
 	case control.Fail:
-		b = appendPair(appendHeader(b, "finish_error", who), " xid=", a.ID)
+		b = appendPair(appendHeader(b, "finish_error", instance), " xid=", a.ID)
 	case control.SetTimer:
-		b = appendMS(append(appendHeader(b, "arm", who), " offset="...), a.After)
+		b = appendMS(append(appendHeader(b, "arm", instance), " offset="...), a.After)
 		b = strconv.AppendUint(append(b, " label="...), a.Label, 10)
 	case control.HealthCheck:
-		b = strconv.AppendUint(append(appendHeader(b, "poll", who), " server="...), uint64(a.Server), 10)
+		b = strconv.AppendUint(append(appendHeader(b, "poll", instance), " server="...), uint64(a.Server), 10)
 	case control.Disconnect:
-		b = strconv.AppendUint(append(appendHeader(b, "disconnect", who), " server="...), uint64(a.Server), 10)
+		b = strconv.AppendUint(append(appendHeader(b, "disconnect", instance), " server="...), uint64(a.Server), 10)
 	case control.Watch:
-		b = appendPair(appendHeader(b, "follow", who), " active=", map[bool]string{true: "1", false: "0"}[a.Active])
+		b = appendPair(appendHeader(b, "follow", instance), " active=", map[bool]string{true: "1", false: "0"}[a.Active])
 	case control.FetchList:
-		b = appendHeader(b, "snapshot", who)
+		b = appendHeader(b, "snapshot", instance)
 	case control.SendToPeer:
-		b = append(appendHeader(b, "say", who), " neighbour-id="...)
+		b = append(appendHeader(b, "say", instance), " neighbour-id="...)
 		if a.To < 0 {
 			b = append(b, "all"...)
 		} else {
@@ -57,11 +57,11 @@
 		}
 		b = appendPair(b, " raw=", hexOrDash(a.Raw))
 	case control.AddToCounter:
-		b = strconv.AppendUint(append(appendHeader(b, "incr", who), " cname="...), a.Name, 10)
+		b = strconv.AppendUint(append(appendHeader(b, "incr", instance), " cname="...), a.Name, 10)
 		b = strconv.AppendFloat(append(b, " by="...), a.Add, 'f', -1, 64)
 		b = appendMS(append(b, " expire-in="...), a.TTL)
 	case control.LogLine:
-		return appendText(appendHeader(b, "remark", who), a.Text)
+		return appendText(appendHeader(b, "remark", instance), a.Text)
 	default:
 		panic(fmt.Sprintf("simwire: unknown action type %T", a))
 	}
@@ -69,8 +69,8 @@
 }
 
 // appendHeader appends the name of a line and the instance that it is for.
-func appendHeader(b []byte, name string, who int) []byte {
-	return strconv.AppendInt(append(append(b, name...), " who="...), int64(who), 10)
+func appendHeader(b []byte, name string, instance int) []byte {
+	return strconv.AppendInt(append(append(b, name...), " who="...), int64(instance), 10)
 }
 
 func appendPair(b []byte, key, value string) []byte { return append(append(b, key...), value...) }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return Input{}, d.lineError("open_instance", err)
 	}
-	in := Input{Who: int(f.integer("who", true)),
+	in := Input{Instance: int(f.integer("who", true)),
 		Open: &Open{Seed: f.unsigned("salt", true), Settings: settings}}
 	if f.err != nil {
 		return in, d.lineError("open_instance", f.err)
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -24,7 +24,7 @@
 
 // Input is one event of a batch for one instance. Exactly one of Open, PowerOff and Event is set.
 type Input struct {
-	Who      int // number of the instance
+	Instance      int // number of the instance
 	Open     *Open
 	PowerOff bool // the instance ends without a shutdown
 	Event    control.Event
@@ -109,7 +109,7 @@
 	case "power_off":
 		in.PowerOff = true
 	case "discovery":
-		in.Who = int(f.integer("who", true))
+		in.Instance = int(f.integer("who", true))
 		count := f.integer("members", false)
 		kind := listKind(f)
 		if f.err != nil {
@@ -140,7 +140,7 @@
 	default:
 		return in, false, nil
 	}
-	in.Who = int(f.integer("who", true))
+	in.Instance = int(f.integer("who", true))
 	if f.err != nil {
 		return in, true, d.lineError(name, f.err)
 	}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -31,7 +31,7 @@
 func TestDecodeSettings(t *testing.T) {
 	b := decode(t, batch(openInstanceLine))
 	s := b.Inputs[0].Open.Settings
-	if b.Now != 10250*time.Microsecond || b.Inputs[0].Who != 3 || b.Inputs[0].Open.Seed != 77 {
+	if b.Now != 10250*time.Microsecond || b.Inputs[0].Instance != 3 || b.Inputs[0].Open.Seed != 77 {
 		t.Errorf("batch %+v", b)
 	}
 	k := s.Classes[0]
