--- a/cmd/edgenode/main.go
+++ b/cmd/edgenode/main.go
@@ -68,6 +68,7 @@
 	return cfg, err
 }
 
+// run serves until ctx ends. At each signal from hup it reads the configuration again.
 func run(ctx context.Context, hup <-chan os.Signal, fleet string) error {
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,13 +31,13 @@
 	HandoverDir string
 
 	Seed       uint64  // seed of all random draws
-	Cores      float64 // CPUs that the node may use
+	Cores      float64 // CPUs that the node may use, rounded up to a whole number; 0 means one
 	MemoryMB   int     // memory limit in MB; 0 means no limit
 	MaxSockets int     // maximum number of descriptors for connections; 0 means no limit
 
 	// KnownServers is the endpoint list that the node uses, as a cached one, until discovery answers.
 	KnownServers discovery.Update
-	Settings     control.Settings
+	Settings     control.Settings // settings of the decision module, package control
 
 	ServerKeepalive      time.Duration // how long an idle connection to a server stays open; default 15 s
 	ServerConnectTimeout time.Duration // how long opening a connection to a server may take; default 250 ms
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -105,7 +105,7 @@
 	Dir string // absolute path of the node's own folder, on a disk that outlives the process
 }
 
-// Zones enables handling of failing zones. The cost of crossing zones applies without it.
+// Zones enables the evacuation of failing zones. Attempts at servers of other zones have their cost also without it.
 type Zones struct {
 	Evacuate bool `toml:"leave"` // stop sending to a failing zone, and return to it with a recovery ramp
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -18,7 +18,7 @@
 	maxMemoryMB = 1 << 24 // MB
 )
 
-// checkLimits returns the key of the first limit outside of its range, and the reason. A limit of 0 is not set.
+// checkLimits returns the key of the first limit outside of its range, and the reason. 0 means that a limit is not set.
 func (c *Config) checkLimits() (key string, err error) {
 	switch {
 	case c.Cores < 0 || c.Cores > maxCores:
--- a/internal/config/subset.go
+++ b/internal/config/subset.go
@@ -9,8 +9,8 @@
 
 // Subset enables the use of a subset of a long endpoint list. A nil field means the default of subset.Config.
 type Subset struct {
-	MaxServers *int `toml:"servers"`    // maximum number of servers in the subset; a shorter list is used whole
-	MinPerZone *int `toml:"zone_least"` // minimum number of servers of each zone that has as many; 0 means no minimum
+	MaxServers *int `toml:"servers"`    // number of servers, to which zone minimums may add; a shorter list is used whole
+	MinPerZone *int `toml:"zone_least"` // minimum number of servers of each zone, if it has as many; 0 means no minimum
 	MaxListed  *int `toml:"list_most"`  // maximum number of entries in an endpoint list; a longer list is dropped
 }
 
@@ -35,7 +35,7 @@
 	return subsetFileKeys[configErr.Key], fmt.Errorf("%d is not in %d to %d", configErr.Value, configErr.Min, configErr.Max)
 }
 
-// config returns the subset configuration of the node with an index, with defaults for nil fields.
+// config returns the subset configuration of the node with index node, with defaults for nil fields.
 func (c *Subset) config(node int) subset.Config {
 	s := subset.Config{Node: node, MaxServers: subset.DefaultMaxServers, MinPerZone: subset.DefaultMinPerZone, MaxListed: subset.DefaultMaxListed}
 	if c.MaxServers != nil {
@@ -53,7 +53,8 @@
 	return s
 }
 
-// SubsetOf returns the subset configuration of the node with an index; nil means that it uses the whole list.
+// SubsetOf returns the subset configuration of the node with index node; nil means that it uses the whole list. A nil f
+// is valid.
 func (f *Fleet) SubsetOf(node int) *subset.Config {
 	if f == nil || f.Subset == nil {
 		return nil
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -13,12 +13,12 @@
 // AppendEnd appends the line that ends a reply.
 func AppendEnd(b []byte) []byte { return append(b, "yield\n"...) }
 
-// AppendBailOut appends the line that reports the failure of instance who, with the reason in text.
+// AppendBailOut appends the line that reports the failure of an instance, with the reason in text.
 func AppendBailOut(b []byte, instance int, text string) []byte {
 	return appendText(appendHeader(b, "bail_out", instance), text)
 }
 
-// AppendAction appends the line for one action of instance who. It panics on an action of an unknown type.
+// AppendAction appends the line for one action of an instance. It panics on an action of an unknown type.
 func AppendAction(b []byte, instance int, a control.Action) []byte {
 	switch a := a.(type) {
 	case control.Send:
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -24,9 +24,9 @@
 
 // Input is one event of a batch for one instance. Exactly one of Open, PowerOff and Event is set.
 type Input struct {
-	Instance      int // number of the instance
+	Instance int // number of the instance
 	Open     *Open
-	PowerOff bool // the instance ends without a shutdown
+	PowerOff bool // the instance ends without a graceful shutdown
 	Event    control.Event
 }
 
@@ -320,6 +320,7 @@
 	return v
 }
 
+// ms returns the duration at a key, whose value is in milliseconds.
 func (f *fields) ms(key string, required bool) time.Duration {
 	v := f.number(key, required)
 	if math.Abs(v) > 1e12 {
@@ -329,6 +330,7 @@
 	return milliseconds(v)
 }
 
+// milliseconds returns the duration of v milliseconds, rounded to whole microseconds.
 func milliseconds(v float64) time.Duration {
 	return time.Duration(math.Round(v*1000)) * time.Microsecond
 }
