--- a/cmd/edgenode/consensus_test.go
+++ b/cmd/edgenode/consensus_test.go
@@ -40,6 +40,6 @@
 	s := f.waitForVoter(leader)
 	f.waitForVersion(three, 8*time.Second, leader)
 	require.NotEmpty(t, s.Voter.Identity)
-	back := f.callUntilOK(3, "back", url.Values{"to": {"1"}, "kind": {"exclusive"}}, "")
-	f.waitForVersion(back, 10*time.Second, all...)
+	rollback := f.callUntilOK(3, "back", url.Values{"to": {"1"}, "kind": {"exclusive"}}, "")
+	f.waitForVersion(rollback, 10*time.Second, all...)
 }
--- a/cmd/edgenode/consensuscheck_test.go
+++ b/cmd/edgenode/consensuscheck_test.go
@@ -82,8 +82,8 @@
 
 // checkVersionOrder checks the versions of the received requests. After the first request with a version that was
 // activated as exclusive, no request may start with an earlier one. After a version that was activated as overlapping,
-// earlier ones may be used for one more second. No node may return to an earlier version. kinds are the activations by
-// version.
+// earlier ones may be used for one more second. No node may return to an earlier version. kinds holds the kind of each
+// version's activation.
 func (l *requestLog) checkVersionOrder(t *testing.T, kinds map[uint64]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,12 +127,13 @@
 	text string // published text; "" means a read
 }
 
-// ruleSetState is the result of a read, or the version number of a published text.
+// ruleSetState is the state of ruleSetModel and the result of a call. The result of a publication has only a number,
+// that of a read only digests and active.
 type ruleSetState struct {
-	noReply bool // the call had no answer, so it may or may not have taken effect
-	number  uint64
+	noReply bool   // the call had no answer, so it may or may not have taken effect
+	number  uint64 // number of the newest version, or of the published one
 	digests string // digests of all versions, in order
-	active  uint64
+	active  uint64 // number of the active version
 }
 
 // ruleSetModel models the published rule sets: a list of texts that only grows, and the number of the active version,
@@ -159,8 +160,8 @@
 	startedAt time.Time
 	mu        sync.Mutex
 	ops       []porcupine.Operation
-	kinds     map[uint64]string
-	texts     map[uint64]string
+	kinds     map[uint64]string // kinds of activation by version
+	texts     map[uint64]string // published texts by version
 }
 
 func newOperationHistory(f *consensusFleet) *operationHistory {
--- a/cmd/edgenode/consensusfaults_test.go
+++ b/cmd/edgenode/consensusfaults_test.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// injectRandomFault injects one random fault, half of the time at the leader, else at any node. It returns after the
-// fault has ended and all voters vote again if a voter was hit, because the consensus group tolerates one lying disk at
-// a time.
+// injectRandomFault injects one random fault, half of the time at the leader, else at any node. It returns when the
+// fault has ended and, if it hit a voter, all voters vote again: the consensus group tolerates one disk with lost
+// fsyncs at a time.
 func (f *consensusFleet) injectRandomFault(rng *rand.Rand, voters int, runName string) {
 	i := rng.IntN(len(f.nodes))
 	if rng.IntN(2) == 0 {
--- a/cmd/edgenode/consensusfleet_test.go
+++ b/cmd/edgenode/consensusfleet_test.go
@@ -59,7 +59,7 @@
 	requests      *requestLog
 }
 
-// Ports of a node at its own address. Those of its proxies to peers and voters start at the last two.
+// Ports of a node at its own address. The proxies to node j listen on peerProxyPort+j and consensusProxyPort+j.
 const (
 	clientPort = 7000 + iota
 	consolePort
@@ -86,8 +86,8 @@
 	return fmt.Sprint(f.addressPrefix, i+1, ":", port)
 }
 
-// newConsensusFleet starts a fleet. peerSettings are lines for the section [peers] of the fleet file. If the test
-// fails, the cleanup prints the logs and stacks of all nodes.
+// newConsensusFleet starts a fleet of nodes, the first of which are the voters. peerSettings are lines for
+// the section [peers] of the fleet file. If the test fails, the cleanup prints the logs and stacks of all nodes.
 func newConsensusFleet(t *testing.T, voters, nodes int, peerSettings ...string) *consensusFleet {
 	bin, err := buildLabEdgenode()
 	require.NoError(t, err)
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// At SIGTERM with a request in flight the node drains: the client gets its answer, on a connection that it may use
-// until the node stops serving, then the program exits with code 0. A SIGHUP while it drains does not end it.
+// At SIGTERM with a request in flight the node drains: it answers the request, then the program exits with code 0. A
+// SIGHUP while it drains does not end it.
 func TestSIGTERMAnswersRequestsInFlight(t *testing.T) {
 	server, received, release := blockingServer(t)
 	p := startProgram(t, testConfig, startDiscovery(t, "s-1", server).Listener.Addr().String())
--- a/cmd/edgenode/otherversion_test.go
+++ b/cmd/edgenode/otherversion_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// metrics returns the values of a node's metrics without labels.
+// metrics returns the values of those metrics of a node that have no labels.
 func (f *consensusFleet) metrics(i int) map[string]float64 {
 	f.t.Helper()
 	resp, err := consoleClient.Get("http://" + f.nodes[i].consoleAddr + "/metrics")
@@ -172,6 +172,7 @@
 			_ = before.Wait()
 			after := startBinary(t, bin[1], testConfig, list, nil, "NODE_FLEET="+fleet)
 			log := strings.Join(after.logged, "\n")
+			// The second text is that of another version; this one does not log it.
 			require.True(t, strings.Contains(log, "state: restored") || strings.Contains(log, "state: taken"), log)
 			served += after.countServed("after-", 20)
 			require.LessOrEqual(t, served, 8+int(time.Since(startedAt).Seconds()/2)+1, "more than a burst of 8 tokens and half a token per second for both processes")
--- a/cmd/edgenode/subset_test.go
+++ b/cmd/edgenode/subset_test.go
@@ -30,7 +30,7 @@
 dir = %q
 `
 
-// expectedSubset returns the IDs of the servers that node 0 uses of a list, in order.
+// expectedSubset returns the sorted IDs of the servers that node 0 uses of a list.
 func expectedSubset(t *testing.T, list []listwatch.Target) (uids []string) {
 	t.Helper()
 	set, err := subset.New(subset.Config{MaxServers: 6, MinPerZone: 2, MaxListed: 100})
@@ -61,7 +61,7 @@
 	p         *program
 	prefix    string
 	stop      chan struct{}
-	once      sync.Once
+	stopOnce  sync.Once
 	done      sync.WaitGroup
 	sentCount atomic.Int64
 	mu        sync.Mutex
@@ -101,7 +101,8 @@
 	return c
 }
 
-// waitForRequests waits until n more requests have been answered, besides one in flight for each client.
+// waitForRequests waits until n more requests have been answered. It waits for 8 more to be sent, because each of the
+// eight clients may have one in flight.
 func (c *requestClients) waitForRequests(t *testing.T, n int64) {
 	t.Helper()
 	until := c.sentCount.Load() + n + 8
@@ -110,7 +111,7 @@
 
 // stopAndWait stops the clients and waits for their last results.
 func (c *requestClients) stopAndWait() {
-	c.once.Do(func() { close(c.stop) })
+	c.stopOnce.Do(func() { close(c.stop) })
 	c.done.Wait()
 }
 
@@ -159,8 +160,8 @@
 		require.Equal(t, want, slices.Sorted(maps.Keys(servers.lastReceivedSince(from))))
 		return want
 	}
-	// checkDrained sends until well after drainedAt and checks that the servers uids got no request after the grace
-	// period.
+	// checkDrained waits until well after drainedAt, while the clients send, and checks that the servers uids got no
+	// request after the grace period.
 	checkDrained := func(c *requestClients, drainedAt time.Time, uids ...string) {
 		for time.Since(drainedAt) < drainGrace+time.Second {
 			c.waitForRequests(t, 20)
@@ -172,37 +173,37 @@
 		}
 	}
 
-	a, started := startNode()
-	first := startClients(t, a, "a")
-	chosen := waitForSubset(first, started)
-	require.Len(t, chosen, 6)
-	source.setState("draining", chosen[:3]...) // half of the subset at once
-	at, _ := source.drainedAt(chosen[0])
-	checkDrained(first, at, chosen[:3]...)
-	source.setState("removed", chosen[0])
-	second := waitForSubset(first, time.Now())
-	require.NotEqual(t, chosen, second)
-
-	source.setState("draining", second[0])
+	a, startedAt := startNode()
+	firstClients := startClients(t, a, "a")
+	firstSubset := waitForSubset(firstClients, startedAt)
+	require.Len(t, firstSubset, 6)
+	source.setState("draining", firstSubset[:3]...) // half of the subset at once
+	at, _ := source.drainedAt(firstSubset[0])
+	checkDrained(firstClients, at, firstSubset[:3]...)
+	source.setState("removed", firstSubset[0])
+	secondSubset := waitForSubset(firstClients, time.Now())
+	require.NotEqual(t, firstSubset, secondSubset)
+
+	source.setState("draining", secondSubset[0])
 	a.signal(syscall.SIGKILL)
-	source.setState("removed", second[1]) // while no process runs
-	source.setState("up", chosen[1])
+	source.setState("removed", secondSubset[1]) // while no process runs
+	source.setState("up", firstSubset[1])
 	_ = a.Wait()
-	first.stopAndCheck(t, true)
+	firstClients.stopAndCheck(t, true)
 
-	b, started := startNode()
-	next := startClients(t, b, "b")
-	checkDrained(next, started, second[0], second[1], chosen[0], chosen[2])
-	third := waitForSubset(next, time.Now())
+	b, startedAt := startNode()
+	secondClients := startClients(t, b, "b")
+	checkDrained(secondClients, startedAt, secondSubset[0], secondSubset[1], firstSubset[0], firstSubset[2])
+	thirdSubset := waitForSubset(secondClients, time.Now())
 	b.signal(syscall.SIGKILL)
 	_ = b.Wait()
-	next.stopAndCheck(t, true)
+	secondClients.stopAndCheck(t, true)
 
-	c, started := startNode()
-	last := startClients(t, c, "c")
-	checkDrained(last, started, second[0], second[1], chosen[0], chosen[2])
-	require.Equal(t, third, waitForSubset(last, started), "the subset changed with the restart")
-	last.stopAndCheck(t, false)
+	c, startedAt := startNode()
+	thirdClients := startClients(t, c, "c")
+	checkDrained(thirdClients, startedAt, secondSubset[0], secondSubset[1], firstSubset[0], firstSubset[2])
+	require.Equal(t, thirdSubset, waitForSubset(thirdClients, startedAt), "the subset changed with the restart")
+	thirdClients.stopAndCheck(t, false)
 	for _, call := range firstRequests[1:] {
 		require.Equal(t, "/v1/servers?watch=1", source.requests()[call], "a restarted process requested something other than the whole list")
 	}
--- a/cmd/edgenode/subsetservers_test.go
+++ b/cmd/edgenode/subsetservers_test.go
@@ -23,10 +23,10 @@
 	*httptest.Server
 	mu           sync.Mutex
 	targets      []listwatch.Target
-	changes      []listwatch.Update // deltas since firstRev
-	changed      chan struct{}      // closed and replaced at each change
-	requestURIs  []string           // request URIs in order of arrival
-	drainedSince map[string]time.Time
+	changes      []listwatch.Update   // deltas since firstRev
+	changed      chan struct{}        // closed and replaced at each change
+	requestURIs  []string             // request URIs in order of arrival
+	drainedSince map[string]time.Time // times at which servers that are not up were last listed as draining or removed
 	stopped      chan struct{}
 }
 
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// example writes a module of its own, which needs no other.
+// writeModule writes a Go module without dependencies, with files by path, and returns its folder.
 func writeModule(t *testing.T, files map[string]string) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -53,7 +53,7 @@
 		"item condition=fading area=z1 came-up=6100.0 size=1.5 server=74 unit-group=2 flavor=b\n"+
 		"request who=3 xid=0a class=submit terms=start client-id=9f ttl=240.0 weight=2 spread=3 set-start=1 bitmap=6\n"+
 		"response who=3 xid=0a server=51 cost=3 no-more=1 delay-seen=18.5 use-pct=86 n=0 reason=100 pressure=cpu:0.62,new:3\n"+
-		"unheard who=3 of=1\n"+
+		"unheard who=3 of=1\n"+ // a line with an unknown name is skipped
 		"elapsed who=3 label=18446744073709551615\n"+
 		"hangup who=3 xid=0a later=1\n"+
 		"peer who=3 src=2 raw=6869\n"+
@@ -136,6 +136,7 @@
 	}
 }
 
+// No input makes the decoder panic.
 func FuzzDecoder(f *testing.F) {
 	f.Add(batch(openInstanceLine))
 	f.Add(batch("request who=3 xid=0a class=submit terms=start client-id=9f ttl=240.0 weight=2 spread=3\n"))
