--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -91,6 +91,9 @@
 		t.Fatal(err)
 	}
 	r.node.drainTimeout = drainClosePeriod + 800*time.Millisecond // keep drains short
+	if p := r.node.loop.persistence; p != nil {
+		p.closeTimeout = testTimeout // a process unlocks its folder at its exit, a test's node only if its final write ends
+	}
 	for _, f := range configure {
 		f(r.node)
 	}
--- a/internal/node/persistence.go
+++ b/internal/node/persistence.go
@@ -41,7 +41,8 @@
 	checkpoints      *store.Checkpoints
 	persister        *store.Persister // nil until this process has locked the folder
 	writeScheduled   bool
-	snapshotAt       time.Time // time of the last snapshot
+	snapshotAt       time.Time     // time of the last snapshot
+	closeTimeout     time.Duration // timeout for writing the final state
 
 	statesWritten, writeErrors, bytesWritten prometheus.Counter
 	writeSeconds                             prometheus.Histogram
@@ -58,7 +59,7 @@
 		maxCheckpoints = defaultMaxCheckpoints
 	}
 	p := &persistence{loop: l, settings: &cfg.Settings, disk: cmp.Or[disk.FS](cfg.Disk, disk.Local{}), dir: cfg.Fleet.State.Dir, nodeName: cfg.Name, discoveryAddress: discoveryAddress,
-		checkpoints: store.NewCheckpoints(maxCheckpoints)}
+		checkpoints: store.NewCheckpoints(maxCheckpoints), closeTimeout: stateCloseTimeout}
 	registry := l.metricsRegistry()
 	counter := func(name, help string) prometheus.Counter {
 		c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
@@ -292,7 +293,7 @@
 	if raw, err := p.snapshot(); err == nil {
 		p.persister.Submit(p.checkpoints.FinalBatch(p.loop.now(), time.Now()), map[string][]byte{snapshotPart: raw})
 	}
-	if err := p.persister.Close(stateCloseTimeout); err != nil {
+	if err := p.persister.Close(p.closeTimeout); err != nil {
 		slog.Warn("state: the final write failed", "error", err)
 	}
 }
