--- a/cmd/edgenode/subset_test.go
+++ b/cmd/edgenode/subset_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"sloestile/fleet/subset"
-	listwatch "sloestile/internal/discovery"
+	"sloestile/internal/discovery"
 )
 
 // drainGrace is the maximum time for which a server may get requests after the discovery lists it as draining.
@@ -31,14 +31,14 @@
 `
 
 // expectedSubset returns the sorted IDs of the servers that node 0 uses of a list.
-func expectedSubset(t *testing.T, list []listwatch.Target) (uids []string) {
+func expectedSubset(t *testing.T, list []discovery.Target) (uids []string) {
 	t.Helper()
 	set, err := subset.New(subset.Config{MaxServers: 6, MinPerZone: 2, MaxListed: 100})
 	require.NoError(t, err)
 	staged := set.NewList()
 	for _, x := range list {
 		state := subset.Available
-		if x.Status() != listwatch.Available {
+		if x.Status() != discovery.Available {
 			state = subset.Draining
 		}
 		require.NoError(t, staged.Add(subset.Server{ID: x.UID, Endpoint: x.Endpoint, Zone: x.Zone, Group: x.Group, Capacity: x.Capacity, State: state}))
--- a/cmd/edgenode/subsetservers_test.go
+++ b/cmd/edgenode/subsetservers_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	listwatch "sloestile/internal/discovery"
+	"sloestile/internal/discovery"
 )
 
 // firstRev is the first version of a discoveryServer's list, above the version in the programs' configuration.
@@ -22,15 +22,15 @@
 type discoveryServer struct {
 	*httptest.Server
 	mu           sync.Mutex
-	targets      []listwatch.Target
-	changes      []listwatch.Update   // deltas since firstRev
+	targets      []discovery.Target
+	changes      []discovery.Update   // deltas since firstRev
 	changed      chan struct{}        // closed and replaced at each change
 	requestURIs  []string             // request URIs in order of arrival
 	drainedSince map[string]time.Time // times at which servers that are not up were last listed as draining or removed
 	stopped      chan struct{}
 }
 
-func newDiscoveryServer(t *testing.T, targets []listwatch.Target) *discoveryServer {
+func newDiscoveryServer(t *testing.T, targets []discovery.Target) *discoveryServer {
 	s := &discoveryServer{targets: targets, changed: make(chan struct{}), drainedSince: map[string]time.Time{}, stopped: make(chan struct{})}
 	s.Server = httptest.NewServer(http.HandlerFunc(s.watch))
 	t.Cleanup(func() { close(s.stopped); s.Close() })
@@ -41,7 +41,7 @@
 func (s *discoveryServer) setState(state string, uids ...string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	u := listwatch.Update{Rev: firstRev + 1 + int64(len(s.changes))}
+	u := discovery.Update{Rev: firstRev + 1 + int64(len(s.changes))}
 	for i := range s.targets {
 		for _, uid := range uids {
 			if s.targets[i].UID == uid {
@@ -75,11 +75,11 @@
 }
 
 // list returns the current entries, without removed ones.
-func (s *discoveryServer) list() (all []listwatch.Target) {
+func (s *discoveryServer) list() (all []discovery.Target) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.targets {
-		if x.Status() != listwatch.Removed {
+		if x.Status() != discovery.Removed {
 			all = append(all, x)
 		}
 	}
@@ -95,7 +95,7 @@
 	if from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64); err == nil && from >= firstRev && from <= rev {
 		rev = from
 	} else {
-		writeUpdate(w, listwatch.Update{Rev: rev, All: true, Targets: s.list()})
+		writeUpdate(w, discovery.Update{Rev: rev, All: true, Targets: s.list()})
 	}
 	heartbeat := time.NewTicker(time.Second)
 	defer heartbeat.Stop()
@@ -120,7 +120,7 @@
 	}
 }
 
-func writeUpdate(w http.ResponseWriter, u listwatch.Update) {
+func writeUpdate(w http.ResponseWriter, u discovery.Update) {
 	raw, err := json.Marshal(u)
 	if err != nil {
 		panic(err)
@@ -136,9 +136,9 @@
 	requestCounts map[string]int         // number of arrivals by request ID
 }
 
-func newRatingServers(t *testing.T, n int) (*ratingServers, []listwatch.Target) {
+func newRatingServers(t *testing.T, n int) (*ratingServers, []discovery.Target) {
 	f := &ratingServers{receivedAt: map[string][]time.Time{}, requestCounts: map[string]int{}}
-	var targets []listwatch.Target
+	var targets []discovery.Target
 	for i := range n {
 		uid := fmt.Sprintf("s-%02d", i)
 		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -149,7 +149,7 @@
 			_, _ = io.WriteString(w, "done")
 		}))
 		t.Cleanup(srv.Close)
-		targets = append(targets, listwatch.Target{UID: uid, Endpoint: srv.Listener.Addr().String(), Zone: fmt.Sprint("z", 1+i%2),
+		targets = append(targets, discovery.Target{UID: uid, Endpoint: srv.Listener.Addr().String(), Zone: fmt.Sprint("z", 1+i%2),
 			Group: i % 4, State: "up", Capacity: 1})
 	}
 	return f, targets
