--- a/fleet/rules/errors_test.go
+++ b/fleet/rules/errors_test.go
@@ -7,7 +7,7 @@
 )
 
 // Each error must fit on one line, name what failed, and end with a hint for the operator.
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&AllClosedError{Zones: []string{"hall-a"}},
 		&DocumentError{Line: 3, Key: "price", Reason: "no number"},
--- a/fleet/zone/errors_test.go
+++ b/fleet/zone/errors_test.go
@@ -6,8 +6,8 @@
 	"sloestile/internal/oncall"
 )
 
-// TestErrorsSayWhatToDo guards against an error without a hint for the operator.
-func TestErrorsSayWhatToDo(t *testing.T) {
+// TestErrorsIncludeOperatorHint guards against an error without a hint for the operator.
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&OrderError{Order: "go"},
 	)
--- a/internal/config/errors_test.go
+++ b/internal/config/errors_test.go
@@ -6,7 +6,7 @@
 	"sloestile/internal/oncall"
 )
 
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&FileError{File: "config.json", Key: "seed", Err: oncall.ErrCause},
 		&EnvironmentError{Variable: "NODE_CONSOLE", Err: oncall.ErrCause},
--- a/internal/discovery/selection_test.go
+++ b/internal/discovery/selection_test.go
@@ -14,8 +14,8 @@
 	"sloestile/internal/oncall"
 )
 
-// TestErrorsStateARemedy guards against an error without a hint for the operator.
-func TestErrorsStateARemedy(t *testing.T) {
+// TestErrorsIncludeOperatorHint guards against an error without a hint for the operator.
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&ListError{Address: "127.0.0.1:9", Entries: 3, Err: oncall.ErrCause},
 		&EntrySizeError{MaxBytes: 4096},
--- a/internal/membership/errors_test.go
+++ b/internal/membership/errors_test.go
@@ -6,8 +6,8 @@
 	"sloestile/internal/oncall"
 )
 
-// TestErrorsStateARemedy guards against an error without a hint for the operator.
-func TestErrorsStateARemedy(t *testing.T) {
+// TestErrorsIncludeOperatorHint guards against an error without a hint for the operator.
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&BindError{Address: "127.0.0.1:7946", Err: oncall.ErrCause},
 		&ConfigError{Key: "bind", Err: oncall.ErrCause},
--- a/internal/node/errors_test.go
+++ b/internal/node/errors_test.go
@@ -7,8 +7,8 @@
 	"sloestile/internal/oncall"
 )
 
-// TestErrorsSayWhatToDo guards against an error without a hint for the operator.
-func TestErrorsSayWhatToDo(t *testing.T) {
+// TestErrorsIncludeOperatorHint guards against an error without a hint for the operator.
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&BusyError{Call: "zones", Timeout: time.Second},
 		&CallError{Method: "PUT", Path: "/drain", Allowed: []string{"POST"}},
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -9,7 +9,7 @@
 
 // Each exported error is one line with all its fields, has a hint for the operator after the last semicolon, and has a
 // row in docs/oncall.md.
-func TestErrorsSayWhatToDo(t *testing.T) {
+func TestErrorsIncludeOperatorHint(t *testing.T) {
 	oncall.Check(t,
 		&QuarantineError{File: "d/state", Reason: oncall.ErrCause, Err: oncall.ErrCause},
 		&FolderError{Dir: "d", Err: oncall.ErrCause},
