--- a/cmd/edgenode/consensuscheck_test.go
+++ b/cmd/edgenode/consensuscheck_test.go
@@ -130,7 +130,7 @@
 // ruleSetState is the state of ruleSetModel and the result of a call. The result of a publication has only a number,
 // that of a read only digests and active.
 type ruleSetState struct {
-	noReply bool   // the call had no answer, so it may or may not have taken effect
+	noReply bool   // the call had no response, so it may or may not have taken effect
 	number  uint64 // number of the newest version, or of the published one
 	digests string // digests of all versions, in order
 	active  uint64 // number of the active version
@@ -217,7 +217,7 @@
 }
 
 // checkLinearizable checks that all results are those of one list to which texts are appended one at a time. numbers
-// are the versions by digest at the end of the test; they decide the outcome of a publication that had no answer.
+// are the versions by digest at the end of the test; they decide the outcome of a publication that had no response.
 func (h *operationHistory) checkLinearizable(t *testing.T, numbers map[string]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/cmd/edgenode/consensusfleet_test.go
+++ b/cmd/edgenode/consensusfleet_test.go
@@ -205,7 +205,7 @@
 	<-f.nodes[i].done
 }
 
-// consensusStatus is a node's answer to /council/status.
+// consensusStatus is a node's response to /council/status.
 type consensusStatus struct {
 	Version, Known uint64
 	Why, Refusal   string
@@ -244,7 +244,7 @@
 	return s
 }
 
-// call sends an operator's call to the console of node i; status 0 means that there was no answer.
+// call sends an operator's call to the console of node i; status 0 means that there was no response.
 func (f *consensusFleet) call(i int, path string, q url.Values, body string) (status int, text string) {
 	resp, err := consoleClient.Post("http://"+f.nodes[i].consoleAddr+"/council/"+path+"?"+q.Encode(), "text/plain", strings.NewReader(body))
 	if err != nil {
@@ -255,7 +255,7 @@
 	return resp.StatusCode, string(raw)
 }
 
-// callUntilOK retries a call until it succeeds and returns the version number in the answer.
+// callUntilOK retries a call until it succeeds and returns the version number in the response.
 func (f *consensusFleet) callUntilOK(i int, path string, q url.Values, body string) (number uint64) {
 	f.t.Helper()
 	last := ""
--- a/cmd/edgenode/main_test.go
+++ b/cmd/edgenode/main_test.go
@@ -60,15 +60,15 @@
 func TestSIGTERMAnswersRequestsInFlight(t *testing.T) {
 	server, received, release := blockingServer(t)
 	p := startProgram(t, testConfig, startDiscovery(t, "s-1", server).Listener.Addr().String())
-	answer := p.get("id-1")
+	response := p.get("id-1")
 	<-received
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("draining")
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("reloading")
 	release()
-	if a := <-answer; !strings.HasPrefix(a, "200 done") {
-		t.Error(a)
+	if got := <-response; !strings.HasPrefix(got, "200 done") {
+		t.Error(got)
 	}
 	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
@@ -81,7 +81,7 @@
 func TestSecondSIGTERMChangesNothing(t *testing.T) {
 	server, received, release := blockingServer(t)
 	p := startProgram(t, testConfig, startDiscovery(t, "s-1", server).Listener.Addr().String())
-	answer := p.get("id-1")
+	response := p.get("id-1")
 	<-received
 	p.signal(syscall.SIGTERM)
 	p.waitForLog("draining")
@@ -89,8 +89,8 @@
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("reloading")
 	release()
-	if a := <-answer; !strings.HasPrefix(a, "200 done") {
-		t.Error(a)
+	if got := <-response; !strings.HasPrefix(got, "200 done") {
+		t.Error(got)
 	}
 	p.waitForLog("drained")
 	if err := p.Wait(); err != nil {
@@ -119,7 +119,7 @@
 	}
 	write(string(raw))
 	p := startProgram(t, config, first.Listener.Addr().String())
-	answer := p.get("id-1")
+	response := p.get("id-1")
 	<-received
 
 	write("{")
@@ -130,11 +130,11 @@
 	p.signal(syscall.SIGHUP)
 	p.waitForLog("reloading")
 	release()
-	if a := <-answer; !strings.HasPrefix(a, "200 done") {
-		t.Errorf("request in flight during the reload: %s", a)
+	if got := <-response; !strings.HasPrefix(got, "200 done") {
+		t.Errorf("request in flight during the reload: %s", got)
 	}
 	for id := 2; ; id++ {
-		if a := <-p.get(fmt.Sprint("id-", id)); a == "200 other close=false" {
+		if got := <-p.get(fmt.Sprint("id-", id)); got == "200 other close=false" {
 			break
 		} else if p.ProcessState != nil {
 			t.Fatal("the program has exited")
--- a/cmd/edgenode/program_test.go
+++ b/cmd/edgenode/program_test.go
@@ -148,18 +148,18 @@
 	for k, v := range map[string]string{"X-Correlation-Id": id, "X-Tariff": plan, "X-Time-Left": "7000m"} {
 		req.Header.Set(k, v)
 	}
-	answer := make(chan string, 1)
+	response := make(chan string, 1)
 	go func() {
 		resp, err := http.DefaultTransport.RoundTrip(req)
 		if err != nil {
-			answer <- err.Error()
+			response <- err.Error()
 			return
 		}
 		defer func() { _ = resp.Body.Close() }()
 		body, _ := io.ReadAll(resp.Body)
-		answer <- fmt.Sprint(resp.StatusCode, " ", string(body), " close=", resp.Close)
+		response <- fmt.Sprint(resp.StatusCode, " ", string(body), " close=", resp.Close)
 	}()
-	return answer
+	return response
 }
 
 // startDiscovery starts a service discovery that lists one server and keeps watches open.
--- a/cmd/edgenode/subset_test.go
+++ b/cmd/edgenode/subset_test.go
@@ -65,15 +65,15 @@
 	done      sync.WaitGroup
 	sentCount atomic.Int64
 	mu        sync.Mutex
-	answers   map[string][]string // results by request ID
+	responses map[string][]string // results by request ID
 }
 
-// connectionBroken reports whether a request's connection broke before its answer.
-func connectionBroken(answer string) bool { return !strings.Contains(answer, " close=") }
+// connectionBroken reports whether a request's connection broke before its response.
+func connectionBroken(response string) bool { return !strings.Contains(response, " close=") }
 
 // startClients starts eight clients, which send until they are stopped or their connections break.
 func startClients(t *testing.T, p *program, prefix string) *requestClients {
-	c := &requestClients{p: p, prefix: prefix, stop: make(chan struct{}), answers: map[string][]string{}}
+	c := &requestClients{p: p, prefix: prefix, stop: make(chan struct{}), responses: map[string][]string{}}
 	t.Cleanup(c.stopAndWait)
 	go func() { // reads the log, because the program blocks when the pipe is full
 		for p.logLines.Scan() {
@@ -88,11 +88,11 @@
 				case <-time.After(clientInterval): // keeps the clients together within the quota of their one tenant
 				}
 				id := fmt.Sprint(prefix, c.sentCount.Add(1))
-				answer := <-p.get(id)
+				response := <-p.get(id)
 				c.mu.Lock()
-				c.answers[id] = append(c.answers[id], answer)
+				c.responses[id] = append(c.responses[id], response)
 				c.mu.Unlock()
-				if connectionBroken(answer) {
+				if connectionBroken(response) {
 					return // the process has exited, or the test has failed
 				}
 			}
@@ -121,7 +121,7 @@
 	t.Helper()
 	c.stopAndWait()
 	brokenCount := 0
-	for id, results := range c.answers {
+	for id, results := range c.responses {
 		require.Len(t, results, 1, "results of %s", id)
 		if strings.HasPrefix(results[0], "200 ") {
 			continue
@@ -129,8 +129,8 @@
 		require.True(t, killed && connectionBroken(results[0]), "%s: %s", id, results[0])
 		brokenCount++
 	}
-	t.Logf("%s: %d requests, %d with a broken connection", c.prefix, len(c.answers), brokenCount)
-	require.Greater(t, len(c.answers), 100)
+	t.Logf("%s: %d requests, %d with a broken connection", c.prefix, len(c.responses), brokenCount)
+	require.Greater(t, len(c.responses), 100)
 }
 
 // A node that uses a subset of the endpoint list keeps serving while servers of the subset drain and while the process
--- a/cmd/edgenode/takeover_test.go
+++ b/cmd/edgenode/takeover_test.go
@@ -33,8 +33,8 @@
 }
 
 // Two processes share the listening socket, and the second takes over the first one's state. At SIGTERM the first
-// answers its requests, closes client connections with their next answer and exits early; the second serves on the same
-// socket and both together stay within the quota.
+// answers its requests, closes client connections with their next response and exits early; the second serves on the
+// same socket and both together stay within the quota.
 func TestProcessTakesOverClientSocket(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, "done") }))
 	t.Cleanup(server.Close)
@@ -81,8 +81,8 @@
 	if err := previous.Wait(); err != nil {
 		t.Error(err)
 	}
-	if a := <-successor.get("id-3"); !strings.HasPrefix(a, "200 done") {
-		t.Error(a)
+	if got := <-successor.get("id-3"); !strings.HasPrefix(got, "200 done") {
+		t.Error(got)
 	}
 	// The plan has a burst of 8 tokens and a rate of half a token per second, for both processes together.
 	served += successor.countServed("after-", 20)
@@ -124,8 +124,8 @@
 			if !slices.ContainsFunc(p.logged, func(l string) bool { return strings.Contains(l, "starting without the state of the previous process") }) {
 				t.Errorf("no log line about starting without state: %q", p.logged)
 			}
-			if a := <-p.get("id-1"); !strings.HasPrefix(a, "200 done") {
-				t.Error(a)
+			if got := <-p.get("id-1"); !strings.HasPrefix(got, "200 done") {
+				t.Error(got)
 			}
 		})
 	}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -142,7 +142,7 @@
 	}
 	l.reportCost(x, o)
 	reader, writer := io.Pipe()
-	x.finish(answer{status: http.StatusOK, header: o.header, body: o.body, stream: reader, length: length})
+	x.finish(response{status: http.StatusOK, header: o.header, body: o.body, stream: reader, length: length})
 	l.handle(control.ResponseStarted{ID: x.req.ID, Attempt: t.number, Server: t.server, Latency: time.Since(t.sentAt),
 		Tokens: o.trueCost(l.maxTokens), MeterReading: o.meterReading()})
 	return writer
@@ -165,7 +165,7 @@
 		r.LoadReport = o.loadReport()
 	}
 	if o.reason == control.OK && !x.done {
-		l.finish(x, answer{status: http.StatusOK, header: o.header, body: o.body, reservation: o.reservation})
+		l.finish(x, response{status: http.StatusOK, header: o.header, body: o.body, reservation: o.reservation})
 	} else {
 		o.reservation.shrinkTo(0)
 	}
--- a/internal/node/clientcloses_test.go
+++ b/internal/node/clientcloses_test.go
@@ -195,7 +195,7 @@
 	q := r.newRequest(http.MethodPost, "/visit-update", "id-1").WithContext(ctx)
 	w := httptest.NewRecorder()
 	x := &exchange{req: control.Request{ID: "id-1", Class: "visit-update", Plan: q.Header.Get(headerPlan), Tenant: "1", Tokens: 1, TenantNodes: 1, Write: true},
-		upstreamReq: q, timeLeft: testTimeout, deadline: time.Now().Add(testTimeout), answer: make(chan answer, 1), stats: r.node.stats}
+		upstreamReq: q, timeLeft: testTimeout, deadline: time.Now().Add(testTimeout), response: make(chan response, 1), stats: r.node.stats}
 	readStarted, lastByte := make(chan struct{}), make(chan struct{})
 	x.streamedBody = newClientBody(readerFunc(func([]byte) (int, error) { close(readStarted); <-lastByte; return 0, io.EOF }), http.NewResponseController(w))
 	x.streamedBody.onComplete = x.markReceived
@@ -209,8 +209,8 @@
 	answered := make(chan int, 1)
 	go func() {
 		defer func() { answered <- -1; _ = recover() }()
-		a, _ := r.node.front.respond(w, q, x)
-		answered <- a.status
+		resp, _ := r.node.front.respond(w, q, x)
+		answered <- resp.status
 	}()
 	r.waitUntil("the request is held", func() bool { return r.node.loop.exchanges["id-1"] != nil })
 	r.node.loop.post(func() { r.node.loop.execute(control.Fail{ID: "id-1"}) })
--- a/internal/node/clientrequests.go
+++ b/internal/node/clientrequests.go
@@ -67,8 +67,8 @@
 	if err := f.readTokens(&request, r.Header.Get(headerWeight)); err != nil {
 		return nil, newBadRequest(http.StatusBadRequest, "%s: %v", headerWeight, err)
 	}
-	x := &exchange{req: request, upstreamReq: forwardedRequest(r), timeLeft: timeLeft - answerMargin, bodyLength: r.ContentLength,
-		answer: make(chan answer, 1), stats: f.stats}
+	x := &exchange{req: request, upstreamReq: forwardedRequest(r), timeLeft: timeLeft - responseMargin, bodyLength: r.ContentLength,
+		response: make(chan response, 1), stats: f.stats}
 	if r.ContentLength != 0 {
 		if rejected := f.readBody(x, r, controller); rejected != nil {
 			return nil, rejected
--- a/internal/node/clientresponses.go
+++ b/internal/node/clientresponses.go
@@ -11,37 +11,37 @@
 
 // write sends a response to the client. It returns errClientDisconnected if the client does not read it, and another
 // error if the source of a streamed response failed.
-func (f *frontend) write(w http.ResponseWriter, a answer) error {
-	f.setHeader(w.Header(), a)
+func (f *frontend) write(w http.ResponseWriter, resp response) error {
+	f.setHeader(w.Header(), resp)
 	body := &bodyWriter{w: w, controller: http.NewResponseController(w)}
 	body.extendDeadline()
-	w.WriteHeader(a.status)
-	if a.stream == nil && len(a.body) <= unbudgetedBytes {
-		if _, err := w.Write(a.body); err != nil {
+	w.WriteHeader(resp.status)
+	if resp.stream == nil && len(resp.body) <= unbudgetedBytes {
+		if _, err := w.Write(resp.body); err != nil {
 			return errClientDisconnected
 		}
 		return nil
 	}
-	for part := range slices.Chunk(a.body, 2*unbudgetedBytes) {
+	for part := range slices.Chunk(resp.body, 2*unbudgetedBytes) {
 		if err := body.writePart(part); err != nil {
-			a.close(err)
+			resp.close(err)
 			return err
 		}
 	}
-	if a.stream == nil {
+	if resp.stream == nil {
 		return nil
 	}
-	return body.copyStream(a)
+	return body.copyStream(resp)
 }
 
 // setHeader sets the header of a response.
-func (f *frontend) setHeader(h http.Header, a answer) {
+func (f *frontend) setHeader(h http.Header, resp response) {
 	// A request may arrive on an open connection after the drain began: what counts is whether the node closes
 	// connections now, not when the request arrived.
 	if f.closing.Load() {
 		h.Set("Connection", "close")
 	}
-	for k, v := range a.header {
+	for k, v := range resp.header {
 		if !isHopHeader(k) {
 			h[k] = v
 		}
@@ -49,14 +49,14 @@
 	if h.Get("Content-Type") == "" {
 		h["Content-Type"] = nil // keeps net/http from guessing it from the body
 	}
-	if a.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
+	if resp.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(resp.retryAfter.Seconds(), 'f', -1, 64))
 	}
 	switch {
-	case a.stream == nil:
-		h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	case a.length >= 0:
-		h.Set("Content-Length", strconv.FormatInt(a.length, 10))
+	case resp.stream == nil:
+		h.Set("Content-Length", strconv.Itoa(len(resp.body)))
+	case resp.length >= 0:
+		h.Set("Content-Length", strconv.FormatInt(resp.length, 10))
 	}
 }
 
@@ -84,18 +84,18 @@
 }
 
 // copyStream writes the streamed rest of a response as it arrives.
-func (b *bodyWriter) copyStream(a answer) error {
+func (b *bodyWriter) copyStream(resp response) error {
 	if err := b.writePart(nil); err != nil {
-		a.close(err)
+		resp.close(err)
 		return err
 	}
 	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
 	defer streamBuffers.Put(buffer)
 	for {
-		n, err := a.stream.Read(buffer[:])
+		n, err := resp.stream.Read(buffer[:])
 		if n > 0 {
 			if writeErr := b.writePart(buffer[:n]); writeErr != nil {
-				a.close(writeErr)
+				resp.close(writeErr)
 				return writeErr
 			}
 		}
--- a/internal/node/consensuscalls.go
+++ b/internal/node/consensuscalls.go
@@ -38,7 +38,7 @@
 	Text   []byte `cbor:"7,keyasint,omitempty"` // text of a rule set
 }
 
-// reply is a voter's answer to an order: the result, or an error that names the leader.
+// reply is a voter's response to an order: the result, or an error that names the leader.
 type reply struct {
 	Status int    `cbor:"1,keyasint"` // HTTP status
 	Body   []byte `cbor:"2,keyasint,omitempty"`
@@ -151,7 +151,7 @@
 	return fmt.Sprintf("console: council/%s: %s: %q is not valid; give %s", e.Call, e.Key, e.Have, e.Want)
 }
 
-// handleOrder sends an order to the leader and writes the leader's answer. It answers with Retry-After on failure.
+// handleOrder sends an order to the leader and writes the leader's reply. It answers with Retry-After on failure.
 func (c *consensusMember) handleOrder(ctx context.Context, w http.ResponseWriter, o order) {
 	a, err := c.sendToLeader(ctx, o)
 	if err != nil {
@@ -166,7 +166,7 @@
 	_, _ = w.Write(a.Body)
 }
 
-// sendToLeader sends an order to the leader and returns the answer. It never retries an order that the leader may have
+// sendToLeader sends an order to the leader and returns its reply. It never retries an order that the leader may have
 // received; the error is an OutcomeUnknownError then.
 func (c *consensusMember) sendToLeader(ctx context.Context, o order) (*reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -186,7 +186,7 @@
 }
 
 // findLeader returns the voter that confirms that it leads. It asks this node first if it is a voter, and then the
-// voters that the answers name as leader or that it has not asked yet.
+// voters that the replies name as leader or that it has not asked yet.
 func (c *consensusMember) findLeader(ctx context.Context) (leader agreement.Peer, err error) {
 	var lastErr error = &agreement.NoMajorityError{Reason: "none of the voters is reached"}
 	asked, nextName := map[string]bool{}, c.name
@@ -201,18 +201,18 @@
 			break
 		}
 		asked[candidate.Name] = true
-		var answer *reply
+		var voterReply *reply
 		voter := agreement.Peer{Name: candidate.Name, Address: candidate.Address}
 		if candidate.Name == c.name {
-			answer = c.execute(order{Op: "leader"})
-		} else if answer, err = c.callVoter(ctx, voter, order{Op: "leader"}); err != nil {
+			voterReply = c.execute(order{Op: "leader"})
+		} else if voterReply, err = c.callVoter(ctx, voter, order{Op: "leader"}); err != nil {
 			lastErr = err
 			continue
 		}
-		if answer.Status == http.StatusOK {
+		if voterReply.Status == http.StatusOK {
 			return voter, nil
 		}
-		nextName, lastErr = answer.Leader, errors.New(strings.TrimSpace(string(answer.Body)))
+		nextName, lastErr = voterReply.Leader, errors.New(strings.TrimSpace(string(voterReply.Body)))
 	}
 	if e, ok := errors.AsType[*agreement.NoMajorityError](lastErr); ok {
 		return leader, e
--- a/internal/node/consensusstatus.go
+++ b/internal/node/consensusstatus.go
@@ -9,7 +9,7 @@
 	"sloestile/internal/consensus/learner"
 )
 
-// versionStatus is the status of a rule version in the console's answer.
+// versionStatus is the status of a rule version in the console's response.
 type versionStatus struct {
 	Number       uint64 `json:"number"`
 	Digest       string `json:"digest"`
@@ -23,7 +23,7 @@
 	Bytes        int    `json:"bytes"`
 }
 
-// leaderStatus is the leader's status in the console's answer.
+// leaderStatus is the leader's status in the console's response.
 type leaderStatus struct {
 	Leader       string           `json:"leader"`
 	Term         uint64           `json:"term"`
@@ -53,7 +53,7 @@
 	Reason string `json:"why"`
 }
 
-// nodeStatus is the status of a node in the console's answer.
+// nodeStatus is the status of a node in the console's response.
 type nodeStatus struct {
 	Node           string          `json:"node"`
 	Version        uint64          `json:"version"`
@@ -66,7 +66,7 @@
 	LeaderError    string          `json:"council_error,omitempty"`
 }
 
-// voterStatus is the status of a voter in the console's answer.
+// voterStatus is the status of a voter in the console's response.
 type voterStatus struct {
 	Phase            string `json:"phase"`
 	Identity         string `json:"identity"`
--- a/internal/node/console.go
+++ b/internal/node/console.go
@@ -18,7 +18,7 @@
 const (
 	maxConsoleConns       = 16              // maximum number of open connections
 	consoleHeaderTimeout  = time.Second     // timeout for reading the header of a call
-	consoleCallTimeout    = 2 * time.Second // timeout for reading a call, and again for writing its answer
+	consoleCallTimeout    = 2 * time.Second // timeout for reading a call, and again for writing its response
 	maxConsoleHeaderBytes = 4 << 10         // bytes
 )
 
--- a/internal/node/console_test.go
+++ b/internal/node/console_test.go
@@ -18,7 +18,7 @@
 // consoleAddr returns the address of the node's console.
 func (r *testNode) consoleAddr() string { return r.node.console.listener.Addr().String() }
 
-// callConsole makes one call of the console. closes reports whether the answer closes the connection.
+// callConsole makes one call of the console. closes reports whether the response closes the connection.
 func (r *testNode) callConsole(method, path string) (status int, body string, closes bool) {
 	r.t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.consoleAddr()+path, nil)
@@ -216,8 +216,8 @@
 	r.waitForMetric("node_hosts_down", 1)
 }
 
-// A drain makes /healthz fail, then closes connections with their next answer, then closes idle connections. It answers
-// open requests and can be cancelled, except after SIGTERM.
+// A drain makes /healthz fail, then closes connections with their next response, then closes idle connections. It
+// answers open requests and can be cancelled, except after SIGTERM.
 func TestConsoleDrain(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
@@ -262,7 +262,7 @@
 	}
 	for resp := ask(kept, "d"); !resp.Close; resp = ask(kept, "d"+strconv.Itoa(int(time.Since(begun)))) {
 		if time.Since(begun) > testTimeout {
-			t.Fatal("answers do not close their connections")
+			t.Fatal("responses do not close their connections")
 		}
 	}
 	if _, err := io.Copy(io.Discard, idle); err != nil {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -14,7 +14,7 @@
 const (
 	// Clients poll /healthz every 0.1 s and open new connections for another 0.2 s. Requests on open connections have
 	// to end within 2 s, and no idle connection may remain after 4 s.
-	consoleDrainCloseDelay = 800 * time.Millisecond // time from a drain order until answers close their connections
+	consoleDrainCloseDelay = 800 * time.Millisecond // time from a drain order until responses close their connections
 	consoleDrainIdleDelay  = 700 * time.Millisecond // time from then until idle connections are closed
 	idlePollInterval       = 50 * time.Millisecond  // interval at which idle connections are closed
 )
@@ -24,15 +24,15 @@
 const (
 	maxDrainDeadline  = 3 * time.Second         // maximum class deadline that a drain waits for
 	drainMargin       = 300 * time.Millisecond  // time after that deadline at which open requests get 502
-	drainClosePeriod  = 1200 * time.Millisecond // last period of a drain, in which answers close their connections
+	drainClosePeriod  = 1200 * time.Millisecond // last period of a drain, in which responses close their connections
 	drainIdleDelay    = 200 * time.Millisecond  // time within it until idle connections are closed and none accepted
 	drainListenPeriod = 400 * time.Millisecond  // minimum time for which new connections are accepted, set by the protocol
-	drainWriteTimeout = 300 * time.Millisecond  // timeout for writing the last answers
+	drainWriteTimeout = 300 * time.Millisecond  // timeout for writing the last responses
 	drainPollInterval = 20 * time.Millisecond   // interval of checks whether all connections are closed
 )
 
-// drainer runs a drain that an operator or SIGTERM started. In stage 0 only /healthz fails, in stage 1 each answer also
-// closes its connection, in stage 2 idle connections are closed too.
+// drainer runs a drain that an operator or SIGTERM started. In stage 0 only /healthz fails, in stage 1 each response
+// also closes its connection, in stage 2 idle connections are closed too.
 type drainer struct {
 	front *frontend
 
@@ -150,9 +150,9 @@
 
 // drain drains the node at shutdown. Clients detect the drain by /healthz but may still use their open connections, and
 // if another node restarts at the same time, some tenants have no other node. So the node first serves as before; then
-// each answer closes its connection, and drain returns once all requests are answered. If another process shares the
+// each response closes its connection, and drain returns once all requests are answered. If another process shares the
 // listening socket, that process gets all new connections: this one stops accepting and closes connections with their
-// next answer from the start.
+// next response from the start.
 func (n *Node) drain(stopLoop context.CancelFunc) error {
 	begun := time.Now()
 	closeDelay := max(n.drainTimeout-drainClosePeriod, 0)
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -23,10 +23,10 @@
 		serveOK(w, q)
 	})
 	r.updateList(a.target("s-1", 0))
-	answers := make(chan *http.Response, 2)
+	responses := make(chan *http.Response, 2)
 	ask := func(id string) {
 		resp, _ := r.do(r.newRequest(http.MethodGet, "/roster-read", id))
-		answers <- resp
+		responses <- resp
 	}
 	for _, id := range []string{"before", "held on"} {
 		go ask(id)
@@ -39,12 +39,12 @@
 	}
 	finish <- struct{}{}
 	// The connection must stay open at first: while another node restarts too, the tenant may have no other node.
-	if resp := receive(t, answers); resp.StatusCode != 200 || resp.Close && !r.node.front.closing.Load() {
-		t.Errorf("%s, close %v before answers close their connections", resp.Status, resp.Close)
+	if resp := receive(t, responses); resp.StatusCode != 200 || resp.Close && !r.node.front.closing.Load() {
+		t.Errorf("%s, close %v before responses close their connections", resp.Status, resp.Close)
 	}
 	r.waitUntil("closing", r.node.front.closing.Load)
 	finish <- struct{}{}
-	if resp := receive(t, answers); resp.StatusCode != 200 || !resp.Close {
+	if resp := receive(t, responses); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%s, close %v", resp.Status, resp.Close)
 	}
 	if err := receive(t, r.ended); err != nil {
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("the decision module failed: %s; start the node again and report it with the log's stack", oneline.Of(fmt.Errorf("%v", e.Panic)))
 }
 
-// statusError is an error of a console call with the HTTP status of the answer.
+// statusError is an error of a console call with the HTTP status of the response.
 type statusError interface {
 	error
 	Status() int
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("console: %s: method %q is not allowed; call it by %s", e.Path, e.Method, strings.Join(e.Allowed, " or "))
 }
 
-// Status returns the HTTP status of the answer.
+// Status returns the HTTP status of the response.
 func (e *CallError) Status() int {
 	if len(e.Allowed) == 0 {
 		return http.StatusNotFound
@@ -87,7 +87,7 @@
 	return fmt.Sprintf("console: undrain: node %s: the process ends; start another one", e.Node)
 }
 
-// Status returns the HTTP status of the answer.
+// Status returns the HTTP status of the response.
 func (e *EndingError) Status() int { return http.StatusConflict }
 
 // ZoneError reports an order for a zone that the fleet file does not name.
@@ -100,7 +100,7 @@
 	return fmt.Sprintf("console: zones: no zone %q; name one of %s", e.Zone, strings.Join(e.Known, ", "))
 }
 
-// Status returns the HTTP status of the answer.
+// Status returns the HTTP status of the response.
 func (e *ZoneError) Status() int { return http.StatusNotFound }
 
 // BusyError reports that the event loop has not executed a call in time.
@@ -113,5 +113,5 @@
 	return fmt.Sprintf("console: %s: not executed within %v, it may still be executed later; check the current state, then call again", e.Call, e.Timeout)
 }
 
-// Status returns the HTTP status of the answer.
+// Status returns the HTTP status of the response.
 func (e *BusyError) Status() int { return http.StatusServiceUnavailable }
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -12,25 +12,25 @@
 	"sloestile/control"
 )
 
-// answerMargin is the time before the client's deadline at which attempts end, so that the last byte of the answer
+// responseMargin is the time before the client's deadline at which attempts end, so that the last byte of the response
 // arrives in time.
-const answerMargin = 15 * time.Millisecond
+const responseMargin = 15 * time.Millisecond
 
-// exchange is the state of one request of a client until its final answer.
+// exchange is the state of one request of a client until its final response.
 type exchange struct {
 	req             control.Request // request for the decision module; TimeLeft is set when the request is passed to it
 	upstreamReq     *http.Request   // request as it is sent to servers, without its body
 	body            []byte          // whole body, or the part before streamedBody
 	streamedBody    *clientBody     // remainder of a long body, which is streamed; nil if the body is not streamed
 	bodyLength      int64           // length of the body in bytes; negative if unknown
-	timeLeft        time.Duration   // client's time limit less answerMargin; it counts from the last byte of the request
+	timeLeft        time.Duration   // client's time limit less responseMargin; it counts from the last byte of the request
 	bodyReservation *reservation    // memory reserved for the body
-	answer          chan answer     // receives exactly one final answer
+	response        chan response   // receives exactly one final response
 	stats           *stats
 	received        atomic.Bool // whether the last byte of the request has been received
 
 	// The fields below are owned by the event loop once beginExchange has been called.
-	deadline     time.Time // client's deadline less answerMargin; zero until the last byte has been received
+	deadline     time.Time // client's deadline less responseMargin; zero until the last byte has been received
 	done         bool      // whether the request is answered or the client has left
 	attempts     []*exchangeAttempt
 	inFlight     int // number of attempts without an outcome
@@ -66,15 +66,15 @@
 	return x.streamedBody != nil && x.streamedBody.consumed.Load()
 }
 
-// finish sends the request's final answer and cancels the start of attempts that have not been written yet.
-func (x *exchange) finish(a answer) {
+// finish sends the request's final response and cancels the start of attempts that have not been written yet.
+func (x *exchange) finish(resp response) {
 	x.done = true
 	for _, attempt := range x.attempts {
 		if attempt.start != nil {
 			attempt.start.cancel()
 		}
 	}
-	x.answer <- a
+	x.response <- resp
 }
 
 // newAttemptRequest returns the request for an attempt that is sent now, with the time left until x.deadline.
@@ -99,26 +99,26 @@
 	return &req
 }
 
-// answer is the final answer to a request. If the answer is streamed, body has its first bytes.
-type answer struct {
+// response is the final response to a request. If it is streamed, body has its first bytes.
+type response struct {
 	status      int
 	header      http.Header
 	body        []byte
 	retryAfter  time.Duration
-	stream      *io.PipeReader // remainder of a streamed answer; nil if the answer is not streamed
-	length      int64          // total length of a streamed answer in bytes; negative if unknown
-	reservation *reservation   // memory reserved for the answer; nil if the answer is streamed
+	stream      *io.PipeReader // remainder of a streamed response; nil if the response is not streamed
+	length      int64          // total length of a streamed response in bytes; negative if unknown
+	reservation *reservation   // memory reserved for the response; nil if the response is streamed
 }
 
 // close closes the stream with an error, so that the attempt that writes to it ends.
-func (a *answer) close(err error) {
-	if a.stream != nil {
-		a.stream.CloseWithError(err)
+func (r *response) close(err error) {
+	if r.stream != nil {
+		r.stream.CloseWithError(err)
 	}
 }
 
-// discard releases the stream and the memory of an answer that is not sent.
-func (a answer) discard() {
-	a.close(errClientDisconnected)
-	a.reservation.shrinkTo(0)
+// discard releases the stream and the memory of a response that is not sent.
+func (r response) discard() {
+	r.close(errClientDisconnected)
+	r.reservation.shrinkTo(0)
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -98,15 +98,15 @@
 		defer x.streamedBody.discard(r)
 	}
 	defer x.markEnded()
-	a, complete := f.respond(w, r, x)
-	if a == nil {
+	resp, complete := f.respond(w, r, x)
+	if resp == nil {
 		return
 	}
 	if !complete {
-		f.stats.countAnswer(x.req.Class, http.StatusBadGateway)
+		f.stats.countResponse(x.req.Class, http.StatusBadGateway)
 		panic(http.ErrAbortHandler) // closes the connection, so that the client detects the truncated response
 	}
-	f.stats.countAnswer(x.req.Class, a.status)
+	f.stats.countResponse(x.req.Class, resp.status)
 }
 
 // respondHealth responds to /healthz. Here and after bad requests the connection is closed, so that callers can't hold
@@ -117,12 +117,12 @@
 		status = http.StatusServiceUnavailable
 	}
 	w.Header().Set("Connection", "close")
-	_ = f.write(w, answer{status: status})
+	_ = f.write(w, response{status: status})
 }
 
 // respond passes a request to the event loop, waits for its final response and writes it. It returns nil if the client
 // has disconnected or its request was rejected as bad. complete reports whether the response was written in full.
-func (f *frontend) respond(w http.ResponseWriter, r *http.Request, x *exchange) (a *answer, complete bool) {
+func (f *frontend) respond(w http.ResponseWriter, r *http.Request, x *exchange) (resp *response, complete bool) {
 	f.loop.post(func() { f.loop.beginExchange(x) })
 	final, rejected := f.awaitResponse(r, x)
 	if rejected != nil {
@@ -149,10 +149,10 @@
 
 // awaitResponse waits for the final response to a request. It returns a badRequest if reading the request body failed
 // before there was a response, and aborts the handler if the client has disconnected.
-func (f *frontend) awaitResponse(r *http.Request, x *exchange) (final answer, rejected *badRequest) {
+func (f *frontend) awaitResponse(r *http.Request, x *exchange) (final response, rejected *badRequest) {
 	for disconnected := r.Context().Done(); final.status == 0; {
 		select {
-		case final = <-x.answer:
+		case final = <-x.response:
 		case <-disconnected:
 			// net/http cancels the context after any failed read, so the client may still be connected. A failed
 			// read of the body is reported by bodyFailed, or the read was stopped because the final response is there.
@@ -182,17 +182,17 @@
 }
 
 // finalResponse returns the final response to a request: 502 if the loop has ended without one.
-func (f *frontend) finalResponse(x *exchange) answer {
+func (f *frontend) finalResponse(x *exchange) response {
 	select {
-	case a := <-x.answer:
-		return a
+	case resp := <-x.response:
+		return resp
 	case <-f.loop.ended:
 	}
 	select {
-	case a := <-x.answer:
-		return a
+	case resp := <-x.response:
+		return resp
 	default:
-		return answer{status: http.StatusBadGateway}
+		return response{status: http.StatusBadGateway}
 	}
 }
 
@@ -200,5 +200,5 @@
 func (f *frontend) rejectBadRequest(w http.ResponseWriter, rejected *badRequest) {
 	f.badRequests.Add(1)
 	w.Header().Set("Connection", "close")
-	_ = f.write(w, answer{status: rejected.status, body: []byte(rejected.message + "\n")})
+	_ = f.write(w, response{status: rejected.status, body: []byte(rejected.message + "\n")})
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -53,9 +53,9 @@
 // The metrics that are available without a fleet file, and those of the membership, must not change their text.
 func TestMetricsMatchGoldenFile(t *testing.T) {
 	metrics := newStats([]control.Class{{Name: "b"}, {Name: "a"}})
-	metrics.countAnswer("a", 200)
-	metrics.countAnswer("a", 503)
-	metrics.countAnswer("b", 500)
+	metrics.countResponse("a", 200)
+	metrics.countResponse("a", 503)
+	metrics.countResponse("b", 500)
 	var out strings.Builder
 	metrics.write(&out)
 	writePeerMetrics(&out, &membership.Counts{})
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -195,7 +195,7 @@
 }
 
 // holdRequest sends a request that the server never answers, and returns once the server has received it. The channel
-// receives the status of the final answer.
+// receives the status of the final response.
 func (r *testNode) holdRequest() <-chan int {
 	r.t.Helper()
 	requestReceived := make(chan struct{})
@@ -267,7 +267,7 @@
 	return c
 }
 
-// resetConn closes a request's connection without an answer.
+// resetConn closes a request's connection without a response.
 func resetConn(w http.ResponseWriter, _ *http.Request) { _ = hijack(w).Close() }
 
 // neverAnswer returns a handler that does not answer until the client or the test ends.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -125,7 +125,7 @@
 			slog.Error("decision module panicked", "stack", string(debug.Stack()))
 		}
 		for _, x := range l.exchanges {
-			l.finish(x, answer{status: http.StatusBadGateway})
+			l.finish(x, response{status: http.StatusBadGateway})
 		}
 		close(l.ended)
 		l.cancelAttempts()
@@ -173,13 +173,13 @@
 			x.attempts[a.Attempt].cancel(context.Canceled)
 		}
 	case control.Reject:
-		l.finishByID(a.ID, answer{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
+		l.finishByID(a.ID, response{status: http.StatusServiceUnavailable, retryAfter: a.RetryAfter})
 	case control.Fail:
 		status := http.StatusBadGateway
 		if x := l.exchanges[a.ID]; x != nil && x.lastOutcome == control.TimedOut {
 			status = http.StatusGatewayTimeout
 		}
-		l.finishByID(a.ID, answer{status: status})
+		l.finishByID(a.ID, response{status: status})
 	case control.SetTimer:
 		time.AfterFunc(a.After, func() {
 			l.post(func() { l.handle(control.Timer{Label: a.Label}) })
@@ -195,7 +195,7 @@
 // open.
 func (l *loop) beginExchange(x *exchange) {
 	if l.exchanges[x.req.ID] != nil {
-		x.answer <- answer{status: http.StatusConflict}
+		x.response <- response{status: http.StatusConflict}
 		return
 	}
 	l.exchanges[x.req.ID] = x
@@ -228,21 +228,21 @@
 	if x.done {
 		return
 	}
-	l.finish(x, answer{})
+	l.finish(x, response{})
 	l.handle(control.ClientGone{ID: x.req.ID})
 }
 
 // finishByID finishes the request with an ID. It does nothing if there is no such request.
-func (l *loop) finishByID(id string, a answer) {
+func (l *loop) finishByID(id string, resp response) {
 	if x := l.exchanges[id]; x != nil {
-		l.finish(x, a)
+		l.finish(x, resp)
 	}
 }
 
-// finish sends a request's final answer if none was sent, and releases the request.
-func (l *loop) finish(x *exchange, a answer) {
+// finish sends a request's final response if none was sent, and releases the request.
+func (l *loop) finish(x *exchange, resp response) {
 	if !x.done {
-		x.finish(a)
+		x.finish(resp)
 	}
 	l.release(x)
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -38,8 +38,8 @@
 	return s
 }
 
-// countAnswer counts a final answer that was written to a client.
-func (s *stats) countAnswer(class string, status int) {
+// countResponse counts a final response that was written to a client.
+func (s *stats) countResponse(class string, status int) {
 	t := s.byClass[class]
 	switch status {
 	case http.StatusOK:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -12,14 +12,14 @@
 	"sloestile/internal/discovery"
 )
 
-// Path, query, idempotency key and body must reach the server unchanged, and the answer the client; the remaining time
-// is reduced.
+// Path, query, idempotency key and body must reach the server unchanged, and the response the client; the remaining
+// time is reduced.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	r := newTestNode(t)
 	a := newTestServer(t, func(w http.ResponseWriter, req *http.Request) {
 		left, err := strconv.Atoi(strings.TrimSuffix(req.Header.Get(headerTimeLeft), "m"))
-		// The server gets less time than the client, so that the last byte of the answer reaches the client in time.
-		if err != nil || left < 1 || left > 7000-int(answerMargin.Milliseconds()) {
+		// The server gets less time than the client, so that the last byte of the response reaches the client in time.
+		if err != nil || left < 1 || left > 7000-int(responseMargin.Milliseconds()) {
 			t.Errorf("time left %q", req.Header.Get(headerTimeLeft))
 		}
 		w.Header().Set("Content-Type", "text/x-roster")
@@ -112,7 +112,7 @@
 	}
 }
 
-// At the client's deadline the attempt's connection is closed and the client gets an answer: 503 if the request may be
+// At the client's deadline the attempt's connection is closed and the client gets a response: 503 if the request may be
 // retried safely, 504 if it may have been executed.
 func TestRequestTimesOut(t *testing.T) {
 	t.Parallel()
@@ -145,7 +145,7 @@
 }
 
 // The ID of a request whose client has left may be reused only after its attempt has ended.
-func TestClientLeavesBeforeTheAnswer(t *testing.T) {
+func TestClientLeavesBeforeTheResponse(t *testing.T) {
 	r := newTestNode(t)
 	started, finish := make(chan struct{}), make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, q *http.Request) {
@@ -169,7 +169,7 @@
 	}
 	leave()
 	if err := receive(t, left); err == nil {
-		t.Error("the client that left got an answer")
+		t.Error("the client that left got a response")
 	}
 	r.waitUntil("detection of the closed connection", func() bool { x := r.node.loop.exchanges["id-1"]; return x != nil && x.done })
 	close(finish)
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -199,7 +199,7 @@
 	require.NoError(t, err)
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 	full := false
-	for range 10 { // until the accept queue is full, so that further connections get no answer
+	for range 10 { // until the accept queue is full, so that further connections get no response
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
 		if full = err != nil; full {
 			break
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -28,10 +28,10 @@
 
 // newFixedServer returns the address of a server that responds to each request with the same bytes and closes the
 // connection.
-func newFixedServer(t *testing.T, response string) string {
+func newFixedServer(t *testing.T, responseText string) string {
 	a := newTestServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		c := hijack(w)
-		_, _ = io.WriteString(c, response)
+		_, _ = io.WriteString(c, responseText)
 		_ = c.Close()
 	})
 	return a.Listener.Addr().String()
--- a/internal/node/zonesgolden_test.go
+++ b/internal/node/zonesgolden_test.go
@@ -27,8 +27,8 @@
 	return z
 }
 
-// The console's answer to GET /zones must not change: operators' tools parse it.
-func TestZonesAnswerMatchesGoldenFile(t *testing.T) {
+// The console's response to GET /zones must not change: operators' tools parse it.
+func TestZonesResponseMatchesGoldenFile(t *testing.T) {
 	w := httptest.NewRecorder()
 	fixedZones().handleGet(w, httptest.NewRequest(http.MethodGet, "/zones", nil))
 	golden.CheckText(t, "zones", w.Header().Get("Content-Type")+"\n"+w.Body.String())
