--- a/cmd/edgenode/subset_test.go
+++ b/cmd/edgenode/subset_test.go
@@ -205,6 +205,6 @@
 	require.Equal(t, thirdSubset, waitForSubset(thirdClients, startedAt), "the subset changed with the restart")
 	thirdClients.stopAndCheck(t, false)
 	for _, call := range firstRequests[1:] {
-		require.Equal(t, "/v1/servers?watch=1", source.requests()[call], "a restarted process requested something other than the whole list")
+		require.Equal(t, "/v1/servers?watch=1", source.requests()[call], "a restarted process requested something other than the complete list")
 	}
 }
--- a/fleet/subset/list.go
+++ b/fleet/subset/list.go
@@ -1,6 +1,6 @@
 package subset
 
-// List stages a whole server list while the message that carries it is read. The set is unchanged until
+// List stages a complete server list while the message that carries it is read. The set is unchanged until
 // Replace. Entries that the set already lists with the same content are shared with it, so that a repeated
 // list costs little memory.
 type List struct {
--- a/fleet/subset/property_test.go
+++ b/fleet/subset/property_test.go
@@ -148,10 +148,10 @@
 	}
 }
 
-// send sends a message, a whole list or a delta, to the set and the reference model. It requires an error
+// send sends a message, a complete list or a delta, to the set and the reference model. It requires an error
 // exactly if the message exceeds the maximum size of a list.
-func send(t *rapid.T, set *Set, model *referenceModel, whole bool, message []Server) Change {
-	if !whole {
+func send(t *rapid.T, set *Set, model *referenceModel, complete bool, message []Server) Change {
+	if !complete {
 		change, err := set.Apply(message)
 		fits := model.update(message)
 		require.Equal(t, fits, err == nil)
@@ -204,10 +204,10 @@
 		model := &referenceModel{config: config, hash: order.hash, list: map[string]Server{}}
 		known := make(map[string]Server)
 		for range rapid.IntRange(1, 25).Draw(t, "messages") {
-			whole := rapid.IntRange(0, 4).Draw(t, "whole") == 0
+			complete := rapid.IntRange(0, 4).Draw(t, "complete") == 0
 			maxEntries := rapid.SampledFrom([]int{1, 1, 3, 20, 40}).Draw(t, "size")
 			message := drawMessage(t, maxEntries)
-			applyChange(known, send(t, set, model, whole, message))
+			applyChange(known, send(t, set, model, complete, message))
 			compareWithModel(t, set, model, known)
 		}
 	})
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -60,15 +60,15 @@
 func (e *MalformedError) Unwrap() error { return e.Err }
 
 // VersionError reports a delta whose revision Got is older than the revision Have of the cached list. The watch then
-// requests the whole list.
+// requests the complete list.
 type VersionError struct{ Have, Got int64 }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("discovery: revision went back to %d from %d; check whether discovery was restarted", e.Got, e.Have)
 }
 
-// PartialError reports a delta of revision Rev that arrived before the whole list, while only a subset of the list is
-// cached.
+// PartialError reports a delta of revision Rev that arrived before the complete list, while only a subset of the list
+// is cached.
 type PartialError struct{ Rev int64 }
 
 func (e *PartialError) Error() string {
--- a/internal/discovery/selection.go
+++ b/internal/discovery/selection.go
@@ -20,13 +20,13 @@
 type selection struct {
 	config         subset.Config
 	fleetSize      int
-	maxKeptEntries int // maximum entries of a whole list that are also kept unchanged, in case the whole list is used
+	maxKeptEntries int // maximum entries of a complete list that are also kept unchanged, in case the whole list is used
 	maxListed      int // maximum entries of a message
 	counts         Counts
 
 	mu           sync.Mutex
 	set          *subset.Set
-	cachedSubset bool // the node uses a cached subset without the rest of its list, so the next update must be a whole list
+	cachedSubset bool // the node uses a cached subset without the rest of its list, so the next update must be complete
 }
 
 func newSelection(cfg subset.Config, fleetSize int) (*selection, error) {
@@ -38,7 +38,7 @@
 		maxListed: cmp.Or(cfg.MaxListed, subset.DefaultMaxListed)}, nil
 }
 
-// stage begins a whole list. The list changes nothing until it is passed to choose.
+// stage begins a complete list. The list changes nothing until it is passed to choose.
 func (s *selection) stage() *subset.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,8 +52,8 @@
 	return list.Add(t.server())
 }
 
-// choose applies an update. For a whole list, list holds its staged entries. It returns the update that the node needs,
-// and false if the node's servers don't change. After an error nothing has changed.
+// choose applies an update. For a complete list, list holds its staged entries. It returns the update that the node
+// needs, and false if the node's servers don't change. After an error nothing has changed.
 func (s *selection) choose(u Update, list *subset.List) (Update, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/selection_test.go
+++ b/internal/discovery/selection_test.go
@@ -27,9 +27,9 @@
 	)
 }
 
-// Applying single changes yields the same subset as the whole list does, if the node receives only the changes of its
-// subset.
-func TestChangesYieldSameSubsetAsWholeList(t *testing.T) {
+// Applying single changes yields the same subset as the complete list does, if the node receives only the changes of
+// its subset.
+func TestChangesYieldSameSubsetAsCompleteList(t *testing.T) {
 	s, err := newSelection(subset.Config{Node: 3, MaxServers: 20, MinPerZone: 2, MaxListed: 1000}, 5800)
 	require.NoError(t, err)
 	node := &subsetWatch{inUse: map[string]Target{}}
@@ -105,7 +105,7 @@
 	require.Equal(t, Update{Rev: 12, Targets: removed[:1]}, s.next(t))
 }
 
-// A process that starts with a cached subset uses it, requests the whole list, and chooses the same subset. One that
+// A process that starts with a cached subset uses it, requests the complete list, and chooses the same subset. One that
 // starts with a cached complete list requests changes.
 func TestStartsWithCachedList(t *testing.T) {
 	cfg := subset.Config{MaxServers: 20, MinPerZone: subset.NoZoneMinimum, MaxListed: 100}
@@ -151,8 +151,8 @@
 	require.Zero(t, unusableDelay(errStalled))
 }
 
-// A process that uses whole lists but starts with a cached subset uses it and requests the whole list.
-func TestWholeListIsRequestedAfterCachedSubset(t *testing.T) {
+// A process that uses whole lists but starts with a cached subset uses it and requests the complete list.
+func TestCompleteListIsRequestedAfterCachedSubset(t *testing.T) {
 	w := newWatcher("127.0.0.1:9", Update{}, 2, time.Second, 1, func(Update) {})
 	cached := Update{Rev: 7, Targets: servers(3), NodesPerServer: 13.6}
 	require.Equal(t, cached, w.Adopt(cached, true))
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -171,7 +171,7 @@
 	return s.pace.retryDelay(now)
 }
 
-// startCall requests the changes since the cached list, or the whole list if there is none.
+// startCall requests the changes since the cached list, or the complete list if there is none.
 func (s *session) startCall() *call {
 	url := s.url
 	if s.rev != noRev {
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -28,10 +28,10 @@
 	entries   int // number of entries read of the current message
 }
 
-// staged is a message that was read. If it is a long whole list, update has no targets.
+// staged is a message that was read. If it is a long complete list, update has no targets.
 type staged struct {
 	update Update
-	list   *subset.List    // entries of a whole list; nil for a delta
+	list   *subset.List    // entries of a complete list; nil for a delta
 	seen   map[string]bool // names of the fields that were read
 }
 
@@ -94,7 +94,7 @@
 	return m, r.stageTargets(m)
 }
 
-// stageTargets stages the entries of a whole list whose field "all" came after them.
+// stageTargets stages the entries of a complete list whose field "all" came after them.
 func (r *stream) stageTargets(m *staged) error {
 	if !m.update.All || m.list != nil || m.update.Targets == nil {
 		return nil
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -75,7 +75,7 @@
 // uids returns the sorted UIDs of the servers in use.
 func (s *subsetWatch) uids() []string { return slices.Sorted(maps.Keys(s.inUse)) }
 
-// chosenUIDs returns the sorted UIDs of the servers that node 3 chooses from a whole list.
+// chosenUIDs returns the sorted UIDs of the servers that node 3 chooses from a complete list.
 func chosenUIDs(t *testing.T, cfg subset.Config, all []Target) (uids []string) {
 	t.Helper()
 	cfg.Node = 3
@@ -218,7 +218,7 @@
 // An unusable message is dropped whole and reported with an error of the expected type. The previous list stays in use,
 // and the next one is applied.
 func TestBadMessagesAreDroppedWhole(t *testing.T) {
-	wholeList := func(change func([]Target) []Target) string {
+	completeList := func(change func([]Target) []Target) string {
 		return strings.TrimSpace(encodeUpdate(t, Update{Rev: 8, All: true, Targets: change(servers(50))}, ""))
 	}
 	addContradiction := func(all []Target) []Target {
@@ -230,14 +230,14 @@
 		message    string
 		isExpected func(error) bool
 	}{
-		"too many entries":     {wholeList(func(all []Target) []Target { return servers(101) }), is[*subset.TooManyError]},
-		"entry too long":       {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", maxEntryBytes); return all }), is[*EntrySizeError]},
-		"field too long":       {wholeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", 300); return all }), is[*subset.EntryError]},
-		"contradictory list":   {wholeList(addContradiction), is[*subset.EntryError]},
-		"contradictory delta":  {strings.Replace(wholeList(addContradiction), `"all":true`, `"all":false`, 1), is[*subset.EntryError]},
-		"no uid":               {wholeList(func(all []Target) []Target { all[9].UID = ""; return all }), is[*MalformedError]},
-		"no endpoint":          {wholeList(func(all []Target) []Target { all[9].Endpoint = "x"; return all }), is[*MalformedError]},
-		"truncated":            {wholeList(func(all []Target) []Target { return all })[:3000], is[*TruncatedError]},
+		"too many entries":     {completeList(func(all []Target) []Target { return servers(101) }), is[*subset.TooManyError]},
+		"entry too long":       {completeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", maxEntryBytes); return all }), is[*EntrySizeError]},
+		"field too long":       {completeList(func(all []Target) []Target { all[9].Model = strings.Repeat("m", 300); return all }), is[*subset.EntryError]},
+		"contradictory list":   {completeList(addContradiction), is[*subset.EntryError]},
+		"contradictory delta":  {strings.Replace(completeList(addContradiction), `"all":true`, `"all":false`, 1), is[*subset.EntryError]},
+		"no uid":               {completeList(func(all []Target) []Target { all[9].UID = ""; return all }), is[*MalformedError]},
+		"no endpoint":          {completeList(func(all []Target) []Target { all[9].Endpoint = "x"; return all }), is[*MalformedError]},
+		"truncated":            {completeList(func(all []Target) []Target { return all })[:3000], is[*TruncatedError]},
 		"not JSON":             {`{"rev":8,"all":true,"targets":[{"uid":}]}`, is[*MalformedError]},
 		"not an object":        {`[1]`, is[*MalformedError]},
 		"wrong type":           {`{"rev":8,"all":"yes"}`, is[*MalformedError]},
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -9,11 +9,11 @@
 // time.Duration.
 const maxBootMS = 9e12
 
-// Update is one message of discovery: a complete update with the whole server list, or a delta with the changes of one
+// Update is one message of discovery: a complete update, which lists all servers, or a delta with the changes of one
 // revision.
 type Update struct {
 	Rev     int64    `json:"rev"`     // revision of the list after this message
-	All     bool     `json:"all"`     // Targets is the whole list
+	All     bool     `json:"all"`     // Targets is the complete list
 	Targets []Target `json:"targets"` // nil if the message has no such field
 
 	// NodesPerServer is the mean number of nodes that use each target if Targets are a subset of discovery's list. 0
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -100,7 +100,7 @@
 
 // Adopt accepts a cached list from this node's configuration or from another process, and returns the part of it that
 // the node uses. current is true if the list is current and came from this discovery. If it is also complete, the
-// watch requests the changes since then, else the whole list. Adopt must not be called once Run has started.
+// watch requests the changes since then, else the complete list. Adopt must not be called once Run has started.
 func (w *Watcher) Adopt(cached Update, current bool) Update {
 	w.rev = cached.Rev
 	if !current || cached.NodesPerServer > 0 || (cached.Rev == 0 && len(cached.Targets) == 0) {
@@ -133,7 +133,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.nextAddress != "" {
-		// Revisions of one discovery can't be compared with those of another: request the new one's whole list.
+		// Revisions of one discovery can't be compared with those of another: request the new one's complete list.
 		w.url, w.rev, w.nextAddress = watchURL(w.nextAddress), noRev, ""
 		w.pace.recordMove(time.Now())
 	}
@@ -184,13 +184,13 @@
 }
 
 // apply checks an update and passes it to onUpdate. After an unusable one, a new watch requests the changes since the
-// last revision that was applied, or the whole list.
+// last revision that was applied, or the complete list.
 func (w *Watcher) apply(u Update, list *subset.List) error {
 	if err := u.Check(); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
 	if u.All && u.Targets == nil && list == nil {
-		// A whole list without the field "targets" is damaged; applying it would leave no server to send to.
+		// A complete list without the field "targets" is damaged; applying it would leave no server to send to.
 		return fmt.Errorf("discovery: rev %d: a whole list without targets", u.Rev)
 	}
 	if !u.All && u.Rev < w.rev {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -53,7 +53,7 @@
 // oneTargetUpdate is a delta of revision 43 with one server.
 const oneTargetUpdate = `{"rev":43,"all":false,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"a","model":"m2","pod_group":3,"state":"up","boot_ms":1700000000000}]}` + "\n"
 
-// However a watch breaks, the next one requests the changes since the last complete revision, or the whole list if
+// However a watch breaks, the next one requests the changes since the last complete revision, or the complete list if
 // discovery has restarted its revision numbers.
 func TestWatchReconnectsFromLastCompleteRevision(t *testing.T) {
 	for name, tc := range map[string]struct{ sent, wantQuery string }{
@@ -96,8 +96,8 @@
 	}
 }
 
-// After a move the watch requests the whole list from the new discovery at once, whatever revision the old one had, even
-// if the old one is unreachable and a delay is pending.
+// After a move the watch requests the complete list from the new discovery at once, whatever revision the old one had,
+// even if the old one is unreachable and a delay is pending.
 func TestWatchMoves(t *testing.T) {
 	old, other := discoverytest.NewServer(t), discoverytest.NewServer(t)
 	updates, w := startWatch(t, old, 41)
@@ -118,7 +118,7 @@
 }
 
 // A node with a cached list requests the changes since its revision, also if that is 0. A node without one requests the
-// whole list.
+// complete list.
 func TestWatchRequestsChangesSinceCachedList(t *testing.T) {
 	for wantQuery, cached := range map[string]Update{
 		"from=0":  {Targets: []Target{{UID: "s-1", Endpoint: "127.0.0.1:9", State: "up"}}},
