--- a/control/concurrency.go
+++ b/control/concurrency.go
@@ -23,7 +23,7 @@
 	abandoned  []abandonedWork // in the order in which their attempts ended
 }
 
-// abandonedWork is work that is assumed to continue at a server after its attempt timed out or was cancelled.
+// abandonedWork is work that is assumed to continue at a server after its attempt timed out or was canceled.
 type abandonedWork struct {
 	server *server
 	until  time.Duration // assumed end of the work
--- a/control/events.go
+++ b/control/events.go
@@ -52,7 +52,7 @@
 	TimedOut      Outcome = 303 // no response in time; may have run, and may still be running
 	ConnectFailed Outcome = 304 // no connection could be opened; never ran
 	ResetByPeer   Outcome = 305 // the connection was reset; may have run
-	Cancelled     Outcome = 306 // the attempt was cancelled; may have run
+	Cancelled     Outcome = 306 // the attempt was canceled; may have run
 	NeverSent     Outcome = 307 // the attempt was not sent; never ran
 )
 
--- a/control/property_test.go
+++ b/control/property_test.go
@@ -127,7 +127,7 @@
 			run.timersDueAt = append(run.timersDueAt, run.now+a.After)
 		case CancelAttempt:
 			if !run.settings.CanCancel {
-				run.t.Fatal("cancelled an attempt though the settings do not permit it")
+				run.t.Fatal("canceled an attempt though the settings do not permit it")
 			}
 		case HealthCheck:
 			if !run.settings.HealthChecks {
--- a/control/settings.go
+++ b/control/settings.go
@@ -78,7 +78,7 @@
 	PeerMessagesPerSecond    float64       // maximum rate of messages from other nodes
 	MaxAttempts              int           // maximum attempts of one request
 	MaxInFlight              int           // maximum of Rules.MaxInFlight; no effect where that is 0
-	CanCancel                bool          // attempts can be cancelled
+	CanCancel                bool          // attempts can be canceled
 	ClientsMarkRetries       bool          // clients mark their retries
 	HealthChecks             bool          // health checks of servers are allowed
 	PeerMessages             bool          // nodes may send messages to each other
--- a/fleet/rules/golden_test.go
+++ b/fleet/rules/golden_test.go
@@ -45,7 +45,7 @@
 }
 
 // The encoding of a registry's snapshot must not change, as it is on disk. The registry here has an active, a prepared
-// and a cancelled version.
+// and a canceled version.
 func TestSnapshotEncodingMatchesGolden(t *testing.T) {
 	r := &Registry{}
 	for _, c := range []Command{
--- a/fleet/rules/registry.go
+++ b/fleet/rules/registry.go
@@ -42,7 +42,7 @@
 	Prepared                        // its activation has begun: leases on the active version are shortened or run out
 	Active                          // leases are granted on it
 	Superseded                      // was active; a newer version has replaced it
-	Cancelled                       // its activation was cancelled; it may be scheduled again
+	Cancelled                       // its activation was canceled; it may be scheduled again
 )
 
 // String returns the status as it is shown to operators.
@@ -63,7 +63,7 @@
 	Status       VersionStatus
 	Kind         ActivationKind // kind of its latest activation
 	ActivateAt   uint64         // time of its latest activation, Unix ms; 0 means as soon as possible
-	LastAuthor   string         // who scheduled that activation, or cancelled it
+	LastAuthor   string         // who scheduled that activation, or canceled it
 }
 
 // registryState is the whole state of a registry, as its snapshot holds it.
@@ -340,7 +340,7 @@
 }
 
 // commit makes the prepared version the active one. It compares the revision of the preparation, so that a Commit for a
-// cancelled preparation does not complete a later one of the same version, for which leases may still conflict.
+// canceled preparation does not complete a later one of the same version, for which leases may still conflict.
 func (r *Registry) commit(c *Commit) (Result, error) {
 	if !r.state.Prepared || r.state.Scheduled[0] != c.Number || r.state.Revision != c.Revision {
 		return Result{}, &PhaseError{Step: "activating", Number: c.Number, Prepared: r.preparedNumber()}
--- a/fleet/rules/registry_test.go
+++ b/fleet/rules/registry_test.go
@@ -110,12 +110,12 @@
 	assert.Equal(t, &PhaseError{Step: "preparing", Number: newest - 1}, apply(Command{Prepare: &Prepare{Number: newest - 1}}))
 	require.NoError(t, apply(Command{Prepare: &Prepare{Number: newest - 2}}))
 
-	// A Commit with the revision of a cancelled preparation is rejected.
-	cancelledRevision := r.State().Revision
+	// A Commit with the revision of a canceled preparation is rejected.
+	canceledRevision := r.State().Revision
 	require.NoError(t, apply(Command{Cancel: &Cancel{Number: newest - 2}}))
 	require.NoError(t, apply(Command{Activate: &Activate{Number: newest - 2, Kind: Overlap}}))
 	require.NoError(t, apply(Command{Prepare: &Prepare{Number: newest - 2}}))
-	assert.Equal(t, &PhaseError{Step: "activating", Number: newest - 2, Prepared: newest - 2}, apply(Command{Commit: &Commit{Number: newest - 2, Revision: cancelledRevision}}))
+	assert.Equal(t, &PhaseError{Step: "activating", Number: newest - 2, Prepared: newest - 2}, apply(Command{Commit: &Commit{Number: newest - 2, Revision: canceledRevision}}))
 	require.NoError(t, apply(Command{Commit: &Commit{Number: newest - 2, Revision: r.State().Revision}}))
 	assert.Equal(t, &StaleVersionError{Current: newest - 2, Given: newest - 3}, apply(Command{Activate: &Activate{Number: newest - 3, Kind: Overlap}}))
 
@@ -124,8 +124,8 @@
 	restored, err := r.Version(newest + 1)
 	require.NoError(t, err)
 	assert.Equal(t, fmt.Append(nil, "# ", newest-6), restored.Text)
-	cancelled, _ := r.Version(newest - 1)
-	assert.Equal(t, Cancelled, cancelled.Status)
+	canceled, _ := r.Version(newest - 1)
+	assert.Equal(t, Cancelled, canceled.Status)
 }
 
 // Any bytes that are accepted as a command must leave the registry in a state that can be restored from its snapshot.
--- a/internal/consensus/raft.go
+++ b/internal/consensus/raft.go
@@ -75,7 +75,7 @@
 	}
 	isVoting := v.setRaft(r, identity)
 	running, stop := context.WithCancel(ctx)
-	var tasks sync.WaitGroup // its goroutines end when running is cancelled
+	var tasks sync.WaitGroup // its goroutines end when running is canceled
 	tasks.Go(func() { v.watchLeadership(running, r, leading) })
 	if !isVoting {
 		tasks.Go(func() { v.joinGroup(running, r, identity) })
--- a/internal/discovery/bulk.go
+++ b/internal/discovery/bulk.go
@@ -9,7 +9,7 @@
 
 // Progress requirements for a message that is read entry by entry: at least 32 KiB/s, for at most ten minutes. The
 // rate is this low because many nodes may share discovery's bandwidth: with a deadline that they can't all meet,
-// every transfer would be cancelled before its last byte, again and again.
+// every transfer would be canceled before its last byte, again and again.
 const (
 	MinProgressBytes = 16 << 10               // bytes required within each ProgressInterval of an incomplete message
 	ProgressInterval = 500 * time.Millisecond // progress deadline within a message
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -18,7 +18,7 @@
 	messageTimeout  = 500 * time.Millisecond // maximum time from the first byte of a message to its last
 )
 
-// errStalled is the cause with which a call is cancelled whose message was not completed in time.
+// errStalled is the cause with which a call is canceled whose message was not completed in time.
 var errStalled = errors.New("a message was not completed in time")
 
 // unusableError reports a response without a usable update: discovery is reachable and may have newer data.
@@ -45,7 +45,7 @@
 }
 
 // followWatch makes a watch request and emits each update and heartbeat until the call ends. emit returns false once
-// the call has been cancelled. cancel cancels ctx.
+// the call has been canceled. cancel cancels ctx.
 func followWatch(ctx context.Context, client *http.Client, url string, cancel context.CancelCauseFunc, emit func(event) bool) error {
 	resp, err := openWatch(ctx, client, url)
 	if err != nil {
--- a/internal/discovery/progress_test.go
+++ b/internal/discovery/progress_test.go
@@ -65,9 +65,9 @@
 	require.Equal(t, int64(20_000), s.Counts().Listed.Load())
 }
 
-// A message whose bytes arrive too slowly or stop is cancelled at its progress deadline and reported as dropped. The
+// A message whose bytes arrive too slowly or stop is canceled at its progress deadline and reported as dropped. The
 // next call follows soon.
-func TestMessageWithoutProgressIsCancelled(t *testing.T) {
+func TestMessageWithoutProgressIsCanceled(t *testing.T) {
 	text := encodeUpdate(t, Update{Rev: 7, All: true, Targets: servers(5_000)}, "")
 	for name, pause := range map[string]time.Duration{"too slow": 50 * time.Millisecond, "stopped": time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 			took := time.Since(startedAt)
 			require.True(t, is[*StalledError](err), "%v", err)
 			require.GreaterOrEqual(t, took, ProgressInterval)
-			require.Less(t, took, answerTimeout, "the message was not cancelled by its progress deadline")
+			require.Less(t, took, answerTimeout, "the message was not canceled by its progress deadline")
 			require.Eventually(t, func() bool { return calls.Load() > 1 }, testTimeout, time.Millisecond)
 			require.Empty(t, s.updates)
 		})
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -83,7 +83,7 @@
 func (s *session) handle(e event) {
 	i := slices.Index(s.openCalls, e.call)
 	if i < 0 {
-		return // the call has been cancelled
+		return // the call has been canceled
 	}
 	if e.err == nil && e.update != nil {
 		if err := s.apply(*e.update, e.list); err != nil {
--- a/internal/node/console_test.go
+++ b/internal/node/console_test.go
@@ -217,7 +217,7 @@
 }
 
 // A drain makes /healthz fail, then closes connections with their next response, then closes idle connections. It
-// answers open requests and can be cancelled, except after SIGTERM.
+// answers open requests and can be canceled, except after SIGTERM.
 func TestConsoleDrain(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
@@ -284,7 +284,7 @@
 	if resp := ask(newConn, "f"); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("request after the drain: %s, closes %v", resp.Status, resp.Close)
 	}
-	// SIGTERM during a drain shuts the process down, and the drain can't be cancelled any more.
+	// SIGTERM during a drain shuts the process down, and the drain can't be canceled any more.
 	r.callConsole(http.MethodPost, "/drain")
 	r.stop()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -299,7 +299,7 @@
 		}
 	}
 	if r.node.drainer.undrain() {
-		t.Error("the drain of a process that is shutting down was cancelled")
+		t.Error("the drain of a process that is shutting down was canceled")
 	}
 	if err := receive(t, r.ended); err != nil {
 		t.Error(err)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -39,7 +39,7 @@
 	mu     sync.Mutex
 	cancel chan struct{} // closed to cancel the current drain; nil if no drain runs
 	stage  int           // 0 to 2
-	final  bool          // whether the process is shutting down, so that the drain can't be cancelled
+	final  bool          // whether the process is shutting down, so that the drain can't be canceled
 }
 
 // begin starts a drain that enters stage 1 after closeDelay and stage 2 after another idleDelay. It does nothing if a
@@ -56,10 +56,10 @@
 
 // startLocked starts the stages of a drain. The caller holds the lock.
 func (d *drainer) startLocked(closeDelay, idleDelay time.Duration) {
-	cancelled := make(chan struct{})
-	d.cancel, d.stage = cancelled, 0
+	canceled := make(chan struct{})
+	d.cancel, d.stage = canceled, 0
 	d.front.draining.Store(true)
-	go d.runStages(cancelled, closeDelay, idleDelay)
+	go d.runStages(canceled, closeDelay, idleDelay)
 }
 
 // beginFinal starts the drain at the process's shutdown. A drain that an operator started continues with its own
@@ -82,7 +82,7 @@
 		return false
 	}
 	if d.cancel != nil {
-		slog.Info("drain cancelled")
+		slog.Info("drain canceled")
 		close(d.cancel)
 		d.cancel, d.stage = nil, 0
 		d.front.closing.Store(false)
@@ -98,11 +98,11 @@
 	return d.final || d.cancel != nil
 }
 
-// enterStage enters a stage. It returns false if the drain was cancelled.
-func (d *drainer) enterStage(cancelled chan struct{}, stage int) bool {
+// enterStage enters a stage. It returns false if the drain was canceled.
+func (d *drainer) enterStage(canceled chan struct{}, stage int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cancel != cancelled {
+	if d.cancel != canceled {
 		return false
 	}
 	d.stage = stage
@@ -110,17 +110,17 @@
 	return true
 }
 
-// runStages runs the stages of a drain. In stage 2 it closes idle connections until the drain is cancelled.
-func (d *drainer) runStages(cancelled chan struct{}, closeDelay, idleDelay time.Duration) {
+// runStages runs the stages of a drain. In stage 2 it closes idle connections until the drain is canceled.
+func (d *drainer) runStages(canceled chan struct{}, closeDelay, idleDelay time.Duration) {
 	wait := func(t time.Duration) bool {
 		select {
-		case <-cancelled:
+		case <-canceled:
 			return false
 		case <-time.After(t):
 			return true
 		}
 	}
-	if !wait(closeDelay) || !d.enterStage(cancelled, 1) || !wait(idleDelay) || !d.enterStage(cancelled, 2) {
+	if !wait(closeDelay) || !d.enterStage(canceled, 1) || !wait(idleDelay) || !d.enterStage(canceled, 2) {
 		return
 	}
 	for ok := true; ok; ok = wait(idlePollInterval) {
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -80,7 +80,7 @@
 	return http.StatusMethodNotAllowed
 }
 
-// EndingError reports that a drain can't be cancelled, as the process is shutting down.
+// EndingError reports that a drain can't be canceled, as the process is shutting down.
 type EndingError struct{ Node string }
 
 func (e *EndingError) Error() string {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// clientGone handles the loss of the client's connection. Attempts that have been written continue: cancelling them
+// clientGone handles the loss of the client's connection. Attempts that have been written continue: canceling them
 // would not stop the server's work, and the decision module still uses their outcomes.
 func (l *loop) clientGone(x *exchange) {
 	if x.done {
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// An attempt either begins or is cancelled, never both, even if both happen at the same time.
-func TestAttemptStartsOrIsCancelled(t *testing.T) {
+// An attempt either begins or is canceled, never both, even if both happen at the same time.
+func TestAttemptStartsOrIsCanceled(t *testing.T) {
 	var s startState
 	assert.True(t, s.tryStart())
 	s.cancel()
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -152,7 +152,7 @@
 }
 
 // A canceled attempt closes its connection and has the outcome Cancelled.
-func TestCancelledAttempt(t *testing.T) {
+func TestCanceledAttempt(t *testing.T) {
 	received := make(chan struct{})
 	a := newTestServer(t, func(w http.ResponseWriter, r *http.Request) {
 		close(received)
