--- a/cmd/edgenode/consensusfleet_test.go
+++ b/cmd/edgenode/consensusfleet_test.go
@@ -59,7 +59,7 @@
 	requests      *requestLog
 }
 
-// Ports of a node at its own address. Those of its proxies to peers and voters start at the last two.
+// Ports of a node at its own address. The proxies to node j listen on peerProxyPort+j and consensusProxyPort+j.
 const (
 	clientPort = 7000 + iota
 	consolePort
@@ -86,8 +86,8 @@
 	return fmt.Sprint(f.addressPrefix, i+1, ":", port)
 }
 
-// newConsensusFleet starts a fleet. peerSettings are lines for the section [peers] of the fleet file. If the test
-// fails, the cleanup prints the logs and stacks of all nodes.
+// newConsensusFleet starts a fleet of nodes, the first of which are the voters. peerSettings are lines for
+// the section [peers] of the fleet file. If the test fails, the cleanup prints the logs and stacks of all nodes.
 func newConsensusFleet(t *testing.T, voters, nodes int, peerSettings ...string) *consensusFleet {
 	bin, err := buildLabEdgenode()
 	require.NoError(t, err)
@@ -205,7 +205,7 @@
 	<-f.nodes[i].done
 }
 
-// consensusStatus is a node's answer to /council/status.
+// consensusStatus is a node's response to /council/status.
 type consensusStatus struct {
 	Version, Known uint64
 	Why, Refusal   string
@@ -244,7 +244,7 @@
 	return s
 }
 
-// call sends an operator's call to the console of node i; status 0 means that there was no answer.
+// call sends an operator's call to the console of node i; status 0 means that there was no response.
 func (f *consensusFleet) call(i int, path string, q url.Values, body string) (status int, text string) {
 	resp, err := consoleClient.Post("http://"+f.nodes[i].consoleAddr+"/council/"+path+"?"+q.Encode(), "text/plain", strings.NewReader(body))
 	if err != nil {
@@ -255,7 +255,7 @@
 	return resp.StatusCode, string(raw)
 }
 
-// callUntilOK retries a call until it succeeds and returns the version number in the answer.
+// callUntilOK retries a call until it succeeds and returns the version number in the response.
 func (f *consensusFleet) callUntilOK(i int, path string, q url.Values, body string) (number uint64) {
 	f.t.Helper()
 	last := ""
--- a/internal/discovery/session.go
+++ b/internal/discovery/session.go
@@ -83,7 +83,7 @@
 func (s *session) handle(e event) {
 	i := slices.Index(s.openCalls, e.call)
 	if i < 0 {
-		return // the call has been cancelled
+		return // the call has been canceled
 	}
 	if e.err == nil && e.update != nil {
 		if err := s.apply(*e.update, e.list); err != nil {
@@ -171,7 +171,7 @@
 	return s.pace.retryDelay(now)
 }
 
-// startCall requests the changes since the cached list, or the whole list if there is none.
+// startCall requests the changes since the cached list, or the complete list if there is none.
 func (s *session) startCall() *call {
 	url := s.url
 	if s.rev != noRev {
--- a/internal/node/console_test.go
+++ b/internal/node/console_test.go
@@ -18,7 +18,7 @@
 // consoleAddr returns the address of the node's console.
 func (r *testNode) consoleAddr() string { return r.node.console.listener.Addr().String() }
 
-// callConsole makes one call of the console. closes reports whether the answer closes the connection.
+// callConsole makes one call of the console. closes reports whether the response closes the connection.
 func (r *testNode) callConsole(method, path string) (status int, body string, closes bool) {
 	r.t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.consoleAddr()+path, nil)
@@ -216,8 +216,8 @@
 	r.waitForMetric("node_hosts_down", 1)
 }
 
-// A drain makes /healthz fail, then closes connections with their next answer, then closes idle connections. It answers
-// open requests and can be cancelled, except after SIGTERM.
+// A drain makes /healthz fail, then closes connections with their next response, then closes idle connections. It
+// answers open requests and can be canceled, except after SIGTERM.
 func TestConsoleDrain(t *testing.T) {
 	t.Parallel()
 	r := newTestNode(t)
@@ -262,7 +262,7 @@
 	}
 	for resp := ask(kept, "d"); !resp.Close; resp = ask(kept, "d"+strconv.Itoa(int(time.Since(begun)))) {
 		if time.Since(begun) > testTimeout {
-			t.Fatal("answers do not close their connections")
+			t.Fatal("responses do not close their connections")
 		}
 	}
 	if _, err := io.Copy(io.Discard, idle); err != nil {
@@ -284,7 +284,7 @@
 	if resp := ask(newConn, "f"); resp.StatusCode != 200 || resp.Close {
 		t.Errorf("request after the drain: %s, closes %v", resp.Status, resp.Close)
 	}
-	// SIGTERM during a drain shuts the process down, and the drain can't be cancelled any more.
+	// SIGTERM during a drain shuts the process down, and the drain can't be canceled any more.
 	r.callConsole(http.MethodPost, "/drain")
 	r.stop()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -299,7 +299,7 @@
 		}
 	}
 	if r.node.drainer.undrain() {
-		t.Error("the drain of a process that is shutting down was cancelled")
+		t.Error("the drain of a process that is shutting down was canceled")
 	}
 	if err := receive(t, r.ended); err != nil {
 		t.Error(err)
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -14,7 +14,7 @@
 const (
 	// Clients poll /healthz every 0.1 s and open new connections for another 0.2 s. Requests on open connections have
 	// to end within 2 s, and no idle connection may remain after 4 s.
-	consoleDrainCloseDelay = 800 * time.Millisecond // time from a drain order until answers close their connections
+	consoleDrainCloseDelay = 800 * time.Millisecond // time from a drain order until responses close their connections
 	consoleDrainIdleDelay  = 700 * time.Millisecond // time from then until idle connections are closed
 	idlePollInterval       = 50 * time.Millisecond  // interval at which idle connections are closed
 )
@@ -24,22 +24,22 @@
 const (
 	maxDrainDeadline  = 3 * time.Second         // maximum class deadline that a drain waits for
 	drainMargin       = 300 * time.Millisecond  // time after that deadline at which open requests get 502
-	drainClosePeriod  = 1200 * time.Millisecond // last period of a drain, in which answers close their connections
+	drainClosePeriod  = 1200 * time.Millisecond // last period of a drain, in which responses close their connections
 	drainIdleDelay    = 200 * time.Millisecond  // time within it until idle connections are closed and none accepted
 	drainListenPeriod = 400 * time.Millisecond  // minimum time for which new connections are accepted, set by the protocol
-	drainWriteTimeout = 300 * time.Millisecond  // timeout for writing the last answers
+	drainWriteTimeout = 300 * time.Millisecond  // timeout for writing the last responses
 	drainPollInterval = 20 * time.Millisecond   // interval of checks whether all connections are closed
 )
 
-// drainer runs a drain that an operator or SIGTERM started. In stage 0 only /healthz fails, in stage 1 each answer also
-// closes its connection, in stage 2 idle connections are closed too.
+// drainer runs a drain that an operator or SIGTERM started. In stage 0 only /healthz fails, in stage 1 each response
+// also closes its connection, in stage 2 idle connections are closed too.
 type drainer struct {
 	front *frontend
 
 	mu     sync.Mutex
 	cancel chan struct{} // closed to cancel the current drain; nil if no drain runs
 	stage  int           // 0 to 2
-	final  bool          // whether the process is shutting down, so that the drain can't be cancelled
+	final  bool          // whether the process is shutting down, so that the drain can't be canceled
 }
 
 // begin starts a drain that enters stage 1 after closeDelay and stage 2 after another idleDelay. It does nothing if a
@@ -56,10 +56,10 @@
 
 // startLocked starts the stages of a drain. The caller holds the lock.
 func (d *drainer) startLocked(closeDelay, idleDelay time.Duration) {
-	cancelled := make(chan struct{})
-	d.cancel, d.stage = cancelled, 0
+	canceled := make(chan struct{})
+	d.cancel, d.stage = canceled, 0
 	d.front.draining.Store(true)
-	go d.runStages(cancelled, closeDelay, idleDelay)
+	go d.runStages(canceled, closeDelay, idleDelay)
 }
 
 // beginFinal starts the drain at the process's shutdown. A drain that an operator started continues with its own
@@ -82,7 +82,7 @@
 		return false
 	}
 	if d.cancel != nil {
-		slog.Info("drain cancelled")
+		slog.Info("drain canceled")
 		close(d.cancel)
 		d.cancel, d.stage = nil, 0
 		d.front.closing.Store(false)
@@ -98,11 +98,11 @@
 	return d.final || d.cancel != nil
 }
 
-// enterStage enters a stage. It returns false if the drain was cancelled.
-func (d *drainer) enterStage(cancelled chan struct{}, stage int) bool {
+// enterStage enters a stage. It returns false if the drain was canceled.
+func (d *drainer) enterStage(canceled chan struct{}, stage int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.cancel != cancelled {
+	if d.cancel != canceled {
 		return false
 	}
 	d.stage = stage
@@ -110,17 +110,17 @@
 	return true
 }
 
-// runStages runs the stages of a drain. In stage 2 it closes idle connections until the drain is cancelled.
-func (d *drainer) runStages(cancelled chan struct{}, closeDelay, idleDelay time.Duration) {
+// runStages runs the stages of a drain. In stage 2 it closes idle connections until the drain is canceled.
+func (d *drainer) runStages(canceled chan struct{}, closeDelay, idleDelay time.Duration) {
 	wait := func(t time.Duration) bool {
 		select {
-		case <-cancelled:
+		case <-canceled:
 			return false
 		case <-time.After(t):
 			return true
 		}
 	}
-	if !wait(closeDelay) || !d.enterStage(cancelled, 1) || !wait(idleDelay) || !d.enterStage(cancelled, 2) {
+	if !wait(closeDelay) || !d.enterStage(canceled, 1) || !wait(idleDelay) || !d.enterStage(canceled, 2) {
 		return
 	}
 	for ok := true; ok; ok = wait(idlePollInterval) {
@@ -150,9 +150,9 @@
 
 // drain drains the node at shutdown. Clients detect the drain by /healthz but may still use their open connections, and
 // if another node restarts at the same time, some tenants have no other node. So the node first serves as before; then
-// each answer closes its connection, and drain returns once all requests are answered. If another process shares the
+// each response closes its connection, and drain returns once all requests are answered. If another process shares the
 // listening socket, that process gets all new connections: this one stops accepting and closes connections with their
-// next answer from the start.
+// next response from the start.
 func (n *Node) drain(stopLoop context.CancelFunc) error {
 	begun := time.Now()
 	closeDelay := max(n.drainTimeout-drainClosePeriod, 0)
--- a/internal/node/starts_test.go
+++ b/internal/node/starts_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// An attempt either begins or is cancelled, never both, even if both happen at the same time.
-func TestAttemptStartsOrIsCancelled(t *testing.T) {
+// An attempt either begins or is canceled, never both, even if both happen at the same time.
+func TestAttemptStartsOrIsCanceled(t *testing.T) {
 	var s startState
 	assert.True(t, s.tryStart())
 	s.cancel()
@@ -199,7 +199,7 @@
 	require.NoError(t, err)
 	addr := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
 	full := false
-	for range 10 { // until the accept queue is full, so that further connections get no answer
+	for range 10 { // until the accept queue is full, so that further connections get no response
 		c, err := net.DialTimeout("tcp", addr, 100*time.Millisecond)
 		if full = err != nil; full {
 			break
